--- a/benchmarks/src/main/java/weldcross/benchmarks/RecordLogBenchmark.java
+++ b/benchmarks/src/main/java/weldcross/benchmarks/RecordLogBenchmark.java
@@ -20,8 +20,8 @@
 import weldcross.storage.RecordLog;
 
 /**
- * What the log's frames cost beside a plain file of lengths and bytes, on a disk that does nothing: the
- * encoding and the checksum alone. One operation is a commit of so many records of 100 bytes.
+ * What the log's frames cost beside a plain file of lengths and bytes, on a disk that does nothing:
+ * the encoding and the checksum alone. One operation is a commit of so many records of 100 bytes.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -31,98 +31,95 @@
 @Fork(1)
 public class RecordLogBenchmark {
 
-    /** Takes everything and keeps nothing. */
-    private static final class NoDisk implements Disk {
+  /** Takes everything and keeps nothing. */
+  private static final class NoDisk implements Disk {
 
-        @Override
-        public SortedSet<String> names() {
-            return new TreeSet<>();
-        }
+    @Override
+    public SortedSet<String> names() {
+      return new TreeSet<>();
+    }
 
+    @Override
+    public File open(String name) {
+      return new File() {
         @Override
-        public File open(String name) {
-            return new File() {
-                @Override
-                public long size() {
-                    return 0;
-                }
-
-                @Override
-                public void read(long at, ByteBuffer into) {
-                }
-
-                @Override
-                public void write(long at, ByteBuffer from) {
-                    from.position(from.limit());
-                }
-
-                @Override
-                public void truncate(long size) {
-                }
-
-                @Override
-                public void force() {
-                }
-
-                @Override
-                public void close() {
-                }
-            };
+        public long size() {
+          return 0;
         }
 
         @Override
-        public void rename(String from, String to) {
-        }
+        public void read(long at, ByteBuffer into) {}
 
         @Override
-        public void delete(String name) {
+        public void write(long at, ByteBuffer from) {
+          from.position(from.limit());
         }
 
         @Override
-        public void forceNames() {
-        }
+        public void truncate(long size) {}
 
         @Override
-        public void close() {
-        }
-    }
+        public void force() {}
 
-    @Param({"1", "16", "256"})
-    private int records;
-
-    private final ByteBuffer record = ByteBuffer.allocate(100);
-    private RecordLog log;
-    private Disk.File plain;
-
-    @Setup
-    public void open() throws IOException {
-        log = RecordLog.open(new NoDisk(), Long.MAX_VALUE, new RecordLog.Reader() {
-            @Override
-            public void snapshot(long upTo, ByteBuffer content) {
-            }
-
-            @Override
-            public void record(long number, ByteBuffer content) {
-            }
-        });
-        plain = new NoDisk().open("plain");
+        @Override
+        public void close() {}
+      };
     }
 
-    @Benchmark
-    public void recordLog() throws IOException {
-        for (int k = 0; k < records; k++) {
-            log.add(record);
-        }
-        log.commit();
+    @Override
+    public void rename(String from, String to) {}
+
+    @Override
+    public void delete(String name) {}
+
+    @Override
+    public void forceNames() {}
+
+    @Override
+    public void close() {}
+  }
+
+  @Param({"1", "16", "256"})
+  private int records;
+
+  private final ByteBuffer record = ByteBuffer.allocate(100);
+  private RecordLog log;
+  private Disk.File plain;
+
+  @Setup
+  public void open() throws IOException {
+    log =
+        RecordLog.open(
+            new NoDisk(),
+            Long.MAX_VALUE,
+            new RecordLog.Reader() {
+              @Override
+              public void snapshot(long upTo, ByteBuffer content) {}
+
+              @Override
+              public void record(long number, ByteBuffer content) {}
+            });
+    plain = new NoDisk().open("plain");
+  }
+
+  @Benchmark
+  public void recordLog() throws IOException {
+    for (int k = 0; k < records; k++) {
+      log.add(record);
     }
-
-    @Benchmark
-    public void plainFile() throws IOException {
-        for (int k = 0; k < records; k++) {
-            ByteBuffer out = ByteBuffer.allocate(4 + record.remaining()).putInt(record.remaining())
-                    .put(record.duplicate()).flip();
-            plain.write(0, out);
-        }
-        plain.force();
+    log.commit();
+  }
+
+  @Benchmark
+  public void plainFile() throws IOException {
+    for (int k = 0; k < records; k++) {
+      ByteBuffer out =
+          ByteBuffer.allocate(4 + record.remaining())
+              .putInt(record.remaining())
+              .put(record.duplicate())
+              .flip();
+      plain.write(0, out);
     }
+    plain.force();
+  }
 }
--- a/gateway/src/main/java/weldcross/Main.java
+++ b/gateway/src/main/java/weldcross/Main.java
@@ -8,18 +8,18 @@
 /** Where the program starts; what it can do is in {@link Commands}. */
 public final class Main {
 
-    private Main() {
-    }
+  private Main() {}
 
-    public static void main(String[] args) throws IOException {
-        // Picocli takes some 0.2 s of one core to load, which at a restart is time in which nobody is served.
-        if (args.length == 1 && args[0].equals("serve")) {
-            System.exit(Serving.run(Level.INFO));
-        }
-        // What is rehearsed for the archive of classes is to load no others than that.
-        if (args.length == 2 && args[0].equals("rehearse")) {
-            System.exit(Serving.rehearse(args[1]));
-        }
-        System.exit(Commands.run(args));
+  public static void main(String[] args) throws IOException {
+    // Picocli takes some 0.2 s of one core to load, which at a restart is time in which nobody is
+    // served.
+    if (args.length == 1 && args[0].equals("serve")) {
+      System.exit(Serving.run(Level.INFO));
+    }
+    // What is rehearsed for the archive of classes is to load no others than that.
+    if (args.length == 2 && args[0].equals("rehearse")) {
+      System.exit(Serving.rehearse(args[1]));
     }
+    System.exit(Commands.run(args));
+  }
 }
--- a/gateway/src/main/java/weldcross/agreement/AgreedHost.java
+++ b/gateway/src/main/java/weldcross/agreement/AgreedHost.java
@@ -6,30 +6,39 @@
 /** What {@link Agreed} can do to the world; what is sent to a voter may be lost. */
 public interface AgreedHost {
 
-    /** Asks for the view if it is later than the one of this number; to this gateway itself where it is a voter. */
-    void ask(PeerName voter, long have);
+  /**
+   * Asks for the view if it is later than the one of this number; to this gateway itself where it
+   * is a voter.
+   */
+  void ask(PeerName voter, long have);
 
-    /** Asks for a change; what became of it is told under the number, or is never told. */
-    void move(PeerName voter, long number, Motion motion);
+  /** Asks for a change; what became of it is told under the number, or is never told. */
+  void move(PeerName voter, long number, Motion motion);
 
-    /** From now on this view counts here. */
-    void viewIs(View view);
+  /** From now on this view counts here. */
+  void viewIs(View view);
 
-    /** The fleet's budgets are to be divided so that this gateway has this share, above 0 and at most 1. */
-    void shareIs(double share);
+  /**
+   * The fleet's budgets are to be divided so that this gateway has this share, above 0 and at most
+   * 1.
+   */
+  void shareIs(double share);
 
-    /** This life is no member any more and cannot be again: only a later life can. */
-    void ended(long life);
+  /** This life is no member any more and cannot be again: only a later life can. */
+  void ended(long life);
 
-    /** What became of a change that an operator asked for. */
-    void operatorTold(Motion motion, Verdict verdict);
+  /** What became of a change that an operator asked for. */
+  void operatorTold(Motion motion, Verdict verdict);
 
-    /** Whether this gateway has left, so that nothing of it has to be waited for. */
-    void left();
+  /** Whether this gateway has left, so that nothing of it has to be waited for. */
+  void left();
 
-    /** Two views of one number: more disks of voters than may be lost have lost what they said was kept. */
-    void torn(View held, View other);
+  /**
+   * Two views of one number: more disks of voters than may be lost have lost what they said was
+   * kept.
+   */
+  void torn(View held, View other);
 
-    /** Asks for {@link Agreed#due} then; only the time asked for last counts. */
-    void wakeAt(Duration when);
+  /** Asks for {@link Agreed#due} then; only the time asked for last counts. */
+  void wakeAt(Duration when);
 }
--- a/gateway/src/main/java/weldcross/agreement/Member.java
+++ b/gateway/src/main/java/weldcross/agreement/Member.java
@@ -9,5 +9,4 @@
  * @param zone where it stands; empty where there are none
  * @param part of the traffic, in thousandths
  */
-public record Member(PeerName name, long life, String zone, int part) {
-}
+public record Member(PeerName name, long life, String zone, int part) {}
--- a/gateway/src/main/java/weldcross/agreement/Motion.java
+++ b/gateway/src/main/java/weldcross/agreement/Motion.java
@@ -3,8 +3,8 @@
 import weldcross.link.PeerName;
 
 /**
- * A change of the view that is asked for. Asking twice changes nothing the second time, so whoever is not sure
- * whether it was heard asks again.
+ * A change of the view that is asked for. Asking twice changes nothing the second time, so whoever
+ * is not sure whether it was heard asks again.
  *
  * @param kind never null
  * @param of whom it is about
@@ -13,35 +13,37 @@
  * @param by who asks; it is only told to readers of the log
  * @param basis of FORGET: the number of the view that the operator saw
  */
-public record Motion(Kind kind, PeerName of, long life, String zone, int part, PeerName by, long basis) {
+public record Motion(
+    Kind kind, PeerName of, long life, String zone, int part, PeerName by, long basis) {
 
-    /** What is asked for. */
-    public enum Kind {
-        /** This life is here. */
-        JOIN,
-        /** This life ends its work by itself. */
-        LEAVE,
-        /** There is proof that this life has ended. */
-        GONE,
-        /** An operator vouches that the one of this name does nothing more. */
-        FORGET,
-        /** A mark of the consensus; changes nothing. */
-        NOTHING
-    }
+  /** What is asked for. */
+  public enum Kind {
+    /** This life is here. */
+    JOIN,
+    /** This life ends its work by itself. */
+    LEAVE,
+    /** There is proof that this life has ended. */
+    GONE,
+    /** An operator vouches that the one of this name does nothing more. */
+    FORGET,
+    /** A mark of the consensus; changes nothing. */
+    NOTHING
+  }
 
-    public static Motion join(Member member) {
-        return new Motion(Kind.JOIN, member.name(), member.life(), member.zone(), member.part(), member.name(), 0);
-    }
+  public static Motion join(Member member) {
+    return new Motion(
+        Kind.JOIN, member.name(), member.life(), member.zone(), member.part(), member.name(), 0);
+  }
 
-    public static Motion leave(Member member) {
-        return new Motion(Kind.LEAVE, member.name(), member.life(), "", 0, member.name(), 0);
-    }
+  public static Motion leave(Member member) {
+    return new Motion(Kind.LEAVE, member.name(), member.life(), "", 0, member.name(), 0);
+  }
 
-    public static Motion gone(PeerName of, long life, PeerName by) {
-        return new Motion(Kind.GONE, of, life, "", 0, by, 0);
-    }
+  public static Motion gone(PeerName of, long life, PeerName by) {
+    return new Motion(Kind.GONE, of, life, "", 0, by, 0);
+  }
 
-    public static Motion forget(PeerName of, PeerName by, long basis) {
-        return new Motion(Kind.FORGET, of, 0, "", 0, by, basis);
-    }
+  public static Motion forget(PeerName of, PeerName by, long basis) {
+    return new Motion(Kind.FORGET, of, 0, "", 0, by, basis);
+  }
 }
--- a/gateway/src/main/java/weldcross/agreement/Verdict.java
+++ b/gateway/src/main/java/weldcross/agreement/Verdict.java
@@ -2,14 +2,14 @@
 
 /** What became of a motion. */
 public enum Verdict {
-    /** The view has changed by it. */
-    DONE,
-    /** The view was so already. */
-    SAME,
-    /** The life it speaks of has ended by an earlier view. */
-    ENDED,
-    /** It was made from another view than the one in force. */
-    CHANGED,
-    /** Nobody of that name is a member. */
-    UNKNOWN
+  /** The view has changed by it. */
+  DONE,
+  /** The view was so already. */
+  SAME,
+  /** The life it speaks of has ended by an earlier view. */
+  ENDED,
+  /** It was made from another view than the one in force. */
+  CHANGED,
+  /** Nobody of that name is a member. */
+  UNKNOWN
 }
--- a/gateway/src/main/java/weldcross/agreement/net/AgreementHost.java
+++ b/gateway/src/main/java/weldcross/agreement/net/AgreementHost.java
@@ -10,38 +10,41 @@
 import weldcross.link.PeerName;
 import weldcross.storage.Disk;
 
-/** What {@link Agreement} needs of its gateway. Where not said otherwise called on the gateway's thread. */
+/**
+ * What {@link Agreement} needs of its gateway. Where not said otherwise called on the gateway's
+ * thread.
+ */
 public interface AgreementHost {
 
-    Duration now();
+  Duration now();
 
-    /** Sends it to another gateway; it may be lost. */
-    void send(PeerName to, Word word);
+  /** Sends it to another gateway; it may be lost. */
+  void send(PeerName to, Word word);
 
-    /** From the voter's thread: has this run on the gateway's. */
-    void post(Runnable event);
+  /** From the voter's thread: has this run on the gateway's. */
+  void post(Runnable event);
 
-    /** Asks to be called then; only the time asked for last counts. */
-    void wakeAt(Duration when);
+  /** Asks to be called then; only the time asked for last counts. */
+  void wakeAt(Duration when);
 
-    /** On the voter's thread: the directory of the voter alone. */
-    Disk disk() throws IOException;
+  /** On the voter's thread: the directory of the voter alone. */
+  Disk disk() throws IOException;
 
-    /** As {@link weldcross.agreement.AgreedHost#viewIs}. */
-    void viewIs(View view);
+  /** As {@link weldcross.agreement.AgreedHost#viewIs}. */
+  void viewIs(View view);
 
-    /** As {@link weldcross.agreement.AgreedHost#shareIs}. */
-    void shareIs(double share);
+  /** As {@link weldcross.agreement.AgreedHost#shareIs}. */
+  void shareIs(double share);
 
-    /** As {@link weldcross.agreement.AgreedHost#ended}. */
-    void ended(long life);
+  /** As {@link weldcross.agreement.AgreedHost#ended}. */
+  void ended(long life);
 
-    /** As {@link weldcross.agreement.AgreedHost#operatorTold}. */
-    void operatorTold(Motion motion, Verdict verdict);
+  /** As {@link weldcross.agreement.AgreedHost#operatorTold}. */
+  void operatorTold(Motion motion, Verdict verdict);
 
-    /** As {@link weldcross.agreement.AgreedHost#left}. */
-    void left();
+  /** As {@link weldcross.agreement.AgreedHost#left}. */
+  void left();
 
-    /** From any thread. */
-    void say(Level level, String words);
+  /** From any thread. */
+  void say(Level level, String words);
 }
--- a/gateway/src/main/java/weldcross/agreement/raft/VoterHost.java
+++ b/gateway/src/main/java/weldcross/agreement/raft/VoterHost.java
@@ -8,25 +8,28 @@
 import weldcross.link.PeerName;
 import weldcross.storage.Disk;
 
-/** What a {@link Voter} can do to the world; all is called on its own thread, and only {@link #disk} may wait. */
+/**
+ * What a {@link Voter} can do to the world; all is called on its own thread, and only {@link #disk}
+ * may wait.
+ */
 public interface VoterHost {
 
-    /** The directory of this voter alone. */
-    Disk disk() throws IOException;
+  /** The directory of this voter alone. */
+  Disk disk() throws IOException;
 
-    /** Sends it to another voter; it may be lost, late and repeated. */
-    void send(PeerName to, Word word);
+  /** Sends it to another voter; it may be lost, late and repeated. */
+  void send(PeerName to, Word word);
 
-    /** The consensus has committed this view, or it is known again from what was kept. */
-    void viewIs(View view);
+  /** The consensus has committed this view, or it is known again from what was kept. */
+  void viewIs(View view);
 
-    /**
-     * What became of a change that was asked for here.
-     *
-     * @param verdict null where this voter does not lead
-     * @param leader null where none is known
-     */
-    void moved(PeerName asker, long number, Verdict verdict, PeerName leader);
+  /**
+   * What became of a change that was asked for here.
+   *
+   * @param verdict null where this voter does not lead
+   * @param leader null where none is known
+   */
+  void moved(PeerName asker, long number, Verdict verdict, PeerName leader);
 
-    void say(Level level, String words);
+  void say(Level level, String words);
 }
--- a/gateway/src/main/java/weldcross/bench/WireHost.java
+++ b/gateway/src/main/java/weldcross/bench/WireHost.java
@@ -10,80 +10,92 @@
 /** Writes one instance's calls as lines of the bench's wire. */
 final class WireHost implements Host {
 
-    static final String TIMER = "timer";
-    static final String DUE = "due";
-
-    private final StringBuilder reply;
-    private final int instance;
-    private final long startMicros;
-
-    WireHost(StringBuilder reply, int instance, long startMicros) {
-        this.reply = reply;
-        this.instance = instance;
-        this.startMicros = startMicros;
-    }
-
-    @Override
-    public void callOut(RpcId rpc, ServerId server, Duration until) {
-        begin("CALL_OUT").append(rpc.name()).append(' ').append(server.name()).append(' ')
-                .append(clock(until)).append('\n');
-    }
-
-    @Override
-    public void cancel(RpcId rpc, int callOut) {
-        begin("ABORT_ATTEMPT").append(rpc.name()).append(' ').append(callOut).append('\n');
-    }
-
-    @Override
-    public void pushBack(RpcId rpc, Duration comeBackAfter) {
-        begin("SHED").append(rpc.name()).append(' ').append(comeBackAfter.toNanos() / 1000).append('\n');
-    }
-
-    @Override
-    public void abort(RpcId rpc) {
-        begin("END_FAILED").append(rpc.name()).append('\n');
-    }
-
-    @Override
-    public void probe(ServerId server) {
-        begin("POLL").append(server.name()).append('\n');
-    }
-
-    @Override
-    public void tellPeers(ServerId server) {
-        begin("TELL").append("all ").append(HexFormat.of().formatHex(PeerWord.write(server))).append('\n');
-    }
-
-    @Override
-    public void forget(ServerId server) {
-        // Nothing is kept here.
-    }
-
-    @Override
-    public void watchList() {
-        begin("OBSERVE").append("1\n");
-    }
-
-    @Override
-    public void ringAt(Duration at) {
-        begin("WAKE_ME").append(TIMER).append(' ').append(atOrAfter(at)).append('\n');
-    }
-
-    @Override
-    public void dueAt(Duration at) {
-        begin("WAKE_ME").append(DUE).append(' ').append(atOrAfter(at)).append('\n');
-    }
-
-    private StringBuilder begin(String word) {
-        return reply.append(word).append(' ').append(instance).append(' ');
-    }
-
-    /** A ring must not come before its time; the wire counts in whole microseconds. */
-    private long atOrAfter(Duration since) {
-        return clock(since.plusNanos(999));
-    }
-
-    private long clock(Duration since) {
-        return startMicros + since.toNanos() / 1000;
-    }
+  static final String TIMER = "timer";
+  static final String DUE = "due";
+
+  private final StringBuilder reply;
+  private final int instance;
+  private final long startMicros;
+
+  WireHost(StringBuilder reply, int instance, long startMicros) {
+    this.reply = reply;
+    this.instance = instance;
+    this.startMicros = startMicros;
+  }
+
+  @Override
+  public void callOut(RpcId rpc, ServerId server, Duration until) {
+    begin("CALL_OUT")
+        .append(rpc.name())
+        .append(' ')
+        .append(server.name())
+        .append(' ')
+        .append(clock(until))
+        .append('\n');
+  }
+
+  @Override
+  public void cancel(RpcId rpc, int callOut) {
+    begin("ABORT_ATTEMPT").append(rpc.name()).append(' ').append(callOut).append('\n');
+  }
+
+  @Override
+  public void pushBack(RpcId rpc, Duration comeBackAfter) {
+    begin("SHED")
+        .append(rpc.name())
+        .append(' ')
+        .append(comeBackAfter.toNanos() / 1000)
+        .append('\n');
+  }
+
+  @Override
+  public void abort(RpcId rpc) {
+    begin("END_FAILED").append(rpc.name()).append('\n');
+  }
+
+  @Override
+  public void probe(ServerId server) {
+    begin("POLL").append(server.name()).append('\n');
+  }
+
+  @Override
+  public void tellPeers(ServerId server) {
+    begin("TELL")
+        .append("all ")
+        .append(HexFormat.of().formatHex(PeerWord.write(server)))
+        .append('\n');
+  }
+
+  @Override
+  public void forget(ServerId server) {
+    // Nothing is kept here.
+  }
+
+  @Override
+  public void watchList() {
+    begin("OBSERVE").append("1\n");
+  }
+
+  @Override
+  public void ringAt(Duration at) {
+    begin("WAKE_ME").append(TIMER).append(' ').append(atOrAfter(at)).append('\n');
+  }
+
+  @Override
+  public void dueAt(Duration at) {
+    begin("WAKE_ME").append(DUE).append(' ').append(atOrAfter(at)).append('\n');
+  }
+
+  private StringBuilder begin(String word) {
+    return reply.append(word).append(' ').append(instance).append(' ');
+  }
+
+  /** A ring must not come before its time; the wire counts in whole microseconds. */
+  private long atOrAfter(Duration since) {
+    return clock(since.plusNanos(999));
+  }
+
+  private long clock(Duration since) {
+    return startMicros + since.toNanos() / 1000;
+  }
 }
--- a/gateway/src/main/java/weldcross/cli/Joining.java
+++ b/gateway/src/main/java/weldcross/cli/Joining.java
@@ -17,35 +17,44 @@
 /** Makes the parts that a file of terms names; loaded only where one is told. */
 final class Joining {
 
-    private Joining() {
-    }
+  private Joining() {}
 
-    static List<Part> parts(String file, GatewayTerms gateway) {
-        PartTerms terms = PartTerms.read(file, gateway);
-        List<Part> parts = new ArrayList<>();
-        if (terms.link() != null) {
-            LinkPart link = new LinkPart(terms.link(), terms.places(), terms.directory(), gateway.seed());
-            parts.add(link);
-            SeenPart seen = null;
-            if (terms.seen() != null) {
-                seen = new SeenPart(terms.seen(), link, gateway.seed());
-                parts.add(seen);
-            }
-            AgreementPart agreement = null;
-            if (terms.agreement() != null) {
-                agreement = new AgreementPart(terms.agreement(), link, seen, terms.directory(),
-                        1.0 / gateway.service().gateways(), gateway.seed());
-                parts.add(agreement);
-                if (terms.control() != null) {
-                    parts.add(new ControlPart(terms.control(), link, seen, agreement, terms.agreement()));
-                }
-            }
+  static List<Part> parts(String file, GatewayTerms gateway) {
+    PartTerms terms = PartTerms.read(file, gateway);
+    List<Part> parts = new ArrayList<>();
+    if (terms.link() != null) {
+      LinkPart link = new LinkPart(terms.link(), terms.places(), terms.directory(), gateway.seed());
+      parts.add(link);
+      SeenPart seen = null;
+      if (terms.seen() != null) {
+        seen = new SeenPart(terms.seen(), link, gateway.seed());
+        parts.add(seen);
+      }
+      AgreementPart agreement = null;
+      if (terms.agreement() != null) {
+        agreement =
+            new AgreementPart(
+                terms.agreement(),
+                link,
+                seen,
+                terms.directory(),
+                1.0 / gateway.service().gateways(),
+                gateway.seed());
+        parts.add(agreement);
+        if (terms.control() != null) {
+          parts.add(new ControlPart(terms.control(), link, seen, agreement, terms.agreement()));
         }
-        return parts;
+      }
     }
+    return parts;
+  }
 
-    /** The system's, unless the class path brings another: one that is wrong, say, to see what that does. */
-    static Supplier<Instant> wallClock() {
-        return ServiceLoader.load(InstantSource.class).findFirst().orElse(InstantSource.system())::instant;
-    }
+  /**
+   * The system's, unless the class path brings another: one that is wrong, say, to see what that
+   * does.
+   */
+  static Supplier<Instant> wallClock() {
+    return ServiceLoader.load(InstantSource.class).findFirst().orElse(InstantSource.system())
+        ::instant;
+  }
 }
--- a/gateway/src/main/java/weldcross/discovery/HttpReader.java
+++ b/gateway/src/main/java/weldcross/discovery/HttpReader.java
@@ -6,159 +6,172 @@
 import java.util.Locale;
 
 /**
- * Responses of HTTP/1.1, however the stream is split: by length, in chunks, or up to the end of the connection.
+ * Responses of HTTP/1.1, however the stream is split: by length, in chunks, or up to the end of the
+ * connection.
  */
 public final class HttpReader {
 
-    private static final int LONGEST_LINE = 8_192;
-    private static final int LONGEST_BODY = 4 << 20;
+  private static final int LONGEST_LINE = 8_192;
+  private static final int LONGEST_BODY = 4 << 20;
 
-    /** Takes each response whole. */
-    public interface Sink {
-        void response(int status, byte[] body);
-    }
-
-    /** Bytes that are no response; the connection cannot be read on. */
-    public static final class Malformed extends Exception {
-        private static final long serialVersionUID = 1;
-
-        Malformed(String message) {
-            super(message, null, false, false);
-        }
-    }
+  /** Takes each response whole. */
+  public interface Sink {
+    void response(int status, byte[] body);
+  }
 
-    private enum Part { STATUS, HEADERS, BODY, BODY_TO_END, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS }
+  /** Bytes that are no response; the connection cannot be read on. */
+  public static final class Malformed extends Exception {
+    private static final long serialVersionUID = 1;
 
-    private final Sink sink;
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream();
-    private ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private Part part = Part.STATUS;
-    private int status;
-    private int left;
-    private boolean chunked, sized;
-
-    public HttpReader(Sink sink) {
-        this.sink = sink;
+    Malformed(String message) {
+      super(message, null, false, false);
     }
-
-    public void feed(ByteBuffer in) throws Malformed {
-        while (in.hasRemaining()) {
-            if (part == Part.BODY || part == Part.CHUNK) {
-                byte[] some = new byte[Math.min(left, in.remaining())];
-                in.get(some);
-                body.writeBytes(some);
-                left -= some.length;
-                if (left == 0 && part == Part.BODY) {
-                    done();
-                } else if (left == 0) {
-                    part = Part.CHUNK_END;
-                }
-                continue;
-            }
-            if (part == Part.BODY_TO_END) {
-                if (in.remaining() > LONGEST_BODY - body.size()) {
-                    throw new Malformed("a body without an end");
-                }
-                byte[] rest = new byte[in.remaining()];
-                in.get(rest);
-                body.writeBytes(rest);
-                continue;
-            }
-            byte b = in.get();
-            if (b != '\n') {
-                line.write(b);
-                if (line.size() > LONGEST_LINE) {
-                    throw new Malformed("a line without an end");
-                }
-                continue;
-            }
-            String text = line.toString(StandardCharsets.ISO_8859_1).stripTrailing();
-            line.reset();
-            line(text);
+  }
+
+  private enum Part {
+    STATUS,
+    HEADERS,
+    BODY,
+    BODY_TO_END,
+    CHUNK_SIZE,
+    CHUNK,
+    CHUNK_END,
+    TRAILERS
+  }
+
+  private final Sink sink;
+  private final ByteArrayOutputStream line = new ByteArrayOutputStream();
+  private ByteArrayOutputStream body = new ByteArrayOutputStream();
+  private Part part = Part.STATUS;
+  private int status;
+  private int left;
+  private boolean chunked, sized;
+
+  public HttpReader(Sink sink) {
+    this.sink = sink;
+  }
+
+  public void feed(ByteBuffer in) throws Malformed {
+    while (in.hasRemaining()) {
+      if (part == Part.BODY || part == Part.CHUNK) {
+        byte[] some = new byte[Math.min(left, in.remaining())];
+        in.get(some);
+        body.writeBytes(some);
+        left -= some.length;
+        if (left == 0 && part == Part.BODY) {
+          done();
+        } else if (left == 0) {
+          part = Part.CHUNK_END;
         }
-    }
-
-    /** The connection has ended in order, which ends a body that named no length; after a reset nothing is whole. */
-    public void ended() {
-        if (part == Part.BODY_TO_END) {
-            done();
+        continue;
+      }
+      if (part == Part.BODY_TO_END) {
+        if (in.remaining() > LONGEST_BODY - body.size()) {
+          throw new Malformed("a body without an end");
+        }
+        byte[] rest = new byte[in.remaining()];
+        in.get(rest);
+        body.writeBytes(rest);
+        continue;
+      }
+      byte b = in.get();
+      if (b != '\n') {
+        line.write(b);
+        if (line.size() > LONGEST_LINE) {
+          throw new Malformed("a line without an end");
         }
+        continue;
+      }
+      String text = line.toString(StandardCharsets.ISO_8859_1).stripTrailing();
+      line.reset();
+      line(text);
     }
-
-    /** Whether a response has begun and is not whole. */
-    public boolean isWithin() {
-        return part != Part.STATUS || line.size() > 0;
+  }
+
+  /**
+   * The connection has ended in order, which ends a body that named no length; after a reset
+   * nothing is whole.
+   */
+  public void ended() {
+    if (part == Part.BODY_TO_END) {
+      done();
     }
-
-    private void line(String text) throws Malformed {
-        switch (part) {
-            case STATUS -> {
-                String[] words = text.split(" ", 3);
-                if (words.length < 2 || !words[0].startsWith("HTTP/1.")) {
-                    throw new Malformed("no status line: " + text);
-                }
-                status = number(words[1], 10, 999);
-                left = 0;
-                chunked = false;
-                sized = false;
-                part = Part.HEADERS;
-            }
-            case HEADERS -> {
-                if (text.isEmpty()) {
-                    afterHeaders();
-                    return;
-                }
-                int colon = text.indexOf(':');
-                String name = text.substring(0, Math.max(0, colon)).toLowerCase(Locale.ROOT);
-                String value = text.substring(colon + 1).strip();
-                if (name.equals("content-length")) {
-                    left = number(value, 10, LONGEST_BODY);
-                    sized = true;
-                } else if (name.equals("transfer-encoding")) {
-                    chunked = value.equalsIgnoreCase("chunked");
-                }
-            }
-            case CHUNK_SIZE -> {
-                left = number(text.split(";")[0].strip(), 16, LONGEST_BODY - body.size());
-                part = left == 0 ? Part.TRAILERS : Part.CHUNK;
-            }
-            case CHUNK_END -> part = Part.CHUNK_SIZE;
-            case TRAILERS -> {
-                if (text.isEmpty()) {
-                    done();
-                }
-            }
-            default -> throw new IllegalStateException(part.name());
+  }
+
+  /** Whether a response has begun and is not whole. */
+  public boolean isWithin() {
+    return part != Part.STATUS || line.size() > 0;
+  }
+
+  private void line(String text) throws Malformed {
+    switch (part) {
+      case STATUS -> {
+        String[] words = text.split(" ", 3);
+        if (words.length < 2 || !words[0].startsWith("HTTP/1.")) {
+          throw new Malformed("no status line: " + text);
         }
-    }
-
-    private void afterHeaders() {
-        boolean without = status < 200 || status == 204 || status == 304;
-        part = chunked ? Part.CHUNK_SIZE : sized || without ? Part.BODY : Part.BODY_TO_END;
-        if (part == Part.BODY && left == 0) {
-            done();
+        status = number(words[1], 10, 999);
+        left = 0;
+        chunked = false;
+        sized = false;
+        part = Part.HEADERS;
+      }
+      case HEADERS -> {
+        if (text.isEmpty()) {
+          afterHeaders();
+          return;
         }
-    }
-
-    private void done() {
-        byte[] whole = body.toByteArray();
-        body = new ByteArrayOutputStream();
-        part = Part.STATUS;
-        // 100 Continue and the like come before the response that counts.
-        if (status >= 200) {
-            sink.response(status, whole);
+        int colon = text.indexOf(':');
+        String name = text.substring(0, Math.max(0, colon)).toLowerCase(Locale.ROOT);
+        String value = text.substring(colon + 1).strip();
+        if (name.equals("content-length")) {
+          left = number(value, 10, LONGEST_BODY);
+          sized = true;
+        } else if (name.equals("transfer-encoding")) {
+          chunked = value.equalsIgnoreCase("chunked");
+        }
+      }
+      case CHUNK_SIZE -> {
+        left = number(text.split(";")[0].strip(), 16, LONGEST_BODY - body.size());
+        part = left == 0 ? Part.TRAILERS : Part.CHUNK;
+      }
+      case CHUNK_END -> part = Part.CHUNK_SIZE;
+      case TRAILERS -> {
+        if (text.isEmpty()) {
+          done();
         }
+      }
+      default -> throw new IllegalStateException(part.name());
     }
+  }
 
-    private static int number(String text, int radix, int most) throws Malformed {
-        try {
-            int value = Integer.parseInt(text, radix);
-            if (value >= 0 && value <= most) {
-                return value;
-            }
-        } catch (NumberFormatException e) {
-            // Told below like all else that is no such number.
-        }
-        throw new Malformed("no usable number: " + text);
+  private void afterHeaders() {
+    boolean without = status < 200 || status == 204 || status == 304;
+    part = chunked ? Part.CHUNK_SIZE : sized || without ? Part.BODY : Part.BODY_TO_END;
+    if (part == Part.BODY && left == 0) {
+      done();
+    }
+  }
+
+  private void done() {
+    byte[] whole = body.toByteArray();
+    body = new ByteArrayOutputStream();
+    part = Part.STATUS;
+    // 100 Continue and the like come before the response that counts.
+    if (status >= 200) {
+      sink.response(status, whole);
+    }
+  }
+
+  private static int number(String text, int radix, int most) throws Malformed {
+    try {
+      int value = Integer.parseInt(text, radix);
+      if (value >= 0 && value <= most) {
+        return value;
+      }
+    } catch (NumberFormatException e) {
+      // Told below like all else that is no such number.
     }
+    throw new Malformed("no usable number: " + text);
+  }
 }
--- a/gateway/src/main/java/weldcross/gateway/GatheredBuffer.java
+++ b/gateway/src/main/java/weldcross/gateway/GatheredBuffer.java
@@ -6,39 +6,43 @@
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.buffer.IoBufferWrapper;
 
-/** Several buffers that MINA takes for one, and {@link GatheringProcessor} writes by one call, uncopied. */
+/**
+ * Several buffers that MINA takes for one, and {@link GatheringProcessor} writes by one call,
+ * uncopied.
+ */
 class GatheredBuffer extends IoBufferWrapper {
 
-    private final ByteBuffer[] parts;
-
-    GatheredBuffer(ByteBuffer... parts) {
-        super(IoBuffer.wrap(parts[0]));
-        this.parts = parts;
-    }
-
-    long writeTo(GatheringByteChannel channel) throws IOException {
-        return channel.write(parts);
-    }
-
-    /**
-     * MINA writes a duplicate of what it is given, and a wrapper's duplicate is one of its first part alone.
-     */
-    @Override
-    public IoBuffer duplicate() {
-        return this;
-    }
-
-    @Override
-    public int remaining() {
-        int left = 0;
-        for (ByteBuffer part : parts) {
-            left += part.remaining();
-        }
-        return left;
+  private final ByteBuffer[] parts;
+
+  GatheredBuffer(ByteBuffer... parts) {
+    super(IoBuffer.wrap(parts[0]));
+    this.parts = parts;
+  }
+
+  long writeTo(GatheringByteChannel channel) throws IOException {
+    return channel.write(parts);
+  }
+
+  /**
+   * MINA writes a duplicate of what it is given, and a wrapper's duplicate is one of its first part
+   * alone.
+   */
+  @Override
+  public IoBuffer duplicate() {
+    return this;
+  }
+
+  @Override
+  public int remaining() {
+    int left = 0;
+    for (ByteBuffer part : parts) {
+      left += part.remaining();
     }
+    return left;
+  }
 
-    @Override
-    public boolean hasRemaining() {
-        return remaining() > 0;
-    }
+  @Override
+  public boolean hasRemaining() {
+    return remaining() > 0;
+  }
 }
--- a/gateway/src/main/java/weldcross/gateway/GatheringProcessor.java
+++ b/gateway/src/main/java/weldcross/gateway/GatheringProcessor.java
@@ -16,99 +16,105 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /**
- * MINA writes one buffer at a time; this is the least that makes it gather, and tell how far it has read. The
- * channel behind a session is not to be had from it, but the selector's key knows both.
+ * MINA writes one buffer at a time; this is the least that makes it gather, and tell how far it has
+ * read. The channel behind a session is not to be had from it, but the selector's key knows both.
  */
 final class GatheringProcessor extends NioProcessor {
 
-    private static final Logger LOG = Logger.getLogger(GatheringProcessor.class.getName());
-    private static final String CHANNEL = "channel";
+  private static final Logger LOG = Logger.getLogger(GatheringProcessor.class.getName());
+  private static final String CHANNEL = "channel";
 
-    private final Runnable roundEnds;
-    private final Queue<Runnable> waiting = new ConcurrentLinkedQueue<>();
-    /** Those that waited before the round of reading that is under way. */
-    private final ArrayDeque<Runnable> round = new ArrayDeque<>();
+  private final Runnable roundEnds;
+  private final Queue<Runnable> waiting = new ConcurrentLinkedQueue<>();
 
-    /** @param roundEnds called, on its own thread, when all that one round found ready has been read */
-    GatheringProcessor(Executor executor, Runnable roundEnds) {
-        super(executor);
-        this.roundEnds = roundEnds;
-    }
+  /** Those that waited before the round of reading that is under way. */
+  private final ArrayDeque<Runnable> round = new ArrayDeque<>();
 
-    /** Runs this, on its own thread, once all that has come in by now has been read. */
-    void afterReading(Runnable then) {
-        waiting.add(then);
-        wakeup();
-    }
+  /**
+   * @param roundEnds called, on its own thread, when all that one round found ready has been read
+   */
+  GatheringProcessor(Executor executor, Runnable roundEnds) {
+    super(executor);
+    this.roundEnds = roundEnds;
+  }
 
-    @Override
-    protected int select(long timeout) throws Exception {
-        roundEnds.run();
-        for (Runnable next = round.poll(); next != null; next = round.poll()) {
-            runApart(next);
-        }
-        roundEnds.run();
-        for (Runnable next = waiting.poll(); next != null; next = waiting.poll()) {
-            round.add(next);
-        }
-        if (!round.isEmpty()) {
-            wakeup();
-        }
-        return super.select(timeout);
-    }
+  /** Runs this, on its own thread, once all that has come in by now has been read. */
+  void afterReading(Runnable then) {
+    waiting.add(then);
+    wakeup();
+  }
 
-    /**
-     * Against a fault in one task, which would come out of every round from then on: nothing would be read any more,
-     * of nobody. What it was to do is left undone.
-     */
-    private static void runApart(Runnable task) {
-        try {
-            task.run();
-        } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "a task between two rounds of reading failed", e);
-        }
+  @Override
+  protected int select(long timeout) throws Exception {
+    roundEnds.run();
+    for (Runnable next = round.poll(); next != null; next = round.poll()) {
+      runApart(next);
     }
+    roundEnds.run();
+    for (Runnable next = waiting.poll(); next != null; next = waiting.poll()) {
+      round.add(next);
+    }
+    if (!round.isEmpty()) {
+      wakeup();
+    }
+    return super.select(timeout);
+  }
 
-    @Override
-    protected void init(NioSession session) throws Exception {
-        super.init(session);
-        for (SelectionKey key : selector.keys()) {
-            if (key.attachment() == session) {
-                session.setAttribute(CHANNEL, key.channel());
-                return;
-            }
-        }
+  /**
+   * Against a fault in one task, which would come out of every round from then on: nothing would be
+   * read any more, of nobody. What it was to do is left undone.
+   */
+  private static void runApart(Runnable task) {
+    try {
+      task.run();
+    } catch (RuntimeException e) {
+      LOG.log(Level.SEVERE, "a task between two rounds of reading failed", e);
     }
+  }
 
-    /** Tells the other side at once that nothing more comes: a session's own close waits for its thread. */
-    static void endSending(IoSession session) {
-        SocketChannel channel = (SocketChannel) session.getAttribute(CHANNEL);
-        try {
-            if (channel != null) {
-                channel.shutdownOutput();
-            }
-        } catch (IOException e) {
-            // Already ended from the other side.
-        }
+  @Override
+  protected void init(NioSession session) throws Exception {
+    super.init(session);
+    for (SelectionKey key : selector.keys()) {
+      if (key.attachment() == session) {
+        session.setAttribute(CHANNEL, key.channel());
+        return;
+      }
     }
+  }
 
-    /** True if all of it went out; what did not is what the parts have left. */
-    static boolean writeNow(IoSession session, ByteBuffer... parts) {
-        SocketChannel channel = (SocketChannel) session.getAttribute(CHANNEL);
-        try {
-            if (channel != null) {
-                channel.write(parts);
-            }
-        } catch (IOException e) {
-            // Ended by the other side, which is told where it is read.
-        }
-        return !parts[parts.length - 1].hasRemaining();
+  /**
+   * Tells the other side at once that nothing more comes: a session's own close waits for its
+   * thread.
+   */
+  static void endSending(IoSession session) {
+    SocketChannel channel = (SocketChannel) session.getAttribute(CHANNEL);
+    try {
+      if (channel != null) {
+        channel.shutdownOutput();
+      }
+    } catch (IOException e) {
+      // Already ended from the other side.
     }
+  }
 
-    @Override
-    protected int write(NioSession session, IoBuffer buffer, int length) throws IOException {
-        return buffer instanceof GatheredBuffer gathered
-                ? (int) gathered.writeTo((SocketChannel) session.getAttribute(CHANNEL))
-                : super.write(session, buffer, length);
+  /** True if all of it went out; what did not is what the parts have left. */
+  static boolean writeNow(IoSession session, ByteBuffer... parts) {
+    SocketChannel channel = (SocketChannel) session.getAttribute(CHANNEL);
+    try {
+      if (channel != null) {
+        channel.write(parts);
+      }
+    } catch (IOException e) {
+      // Ended by the other side, which is told where it is read.
     }
+    return !parts[parts.length - 1].hasRemaining();
+  }
+
+  @Override
+  protected int write(NioSession session, IoBuffer buffer, int length) throws IOException {
+    return buffer instanceof GatheredBuffer gathered
+        ? (int) gathered.writeTo((SocketChannel) session.getAttribute(CHANNEL))
+        : super.write(session, buffer, length);
+  }
 }
--- a/gateway/src/main/java/weldcross/gateway/ListWatch.java
+++ b/gateway/src/main/java/weldcross/gateway/ListWatch.java
@@ -15,374 +15,440 @@
 import weldcross.terms.NamedValues;
 
 /**
- * The reducer's talk with discovery: the list as last had, the whole list, then one watch after the other.
- * Where discovery moves, the new address is asked for the whole list while the old one is still heard; the
- * old talk ends with the new one's first list, or by itself.
+ * The reducer's talk with discovery: the list as last had, the whole list, then one watch after the
+ * other. Where discovery moves, the new address is asked for the whole list while the old one is
+ * still heard; the old talk ends with the new one's first list, or by itself.
  */
 final class ListWatch {
 
-    private static final Logger LOG = Logger.getLogger(ListWatch.class.getName());
-    /** The least that a call may wait for news, as none at all may mean no wait or one that was not told. */
-    private static final Duration AT_ONCE = Duration.ofMillis(1);
-
-    private final Gateway gateway;
-    private final Effects effects;
-    private final GatewayTerms terms;
-    /** How long a watch waits, how long an answer may take beyond what it waits for, and a dial. */
-    private final Duration watch, patience, grace;
-    private final ListTerm term;
-    /** Whether discovery is one service for all gateways: what they know already is not asked for again. */
-    private final boolean onRequest;
-    private final SplittableRandom dice;
-    private boolean stands;
-    private long revision = -1;
-    private boolean failing;
-    /** When it is looked at next whether the list stands; null where it does not. One look is due at a time. */
-    private Duration looksAt;
-    /** The talk that the list comes from, and the one that is to take over; null where there is none. */
-    private Talk current, next;
-
-    ListWatch(Gateway gateway, Effects effects, GatewayTerms terms) {
-        this.gateway = gateway;
-        this.effects = effects;
-        this.terms = terms;
-        this.grace = terms.connectTimeout().multipliedBy(4);
-        this.onRequest = terms.service().listOnRequest();
-        this.watch = ListTerm.watch(terms.service().askWithin(), onRequest);
-        this.patience = ListTerm.patience(grace, onRequest);
-        this.term = new ListTerm(terms.stopSending(), onRequest);
-        this.dice = new SplittableRandom(~terms.seed());
-    }
+  private static final Logger LOG = Logger.getLogger(ListWatch.class.getName());
 
-    /**
-     * Whether the list holds all that binds: not before discovery's first word, nor when it was silent for
-     * long.
-     */
-    boolean stands() {
-        return stands;
+  /**
+   * The least that a call may wait for news, as none at all may mean no wait or one that was not
+   * told.
+   */
+  private static final Duration AT_ONCE = Duration.ofMillis(1);
+
+  private final Gateway gateway;
+  private final Effects effects;
+  private final GatewayTerms terms;
+
+  /** How long a watch waits, how long an answer may take beyond what it waits for, and a dial. */
+  private final Duration watch, patience, grace;
+
+  private final ListTerm term;
+
+  /**
+   * Whether discovery is one service for all gateways: what they know already is not asked for
+   * again.
+   */
+  private final boolean onRequest;
+
+  private final SplittableRandom dice;
+  private boolean stands;
+  private long revision = -1;
+  private boolean failing;
+
+  /**
+   * When it is looked at next whether the list stands; null where it does not. One look is due at a
+   * time.
+   */
+  private Duration looksAt;
+
+  /**
+   * The talk that the list comes from, and the one that is to take over; null where there is none.
+   */
+  private Talk current, next;
+
+  ListWatch(Gateway gateway, Effects effects, GatewayTerms terms) {
+    this.gateway = gateway;
+    this.effects = effects;
+    this.terms = terms;
+    this.grace = terms.connectTimeout().multipliedBy(4);
+    this.onRequest = terms.service().listOnRequest();
+    this.watch = ListTerm.watch(terms.service().askWithin(), onRequest);
+    this.patience = ListTerm.patience(grace, onRequest);
+    this.term = new ListTerm(terms.stopSending(), onRequest);
+    this.dice = new SplittableRandom(~terms.seed());
+  }
+
+  /**
+   * Whether the list holds all that binds: not before discovery's first word, nor when it was
+   * silent for long.
+   */
+  boolean stands() {
+    return stands;
+  }
+
+  /** Tells when that changes, and looks again when it may. */
+  private void judgeTerm() {
+    boolean before = stands;
+    stands = term.stands(gateway.now());
+    if (before && !stands) {
+      LOG.warning(
+          "discovery has been silent for so long that drains may be owed: nothing goes to any "
+              + "server until it speaks");
     }
+    if (before != stands) {
+      gateway.listStands(stands);
+    }
+    Duration end = term.end();
+    if (stands && (looksAt == null || end.compareTo(looksAt) < 0)) {
+      looksAt = end;
+      gateway.at(
+          end,
+          () -> {
+            if (end.equals(looksAt)) {
+              looksAt = null;
+              judgeTerm();
+            }
+          });
+    }
+  }
 
-    /** Tells when that changes, and looks again when it may. */
-    private void judgeTerm() {
-        boolean before = stands;
-        stands = term.stands(gateway.now());
-        if (before && !stands) {
-            LOG.warning("discovery has been silent for so long that drains may be owed: nothing goes to any "
-                    + "server until it speaks");
-        }
-        if (before != stands) {
-            gateway.listStands(stands);
-        }
-        Duration end = term.end();
-        if (stands && (looksAt == null || end.compareTo(looksAt) < 0)) {
-            looksAt = end;
-            gateway.at(end, () -> {
-                if (end.equals(looksAt)) {
-                    looksAt = null;
-                    judgeTerm();
-                }
-            });
-        }
+  private void unheard(Duration since) {
+    term.unheard(since);
+    judgeTerm();
+  }
+
+  void start() {
+    gateway.listStands(false);
+    if (terms.known().has("members.count")) {
+      take(terms.known());
     }
+    current = new Talk(terms.discovery());
+    current.dial();
+  }
 
-    private void unheard(Duration since) {
-        term.unheard(since);
-        judgeTerm();
+  /**
+   * Discovery is to be asked at this address from now on; nothing changes where it is asked
+   * already.
+   */
+  void moveTo(InetSocketAddress address) {
+    if ((next != null ? next : current).address.equals(address)) {
+      return;
+    }
+    LOG.info(() -> "discovery moves to " + address.getHostString() + ":" + address.getPort());
+    if (next != null) {
+      next.end();
     }
+    next = current != null && current.address.equals(address) ? null : new Talk(address);
+    if (next != null) {
+      term.moved(gateway.now());
+      next.dial();
+    } else {
+      term.arrived();
+    }
+    judgeTerm();
+  }
 
-    void start() {
-        gateway.listStands(false);
-        if (terms.known().has("members.count")) {
-            take(terms.known());
-        }
-        current = new Talk(terms.discovery());
-        current.dial();
+  void up(long number) {
+    Talk talk = talk(number);
+    if (talk == null) {
+      effects.drop(number);
+    } else {
+      talk.up = true;
+      if (talk.lostAt != null && ListTerm.isNewWatch(gateway.now().minus(talk.lostAt))) {
+        // Asked for all of it, it speaks at once.
+        unheard(talk.lostAt);
+        talk.missed();
+      }
+      talk.lostAt = null;
+      talk.ask();
     }
+  }
 
-    /** Discovery is to be asked at this address from now on; nothing changes where it is asked already. */
-    void moveTo(InetSocketAddress address) {
-        if ((next != null ? next : current).address.equals(address)) {
-            return;
-        }
-        LOG.info(() -> "discovery moves to " + address.getHostString() + ":" + address.getPort());
-        if (next != null) {
-            next.end();
-        }
-        next = current != null && current.address.equals(address) ? null : new Talk(address);
-        if (next != null) {
-            term.moved(gateway.now());
-            next.dial();
-        } else {
-            term.arrived();
-        }
-        judgeTerm();
+  /** All that had come in on all connections when it was asked for is read and told. */
+  boolean heard(long number) {
+    Talk talk = talk(number);
+    if (talk != null) {
+      talk.heard();
     }
+    return talk != null;
+  }
 
-    void up(long number) {
-        Talk talk = talk(number);
-        if (talk == null) {
-            effects.drop(number);
-        } else {
-            talk.up = true;
-            if (talk.lostAt != null && ListTerm.isNewWatch(gateway.now().minus(talk.lostAt))) {
-                // Asked for all of it, it speaks at once.
-                unheard(talk.lostAt);
-                talk.missed();
-            }
-            talk.lostAt = null;
-            talk.ask();
-        }
+  /** Some of an answer has come, and the rest of it not yet. */
+  void begun(long number) {
+    Talk talk = talk(number);
+    if (talk != null) {
+      talk.begun();
     }
+  }
 
-    /** All that had come in on all connections when it was asked for is read and told. */
-    boolean heard(long number) {
-        Talk talk = talk(number);
-        if (talk != null) {
-            talk.heard();
-        }
-        return talk != null;
+  void gone(long number) {
+    Talk talk = talk(number);
+    if (talk != null && talk.answered && talk.isLast()) {
+      // It closes after an answer, as it may; what it told so far is held, so nothing is missed if
+      // it
+      // is soon asked again.
+      talk.lostAt = gateway.now();
+      talk.dial();
+    } else if (talk != null) {
+      talk.fail("its connection ended");
     }
+  }
 
-    /** Some of an answer has come, and the rest of it not yet. */
-    void begun(long number) {
-        Talk talk = talk(number);
-        if (talk != null) {
-            talk.begun();
-        }
+  void answered(long number, int status, byte[] text) {
+    Talk talk = talk(number);
+    if (talk == null) {
+      return;
+    }
+    if (status != 200) {
+      talk.fail("it answers with status " + status);
+      return;
+    }
+    try {
+      NamedValues told = NamedValues.ofJson(text);
+      talk.since = isBehind(talk, told) ? takeDrains(told) : take(told);
+    } catch (FaultyTerm e) {
+      talk.since = -1;
+      talk.fail(e.getMessage());
+      return;
+    }
+    talk.answered = true;
+    talk.failures = 0;
+    if (talk == next) {
+      if (current != null) {
+        current.end();
+      }
+      current = next;
+      next = null;
+      term.arrived();
+      LOG.info("the list comes from the new address");
     }
+    if (failing) {
+      failing = false;
+      LOG.info("the list is watched again");
+    }
+    term.spoke(gateway.now(), talk.ask());
+    judgeTerm();
+  }
 
-    void gone(long number) {
-        Talk talk = talk(number);
-        if (talk != null && talk.answered && talk.isLast()) {
-            // It closes after an answer, as it may; what it told so far is held, so nothing is missed if it
-            // is soon asked again.
-            talk.lostAt = gateway.now();
-            talk.dial();
-        } else if (talk != null) {
-            talk.fail("its connection ended");
-        }
+  /**
+   * Against an address that is behind the one before it: taken back to an older list, a gateway
+   * would send again to servers that it was told drain. What such an address tells is known already
+   * until it has come as far. It would harm where discovery begins to count anew, so what is still
+   * behind when a list must have been had counts as the newer count.
+   */
+  private boolean isBehind(Talk talk, NamedValues told) {
+    boolean older = told.whole("revision", Long.MAX_VALUE, 0) < revision;
+    if (!older) {
+      talk.behindSince = null;
+      return false;
+    }
+    if (talk.behindSince == null) {
+      talk.behindSince = gateway.now();
+      LOG.info(() -> "the list there is behind the one held, which stays in force");
     }
+    boolean stays =
+        gateway.now().minus(talk.behindSince).compareTo(terms.service().askWithin()) < 0;
+    if (!stays && !told.flag("complete", false)) {
+      talk.askWhole = true;
+    }
+    return stays || talk.askWhole && !told.flag("complete", false);
+  }
 
-    void answered(long number, int status, byte[] text) {
-        Talk talk = talk(number);
-        if (talk == null) {
-            return;
-        }
-        if (status != 200) {
-            talk.fail("it answers with status " + status);
-            return;
-        }
-        try {
-            NamedValues told = NamedValues.ofJson(text);
-            talk.since = isBehind(talk, told) ? takeDrains(told) : take(told);
-        } catch (FaultyTerm e) {
-            talk.since = -1;
-            talk.fail(e.getMessage());
-            return;
-        }
-        talk.answered = true;
-        talk.failures = 0;
-        if (talk == next) {
-            if (current != null) {
-                current.end();
-            }
-            current = next;
-            next = null;
-            term.arrived();
-            LOG.info("the list comes from the new address");
-        }
-        if (failing) {
-            failing = false;
-            LOG.info("the list is watched again");
-        }
-        term.spoke(gateway.now(), talk.ask());
-        judgeTerm();
+  /**
+   * Of what is behind only drains count: should it count anew, they are news; else they are known
+   * or over.
+   */
+  private long takeDrains(NamedValues told) {
+    gateway.listed(
+        false,
+        ListedMember.read(told, terms.zones()).stream()
+            .filter(m -> m.condition() != Condition.ON)
+            .toList());
+    return told.whole("revision", -1, 0);
+  }
+
+  private Talk talk(long number) {
+    return current != null && current.link == number
+        ? current
+        : next != null && next.link == number ? next : null;
+  }
+
+  /** Returns its revision. */
+  private long take(NamedValues told) {
+    // What lacks these is no list, and taken for an empty one it would end all service.
+    told.text("revision");
+    told.text("complete");
+    told.text("members.count");
+    List<ListedMember> members = ListedMember.read(told, terms.zones());
+    long said = told.whole("revision", -1, 0);
+    boolean whole = told.flag("complete", false);
+    if (said != revision && !(members.isEmpty() && !whole)) {
+      LOG.info(
+          () -> "list " + said + (whole ? " whole, " : " changed, ") + members.size() + " entries");
     }
+    revision = said;
+    gateway.listed(whole, members);
+    return said;
+  }
+
+  /** One address, asked over one connection at a time. */
+  private final class Talk {
+    final InetSocketAddress address;
+
+    /** The revision that the next watch goes on from; below zero the whole list is asked for. */
+    long since = -1;
+
+    long link, asked;
 
     /**
-     * Against an address that is behind the one before it: taken back to an older list, a gateway would send again
-     * to servers that it was told drain. What such an address tells is known already until it has come as far. It
-     * would harm where discovery begins to count anew, so what is still behind when a list must have been had
-     * counts as the newer count.
+     * What was asked and is not answered, though whoever has a list answers at once; zero where
+     * nothing.
      */
-    private boolean isBehind(Talk talk, NamedValues told) {
-        boolean older = told.whole("revision", Long.MAX_VALUE, 0) < revision;
-        if (!older) {
-            talk.behindSince = null;
-            return false;
-        }
-        if (talk.behindSince == null) {
-            talk.behindSince = gateway.now();
-            LOG.info(() -> "the list there is behind the one held, which stays in force");
-        }
-        boolean stays = gateway.now().minus(talk.behindSince).compareTo(terms.service().askWithin()) < 0;
-        if (!stays && !told.flag("complete", false)) {
-            talk.askWhole = true;
-        }
-        return stays || talk.askWhole && !told.flag("complete", false);
-    }
+    long doubted;
+
+    /** Of what was asked the last of which some of the answer has come. */
+    long begun;
+
+    boolean up, answered, askWhole;
 
-    /** Of what is behind only drains count: should it count anew, they are news; else they are known or over. */
-    private long takeDrains(NamedValues told) {
-        gateway.listed(false, ListedMember.read(told, terms.zones()).stream()
-                .filter(m -> m.condition() != Condition.ON).toList());
-        return told.whole("revision", -1, 0);
+    /** Whether what it has by now is to be told before a watch is begun: it may be silent. */
+    boolean askNow;
+
+    int failures;
+
+    /** When its connection ended between two watches; null where it is open. */
+    Duration lostAt;
+
+    /**
+     * Since when, without a break, it has told only what is older than what is held; null where it
+     * has not.
+     */
+    Duration behindSince;
+
+    Talk(InetSocketAddress address) {
+      this.address = address;
     }
 
-    private Talk talk(long number) {
-        return current != null && current.link == number ? current
-                : next != null && next.link == number ? next : null;
+    /** Whether no other address is to take over from this one. */
+    boolean isLast() {
+      return this == next || next == null;
     }
 
-    /** Returns its revision. */
-    private long take(NamedValues told) {
-        // What lacks these is no list, and taken for an empty one it would end all service.
-        told.text("revision");
-        told.text("complete");
-        told.text("members.count");
-        List<ListedMember> members = ListedMember.read(told, terms.zones());
-        long said = told.whole("revision", -1, 0);
-        boolean whole = told.flag("complete", false);
-        if (said != revision && !(members.isEmpty() && !whole)) {
-            LOG.info(() -> "list " + said + (whole ? " whole, " : " changed, ") + members.size()
-                    + " entries");
-        }
-        revision = said;
-        gateway.listed(whole, members);
-        return said;
+    void dial() {
+      up = false;
+      answered = false;
+      link = gateway.nextNumber();
+      effects.dialDiscovery(link, address);
+      expectWithin(grace);
     }
 
-    /** One address, asked over one connection at a time. */
-    private final class Talk {
-        final InetSocketAddress address;
-        /** The revision that the next watch goes on from; below zero the whole list is asked for. */
-        long since = -1;
-        long link, asked;
-        /** What was asked and is not answered, though whoever has a list answers at once; zero where nothing. */
-        long doubted;
-        /** Of what was asked the last of which some of the answer has come. */
-        long begun;
-        boolean up, answered, askWhole;
-        /** Whether what it has by now is to be told before a watch is begun: it may be silent. */
-        boolean askNow;
-        int failures;
-        /** When its connection ended between two watches; null where it is open. */
-        Duration lostAt;
-        /** Since when, without a break, it has told only what is older than what is held; null where it has not. */
-        Duration behindSince;
-
-        Talk(InetSocketAddress address) {
-            this.address = address;
-        }
-
-        /** Whether no other address is to take over from this one. */
-        boolean isLast() {
-            return this == next || next == null;
-        }
-
-        void dial() {
-            up = false;
-            answered = false;
-            link = gateway.nextNumber();
-            effects.dialDiscovery(link, address);
-            expectWithin(grace);
-        }
-
-        /** Returns how long it may wait for news. */
-        Duration ask() {
-            boolean first = since < 0 || askWhole;
-            Duration waits = first ? Duration.ZERO : askNow ? AT_ONCE : watch;
-            askWhole = false;
-            askNow = false;
-            String path = first ? "/catalog/members"
-                    : "/catalog/members?since=" + since + "&timeout_ms=" + waits.toMillis();
-            String head = "GET " + path + " HTTP/1.1\r\nHost: " + address.getHostString() + ":"
-                    + address.getPort() + "\r\nAccept: application/json\r\n\r\n";
-            effects.write(link, ByteBuffer.wrap(head.getBytes(StandardCharsets.US_ASCII)));
-            expectWithin(waits.plus(patience));
-            if (first) {
-                long expected = asked;
-                gateway.at(gateway.now().plus(terms.connectTimeout()), () -> {
-                    if (asked == expected) {
-                        doubted = asked;
-                        effects.hear(link);
-                    }
-                });
-            }
-            return waits;
-        }
-
-        private void expectWithin(Duration time) {
-            long expected = ++asked;
-            gateway.at(gateway.now().plus(time), () -> {
-                if (asked == expected) {
-                    fail(up ? "it is silent" : "it cannot be reached", up);
-                }
+    /** Returns how long it may wait for news. */
+    Duration ask() {
+      boolean first = since < 0 || askWhole;
+      Duration waits = first ? Duration.ZERO : askNow ? AT_ONCE : watch;
+      askWhole = false;
+      askNow = false;
+      String path =
+          first
+              ? "/catalog/members"
+              : "/catalog/members?since=" + since + "&timeout_ms=" + waits.toMillis();
+      String head =
+          "GET "
+              + path
+              + " HTTP/1.1\r\nHost: "
+              + address.getHostString()
+              + ":"
+              + address.getPort()
+              + "\r\nAccept: application/json\r\n\r\n";
+      effects.write(link, ByteBuffer.wrap(head.getBytes(StandardCharsets.US_ASCII)));
+      expectWithin(waits.plus(patience));
+      if (first) {
+        long expected = asked;
+        gateway.at(
+            gateway.now().plus(terms.connectTimeout()),
+            () -> {
+              if (asked == expected) {
+                doubted = asked;
+                effects.hear(link);
+              }
             });
-        }
-
-        /** All that had come in was read: asked for all of it, it has said nothing. It is waited for as a watch is. */
-        void heard() {
-            if (doubted == asked && begun != asked && isLast() && this == current) {
-                term.nothingCame(gateway.now());
-                expectWithin(watch);
-                judgeTerm();
-            }
-        }
+      }
+      return waits;
+    }
 
-        void begun() {
-            if (begun != asked) {
-                begun = asked;
-                term.begun(gateway.now());
-                judgeTerm();
-            }
-        }
-
-        /** Changes may be missed from here on: they are asked for as what answers at once. */
-        void missed() {
-            if (onRequest) {
-                askNow = true;
-            } else {
-                since = -1;
+    private void expectWithin(Duration time) {
+      long expected = ++asked;
+      gateway.at(
+          gateway.now().plus(time),
+          () -> {
+            if (asked == expected) {
+              fail(up ? "it is silent" : "it cannot be reached", up);
             }
-        }
+          });
+    }
 
-        /** The list held stays in force; asked again soon, as a change may be lost. */
-        void fail(String why) {
-            fail(why, false);
-        }
+    /**
+     * All that had come in was read: asked for all of it, it has said nothing. It is waited for as
+     * a watch is.
+     */
+    void heard() {
+      if (doubted == asked && begun != asked && isLast() && this == current) {
+        term.nothingCame(gateway.now());
+        expectWithin(watch);
+        judgeTerm();
+      }
+    }
 
-        private void fail(String why, boolean silent) {
-            if (!failing) {
-                failing = true;
-                LOG.warning("discovery: " + why + "; the list held stays in force");
-            }
-            if (this == current || current == null) {
-                unheard(lostAt != null ? lostAt : gateway.now());
-            }
-            lostAt = null;
-            missed();
-            end();
-            if (isLast()) {
-                long ended = asked;
-                Duration rest = term.rest(++failures, silent, terms.connectTimeout(), dice.nextDouble());
-                gateway.at(gateway.now().plus(rest), () -> {
-                    if (asked == ended) {
-                        dial();
-                    }
-                });
-            } else {
-                current = null;
-            }
-        }
-
-        /** Ends its connection, if there is one; nothing that was expected of it is missed. */
-        void end() {
-            asked++;
-            // Down for a while it learns nothing: only while it speaks does being behind show that it counts anew.
-            behindSince = null;
-            effects.drop(link);
-            link = 0;
-        }
+    void begun() {
+      if (begun != asked) {
+        begun = asked;
+        term.begun(gateway.now());
+        judgeTerm();
+      }
+    }
+
+    /** Changes may be missed from here on: they are asked for as what answers at once. */
+    void missed() {
+      if (onRequest) {
+        askNow = true;
+      } else {
+        since = -1;
+      }
+    }
+
+    /** The list held stays in force; asked again soon, as a change may be lost. */
+    void fail(String why) {
+      fail(why, false);
+    }
+
+    private void fail(String why, boolean silent) {
+      if (!failing) {
+        failing = true;
+        LOG.warning("discovery: " + why + "; the list held stays in force");
+      }
+      if (this == current || current == null) {
+        unheard(lostAt != null ? lostAt : gateway.now());
+      }
+      lostAt = null;
+      missed();
+      end();
+      if (isLast()) {
+        long ended = asked;
+        Duration rest = term.rest(++failures, silent, terms.connectTimeout(), dice.nextDouble());
+        gateway.at(
+            gateway.now().plus(rest),
+            () -> {
+              if (asked == ended) {
+                dial();
+              }
+            });
+      } else {
+        current = null;
+      }
+    }
+
+    /** Ends its connection, if there is one; nothing that was expected of it is missed. */
+    void end() {
+      asked++;
+      // Down for a while it learns nothing: only while it speaks does being behind show that it
+      // counts anew.
+      behindSince = null;
+      effects.drop(link);
+      link = 0;
     }
+  }
 }
--- a/gateway/src/main/java/weldcross/gateway/MinaEffects.java
+++ b/gateway/src/main/java/weldcross/gateway/MinaEffects.java
@@ -30,383 +30,411 @@
 /** Performs the effects on Apache MINA; its threads only parse what comes and post it. */
 final class MinaEffects implements Effects {
 
-    private static final Logger LOG = Logger.getLogger(MinaEffects.class.getName());
-    private static final String STREAM = "stream";
-    private static final String NUMBER = "number";
-    private static final int BACKLOG = 512;
-    /** Both ends are this process, so that 100 words make 200 calls, after which the JVM compiles. */
-    private static final int GREETERS = 16;
-    private static final int GREETINGS = 10;
-
-    private final Loop loop;
-    private final Supplier<Duration> clock;
-    private final Round round;
-    private final Map<Long, IoSession> sessions = new ConcurrentHashMap<>();
-    /** Seen in this package so that tests can wait for a round of it. */
-    final GatheringProcessor processor;
-    private final CappedAcceptor acceptor;
-    private final NioSocketConnector connector;
-    private final Dials dials;
-    private final CompletableFuture<InetSocketAddress> listening = new CompletableFuture<>();
-    private NioDatagramAcceptor peers;
-    private InetSocketAddress peersFrom;
-
-    MinaEffects(Loop loop, Supplier<Duration> clock, int mostOpen) {
-        this.loop = loop;
-        this.clock = clock;
-        ExecutorService threads = Executors.newCachedThreadPool(task -> {
-            Thread thread = new Thread(task);
-            thread.setDaemon(true);
-            // Against a gateway that only seems alive: what ends one of these threads comes out of the one that serves.
-            thread.setUncaughtExceptionHandler((t, e) -> loop.post(g -> {
-                throw new IllegalStateException("thread " + t.getName() + " ended", e);
-            }));
-            return thread;
-        });
-        round = new Round(loop::post);
-        processor = new GatheringProcessor(threads, round::end);
-        connector = new NioSocketConnector(threads, processor);
-        dials = new Dials(connector);
-        // A dial that is under way holds a descriptor as well.
-        acceptor = new CappedAcceptor(threads, processor, mostOpen,
-                () -> connector.getManagedSessionCount() + dials.underWay());
-        set(acceptor.getSessionConfig());
-        set(connector.getSessionConfig());
-        acceptor.setReuseAddress(true);
-        acceptor.setBacklog(BACKLOG);
-        acceptor.setHandler(new Handler() {
-            @Override
-            public void sessionCreated(IoSession session) {
-                long number = session.getId();
-                carry(session, number, new ClientStream(number, round, processor, clock));
-            }
-
-            @Override
-            public void sessionClosed(IoSession session) {
-                acceptor.ended();
-                super.sessionClosed(session);
-            }
-        });
-        connector.setHandler(new Handler());
-    }
-
-    private static void set(SocketSessionConfig config) {
-        config.setTcpNoDelay(true);
-        config.setMinReadBufferSize(512);
-        config.setReadBufferSize(1024);
-    }
-
-    CompletableFuture<InetSocketAddress> listening() {
-        return listening;
-    }
-
-    /** Nothing is asked for after this. */
-    void end() {
-        acceptor.dispose();
-        connector.dispose();
-        if (peers != null) {
-            peers.dispose();
-        }
-    }
-
-    @Override
-    public void listen(InetSocketAddress at) {
-        try {
-            acceptor.bind(at);
-            listening.complete(acceptor.getLocalAddress());
-        } catch (IOException e) {
-            listening.completeExceptionally(e);
-            throw cannotListen(at, e);
-        }
-    }
-
-    @Override
-    public void greetItself() {
-        AtomicInteger open = new AtomicInteger(GREETERS);
-        for (int k = 0; k < GREETERS; k++) {
-            long number = Long.MIN_VALUE + k;
-            dial(number, acceptor.getLocalAddress(), new Stream() {
-                private int left = GREETINGS;
-
-                @Override
-                void opened() {
-                    write(number, Replies.startup());
-                }
-
-                @Override
-                void read(ByteBuffer in) {
-                    if (--left > 0) {
-                        write(number, Replies.query(""));
-                    } else {
-                        drop(number);
-                    }
-                }
-
-                @Override
-                void gone() {
-                    if (open.decrementAndGet() == 0) {
-                        loop.post(Gateway::warmed);
-                    }
-                }
+  private static final Logger LOG = Logger.getLogger(MinaEffects.class.getName());
+  private static final String STREAM = "stream";
+  private static final String NUMBER = "number";
+  private static final int BACKLOG = 512;
+
+  /** Both ends are this process, so that 100 words make 200 calls, after which the JVM compiles. */
+  private static final int GREETERS = 16;
+
+  private static final int GREETINGS = 10;
+
+  private final Loop loop;
+  private final Supplier<Duration> clock;
+  private final Round round;
+  private final Map<Long, IoSession> sessions = new ConcurrentHashMap<>();
+
+  /** Seen in this package so that tests can wait for a round of it. */
+  final GatheringProcessor processor;
+
+  private final CappedAcceptor acceptor;
+  private final NioSocketConnector connector;
+  private final Dials dials;
+  private final CompletableFuture<InetSocketAddress> listening = new CompletableFuture<>();
+  private NioDatagramAcceptor peers;
+  private InetSocketAddress peersFrom;
+
+  MinaEffects(Loop loop, Supplier<Duration> clock, int mostOpen) {
+    this.loop = loop;
+    this.clock = clock;
+    ExecutorService threads =
+        Executors.newCachedThreadPool(
+            task -> {
+              Thread thread = new Thread(task);
+              thread.setDaemon(true);
+              // Against a gateway that only seems alive: what ends one of these threads comes out
+              // of the one that serves.
+              thread.setUncaughtExceptionHandler(
+                  (t, e) ->
+                      loop.post(
+                          g -> {
+                            throw new IllegalStateException("thread " + t.getName() + " ended", e);
+                          }));
+              return thread;
             });
-        }
+    round = new Round(loop::post);
+    processor = new GatheringProcessor(threads, round::end);
+    connector = new NioSocketConnector(threads, processor);
+    dials = new Dials(connector);
+    // A dial that is under way holds a descriptor as well.
+    acceptor =
+        new CappedAcceptor(
+            threads,
+            processor,
+            mostOpen,
+            () -> connector.getManagedSessionCount() + dials.underWay());
+    set(acceptor.getSessionConfig());
+    set(connector.getSessionConfig());
+    acceptor.setReuseAddress(true);
+    acceptor.setBacklog(BACKLOG);
+    acceptor.setHandler(
+        new Handler() {
+          @Override
+          public void sessionCreated(IoSession session) {
+            long number = session.getId();
+            carry(session, number, new ClientStream(number, round, processor, clock));
+          }
+
+          @Override
+          public void sessionClosed(IoSession session) {
+            acceptor.ended();
+            super.sessionClosed(session);
+          }
+        });
+    connector.setHandler(new Handler());
+  }
+
+  private static void set(SocketSessionConfig config) {
+    config.setTcpNoDelay(true);
+    config.setMinReadBufferSize(512);
+    config.setReadBufferSize(1024);
+  }
+
+  CompletableFuture<InetSocketAddress> listening() {
+    return listening;
+  }
+
+  /** Nothing is asked for after this. */
+  void end() {
+    acceptor.dispose();
+    connector.dispose();
+    if (peers != null) {
+      peers.dispose();
     }
-
-    @Override
-    public void stopListening() {
-        acceptor.setCloseOnDeactivation(false);
-        acceptor.unbind();
+  }
+
+  @Override
+  public void listen(InetSocketAddress at) {
+    try {
+      acceptor.bind(at);
+      listening.complete(acceptor.getLocalAddress());
+    } catch (IOException e) {
+      listening.completeExceptionally(e);
+      throw cannotListen(at, e);
     }
+  }
+
+  @Override
+  public void greetItself() {
+    AtomicInteger open = new AtomicInteger(GREETERS);
+    for (int k = 0; k < GREETERS; k++) {
+      long number = Long.MIN_VALUE + k;
+      dial(
+          number,
+          acceptor.getLocalAddress(),
+          new Stream() {
+            private int left = GREETINGS;
 
-    @Override
-    public void joinPeers(InetSocketAddress at) {
-        peersFrom = at;
-        peers = new NioDatagramAcceptor();
-        peers.setHandler(new IoHandlerAdapter() {
             @Override
-            public void messageReceived(IoSession session, Object message) {
-                IoBuffer in = (IoBuffer) message;
-                byte[] bytes = new byte[in.remaining()];
-                in.get(bytes);
-                ServerId server = PeerWord.read(bytes);
-                if (server != null) {
-                    loop.post(g -> g.peerTold(server));
-                }
+            void opened() {
+              write(number, Replies.startup());
             }
 
             @Override
-            public void exceptionCaught(IoSession session, Throwable cause) {
-                LOG.log(Level.FINE, "message between gateways", cause);
+            void read(ByteBuffer in) {
+              if (--left > 0) {
+                write(number, Replies.query(""));
+              } else {
+                drop(number);
+              }
             }
-        });
-        try {
-            peers.bind(at);
-        } catch (IOException e) {
-            throw cannotListen(at, e);
-        }
-    }
 
-    private static IllegalStateException cannotListen(InetSocketAddress at, IOException why) {
-        return new IllegalStateException("cannot listen on " + at + ": " + why.getMessage(), why);
+            @Override
+            void gone() {
+              if (open.decrementAndGet() == 0) {
+                loop.post(Gateway::warmed);
+              }
+            }
+          });
     }
+  }
+
+  @Override
+  public void stopListening() {
+    acceptor.setCloseOnDeactivation(false);
+    acceptor.unbind();
+  }
+
+  @Override
+  public void joinPeers(InetSocketAddress at) {
+    peersFrom = at;
+    peers = new NioDatagramAcceptor();
+    peers.setHandler(
+        new IoHandlerAdapter() {
+          @Override
+          public void messageReceived(IoSession session, Object message) {
+            IoBuffer in = (IoBuffer) message;
+            byte[] bytes = new byte[in.remaining()];
+            in.get(bytes);
+            ServerId server = PeerWord.read(bytes);
+            if (server != null) {
+              loop.post(g -> g.peerTold(server));
+            }
+          }
 
-    @Override
-    public void tellPeers(InetSocketAddress to, byte[] message) {
-        peers.newSession(to, peersFrom).write(IoBuffer.wrap(message));
+          @Override
+          public void exceptionCaught(IoSession session, Throwable cause) {
+            LOG.log(Level.FINE, "message between gateways", cause);
+          }
+        });
+    try {
+      peers.bind(at);
+    } catch (IOException e) {
+      throw cannotListen(at, e);
     }
-
-    @Override
-    public void dialServer(long link, InetSocketAddress to) {
-        dial(link, to, server(link));
+  }
+
+  private static IllegalStateException cannotListen(InetSocketAddress at, IOException why) {
+    return new IllegalStateException("cannot listen on " + at + ": " + why.getMessage(), why);
+  }
+
+  @Override
+  public void tellPeers(InetSocketAddress to, byte[] message) {
+    peers.newSession(to, peersFrom).write(IoBuffer.wrap(message));
+  }
+
+  @Override
+  public void dialServer(long link, InetSocketAddress to) {
+    dial(link, to, server(link));
+  }
+
+  @Override
+  public void dialDiscovery(long link, InetSocketAddress to) {
+    dial(link, to, discovery(link));
+  }
+
+  private void carry(IoSession session, long number, Stream stream) {
+    stream.session = session;
+    session.setAttribute(NUMBER, number);
+    session.setAttribute(STREAM, stream);
+    sessions.put(number, session);
+  }
+
+  private void dial(long number, InetSocketAddress to, Stream stream) {
+    dials.dial(
+        number,
+        to,
+        session -> carry(session, number, stream),
+        why -> {
+          if (why.getClass() == SocketException.class) {
+            // Refused, unreachable and overdue have exceptions of their own kind.
+            stream.dialReset();
+          } else {
+            stream.notReached();
+          }
+        });
+  }
+
+  @Override
+  public Duration now() {
+    return clock.get();
+  }
+
+  @Override
+  public boolean write(long connection, ByteBuffer... parts) {
+    IoSession session = sessions.get(connection);
+    if (session == null) {
+      return false;
     }
-
-    @Override
-    public void dialDiscovery(long link, InetSocketAddress to) {
-        dial(link, to, discovery(link));
+    Stream stream = (Stream) session.getAttribute(STREAM);
+    stream.writing();
+    // Where nothing else waits to go out no other thread has to be woken for it.
+    if (stream.unwritten.get() == 0 && GatheringProcessor.writeNow(session, parts)) {
+      return true;
     }
-
-    private void carry(IoSession session, long number, Stream stream) {
-        stream.session = session;
-        session.setAttribute(NUMBER, number);
-        session.setAttribute(STREAM, stream);
-        sessions.put(number, session);
+    stream.unwritten.incrementAndGet();
+    session.write(new GatheredBuffer(parts));
+    return false;
+  }
+
+  @Override
+  public void read(long connection, boolean on) {
+    IoSession session = sessions.get(connection);
+    if (session != null) {
+      ((ClientStream) session.getAttribute(STREAM)).listen(on);
     }
-
-    private void dial(long number, InetSocketAddress to, Stream stream) {
-        dials.dial(number, to, session -> carry(session, number, stream), why -> {
-            if (why.getClass() == SocketException.class) {
-                // Refused, unreachable and overdue have exceptions of their own kind.
-                stream.dialReset();
-            } else {
-                stream.notReached();
-            }
+  }
+
+  @Override
+  public void hear(long connection) {
+    processor.afterReading(() -> loop.post(g -> g.heard(connection)));
+  }
+
+  @Override
+  public void part(long connection, int messages) {
+    processor.afterReading(
+        () -> {
+          IoSession session = sessions.get(connection);
+          ClientStream stream =
+              session == null ? null : (ClientStream) session.getAttribute(STREAM);
+          boolean quiet = stream == null || stream.isQuiet(messages);
+          if (stream != null && quiet) {
+            stream.endListening();
+            GatheringProcessor.endSending(session);
+          }
+          round.tell(g -> g.parted(connection, quiet));
         });
+  }
+
+  @Override
+  public void drop(long connection) {
+    dials.giveUp(connection);
+    IoSession session = sessions.remove(connection);
+    if (session != null) {
+      // A second call-out must not overtake the end of the first; clients have nothing that could.
+      if (connection < 0) {
+        GatheringProcessor.endSending(session);
+      }
+      session.closeNow();
     }
-
-    @Override
-    public Duration now() {
-        return clock.get();
+  }
+
+  @Override
+  public void finish(long connection) {
+    IoSession session = sessions.get(connection);
+    if (session != null) {
+      ClientStream stream = (ClientStream) session.getAttribute(STREAM);
+      stream.endListening();
+      stream.last = true;
+      endIfOut(session, stream);
     }
-
-    @Override
-    public boolean write(long connection, ByteBuffer... parts) {
-        IoSession session = sessions.get(connection);
-        if (session == null) {
-            return false;
-        }
-        Stream stream = (Stream) session.getAttribute(STREAM);
-        stream.writing();
-        // Where nothing else waits to go out no other thread has to be woken for it.
-        if (stream.unwritten.get() == 0 && GatheringProcessor.writeNow(session, parts)) {
-            return true;
-        }
-        stream.unwritten.incrementAndGet();
-        session.write(new GatheredBuffer(parts));
-        return false;
+  }
+
+  /**
+   * What came in unread would, at a close, take back what was written last; so only sending ends
+   * here.
+   */
+  private static void endIfOut(IoSession session, Stream stream) {
+    if (stream.last && stream.unwritten.get() == 0) {
+      GatheringProcessor.endSending(session);
     }
+  }
+
+  private Stream server(long number) {
+    ServerReader reader = Streams.server(round::heard, number);
+    return new Stream() {
+      @Override
+      void opened() {
+        round.heard(g -> g.links().up(number));
+      }
+
+      @Override
+      void writing() {
+        reader.ask();
+      }
+
+      @Override
+      void read(ByteBuffer in) {
+        reader.feed(in);
+      }
+
+      @Override
+      void written() {
+        round.heard(g -> g.links().written(number));
+      }
+
+      @Override
+      void gone() {
+        round.heard(g -> g.links().gone(number, reader.rest()));
+      }
+
+      @Override
+      void notReached() {
+        loop.post(g -> g.links().gone(number, null));
+      }
+
+      @Override
+      void dialReset() {
+        loop.post(g -> g.links().dialReset(number));
+      }
+    };
+  }
+
+  private Stream discovery(long number) {
+    HttpReader reader =
+        new HttpReader((status, body) -> loop.post(g -> g.list().answered(number, status, body)));
+    return new Stream() {
+      @Override
+      void opened() {
+        loop.post(g -> g.list().up(number));
+      }
+
+      @Override
+      void read(ByteBuffer in) throws HttpReader.Malformed {
+        reader.feed(in);
+        if (reader.isWithin()) {
+          loop.post(g -> g.list().begun(number));
+        }
+      }
 
-    @Override
-    public void read(long connection, boolean on) {
-        IoSession session = sessions.get(connection);
-        if (session != null) {
-            ((ClientStream) session.getAttribute(STREAM)).listen(on);
+      @Override
+      void gone() {
+        if (!broken) {
+          reader.ended();
         }
-    }
+        loop.post(g -> g.list().gone(number));
+      }
+    };
+  }
 
-    @Override
-    public void hear(long connection) {
-        processor.afterReading(() -> loop.post(g -> g.heard(connection)));
-    }
+  /** The events of all connections, handed to the stream that each carries. */
+  private class Handler extends IoHandlerAdapter {
 
-    @Override
-    public void part(long connection, int messages) {
-        processor.afterReading(() -> {
-            IoSession session = sessions.get(connection);
-            ClientStream stream = session == null ? null : (ClientStream) session.getAttribute(STREAM);
-            boolean quiet = stream == null || stream.isQuiet(messages);
-            if (stream != null && quiet) {
-                stream.endListening();
-                GatheringProcessor.endSending(session);
-            }
-            round.tell(g -> g.parted(connection, quiet));
-        });
+    private Stream stream(IoSession session) {
+      return (Stream) session.getAttribute(STREAM);
     }
 
     @Override
-    public void drop(long connection) {
-        dials.giveUp(connection);
-        IoSession session = sessions.remove(connection);
-        if (session != null) {
-            // A second call-out must not overtake the end of the first; clients have nothing that could.
-            if (connection < 0) {
-                GatheringProcessor.endSending(session);
-            }
-            session.closeNow();
-        }
+    public void sessionOpened(IoSession session) {
+      stream(session).opened();
     }
 
     @Override
-    public void finish(long connection) {
-        IoSession session = sessions.get(connection);
-        if (session != null) {
-            ClientStream stream = (ClientStream) session.getAttribute(STREAM);
-            stream.endListening();
-            stream.last = true;
-            endIfOut(session, stream);
-        }
+    public void messageReceived(IoSession session, Object message) throws Exception {
+      stream(session).read(((IoBuffer) message).buf());
     }
 
-    /** What came in unread would, at a close, take back what was written last; so only sending ends here. */
-    private static void endIfOut(IoSession session, Stream stream) {
-        if (stream.last && stream.unwritten.get() == 0) {
-            GatheringProcessor.endSending(session);
-        }
-    }
-
-    private Stream server(long number) {
-        ServerReader reader = Streams.server(round::heard, number);
-        return new Stream() {
-            @Override
-            void opened() {
-                round.heard(g -> g.links().up(number));
-            }
-
-            @Override
-            void writing() {
-                reader.ask();
-            }
-
-            @Override
-            void read(ByteBuffer in) {
-                reader.feed(in);
-            }
-
-            @Override
-            void written() {
-                round.heard(g -> g.links().written(number));
-            }
-
-            @Override
-            void gone() {
-                round.heard(g -> g.links().gone(number, reader.rest()));
-            }
-
-            @Override
-            void notReached() {
-                loop.post(g -> g.links().gone(number, null));
-            }
-
-            @Override
-            void dialReset() {
-                loop.post(g -> g.links().dialReset(number));
-            }
-        };
+    @Override
+    public void messageSent(IoSession session, Object message) {
+      Stream stream = stream(session);
+      stream.unwritten.decrementAndGet();
+      endIfOut(session, stream);
+      stream.written();
     }
 
-    private Stream discovery(long number) {
-        HttpReader reader = new HttpReader((status, body) -> loop.post(g -> g.list().answered(number, status,
-                body)));
-        return new Stream() {
-            @Override
-            void opened() {
-                loop.post(g -> g.list().up(number));
-            }
-
-            @Override
-            void read(ByteBuffer in) throws HttpReader.Malformed {
-                reader.feed(in);
-                if (reader.isWithin()) {
-                    loop.post(g -> g.list().begun(number));
-                }
-            }
-
-            @Override
-            void gone() {
-                if (!broken) {
-                    reader.ended();
-                }
-                loop.post(g -> g.list().gone(number));
-            }
-        };
+    @Override
+    public void sessionClosed(IoSession session) {
+      sessions.remove((Long) session.getAttribute(NUMBER));
+      stream(session).gone();
     }
 
-    /** The events of all connections, handed to the stream that each carries. */
-    private class Handler extends IoHandlerAdapter {
-
-        private Stream stream(IoSession session) {
-            return (Stream) session.getAttribute(STREAM);
-        }
-
-        @Override
-        public void sessionOpened(IoSession session) {
-            stream(session).opened();
-        }
-
-        @Override
-        public void messageReceived(IoSession session, Object message) throws Exception {
-            stream(session).read(((IoBuffer) message).buf());
-        }
-
-        @Override
-        public void messageSent(IoSession session, Object message) {
-            Stream stream = stream(session);
-            stream.unwritten.decrementAndGet();
-            endIfOut(session, stream);
-            stream.written();
-        }
-
-        @Override
-        public void sessionClosed(IoSession session) {
-            sessions.remove((Long) session.getAttribute(NUMBER));
-            stream(session).gone();
-        }
-
-        @Override
-        public void exceptionCaught(IoSession session, Throwable cause) {
-            // A peer's nonsense, or a broken network: the connection ends and its end is told.
-            stream(session).broken = true;
-            LOG.fine(() -> "connection ended: " + cause);
-            session.closeNow();
-        }
+    @Override
+    public void exceptionCaught(IoSession session, Throwable cause) {
+      // A peer's nonsense, or a broken network: the connection ends and its end is told.
+      stream(session).broken = true;
+      LOG.fine(() -> "connection ended: " + cause);
+      session.closeNow();
     }
+  }
 }
--- a/gateway/src/main/java/weldcross/gateway/Question.java
+++ b/gateway/src/main/java/weldcross/gateway/Question.java
@@ -8,24 +8,31 @@
 /** What a connection to a server carries, one at a time: an RPC's call-out or a probe. */
 abstract class Question {
 
-    /** The connection that carries it; null before and after. */
-    ServerLinks.Link link;
-    boolean over;
-    /** Since when its connection was open, once that has answered: the server's process is no younger. */
-    Duration aliveSince;
+  /** The connection that carries it; null before and after. */
+  ServerLinks.Link link;
 
-    /** What goes out, worded when it goes: the time left is part of it. */
-    abstract ByteBuffer[] message();
+  boolean over;
 
-    /** Asked when its connection is up: whether it is still to go out, as a dial takes time. */
-    abstract boolean mayGo();
+  /**
+   * Since when its connection was open, once that has answered: the server's process is no younger.
+   */
+  Duration aliveSince;
 
-    /** Whether its answer is given at once or never, so that it is waited for no longer than for a dial. */
-    abstract boolean isBrief();
+  /** What goes out, worded when it goes: the time left is part of it. */
+  abstract ByteBuffer[] message();
 
-    /** How the answer to it is completed; null where nothing is passed on. */
-    abstract String tag();
+  /** Asked when its connection is up: whether it is still to go out, as a dial takes time. */
+  abstract boolean mayGo();
 
-    /** Called once, however it ends. */
-    abstract void ended(Outcome outcome, ServerAnswer answer);
+  /**
+   * Whether its answer is given at once or never, so that it is waited for no longer than for a
+   * dial.
+   */
+  abstract boolean isBrief();
+
+  /** How the answer to it is completed; null where nothing is passed on. */
+  abstract String tag();
+
+  /** Called once, however it ends. */
+  abstract void ended(Outcome outcome, ServerAnswer answer);
 }
--- a/gateway/src/main/java/weldcross/gateway/RareLog.java
+++ b/gateway/src/main/java/weldcross/gateway/RareLog.java
@@ -5,27 +5,30 @@
 import java.util.logging.Logger;
 
 /**
- * Lines about what may happen with every RPC: the first at once, then one a second with a count of the rest.
+ * Lines about what may happen with every RPC: the first at once, then one a second with a count of
+ * the rest.
  */
 final class RareLog {
 
-    private static final Duration APART = Duration.ofSeconds(1);
+  private static final Duration APART = Duration.ofSeconds(1);
 
-    private final Logger log;
-    private Duration next = Duration.ZERO;
-    private int unsaid;
+  private final Logger log;
+  private Duration next = Duration.ZERO;
+  private int unsaid;
 
-    RareLog(Logger log) {
-        this.log = log;
-    }
+  RareLog(Logger log) {
+    this.log = log;
+  }
 
-    void say(Duration now, Level level, String what) {
-        if (now.compareTo(next) < 0) {
-            unsaid++;
-            return;
-        }
-        log.log(level, what + (unsaid == 0 ? "" : " (and " + unsaid + " more of this kind since the last)"));
-        unsaid = 0;
-        next = now.plus(APART);
+  void say(Duration now, Level level, String what) {
+    if (now.compareTo(next) < 0) {
+      unsaid++;
+      return;
     }
+    log.log(
+        level,
+        what + (unsaid == 0 ? "" : " (and " + unsaid + " more of this kind since the last)"));
+    unsaid = 0;
+    next = now.plus(APART);
+  }
 }
--- a/gateway/src/main/java/weldcross/gateway/ServerLinks.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerLinks.java
@@ -15,387 +15,421 @@
 import weldcross.routing.Outcome;
 import weldcross.routing.ServerId;
 
-/** The reducer's connections to servers: each carries one question at a time, then waits for the next. */
+/**
+ * The reducer's connections to servers: each carries one question at a time, then waits for the
+ * next.
+ */
 final class ServerLinks {
 
-    /** One connection. */
-    static final class Link {
-        final long number;
-        final ServerId server;
-        final InetSocketAddress address;
-        Question question;
-        boolean reached, up, begun;
-        /** Messages of which not every byte is known to be out. */
-        int unwritten;
-        /** Counts how far it has come: what was expected of an earlier step is expected no more. */
-        int step, doubted = -1;
-        /** Since when it was welcomed, since when it rests, and how long it had rested before this question. */
-        Duration upSince, idleSince, rested;
-
-        Link(long number, ServerId server, InetSocketAddress address) {
-            this.number = number;
-            this.server = server;
-            this.address = address;
-        }
-    }
-
-    private static final ArrayDeque<Link> NONE = new ArrayDeque<>();
-
-    private final Gateway gateway;
-    private final Effects effects;
-    private final Duration connectTimeout;
-    private final Duration idleFor;
-    private final int most;
-    /** A connection is quiet for so long before it carries the next question. */
-    private final Duration settle;
-    private final RestRecord rests = new RestRecord();
-    private final Map<ServerId, InetSocketAddress> addresses = new HashMap<>();
-    private final Map<ServerId, ArrayDeque<Link>> idle = new HashMap<>();
-    private final Map<Long, Link> links = new HashMap<>();
-    /** All that are idle, the longest idle first. */
-    private final LinkedHashSet<Link> resting = new LinkedHashSet<>();
-    private boolean tiring;
-
-    /** @param idleClose after which a server closes; a connection is given up here before that */
-    ServerLinks(Gateway gateway, Effects effects, Duration connectTimeout, Duration idleClose, int most) {
-        this.gateway = gateway;
-        this.effects = effects;
-        this.connectTimeout = connectTimeout;
-        this.idleFor = idleClose.minus(idleClose.dividedBy(8));
-        this.most = most;
-        this.settle = connectTimeout.dividedBy(64);
-    }
-
-    /** A server that moved keeps its name; what is open to its old address is used no more. */
-    void listed(ServerId server, InetSocketAddress address) {
-        InetSocketAddress before = addresses.put(server, address);
-        if (before != null && !before.equals(address)) {
-            List.copyOf(idle.getOrDefault(server, NONE)).forEach(this::remove);
-        }
-    }
-
-    void forget(ServerId server) {
-        addresses.remove(server);
-        ArrayDeque<Link> unused = idle.remove(server);
-        if (unused != null) {
-            List.copyOf(unused).forEach(this::remove);
-        }
-    }
-
-    void ask(ServerId server, Question question) {
-        ArrayDeque<Link> unused = idle.getOrDefault(server, NONE);
-        Link link = unused.peekFirst();
-        if (link != null && gateway.now().minus(link.idleSince).compareTo(settle) < 0) {
-            // What comes behind an answer comes right behind it: the one that has been quiet longest is safe.
-            link = unused.peekLast();
-        }
-        Duration rested = link == null ? null : gateway.now().minus(link.idleSince);
-        if (link != null && rested.compareTo(settle) >= 0) {
-            if (!question.mayGo()) {
-                gateway.soon(() -> end(question, Outcome.NOT_SENT, null));
-                return;
-            }
-            // What may be asked again tries whatever there is, so that it is learnt when all is well again.
-            if (question.isBrief() || rests.mayCarry(rested)) {
-                rouse(link);
-                link.rested = rested;
-                carry(link, question);
-                write(link, question.message());
-                return;
-            }
-            remove(unused.peekLast());
-        }
-        if (links.size() >= most && !resting.isEmpty()) {
-            remove(resting.iterator().next());
-        }
-        InetSocketAddress address = addresses.get(server);
-        if (links.size() >= most || address == null) {
-            gateway.complain("no descriptor left for a connection to " + server.name());
-            gateway.soon(() -> end(question, Outcome.NO_ROUTE, null));
-            return;
-        }
-        Link dialled = new Link(gateway.nextNumber(), server, address);
-        links.put(dialled.number, dialled);
-        carry(dialled, question);
-        effects.dialServer(dialled.number, address);
-        expect(dialled);
-    }
+  /** One connection. */
+  static final class Link {
+    final long number;
+    final ServerId server;
+    final InetSocketAddress address;
+    Question question;
+    boolean reached, up, begun;
+
+    /** Messages of which not every byte is known to be out. */
+    int unwritten;
+
+    /** Counts how far it has come: what was expected of an earlier step is expected no more. */
+    int step, doubted = -1;
 
     /**
-     * The other side has the time of a dial for its next word. Whoever is silent for so long is given up, but
-     * not before all is read that it may have said meanwhile: a gateway short of processor time would take
-     * its own slowness for that of all servers.
+     * Since when it was welcomed, since when it rests, and how long it had rested before this
+     * question.
      */
-    private void expect(Link link) {
-        int step = ++link.step;
-        gateway.at(gateway.now().plus(connectTimeout), () -> {
-            if (link.step == step) {
-                link.doubted = step;
-                effects.hear(link.number);
-            }
+    Duration upSince, idleSince, rested;
+
+    Link(long number, ServerId server, InetSocketAddress address) {
+      this.number = number;
+      this.server = server;
+      this.address = address;
+    }
+  }
+
+  private static final ArrayDeque<Link> NONE = new ArrayDeque<>();
+
+  private final Gateway gateway;
+  private final Effects effects;
+  private final Duration connectTimeout;
+  private final Duration idleFor;
+  private final int most;
+
+  /** A connection is quiet for so long before it carries the next question. */
+  private final Duration settle;
+
+  private final RestRecord rests = new RestRecord();
+  private final Map<ServerId, InetSocketAddress> addresses = new HashMap<>();
+  private final Map<ServerId, ArrayDeque<Link>> idle = new HashMap<>();
+  private final Map<Long, Link> links = new HashMap<>();
+
+  /** All that are idle, the longest idle first. */
+  private final LinkedHashSet<Link> resting = new LinkedHashSet<>();
+
+  private boolean tiring;
+
+  /**
+   * @param idleClose after which a server closes; a connection is given up here before that
+   */
+  ServerLinks(
+      Gateway gateway, Effects effects, Duration connectTimeout, Duration idleClose, int most) {
+    this.gateway = gateway;
+    this.effects = effects;
+    this.connectTimeout = connectTimeout;
+    this.idleFor = idleClose.minus(idleClose.dividedBy(8));
+    this.most = most;
+    this.settle = connectTimeout.dividedBy(64);
+  }
+
+  /** A server that moved keeps its name; what is open to its old address is used no more. */
+  void listed(ServerId server, InetSocketAddress address) {
+    InetSocketAddress before = addresses.put(server, address);
+    if (before != null && !before.equals(address)) {
+      List.copyOf(idle.getOrDefault(server, NONE)).forEach(this::remove);
+    }
+  }
+
+  void forget(ServerId server) {
+    addresses.remove(server);
+    ArrayDeque<Link> unused = idle.remove(server);
+    if (unused != null) {
+      List.copyOf(unused).forEach(this::remove);
+    }
+  }
+
+  void ask(ServerId server, Question question) {
+    ArrayDeque<Link> unused = idle.getOrDefault(server, NONE);
+    Link link = unused.peekFirst();
+    if (link != null && gateway.now().minus(link.idleSince).compareTo(settle) < 0) {
+      // What comes behind an answer comes right behind it: the one that has been quiet longest is
+      // safe.
+      link = unused.peekLast();
+    }
+    Duration rested = link == null ? null : gateway.now().minus(link.idleSince);
+    if (link != null && rested.compareTo(settle) >= 0) {
+      if (!question.mayGo()) {
+        gateway.soon(() -> end(question, Outcome.NOT_SENT, null));
+        return;
+      }
+      // What may be asked again tries whatever there is, so that it is learnt when all is well
+      // again.
+      if (question.isBrief() || rests.mayCarry(rested)) {
+        rouse(link);
+        link.rested = rested;
+        carry(link, question);
+        write(link, question.message());
+        return;
+      }
+      remove(unused.peekLast());
+    }
+    if (links.size() >= most && !resting.isEmpty()) {
+      remove(resting.iterator().next());
+    }
+    InetSocketAddress address = addresses.get(server);
+    if (links.size() >= most || address == null) {
+      gateway.complain("no descriptor left for a connection to " + server.name());
+      gateway.soon(() -> end(question, Outcome.NO_ROUTE, null));
+      return;
+    }
+    Link dialled = new Link(gateway.nextNumber(), server, address);
+    links.put(dialled.number, dialled);
+    carry(dialled, question);
+    effects.dialServer(dialled.number, address);
+    expect(dialled);
+  }
+
+  /**
+   * The other side has the time of a dial for its next word. Whoever is silent for so long is given
+   * up, but not before all is read that it may have said meanwhile: a gateway short of processor
+   * time would take its own slowness for that of all servers.
+   */
+  private void expect(Link link) {
+    int step = ++link.step;
+    gateway.at(
+        gateway.now().plus(connectTimeout),
+        () -> {
+          if (link.step == step) {
+            link.doubted = step;
+            effects.hear(link.number);
+          }
         });
-        gateway.at(gateway.now().plus(connectTimeout.multipliedBy(2)), () -> silent(link, step));
-    }
-
-    /** All that came in until {@link Effects#hear} was asked for has been read. */
-    void heard(long number) {
-        Link link = links.get(number);
-        if (link != null) {
-            silent(link, link.doubted);
-        }
-    }
-
-    private void silent(Link link, int step) {
-        if (link.step != step || !links.containsKey(link.number)) {
-            return;
-        }
-        if (!link.up) {
-            effects.drop(link.number);
-            link.reached = false;
-            gone(link.number, null);
-        } else if (link.begun) {
-            spoilt(link.number, "an answer that does not end");
-        } else if (link.question != null) {
-            drop(link.question, Outcome.TIMED_OUT);
-        }
-    }
-
-    /** Stops waiting: the connection ends with it, so that nothing of it comes back. */
-    void drop(Question question, Outcome outcome) {
-        if (question.link != null) {
-            remove(question.link);
-        }
-        gateway.soon(() -> end(question, outcome, null));
-    }
-
-    void up(long number) {
-        Link link = links.get(number);
-        if (link != null) {
-            link.step++;
-            link.reached = true;
-            write(link, Replies.startup());
-        } else {
-            // Given up as it came up: nobody would ever end it.
-            effects.drop(number);
-        }
-    }
-
-    /** The server welcomed this gateway; what is sent before that it may not read. */
-    void ready(long number) {
-        Link link = links.get(number);
-        if (link != null) {
-            link.step++;
-            link.up = true;
-            link.upSince = gateway.now();
-            Question question = link.question;
-            if (question.mayGo()) {
-                write(link, question.message());
-                return;
+    gateway.at(gateway.now().plus(connectTimeout.multipliedBy(2)), () -> silent(link, step));
+  }
+
+  /** All that came in until {@link Effects#hear} was asked for has been read. */
+  void heard(long number) {
+    Link link = links.get(number);
+    if (link != null) {
+      silent(link, link.doubted);
+    }
+  }
+
+  private void silent(Link link, int step) {
+    if (link.step != step || !links.containsKey(link.number)) {
+      return;
+    }
+    if (!link.up) {
+      effects.drop(link.number);
+      link.reached = false;
+      gone(link.number, null);
+    } else if (link.begun) {
+      spoilt(link.number, "an answer that does not end");
+    } else if (link.question != null) {
+      drop(link.question, Outcome.TIMED_OUT);
+    }
+  }
+
+  /** Stops waiting: the connection ends with it, so that nothing of it comes back. */
+  void drop(Question question, Outcome outcome) {
+    if (question.link != null) {
+      remove(question.link);
+    }
+    gateway.soon(() -> end(question, outcome, null));
+  }
+
+  void up(long number) {
+    Link link = links.get(number);
+    if (link != null) {
+      link.step++;
+      link.reached = true;
+      write(link, Replies.startup());
+    } else {
+      // Given up as it came up: nobody would ever end it.
+      effects.drop(number);
+    }
+  }
+
+  /** The server welcomed this gateway; what is sent before that it may not read. */
+  void ready(long number) {
+    Link link = links.get(number);
+    if (link != null) {
+      link.step++;
+      link.up = true;
+      link.upSince = gateway.now();
+      Question question = link.question;
+      if (question.mayGo()) {
+        write(link, question.message());
+        return;
+      }
+      link.question = null;
+      question.link = null;
+      rest(link);
+      end(question, Outcome.NOT_SENT, null);
+    }
+  }
+
+  void written(long number) {
+    Link link = links.get(number);
+    if (link != null && --link.unwritten == 0) {
+      allOut(link);
+    }
+  }
+
+  private void allOut(Link link) {
+    if (!link.up || link.question != null && link.question.isBrief()) {
+      expect(link);
+    }
+  }
+
+  /**
+   * @param more whether bytes came behind it: the answer counts, its connection is of no further
+   *     use
+   */
+  void answered(long number, ServerAnswer answer, boolean more) {
+    Link link = links.get(number);
+    if (link == null || link.question == null) {
+      return;
+    }
+    Question question = link.question;
+    link.step++;
+    link.begun = false;
+    if (answer.state() == null && !answer.isServed(question.tag())) {
+      spoilt(number, "a row that is completed as no such statement is");
+      return;
+    }
+    rests.answered(link.rested);
+    link.question = null;
+    question.link = null;
+    question.aliveSince = link.upSince;
+    if (more) {
+      gateway.complain("bytes behind an answer of " + link.server.name());
+      remove(link);
+    } else {
+      rest(link);
+    }
+    end(question, outcome(answer), answer);
+  }
+
+  /** An answer that does not go on is none; its connection would be waited for in vain. */
+  void begun(long number) {
+    Link link = links.get(number);
+    if (link != null && link.question != null) {
+      link.begun = true;
+      expect(link);
+    }
+  }
+
+  /** Nothing of what was read counts, and nothing more of it is read. */
+  void spoilt(long number, String why) {
+    Link link = links.get(number);
+    if (link == null) {
+      return;
+    }
+    gateway.complain("spoilt by " + link.server.name() + ": " + why);
+    Question question = link.question;
+    boolean asked = link.up;
+    remove(link);
+    if (question != null) {
+      end(question, asked ? Outcome.CUT : Outcome.NO_ROUTE, null);
+    }
+  }
+
+  void gone(long number, ServerAnswer rest) {
+    Link link = links.remove(number);
+    if (link == null) {
+      return;
+    }
+    rouse(link);
+    if (!link.up) {
+      gateway.complain("no connection to " + link.server.name() + " at " + link.address);
+    }
+    Question question = link.question;
+    if (question == null) {
+      return;
+    }
+    question.link = null;
+    Outcome told =
+        rest != null && (rest.isServed(question.tag()) || rest.state() != null)
+            ? outcome(rest)
+            : null;
+    if (told != null && (link.up || told == Outcome.NO_ROOM)) {
+      end(question, told, rest);
+    } else {
+      end(question, lost(link), null);
+    }
+  }
+
+  /** What it means that a connection ended under its question. */
+  private Outcome lost(Link link) {
+    boolean kept = link.rested != null && !link.begun;
+    if (link.up && !link.begun) {
+      rests.lost(link.rested);
+    }
+    if (link.up && link.unwritten == 0) {
+      return kept ? Outcome.KEPT_CUT : Outcome.CUT;
+    }
+    // Taken up and ended before its welcome, or while it rested: whoever did so may well live.
+    return kept || link.reached && !link.up ? Outcome.NOT_TAKEN : Outcome.NO_ROUTE;
+  }
+
+  /**
+   * A dial was taken up by somebody and ended at once, which a place without a process cannot do.
+   */
+  void dialReset(long number) {
+    Link link = links.get(number);
+    if (link != null) {
+      link.reached = true;
+      gone(number, null);
+    }
+  }
+
+  private static Outcome outcome(ServerAnswer answer) {
+    if (answer.state() == null) {
+      return Outcome.OK;
+    }
+    return switch (answer.state()) {
+      case "25006", "72000" -> Outcome.MISS;
+      case "53300" -> Outcome.NO_ROOM;
+      default -> Outcome.ERROR;
+    };
+  }
+
+  private void end(Question question, Outcome outcome, ServerAnswer answer) {
+    if (!question.over) {
+      question.over = true;
+      question.ended(outcome, answer);
+    }
+  }
+
+  private void carry(Link link, Question question) {
+    link.question = question;
+    question.link = link;
+  }
+
+  /**
+   * What is out is known to be out before anything else can be told of its connection: an end that
+   * is told first would make of a write that ran one that never went out, and send it twice.
+   */
+  private void write(Link link, ByteBuffer... parts) {
+    if (effects.write(link.number, parts)) {
+      allOut(link);
+    } else {
+      link.unwritten++;
+    }
+  }
+
+  /** For the log: connections by server, and how many of them carry a question. */
+  String inWords() {
+    Map<String, int[]> counts = new TreeMap<>();
+    for (Link link : links.values()) {
+      int[] count = counts.computeIfAbsent(link.server.name(), s -> new int[2]);
+      count[0]++;
+      count[1] += link.question == null ? 0 : 1;
+    }
+    StringBuilder words = new StringBuilder("connections");
+    counts.forEach(
+        (server, c) ->
+            words.append(' ').append(server).append(' ').append(c[1]).append('/').append(c[0]));
+    return words.toString();
+  }
+
+  private void rest(Link link) {
+    if (!link.address.equals(addresses.get(link.server))) {
+      remove(link);
+      return;
+    }
+    link.idleSince = gateway.now();
+    idle.computeIfAbsent(link.server, s -> new ArrayDeque<>()).addFirst(link);
+    resting.add(link);
+    tireLater();
+  }
+
+  /**
+   * One due time for all that rest, as connections come and go by far more often than they tire.
+   */
+  private void tireLater() {
+    if (!tiring && !resting.isEmpty()) {
+      tiring = true;
+      gateway.at(
+          resting.iterator().next().idleSince.plus(idleFor),
+          () -> {
+            tiring = false;
+            while (!resting.isEmpty()
+                && gateway.now().compareTo(resting.iterator().next().idleSince.plus(idleFor))
+                    >= 0) {
+              remove(resting.iterator().next());
             }
-            link.question = null;
-            question.link = null;
-            rest(link);
-            end(question, Outcome.NOT_SENT, null);
-        }
-    }
-
-    void written(long number) {
-        Link link = links.get(number);
-        if (link != null && --link.unwritten == 0) {
-            allOut(link);
-        }
-    }
-
-    private void allOut(Link link) {
-        if (!link.up || link.question != null && link.question.isBrief()) {
-            expect(link);
-        }
-    }
-
-    /** @param more whether bytes came behind it: the answer counts, its connection is of no further use */
-    void answered(long number, ServerAnswer answer, boolean more) {
-        Link link = links.get(number);
-        if (link == null || link.question == null) {
-            return;
-        }
-        Question question = link.question;
-        link.step++;
-        link.begun = false;
-        if (answer.state() == null && !answer.isServed(question.tag())) {
-            spoilt(number, "a row that is completed as no such statement is");
-            return;
-        }
-        rests.answered(link.rested);
-        link.question = null;
-        question.link = null;
-        question.aliveSince = link.upSince;
-        if (more) {
-            gateway.complain("bytes behind an answer of " + link.server.name());
-            remove(link);
-        } else {
-            rest(link);
-        }
-        end(question, outcome(answer), answer);
-    }
-
-    /** An answer that does not go on is none; its connection would be waited for in vain. */
-    void begun(long number) {
-        Link link = links.get(number);
-        if (link != null && link.question != null) {
-            link.begun = true;
-            expect(link);
-        }
-    }
-
-    /** Nothing of what was read counts, and nothing more of it is read. */
-    void spoilt(long number, String why) {
-        Link link = links.get(number);
-        if (link == null) {
-            return;
-        }
-        gateway.complain("spoilt by " + link.server.name() + ": " + why);
-        Question question = link.question;
-        boolean asked = link.up;
-        remove(link);
-        if (question != null) {
-            end(question, asked ? Outcome.CUT : Outcome.NO_ROUTE, null);
-        }
-    }
-
-    void gone(long number, ServerAnswer rest) {
-        Link link = links.remove(number);
-        if (link == null) {
-            return;
-        }
-        rouse(link);
-        if (!link.up) {
-            gateway.complain("no connection to " + link.server.name() + " at " + link.address);
-        }
-        Question question = link.question;
-        if (question == null) {
-            return;
-        }
-        question.link = null;
-        Outcome told = rest != null && (rest.isServed(question.tag()) || rest.state() != null)
-                ? outcome(rest) : null;
-        if (told != null && (link.up || told == Outcome.NO_ROOM)) {
-            end(question, told, rest);
-        } else {
-            end(question, lost(link), null);
-        }
-    }
-
-    /** What it means that a connection ended under its question. */
-    private Outcome lost(Link link) {
-        boolean kept = link.rested != null && !link.begun;
-        if (link.up && !link.begun) {
-            rests.lost(link.rested);
-        }
-        if (link.up && link.unwritten == 0) {
-            return kept ? Outcome.KEPT_CUT : Outcome.CUT;
-        }
-        // Taken up and ended before its welcome, or while it rested: whoever did so may well live.
-        return kept || link.reached && !link.up ? Outcome.NOT_TAKEN : Outcome.NO_ROUTE;
-    }
-
-    /** A dial was taken up by somebody and ended at once, which a place without a process cannot do. */
-    void dialReset(long number) {
-        Link link = links.get(number);
-        if (link != null) {
-            link.reached = true;
-            gone(number, null);
-        }
-    }
-
-    private static Outcome outcome(ServerAnswer answer) {
-        if (answer.state() == null) {
-            return Outcome.OK;
-        }
-        return switch (answer.state()) {
-            case "25006", "72000" -> Outcome.MISS;
-            case "53300" -> Outcome.NO_ROOM;
-            default -> Outcome.ERROR;
-        };
-    }
-
-    private void end(Question question, Outcome outcome, ServerAnswer answer) {
-        if (!question.over) {
-            question.over = true;
-            question.ended(outcome, answer);
-        }
-    }
-
-    private void carry(Link link, Question question) {
-        link.question = question;
-        question.link = link;
+            tireLater();
+          });
     }
+  }
 
-    /**
-     * What is out is known to be out before anything else can be told of its connection: an end that is told
-     * first would make of a write that ran one that never went out, and send it twice.
-     */
-    private void write(Link link, ByteBuffer... parts) {
-        if (effects.write(link.number, parts)) {
-            allOut(link);
-        } else {
-            link.unwritten++;
-        }
-    }
-
-    /** For the log: connections by server, and how many of them carry a question. */
-    String inWords() {
-        Map<String, int[]> counts = new TreeMap<>();
-        for (Link link : links.values()) {
-            int[] count = counts.computeIfAbsent(link.server.name(), s -> new int[2]);
-            count[0]++;
-            count[1] += link.question == null ? 0 : 1;
-        }
-        StringBuilder words = new StringBuilder("connections");
-        counts.forEach((server, c) -> words.append(' ').append(server).append(' ').append(c[1]).append('/')
-                .append(c[0]));
-        return words.toString();
-    }
-
-    private void rest(Link link) {
-        if (!link.address.equals(addresses.get(link.server))) {
-            remove(link);
-            return;
-        }
-        link.idleSince = gateway.now();
-        idle.computeIfAbsent(link.server, s -> new ArrayDeque<>()).addFirst(link);
-        resting.add(link);
-        tireLater();
-    }
-
-    /** One due time for all that rest, as connections come and go by far more often than they tire. */
-    private void tireLater() {
-        if (!tiring && !resting.isEmpty()) {
-            tiring = true;
-            gateway.at(resting.iterator().next().idleSince.plus(idleFor), () -> {
-                tiring = false;
-                while (!resting.isEmpty() && gateway.now().compareTo(resting.iterator().next().idleSince
-                        .plus(idleFor)) >= 0) {
-                    remove(resting.iterator().next());
-                }
-                tireLater();
-            });
-        }
-    }
-
-    /** From its rest, if it is at rest: to work, or to its end. */
-    private void rouse(Link link) {
-        if (resting.remove(link)) {
-            idle.computeIfPresent(link.server, (s, all) -> all.remove(link) && all.isEmpty() ? null : all);
-        }
-    }
-
-    private void remove(Link link) {
-        links.remove(link.number);
-        rouse(link);
-        if (link.question != null) {
-            link.question.link = null;
-            link.question = null;
-        }
-        effects.drop(link.number);
+  /** From its rest, if it is at rest: to work, or to its end. */
+  private void rouse(Link link) {
+    if (resting.remove(link)) {
+      idle.computeIfPresent(
+          link.server, (s, all) -> all.remove(link) && all.isEmpty() ? null : all);
+    }
+  }
+
+  private void remove(Link link) {
+    links.remove(link.number);
+    rouse(link);
+    if (link.question != null) {
+      link.question.link = null;
+      link.question = null;
     }
+    effects.drop(link.number);
+  }
 }
--- a/gateway/src/main/java/weldcross/gateway/Service.java
+++ b/gateway/src/main/java/weldcross/gateway/Service.java
@@ -19,117 +19,137 @@
 import weldcross.terms.FaultyTerm;
 import weldcross.terms.GatewayTerms;
 
-/** One gateway as a process: its clock, its thread, and the signals that end it or have it read its terms. */
+/**
+ * One gateway as a process: its clock, its thread, and the signals that end it or have it read its
+ * terms.
+ */
 public final class Service {
 
-    /** The status of a process that broke, apart from those of a faulty command line or configuration. */
-    private static final int BROKEN = 70;
-    /** RPCs after which what an RPC calls is compiled; the JVM does that after some 200 calls. */
-    private static final int WARM_UP = 200;
-    /** In milliseconds. */
-    private static final long LOOK_APART = 1000;
+  /**
+   * The status of a process that broke, apart from those of a faulty command line or configuration.
+   */
+  private static final int BROKEN = 70;
 
-    private static final Logger LOG = Logger.getLogger(Service.class.getName());
+  /** RPCs after which what an RPC calls is compiled; the JVM does that after some 200 calls. */
+  private static final int WARM_UP = 200;
 
-    private final Loop loop;
-    private final MinaEffects effects;
-    private final Gateway gateway;
+  /** In milliseconds. */
+  private static final long LOOK_APART = 1000;
 
-    Service(GatewayTerms terms) {
-        this(terms, List.of(), Instant::now);
-    }
+  private static final Logger LOG = Logger.getLogger(Service.class.getName());
 
-    /** @param readWall the wall clock, read once */
-    Service(GatewayTerms terms, List<Part> parts, Supplier<Instant> readWall) {
-        // First the zero, then the wall: what passes between the two makes all data look older than it is.
-        // The other way round it would look fresher, and reads past their bound would go out (rule 5).
-        long zero = System.nanoTime();
-        Instant wall = readWall.get();
-        Supplier<Duration> clock = () -> Duration.ofNanos(System.nanoTime() - zero);
-        loop = new Loop(clock);
-        effects = new MinaEffects(loop, clock, terms.sockets() * 3 / 4);
-        gateway = new Gateway(terms, effects, Duration.ofSeconds(wall.getEpochSecond(), wall.getNano()));
-        if (parts.isEmpty()) {
-            loop.post(Gateway::start);
-        } else {
-            parts.forEach(gateway::join);
-            Seam seam = gateway.seam(loop::post);
-            loop.post(g -> g.start(seam));
-        }
-    }
+  private final Loop loop;
+  private final MinaEffects effects;
+  private final Gateway gateway;
 
-    /**
-     * Serves until the process is asked to end; returns the status to exit with.
-     *
-     * @param reader reads the terms, now and whenever the process is told to read them again
-     * @param begun is handed the service before it serves
-     */
-    public static int run(Supplier<GatewayTerms> reader, Consumer<Service> begun) {
-        return run(reader, terms -> List.of(), Instant::now, begun);
-    }
+  Service(GatewayTerms terms) {
+    this(terms, List.of(), Instant::now);
+  }
 
-    /**
-     * The same with parts that join.
-     *
-     * @param parts makes them of the gateway's terms, once
-     * @param readWall the wall clock, read once
-     */
-    public static int run(Supplier<GatewayTerms> reader, Function<GatewayTerms, List<Part>> parts,
-            Supplier<Instant> readWall, Consumer<Service> begun) {
-        GatewayTerms terms = reader.get();
-        List<Part> joining = parts.apply(terms);
-        WarmUp.play(terms, WARM_UP);
-        Service service = new Service(terms, joining, readWall);
-        // Each signal has a thread of its own.
-        if (Signal.handle(new Signal("HUP"), signal -> service.reload(reader)) == SignalHandler.SIG_IGN) {
-            LOG.warning("SIGHUP is ignored from the start, as under nohup: a new configuration is not heard of");
-        }
-        // Not a shutdown hook: by then the log is closed already, and the status is that of a killed process.
-        Signal.handle(new Signal("TERM"), signal -> service.stop());
-        Signal.handle(new Signal("INT"), signal -> service.stop());
-        begun.accept(service);
-        return service.serve();
+  /**
+   * @param readWall the wall clock, read once
+   */
+  Service(GatewayTerms terms, List<Part> parts, Supplier<Instant> readWall) {
+    // First the zero, then the wall: what passes between the two makes all data look older than it
+    // is.
+    // The other way round it would look fresher, and reads past their bound would go out (rule 5).
+    long zero = System.nanoTime();
+    Instant wall = readWall.get();
+    Supplier<Duration> clock = () -> Duration.ofNanos(System.nanoTime() - zero);
+    loop = new Loop(clock);
+    effects = new MinaEffects(loop, clock, terms.sockets() * 3 / 4);
+    gateway =
+        new Gateway(terms, effects, Duration.ofSeconds(wall.getEpochSecond(), wall.getNano()));
+    if (parts.isEmpty()) {
+      loop.post(Gateway::start);
+    } else {
+      parts.forEach(gateway::join);
+      Seam seam = gateway.seam(loop::post);
+      loop.post(g -> g.start(seam));
     }
+  }
 
-    /** Returns with the status to exit with: when it has stopped, or when it broke. */
-    int serve() {
-        Thread turning = Thread.currentThread();
-        Timer looks = new Timer("turns", true);
-        looks.schedule(new TimerTask() {
-            @Override
-            public void run() {
-                loop.lookAtTurn(turning);
-            }
-        }, LOOK_APART, LOOK_APART);
-        try {
-            loop.run(gateway);
-            effects.end();
-            return 0;
-        } catch (Throwable e) {
-            // Its sockets end with the process: MINA's end waits for a thread that may be what broke.
-            LOG.log(Level.SEVERE, "the gateway broke", e);
-            return BROKEN;
-        } finally {
-            looks.cancel();
-        }
-    }
+  /**
+   * Serves until the process is asked to end; returns the status to exit with.
+   *
+   * @param reader reads the terms, now and whenever the process is told to read them again
+   * @param begun is handed the service before it serves
+   */
+  public static int run(Supplier<GatewayTerms> reader, Consumer<Service> begun) {
+    return run(reader, terms -> List.of(), Instant::now, begun);
+  }
 
-    /** One after the other: what is posted last was read last. */
-    synchronized void reload(Supplier<GatewayTerms> reader) {
-        try {
-            GatewayTerms next = reader.get();
-            loop.post(g -> g.reload(next));
-        } catch (FaultyTerm e) {
-            loop.post(g -> g.reloadFailed(e.getMessage()));
-        }
+  /**
+   * The same with parts that join.
+   *
+   * @param parts makes them of the gateway's terms, once
+   * @param readWall the wall clock, read once
+   */
+  public static int run(
+      Supplier<GatewayTerms> reader,
+      Function<GatewayTerms, List<Part>> parts,
+      Supplier<Instant> readWall,
+      Consumer<Service> begun) {
+    GatewayTerms terms = reader.get();
+    List<Part> joining = parts.apply(terms);
+    WarmUp.play(terms, WARM_UP);
+    Service service = new Service(terms, joining, readWall);
+    // Each signal has a thread of its own.
+    if (Signal.handle(new Signal("HUP"), signal -> service.reload(reader))
+        == SignalHandler.SIG_IGN) {
+      LOG.warning(
+          "SIGHUP is ignored from the start, as under nohup: a new configuration is not heard of");
     }
+    // Not a shutdown hook: by then the log is closed already, and the status is that of a killed
+    // process.
+    Signal.handle(new Signal("TERM"), signal -> service.stop());
+    Signal.handle(new Signal("INT"), signal -> service.stop());
+    begun.accept(service);
+    return service.serve();
+  }
 
-    void stop() {
-        loop.post(Gateway::stop);
+  /** Returns with the status to exit with: when it has stopped, or when it broke. */
+  int serve() {
+    Thread turning = Thread.currentThread();
+    Timer looks = new Timer("turns", true);
+    looks.schedule(
+        new TimerTask() {
+          @Override
+          public void run() {
+            loop.lookAtTurn(turning);
+          }
+        },
+        LOOK_APART,
+        LOOK_APART);
+    try {
+      loop.run(gateway);
+      effects.end();
+      return 0;
+    } catch (Throwable e) {
+      // Its sockets end with the process: MINA's end waits for a thread that may be what broke.
+      LOG.log(Level.SEVERE, "the gateway broke", e);
+      return BROKEN;
+    } finally {
+      looks.cancel();
     }
+  }
 
-    /** The address that clients connect to, once there is one. */
-    CompletableFuture<InetSocketAddress> listening() {
-        return effects.listening();
+  /** One after the other: what is posted last was read last. */
+  synchronized void reload(Supplier<GatewayTerms> reader) {
+    try {
+      GatewayTerms next = reader.get();
+      loop.post(g -> g.reload(next));
+    } catch (FaultyTerm e) {
+      loop.post(g -> g.reloadFailed(e.getMessage()));
     }
+  }
+
+  void stop() {
+    loop.post(Gateway::stop);
+  }
+
+  /** The address that clients connect to, once there is one. */
+  CompletableFuture<InetSocketAddress> listening() {
+    return effects.listening();
+  }
 }
--- a/gateway/src/main/java/weldcross/gateway/Stream.java
+++ b/gateway/src/main/java/weldcross/gateway/Stream.java
@@ -8,35 +8,38 @@
 /** What reads one connection's stream, on the processor's thread. */
 abstract class Stream {
 
-    /** Messages asked for that are not out, and whether none comes after them. */
-    final AtomicInteger unwritten = new AtomicInteger();
-    volatile boolean last;
-    /** Whether its connection was reset or failed, so that its end is no end of what was being said. */
-    boolean broken;
-    /** Set before anything is read. */
-    volatile IoSession session;
+  /** Messages asked for that are not out, and whether none comes after them. */
+  final AtomicInteger unwritten = new AtomicInteger();
 
-    abstract void opened();
+  volatile boolean last;
 
-    abstract void read(ByteBuffer in) throws HttpReader.Malformed;
+  /**
+   * Whether its connection was reset or failed, so that its end is no end of what was being said.
+   */
+  boolean broken;
 
-    /** Called by the thread that asks, before its words are written. */
-    void writing() {
-    }
+  /** Set before anything is read. */
+  volatile IoSession session;
 
-    /** What could not go out at once is out. */
-    void written() {
-    }
+  abstract void opened();
 
-    abstract void gone();
+  abstract void read(ByteBuffer in) throws HttpReader.Malformed;
 
-    /** Nothing was reached; told by the thread that dialled. */
-    void notReached() {
-        gone();
-    }
+  /** Called by the thread that asks, before its words are written. */
+  void writing() {}
 
-    /** Taken up and ended before it was known here. */
-    void dialReset() {
-        notReached();
-    }
+  /** What could not go out at once is out. */
+  void written() {}
+
+  abstract void gone();
+
+  /** Nothing was reached; told by the thread that dialled. */
+  void notReached() {
+    gone();
+  }
+
+  /** Taken up and ended before it was known here. */
+  void dialReset() {
+    notReached();
+  }
 }
--- a/gateway/src/main/java/weldcross/gateway/Streams.java
+++ b/gateway/src/main/java/weldcross/gateway/Streams.java
@@ -11,85 +11,89 @@
 /** What the streams of clients and servers say, as events of the reducer. */
 final class Streams {
 
-    private Streams() {
-    }
-
-    /**
-     * @param tell takes what concerns this client alone
-     * @param always takes what concerns others, and counts though this one goes
-     */
-    static ClientReader client(Consumer<Gateway.Event> tell, Consumer<Gateway.Event> always,
-            Supplier<Duration> clock, long number) {
-        return new ClientReader(new ClientReader.Sink() {
-            @Override
-            public void encryptionAsked() {
-                tell.accept(g -> g.encryptionAsked(number));
-            }
-
-            @Override
-            public void started() {
-                tell.accept(g -> g.clientStarted(number));
-            }
-
-            @Override
-            public void asked(Statement statement) {
-                Duration arrived = clock.get();
-                tell.accept(g -> g.asked(number, statement, arrived));
-            }
-
-            @Override
-            public void askedNothing() {
-                tell.accept(g -> g.askedNothing(number));
-            }
-
-            @Override
-            public void askedWrongly(String state, String text) {
-                tell.accept(g -> g.askedWrongly(number, state, text));
-            }
-
-            @Override
-            public void begun() {
-                tell.accept(g -> g.clientBegun(number));
-            }
-
-            @Override
-            public void broke(String state, String text) {
-                tell.accept(g -> g.clientBroke(number, state, text));
-            }
-
-            @Override
-            public void ended() {
-                tell.accept(g -> g.clientEnded(number));
-            }
-
-            @Override
-            public void cancelAsked(int process, int secret) {
-                always.accept(g -> g.cancelAsked(number, process, secret));
-            }
+  private Streams() {}
+
+  /**
+   * @param tell takes what concerns this client alone
+   * @param always takes what concerns others, and counts though this one goes
+   */
+  static ClientReader client(
+      Consumer<Gateway.Event> tell,
+      Consumer<Gateway.Event> always,
+      Supplier<Duration> clock,
+      long number) {
+    return new ClientReader(
+        new ClientReader.Sink() {
+          @Override
+          public void encryptionAsked() {
+            tell.accept(g -> g.encryptionAsked(number));
+          }
+
+          @Override
+          public void started() {
+            tell.accept(g -> g.clientStarted(number));
+          }
+
+          @Override
+          public void asked(Statement statement) {
+            Duration arrived = clock.get();
+            tell.accept(g -> g.asked(number, statement, arrived));
+          }
+
+          @Override
+          public void askedNothing() {
+            tell.accept(g -> g.askedNothing(number));
+          }
+
+          @Override
+          public void askedWrongly(String state, String text) {
+            tell.accept(g -> g.askedWrongly(number, state, text));
+          }
+
+          @Override
+          public void begun() {
+            tell.accept(g -> g.clientBegun(number));
+          }
+
+          @Override
+          public void broke(String state, String text) {
+            tell.accept(g -> g.clientBroke(number, state, text));
+          }
+
+          @Override
+          public void ended() {
+            tell.accept(g -> g.clientEnded(number));
+          }
+
+          @Override
+          public void cancelAsked(int process, int secret) {
+            always.accept(g -> g.cancelAsked(number, process, secret));
+          }
         });
-    }
-
-    static ServerReader server(Consumer<Gateway.Event> tell, long number) {
-        return new ServerReader(new ServerReader.Sink() {
-            @Override
-            public void ready() {
-                tell.accept(g -> g.links().ready(number));
-            }
-
-            @Override
-            public void answered(ServerAnswer answer, boolean more) {
-                tell.accept(g -> g.links().answered(number, answer, more));
-            }
-
-            @Override
-            public void begun() {
-                tell.accept(g -> g.links().begun(number));
-            }
-
-            @Override
-            public void spoilt(String why) {
-                tell.accept(g -> g.links().spoilt(number, why));
-            }
+  }
+
+  static ServerReader server(Consumer<Gateway.Event> tell, long number) {
+    return new ServerReader(
+        new ServerReader.Sink() {
+          @Override
+          public void ready() {
+            tell.accept(g -> g.links().ready(number));
+          }
+
+          @Override
+          public void answered(ServerAnswer answer, boolean more) {
+            tell.accept(g -> g.links().answered(number, answer, more));
+          }
+
+          @Override
+          public void begun() {
+            tell.accept(g -> g.links().begun(number));
+          }
+
+          @Override
+          public void spoilt(String why) {
+            tell.accept(g -> g.links().spoilt(number, why));
+          }
         });
-    }
+  }
 }
--- a/gateway/src/main/java/weldcross/link/LinkPlaces.java
+++ b/gateway/src/main/java/weldcross/link/LinkPlaces.java
@@ -11,6 +11,8 @@
  * @param calls where each peer is called
  * @param tells where datagrams reach each peer; without those that hear none
  */
-public record LinkPlaces(InetSocketAddress listen, InetSocketAddress datagrams, Map<PeerName, InetSocketAddress> calls,
-        Map<PeerName, InetSocketAddress> tells) {
-}
+public record LinkPlaces(
+    InetSocketAddress listen,
+    InetSocketAddress datagrams,
+    Map<PeerName, InetSocketAddress> calls,
+    Map<PeerName, InetSocketAddress> tells) {}
--- a/gateway/src/main/java/weldcross/link/LinkTerms.java
+++ b/gateway/src/main/java/weldcross/link/LinkTerms.java
@@ -17,13 +17,23 @@
  * @param mostWaiting messages that may wait for one peer
  * @param mostBytes bytes that may wait for one peer, or be written and not yet taken by it
  */
-public record LinkTerms(String cluster, PeerName self, List<PeerName> peers, Duration beatApart,
-        Duration stalledAfter, Duration dialWithin, Duration shortestRest, Duration longestRest, int mostWaiting,
-        int mostBytes) {
+public record LinkTerms(
+    String cluster,
+    PeerName self,
+    List<PeerName> peers,
+    Duration beatApart,
+    Duration stalledAfter,
+    Duration dialWithin,
+    Duration shortestRest,
+    Duration longestRest,
+    int mostWaiting,
+    int mostBytes) {
 
-    /** A message may be no longer than this, on the wire and here. */
-    public static final int LONGEST = 1 << 20;
-    /** The protocol spoken, and the oldest that is understood. */
-    public static final int VERSION = 1;
-    public static final int OLDEST = 1;
+  /** A message may be no longer than this, on the wire and here. */
+  public static final int LONGEST = 1 << 20;
+
+  /** The protocol spoken, and the oldest that is understood. */
+  public static final int VERSION = 1;
+
+  public static final int OLDEST = 1;
 }
--- a/gateway/src/main/java/weldcross/link/net/MinaLinks.java
+++ b/gateway/src/main/java/weldcross/link/net/MinaLinks.java
@@ -49,301 +49,381 @@
 /** The sockets of the link, on Apache MINA; its threads only read what comes and post it. */
 final class MinaLinks {
 
-    private static final Logger LOG = Logger.getLogger(MinaLinks.class.getName());
-    private static final String NUMBER = "number";
-    private static final String IN_HAND = "in hand";
-    /** Frames of one connection that were read and are not worked on; with more it is not read on. */
-    private static final int MOST_IN_HAND = 1024;
-    /** A datagram goes whole or not at all. */
-    private static final int LONGEST_DATAGRAM = 1200;
-
-    private final LinkTerms terms;
-    private final LinkPlaces places;
-    private final Links links;
-    private final Seam seam;
-    private final SimpleIoProcessorPool<NioSession> processor;
-    private final ExecutorService threads;
-    private final NioSocketAcceptor acceptor;
-    private final NioSocketConnector connector;
-    private final Dials dials;
-    private final Map<Long, IoSession> sessions = new ConcurrentHashMap<>();
-    /** On which peers are called: nobody else calls here. */
-    private final Set<InetAddress> hosts = new HashSet<>();
-    private final List<WriteFuture> goodbyes = new ArrayList<>();
-    private NioDatagramAcceptor datagrams;
-    /** Numbers of connections accepted here, above zero. */
-    private long accepted;
-
-    MinaLinks(LinkTerms terms, LinkPlaces places, Links links, Seam seam) {
-        this.terms = terms;
-        this.places = places;
-        this.links = links;
-        this.seam = seam;
-        places.calls().values().forEach(place -> hosts.add(place.getAddress()));
-        threads = Executors.newCachedThreadPool(task -> {
-            Thread thread = new Thread(task, "link");
-            thread.setDaemon(true);
-            return thread;
-        });
-        processor = new SimpleIoProcessorPool<>(NioProcessor.class, threads, 1, null);
-        acceptor = new NioSocketAcceptor(threads, processor);
-        connector = new NioSocketConnector(threads, processor);
-        dials = new Dials(connector);
-        set(acceptor.getSessionConfig());
-        set(connector.getSessionConfig());
-        acceptor.setReuseAddress(true);
-        acceptor.getFilterChain().addLast("frames", FrameCodec.filter());
-        connector.getFilterChain().addLast("frames", FrameCodec.filter());
-        acceptor.setHandler(new Handler() {
-            @Override
-            public void sessionCreated(IoSession session) {
-                long number = ++accepted;
-                session.setAttribute(NUMBER, number);
-                sessions.put(number, session);
-            }
-
-            @Override
-            public void sessionOpened(IoSession session) {
-                boolean known = hosts.contains(((InetSocketAddress) session.getRemoteAddress()).getAddress());
-                if (!known) {
-                    LOG.info(() -> "link: a caller from " + session.getRemoteAddress() + ", no address told, is refused");
-                }
-                told(session, number -> links.accepted(seam.now(), number, known));
+  private static final Logger LOG = Logger.getLogger(MinaLinks.class.getName());
+  private static final String NUMBER = "number";
+  private static final String IN_HAND = "in hand";
+
+  /** Frames of one connection that were read and are not worked on; with more it is not read on. */
+  private static final int MOST_IN_HAND = 1024;
+
+  /** A datagram goes whole or not at all. */
+  private static final int LONGEST_DATAGRAM = 1200;
+
+  private final LinkTerms terms;
+  private final LinkPlaces places;
+  private final Links links;
+  private final Seam seam;
+  private final SimpleIoProcessorPool<NioSession> processor;
+  private final ExecutorService threads;
+  private final NioSocketAcceptor acceptor;
+  private final NioSocketConnector connector;
+  private final Dials dials;
+  private final Map<Long, IoSession> sessions = new ConcurrentHashMap<>();
+
+  /** On which peers are called: nobody else calls here. */
+  private final Set<InetAddress> hosts = new HashSet<>();
+
+  private final List<WriteFuture> goodbyes = new ArrayList<>();
+  private NioDatagramAcceptor datagrams;
+
+  /** Numbers of connections accepted here, above zero. */
+  private long accepted;
+
+  MinaLinks(LinkTerms terms, LinkPlaces places, Links links, Seam seam) {
+    this.terms = terms;
+    this.places = places;
+    this.links = links;
+    this.seam = seam;
+    places.calls().values().forEach(place -> hosts.add(place.getAddress()));
+    threads =
+        Executors.newCachedThreadPool(
+            task -> {
+              Thread thread = new Thread(task, "link");
+              thread.setDaemon(true);
+              return thread;
+            });
+    processor = new SimpleIoProcessorPool<>(NioProcessor.class, threads, 1, null);
+    acceptor = new NioSocketAcceptor(threads, processor);
+    connector = new NioSocketConnector(threads, processor);
+    dials = new Dials(connector);
+    set(acceptor.getSessionConfig());
+    set(connector.getSessionConfig());
+    acceptor.setReuseAddress(true);
+    acceptor.getFilterChain().addLast("frames", FrameCodec.filter());
+    connector.getFilterChain().addLast("frames", FrameCodec.filter());
+    acceptor.setHandler(
+        new Handler() {
+          @Override
+          public void sessionCreated(IoSession session) {
+            long number = ++accepted;
+            session.setAttribute(NUMBER, number);
+            sessions.put(number, session);
+          }
+
+          @Override
+          public void sessionOpened(IoSession session) {
+            boolean known =
+                hosts.contains(((InetSocketAddress) session.getRemoteAddress()).getAddress());
+            if (!known) {
+              LOG.info(
+                  () ->
+                      "link: a caller from "
+                          + session.getRemoteAddress()
+                          + ", no address told, is refused");
             }
+            told(session, number -> links.accepted(seam.now(), number, known));
+          }
         });
-        connector.setHandler(new Handler() {
-            @Override
-            public void sessionOpened(IoSession session) {
-                told(session, number -> links.dialled(seam.now(), number));
-            }
+    connector.setHandler(
+        new Handler() {
+          @Override
+          public void sessionOpened(IoSession session) {
+            told(session, number -> links.dialled(seam.now(), number));
+          }
         });
+  }
+
+  private static void set(SocketSessionConfig config) {
+    config.setTcpNoDelay(true);
+    config.setMinReadBufferSize(512);
+    config.setMaxReadBufferSize(FrameCodec.LONGEST / 16);
+  }
+
+  void listen() {
+    try {
+      acceptor.bind(places.listen());
+      if (places.datagrams() != null) {
+        datagrams = new NioDatagramAcceptor(threads);
+        datagrams.setHandler(
+            new IoHandlerAdapter() {
+              @Override
+              public void messageReceived(IoSession session, Object message) {
+                datagramCame((IoBuffer) message);
+              }
+            });
+        datagrams.bind(places.datagrams());
+      }
+    } catch (IOException e) {
+      throw new IllegalStateException(
+          "link.listen: cannot listen on " + places.listen() + ": " + e.getMessage(), e);
     }
-
-    private static void set(SocketSessionConfig config) {
-        config.setTcpNoDelay(true);
-        config.setMinReadBufferSize(512);
-        config.setMaxReadBufferSize(FrameCodec.LONGEST / 16);
-    }
-
-    void listen() {
-        try {
-            acceptor.bind(places.listen());
-            if (places.datagrams() != null) {
-                datagrams = new NioDatagramAcceptor(threads);
-                datagrams.setHandler(new IoHandlerAdapter() {
-                    @Override
-                    public void messageReceived(IoSession session, Object message) {
-                        datagramCame((IoBuffer) message);
-                    }
-                });
-                datagrams.bind(places.datagrams());
-            }
-        } catch (IOException e) {
-            throw new IllegalStateException("link.listen: cannot listen on " + places.listen() + ": "
-                    + e.getMessage(), e);
-        }
-    }
-
-    /** Goodbyes have the time of a dial to go out. */
-    void end() {
-        Duration most = terms.dialWithin();
-        long until = System.nanoTime() + most.toNanos();
-        goodbyes.forEach(g -> g.awaitUninterruptibly(Math.max(0, until - System.nanoTime()) / 1_000_000,
-                TimeUnit.MILLISECONDS));
-        acceptor.dispose();
-        connector.dispose();
-        if (datagrams != null) {
-            datagrams.dispose();
-        }
-        processor.dispose();
+  }
+
+  /** Goodbyes have the time of a dial to go out. */
+  void end() {
+    Duration most = terms.dialWithin();
+    long until = System.nanoTime() + most.toNanos();
+    goodbyes.forEach(
+        g ->
+            g.awaitUninterruptibly(
+                Math.max(0, until - System.nanoTime()) / 1_000_000, TimeUnit.MILLISECONDS));
+    acceptor.dispose();
+    connector.dispose();
+    if (datagrams != null) {
+      datagrams.dispose();
     }
-
-    // ---- What is asked for
-
-    void dial(long number, PeerName to) {
-        dials.dial(number, places.calls().get(to), session -> {
-            session.setAttribute(NUMBER, number);
-            sessions.put(number, session);
-        }, why -> {
-            boolean refused = why instanceof ConnectException && String.valueOf(why.getMessage()).contains("refused");
-            seam.post(() -> links.dialFailed(seam.now(), number, refused));
+    processor.dispose();
+  }
+
+  // ---- What is asked for
+
+  void dial(long number, PeerName to) {
+    dials.dial(
+        number,
+        places.calls().get(to),
+        session -> {
+          session.setAttribute(NUMBER, number);
+          sessions.put(number, session);
+        },
+        why -> {
+          boolean refused =
+              why instanceof ConnectException
+                  && String.valueOf(why.getMessage()).contains("refused");
+          seam.post(() -> links.dialFailed(seam.now(), number, refused));
         });
-        seam.at(seam.now().plus(terms.dialWithin()), () -> {
-            if (dials.giveUp(number)) {
-                links.dialFailed(seam.now(), number, false);
-            }
+    seam.at(
+        seam.now().plus(terms.dialWithin()),
+        () -> {
+          if (dials.giveUp(number)) {
+            links.dialFailed(seam.now(), number, false);
+          }
         });
+  }
+
+  void greet(long number, PeerName to, weldcross.link.Life self) {
+    write(
+        number,
+        Frame.newBuilder()
+            .setGreeting(
+                Greeting.newBuilder()
+                    .setVersion(LinkTerms.VERSION)
+                    .setCluster(terms.cluster())
+                    .setFrom(terms.self().name())
+                    .setTo(to.name())
+                    .setLife(wire(self))));
+  }
+
+  void welcome(long number, weldcross.link.Life self) {
+    write(
+        number,
+        Frame.newBuilder()
+            .setWelcome(Welcome.newBuilder().setVersion(LinkTerms.VERSION).setLife(wire(self))));
+  }
+
+  void refuse(long number, Refusal why, long knownIncarnation) {
+    LOG.info(() -> "link: a caller is refused: " + why);
+    write(
+        number,
+        Frame.newBuilder()
+            .setRefused(
+                Refused.newBuilder()
+                    .setWhy(why.name())
+                    .setKnownIncarnation(knownIncarnation)
+                    .setNewestVersion(LinkTerms.VERSION)));
+  }
+
+  void beat(long number, long count) {
+    write(number, Frame.newBuilder().setBeat(count));
+  }
+
+  void echo(long number, long count) {
+    write(number, Frame.newBuilder().setEcho(count));
+  }
+
+  void message(long number, int subject, ByteBuffer content) {
+    int bytes = content.remaining();
+    WriteFuture out =
+        write(
+            number,
+            Frame.newBuilder()
+                .setMessage(
+                    Message.newBuilder()
+                        .setSubject(subject)
+                        .setContent(ByteString.copyFrom(content.duplicate()))));
+    if (out != null) {
+      out.addListener(f -> seam.post(() -> links.written(seam.now(), number, bytes)));
     }
+  }
 
-    void greet(long number, PeerName to, weldcross.link.Life self) {
-        write(number, Frame.newBuilder().setGreeting(Greeting.newBuilder().setVersion(LinkTerms.VERSION)
-                .setCluster(terms.cluster()).setFrom(terms.self().name()).setTo(to.name()).setLife(wire(self))));
+  void goodbye(long number) {
+    WriteFuture out = write(number, Frame.newBuilder().setGoodbye(true));
+    if (out != null) {
+      goodbyes.add(out);
     }
+  }
 
-    void welcome(long number, weldcross.link.Life self) {
-        write(number, Frame.newBuilder().setWelcome(Welcome.newBuilder().setVersion(LinkTerms.VERSION)
-                .setLife(wire(self))));
+  void drop(long number) {
+    dials.giveUp(number);
+    IoSession session = sessions.remove(number);
+    if (session != null) {
+      session.closeNow();
     }
+  }
 
-    void refuse(long number, Refusal why, long knownIncarnation) {
-        LOG.info(() -> "link: a caller is refused: " + why);
-        write(number, Frame.newBuilder().setRefused(Refused.newBuilder().setWhy(why.name())
-                .setKnownIncarnation(knownIncarnation).setNewestVersion(LinkTerms.VERSION)));
-    }
-
-    void beat(long number, long count) {
-        write(number, Frame.newBuilder().setBeat(count));
-    }
-
-    void echo(long number, long count) {
-        write(number, Frame.newBuilder().setEcho(count));
-    }
-
-    void message(long number, int subject, ByteBuffer content) {
-        int bytes = content.remaining();
-        WriteFuture out = write(number, Frame.newBuilder().setMessage(Message.newBuilder().setSubject(subject)
-                .setContent(ByteString.copyFrom(content.duplicate()))));
-        if (out != null) {
-            out.addListener(f -> seam.post(() -> links.written(seam.now(), number, bytes)));
-        }
+  void finish(long number) {
+    IoSession session = sessions.remove(number);
+    if (session != null) {
+      session.closeOnFlush();
     }
+  }
 
-    void goodbye(long number) {
-        WriteFuture out = write(number, Frame.newBuilder().setGoodbye(true));
-        if (out != null) {
-            goodbyes.add(out);
-        }
+  void datagram(PeerName to, weldcross.link.Life self, int subject, ByteBuffer content) {
+    InetSocketAddress place = places.tells().get(to);
+    if (datagrams == null || place == null) {
+      return;
     }
-
-    void drop(long number) {
-        dials.giveUp(number);
-        IoSession session = sessions.remove(number);
-        if (session != null) {
-            session.closeNow();
-        }
+    byte[] bytes =
+        Datagram.newBuilder()
+            .setVersion(LinkTerms.VERSION)
+            .setCluster(terms.cluster())
+            .setFrom(terms.self().name())
+            .setLife(wire(self))
+            .setSubject(subject)
+            .setContent(ByteString.copyFrom(content.duplicate()))
+            .build()
+            .toByteArray();
+    if (bytes.length <= LONGEST_DATAGRAM) {
+      datagrams.newSession(place, places.datagrams()).write(IoBuffer.wrap(bytes));
     }
-
-    void finish(long number) {
-        IoSession session = sessions.remove(number);
-        if (session != null) {
-            session.closeOnFlush();
-        }
+  }
+
+  private WriteFuture write(long number, Frame.Builder frame) {
+    IoSession session = sessions.get(number);
+    return session == null ? null : session.write(frame.build());
+  }
+
+  private static Life wire(weldcross.link.Life life) {
+    return Life.newBuilder().setIncarnation(life.incarnation()).setMark(life.mark()).build();
+  }
+
+  private static weldcross.link.Life plain(Life life) {
+    return new weldcross.link.Life(life.getIncarnation(), life.getMark());
+  }
+
+  // ---- What comes
+
+  private void datagramCame(IoBuffer in) {
+    byte[] bytes = new byte[in.remaining()];
+    in.get(bytes);
+    try {
+      Datagram d = Datagram.parseFrom(bytes);
+      seam.post(
+          () ->
+              links.datagram(
+                  seam.now(),
+                  d.getCluster(),
+                  new PeerName(d.getFrom()),
+                  plain(d.getLife()),
+                  d.getVersion(),
+                  d.getSubject(),
+                  d.getContent().asReadOnlyByteBuffer()));
+    } catch (InvalidProtocolBufferException e) {
+      LOG.fine(() -> "link: a datagram that is none");
     }
+  }
 
-    void datagram(PeerName to, weldcross.link.Life self, int subject, ByteBuffer content) {
-        InetSocketAddress place = places.tells().get(to);
-        if (datagrams == null || place == null) {
-            return;
-        }
-        byte[] bytes = Datagram.newBuilder().setVersion(LinkTerms.VERSION).setCluster(terms.cluster())
-                .setFrom(terms.self().name()).setLife(wire(self)).setSubject(subject)
-                .setContent(ByteString.copyFrom(content.duplicate())).build().toByteArray();
-        if (bytes.length <= LONGEST_DATAGRAM) {
-            datagrams.newSession(place, places.datagrams()).write(IoBuffer.wrap(bytes));
-        }
-    }
+  private class Handler extends IoHandlerAdapter {
 
-    private WriteFuture write(long number, Frame.Builder frame) {
-        IoSession session = sessions.get(number);
-        return session == null ? null : session.write(frame.build());
+    void told(IoSession session, Consumer<Long> event) {
+      long number = (Long) session.getAttribute(NUMBER);
+      seam.post(() -> event.accept(number));
     }
 
-    private static Life wire(weldcross.link.Life life) {
-        return Life.newBuilder().setIncarnation(life.incarnation()).setMark(life.mark()).build();
+    /** Of a peer that says more than can be worked on, the rest waits in the network. */
+    @Override
+    public void messageReceived(IoSession session, Object message) {
+      Frame f = (Frame) message;
+      AtomicInteger inHand = inHand(session);
+      if (inHand.incrementAndGet() == MOST_IN_HAND) {
+        session.suspendRead();
+      }
+      told(
+          session,
+          number -> {
+            came(number, f);
+            if (inHand.decrementAndGet() == MOST_IN_HAND / 2 && session.isReadSuspended()) {
+              session.resumeRead();
+            }
+          });
     }
 
-    private static weldcross.link.Life plain(Life life) {
-        return new weldcross.link.Life(life.getIncarnation(), life.getMark());
+    private static AtomicInteger inHand(IoSession session) {
+      AtomicInteger count = (AtomicInteger) session.getAttribute(IN_HAND);
+      if (count == null) {
+        count = new AtomicInteger();
+        session.setAttribute(IN_HAND, count);
+      }
+      return count;
     }
 
-    // ---- What comes
-
-    private void datagramCame(IoBuffer in) {
-        byte[] bytes = new byte[in.remaining()];
-        in.get(bytes);
-        try {
-            Datagram d = Datagram.parseFrom(bytes);
-            seam.post(() -> links.datagram(seam.now(), d.getCluster(), new PeerName(d.getFrom()), plain(d.getLife()),
-                    d.getVersion(), d.getSubject(), d.getContent().asReadOnlyByteBuffer()));
-        } catch (InvalidProtocolBufferException e) {
-            LOG.fine(() -> "link: a datagram that is none");
+    private void came(long number, Frame f) {
+      Duration now = seam.now();
+      switch (f.getKindCase()) {
+        case GREETING ->
+            links.greeted(
+                now,
+                number,
+                f.getGreeting().getCluster(),
+                new PeerName(f.getGreeting().getFrom()),
+                new PeerName(f.getGreeting().getTo()),
+                plain(f.getGreeting().getLife()),
+                f.getGreeting().getVersion());
+        case WELCOME -> links.welcomed(now, number, plain(f.getWelcome().getLife()));
+        case REFUSED ->
+            links.refused(
+                now,
+                number,
+                refusal(f.getRefused().getWhy()),
+                f.getRefused().getKnownIncarnation());
+        case BEAT -> links.beaten(now, number, f.getBeat());
+        case ECHO -> links.echoed(now, number, f.getEcho());
+        case MESSAGE ->
+            links.message(
+                now,
+                number,
+                f.getMessage().getSubject(),
+                f.getMessage().getContent().asReadOnlyByteBuffer());
+        case GOODBYE -> links.goodbye(now, number);
+        default -> {
+          // Of a later version, which says more than is known here.
         }
+      }
     }
 
-    private class Handler extends IoHandlerAdapter {
-
-        void told(IoSession session, Consumer<Long> event) {
-            long number = (Long) session.getAttribute(NUMBER);
-            seam.post(() -> event.accept(number));
-        }
-
-        /** Of a peer that says more than can be worked on, the rest waits in the network. */
-        @Override
-        public void messageReceived(IoSession session, Object message) {
-            Frame f = (Frame) message;
-            AtomicInteger inHand = inHand(session);
-            if (inHand.incrementAndGet() == MOST_IN_HAND) {
-                session.suspendRead();
-            }
-            told(session, number -> {
-                came(number, f);
-                if (inHand.decrementAndGet() == MOST_IN_HAND / 2 && session.isReadSuspended()) {
-                    session.resumeRead();
-                }
-            });
-        }
-
-        private static AtomicInteger inHand(IoSession session) {
-            AtomicInteger count = (AtomicInteger) session.getAttribute(IN_HAND);
-            if (count == null) {
-                count = new AtomicInteger();
-                session.setAttribute(IN_HAND, count);
-            }
-            return count;
-        }
-
-        private void came(long number, Frame f) {
-            Duration now = seam.now();
-            switch (f.getKindCase()) {
-                case GREETING -> links.greeted(now, number, f.getGreeting().getCluster(),
-                        new PeerName(f.getGreeting().getFrom()), new PeerName(f.getGreeting().getTo()),
-                        plain(f.getGreeting().getLife()), f.getGreeting().getVersion());
-                case WELCOME -> links.welcomed(now, number, plain(f.getWelcome().getLife()));
-                case REFUSED -> links.refused(now, number, refusal(f.getRefused().getWhy()),
-                        f.getRefused().getKnownIncarnation());
-                case BEAT -> links.beaten(now, number, f.getBeat());
-                case ECHO -> links.echoed(now, number, f.getEcho());
-                case MESSAGE -> links.message(now, number, f.getMessage().getSubject(),
-                        f.getMessage().getContent().asReadOnlyByteBuffer());
-                case GOODBYE -> links.goodbye(now, number);
-                default -> {
-                    // Of a later version, which says more than is known here.
-                }
-            }
-        }
-
-        private static Refusal refusal(String word) {
-            for (Refusal each : Refusal.values()) {
-                if (each.name().equals(word)) {
-                    return each;
-                }
-            }
-            return Refusal.NAME;
+    private static Refusal refusal(String word) {
+      for (Refusal each : Refusal.values()) {
+        if (each.name().equals(word)) {
+          return each;
         }
+      }
+      return Refusal.NAME;
+    }
 
-        @Override
-        public void sessionClosed(IoSession session) {
-            told(session, number -> {
-                sessions.remove(number);
-                links.gone(seam.now(), number);
-            });
-        }
+    @Override
+    public void sessionClosed(IoSession session) {
+      told(
+          session,
+          number -> {
+            sessions.remove(number);
+            links.gone(seam.now(), number);
+          });
+    }
 
-        @Override
-        public void exceptionCaught(IoSession session, Throwable cause) {
-            LOG.fine(() -> "link: connection ended: " + cause);
-            told(session, number -> links.broke(seam.now(), number, "what it sent cannot be read"));
-            session.closeNow();
-        }
+    @Override
+    public void exceptionCaught(IoSession session, Throwable cause) {
+      LOG.fine(() -> "link: connection ended: " + cause);
+      told(session, number -> links.broke(seam.now(), number, "what it sent cannot be read"));
+      session.closeNow();
     }
+  }
 }
--- a/gateway/src/main/java/weldcross/membership/SeenTerms.java
+++ b/gateway/src/main/java/weldcross/membership/SeenTerms.java
@@ -11,17 +11,28 @@
  * @param period one probe is sent in each, if all is well here
  * @param answerWithin a probe's answer, before others are asked to try
  * @param helpers how many are asked then
- * @param shortestDoubt in periods, times the logarithm of the number of gateways: how long a suspect may still speak
- * when others suspect it too
+ * @param shortestDoubt in periods, times the logarithm of the number of gateways: how long a
+ *     suspect may still speak when others suspect it too
  * @param longestDoubt times that, when nobody else does
  * @param mostNews that one message carries
  * @param spread each news is passed on so many times the logarithm of the number of gateways
  */
-public record SeenTerms(PeerName self, List<PeerName> peers, String zone, int part, Duration period,
-        Duration answerWithin, int helpers, double shortestDoubt, int longestDoubt, int mostNews, int spread) {
+public record SeenTerms(
+    PeerName self,
+    List<PeerName> peers,
+    String zone,
+    int part,
+    Duration period,
+    Duration answerWithin,
+    int helpers,
+    double shortestDoubt,
+    int longestDoubt,
+    int mostNews,
+    int spread) {
 
-    /** As the papers have them, with a period of a second. */
-    public static SeenTerms usual(PeerName self, List<PeerName> peers, String zone, int part) {
-        return new SeenTerms(self, peers, zone, part, Duration.ofSeconds(1), Duration.ofMillis(400), 3, 4, 6, 12, 3);
-    }
+  /** As the papers have them, with a period of a second. */
+  public static SeenTerms usual(PeerName self, List<PeerName> peers, String zone, int part) {
+    return new SeenTerms(
+        self, peers, zone, part, Duration.ofSeconds(1), Duration.ofMillis(400), 3, 4, 6, 12, 3);
+  }
 }
--- a/gateway/src/main/java/weldcross/pgwire/Malformed.java
+++ b/gateway/src/main/java/weldcross/pgwire/Malformed.java
@@ -1,17 +1,20 @@
 package weldcross.pgwire;
 
-/** Bytes that are not of the protocol, or a statement that is not of the given form, with its SQLSTATE. */
+/**
+ * Bytes that are not of the protocol, or a statement that is not of the given form, with its
+ * SQLSTATE.
+ */
 public final class Malformed extends Exception {
-    private static final long serialVersionUID = 1;
+  private static final long serialVersionUID = 1;
 
-    private final String state;
+  private final String state;
 
-    Malformed(String state, String message) {
-        super(message, null, false, false);
-        this.state = state;
-    }
+  Malformed(String state, String message) {
+    super(message, null, false, false);
+    this.state = state;
+  }
 
-    public String state() {
-        return state;
-    }
+  public String state() {
+    return state;
+  }
 }
--- a/gateway/src/main/java/weldcross/routing/MethodRow.java
+++ b/gateway/src/main/java/weldcross/routing/MethodRow.java
@@ -3,15 +3,39 @@
 import java.time.Duration;
 
 /** What differs by method, as far as the router reads it. */
-public record MethodRow(Need need, Duration bound, Effect effect, Scope scope, Duration window,
-        Duration softDeadline, double utility, double lateUtility) {
+public record MethodRow(
+    Need need,
+    Duration bound,
+    Effect effect,
+    Scope scope,
+    Duration window,
+    Duration softDeadline,
+    double utility,
+    double lateUtility) {
 
-    /** How fresh the data must be: the primary's alone, all commits, the session's, within a bound, any. */
-    public enum Need { WRITE, FRESH, SESSION, BOUNDED, ANY }
+  /**
+   * How fresh the data must be: the primary's alone, all commits, the session's, within a bound,
+   * any.
+   */
+  public enum Need {
+    WRITE,
+    FRESH,
+    SESSION,
+    BOUNDED,
+    ANY
+  }
 
-    /** May run again; may run again where a repeat is known for one; may never run twice. */
-    public enum Effect { IDEMPOTENT, TOKENED, NON_IDEMPOTENT }
+  /** May run again; may run again where a repeat is known for one; may never run twice. */
+  public enum Effect {
+    IDEMPOTENT,
+    TOKENED,
+    NON_IDEMPOTENT
+  }
 
-    /** The servers that know a repeat of a tokened RPC. */
-    public enum Scope { ALL, ZONE, GROUP }
+  /** The servers that know a repeat of a tokened RPC. */
+  public enum Scope {
+    ALL,
+    ZONE,
+    GROUP
+  }
 }
--- a/gateway/src/main/java/weldcross/shared/Sighting.java
+++ b/gateway/src/main/java/weldcross/shared/Sighting.java
@@ -13,12 +13,21 @@
  * @param seenAt by the clock of the gateway that saw it, as time since 1970; for people alone
  * @param seenBy the name of that gateway; for people alone
  */
-public record Sighting(ServerId server, GroupId group, Duration start, Duration position, boolean primary,
-        Duration seenAt, String seenBy) {
+public record Sighting(
+    ServerId server,
+    GroupId group,
+    Duration start,
+    Duration position,
+    boolean primary,
+    Duration seenAt,
+    String seenBy) {
 
-    /** Of two sightings of one server the one of the later process counts, of one process the one further on. */
-    public boolean isNewerThan(Sighting other) {
-        int starts = other == null ? 1 : start.compareTo(other.start);
-        return starts > 0 || starts == 0 && position.compareTo(other.position) > 0;
-    }
+  /**
+   * Of two sightings of one server the one of the later process counts, of one process the one
+   * further on.
+   */
+  public boolean isNewerThan(Sighting other) {
+    int starts = other == null ? 1 : start.compareTo(other.start);
+    return starts > 0 || starts == 0 && position.compareTo(other.position) > 0;
+  }
 }
--- a/gateway/src/main/java/weldcross/storage/PlainDisk.java
+++ b/gateway/src/main/java/weldcross/storage/PlainDisk.java
@@ -18,129 +18,137 @@
 /** A directory of the file system as it is. */
 public final class PlainDisk implements Disk {
 
-    private static final String LOCK = "lock";
-
-    private final Path directory;
-    private final FileChannel lockFile;
-    private final FileLock lock;
-
-    private PlainDisk(Path directory) throws IOException {
-        this.directory = directory;
-        Files.createDirectories(directory);
-        lockFile = FileChannel.open(directory.resolve(LOCK), StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE);
-        lock = lock(lockFile);
-        if (lock == null) {
-            lockFile.close();
-            throw new DirectoryInUse(directory.toString());
-        }
-    }
-
-    private static FileLock lock(FileChannel file) throws IOException {
-        try {
-            return file.tryLock();
-        } catch (OverlappingFileLockException e) {
-            return null;
-        }
+  private static final String LOCK = "lock";
+
+  private final Path directory;
+  private final FileChannel lockFile;
+  private final FileLock lock;
+
+  private PlainDisk(Path directory) throws IOException {
+    this.directory = directory;
+    Files.createDirectories(directory);
+    lockFile =
+        FileChannel.open(
+            directory.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    lock = lock(lockFile);
+    if (lock == null) {
+      lockFile.close();
+      throw new DirectoryInUse(directory.toString());
     }
+  }
 
-    /** The disk for a directory: the one of the highest rank that the class path has. */
-    public static Disk at(Path directory) throws IOException {
-        return ServiceLoader.load(Maker.class).stream().map(ServiceLoader.Provider::get)
-                .max(Comparator.comparingInt(Maker::rank)).orElseGet(Plain::new).open(directory);
+  private static FileLock lock(FileChannel file) throws IOException {
+    try {
+      return file.tryLock();
+    } catch (OverlappingFileLockException e) {
+      return null;
     }
+  }
 
-    /** Opens directories as they are. */
-    public static final class Plain implements Maker {
+  /** The disk for a directory: the one of the highest rank that the class path has. */
+  public static Disk at(Path directory) throws IOException {
+    return ServiceLoader.load(Maker.class).stream()
+        .map(ServiceLoader.Provider::get)
+        .max(Comparator.comparingInt(Maker::rank))
+        .orElseGet(Plain::new)
+        .open(directory);
+  }
 
-        @Override
-        public int rank() {
-            return 0;
-        }
+  /** Opens directories as they are. */
+  public static final class Plain implements Maker {
 
-        @Override
-        public Disk open(Path directory) throws IOException {
-            return new PlainDisk(directory);
-        }
+    @Override
+    public int rank() {
+      return 0;
     }
 
     @Override
-    public SortedSet<String> names() throws IOException {
-        try (Stream<Path> all = Files.list(directory)) {
-            SortedSet<String> names = new TreeSet<>();
-            all.map(p -> p.getFileName().toString()).filter(n -> !n.equals(LOCK)).forEach(names::add);
-            return names;
-        }
+    public Disk open(Path directory) throws IOException {
+      return new PlainDisk(directory);
     }
+  }
+
+  @Override
+  public SortedSet<String> names() throws IOException {
+    try (Stream<Path> all = Files.list(directory)) {
+      SortedSet<String> names = new TreeSet<>();
+      all.map(p -> p.getFileName().toString()).filter(n -> !n.equals(LOCK)).forEach(names::add);
+      return names;
+    }
+  }
+
+  @Override
+  public File open(String name) throws IOException {
+    FileChannel channel =
+        FileChannel.open(
+            directory.resolve(name),
+            StandardOpenOption.CREATE,
+            StandardOpenOption.READ,
+            StandardOpenOption.WRITE);
+    return new PlainFile(channel);
+  }
+
+  @Override
+  public void rename(String from, String to) throws IOException {
+    Files.move(directory.resolve(from), directory.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+  }
+
+  @Override
+  public void delete(String name) throws IOException {
+    Files.delete(directory.resolve(name));
+  }
+
+  @Override
+  public void forceNames() throws IOException {
+    try (FileChannel names = FileChannel.open(directory, StandardOpenOption.READ)) {
+      names.force(true);
+    }
+  }
+
+  @Override
+  public void close() throws IOException {
+    lock.release();
+    lockFile.close();
+  }
+
+  private record PlainFile(FileChannel channel) implements File {
 
     @Override
-    public File open(String name) throws IOException {
-        FileChannel channel = FileChannel.open(directory.resolve(name), StandardOpenOption.CREATE,
-                StandardOpenOption.READ, StandardOpenOption.WRITE);
-        return new PlainFile(channel);
+    public long size() throws IOException {
+      return channel.size();
     }
 
     @Override
-    public void rename(String from, String to) throws IOException {
-        Files.move(directory.resolve(from), directory.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+    public void read(long at, ByteBuffer into) throws IOException {
+      for (long from = at; into.hasRemaining(); ) {
+        int read = channel.read(into, from);
+        if (read < 0) {
+          return;
+        }
+        from += read;
+      }
     }
 
     @Override
-    public void delete(String name) throws IOException {
-        Files.delete(directory.resolve(name));
+    public void write(long at, ByteBuffer from) throws IOException {
+      for (long to = at; from.hasRemaining(); ) {
+        to += channel.write(from, to);
+      }
     }
 
     @Override
-    public void forceNames() throws IOException {
-        try (FileChannel names = FileChannel.open(directory, StandardOpenOption.READ)) {
-            names.force(true);
-        }
+    public void truncate(long size) throws IOException {
+      channel.truncate(size);
     }
 
     @Override
-    public void close() throws IOException {
-        lock.release();
-        lockFile.close();
+    public void force() throws IOException {
+      channel.force(false);
     }
 
-    private record PlainFile(FileChannel channel) implements File {
-
-        @Override
-        public long size() throws IOException {
-            return channel.size();
-        }
-
-        @Override
-        public void read(long at, ByteBuffer into) throws IOException {
-            for (long from = at; into.hasRemaining();) {
-                int read = channel.read(into, from);
-                if (read < 0) {
-                    return;
-                }
-                from += read;
-            }
-        }
-
-        @Override
-        public void write(long at, ByteBuffer from) throws IOException {
-            for (long to = at; from.hasRemaining();) {
-                to += channel.write(from, to);
-            }
-        }
-
-        @Override
-        public void truncate(long size) throws IOException {
-            channel.truncate(size);
-        }
-
-        @Override
-        public void force() throws IOException {
-            channel.force(false);
-        }
-
-        @Override
-        public void close() throws IOException {
-            channel.close();
-        }
+    @Override
+    public void close() throws IOException {
+      channel.close();
     }
+  }
 }
--- a/gateway/src/main/java/weldcross/terms/FaultyTerm.java
+++ b/gateway/src/main/java/weldcross/terms/FaultyTerm.java
@@ -2,13 +2,13 @@
 
 /** A value told at the start that cannot be used; the message names its key as written. */
 public final class FaultyTerm extends RuntimeException {
-    private static final long serialVersionUID = 1;
+  private static final long serialVersionUID = 1;
 
-    public FaultyTerm(String key, String found, String allowed) {
-        super(key + ": found " + found + ", allowed is " + allowed);
-    }
+  public FaultyTerm(String key, String found, String allowed) {
+    super(key + ": found " + found + ", allowed is " + allowed);
+  }
 
-    FaultyTerm(String message) {
-        super(message);
-    }
+  FaultyTerm(String message) {
+    super(message);
+  }
 }
