--- a/gateway/src/test/java/weldcross/agreement/net/AgreementWorld.java
+++ b/gateway/src/test/java/weldcross/agreement/net/AgreementWorld.java
@@ -32,283 +32,321 @@
 import weldcross.storage.FaultyDisk;
 
 /**
- * Gateways that agree, over a network, disks and a clock in memory. Looked at in each step: views of one number are
- * one, and in one life of a gateway their numbers never go back.
+ * Gateways that agree, over a network, disks and a clock in memory. Looked at in each step: views
+ * of one number are one, and in one life of a gateway their numbers never go back.
  */
 final class AgreementWorld {
 
-    /** The library tells of each message that it refuses. */
-    private static final Logger LIBRARY = Logger.getLogger("io.microraft");
-
-    static {
-        LIBRARY.setLevel(Level.OFF);
-    }
-
-    private record Event(Duration at, long order, Runnable run) {
+  /** The library tells of each message that it refuses. */
+  private static final Logger LIBRARY = Logger.getLogger("io.microraft");
+
+  static {
+    LIBRARY.setLevel(Level.OFF);
+  }
+
+  private record Event(Duration at, long order, Runnable run) {}
+
+  /** One gateway, through its lives; two threads of it run in the order of the world's events. */
+  final class Node {
+    final PeerName name;
+    final FaultyDisk disk;
+    Agreement agreement;
+    long life, number;
+    boolean lives, paused, left;
+    int side, direction;
+    private final ArrayDeque<Runnable> held = new ArrayDeque<>();
+    private long wakes;
+    private int process;
+    final List<String> said = new ArrayList<>();
+    final List<Verdict> told = new ArrayList<>();
+
+    Node(int k) {
+      name = new PeerName("n" + k);
+      disk = new FaultyDisk(1000 + k);
     }
 
-    /** One gateway, through its lives; two threads of it run in the order of the world's events. */
-    final class Node {
-        final PeerName name;
-        final FaultyDisk disk;
-        Agreement agreement;
-        long life, number;
-        boolean lives, paused, left;
-        int side, direction;
-        private final ArrayDeque<Runnable> held = new ArrayDeque<>();
-        private long wakes;
-        private int process;
-        final List<String> said = new ArrayList<>();
-        final List<Verdict> told = new ArrayList<>();
-
-        Node(int k) {
-            name = new PeerName("n" + k);
-            disk = new FaultyDisk(1000 + k);
-        }
-
-        private void later(Duration time, Runnable run) {
-            int of = process;
-            after(time, () -> {
-                if (of == process && paused) {
-                    held.add(run);
-                } else if (of == process && lives) {
-                    run.run();
-                }
-            });
-        }
-
-        void start() {
-            process++;
-            lives = true;
-            left = false;
-            paused = false;
-            held.clear();
-            life++;
-            number = 0;
-            agreement = new Agreement(new AgreementTerms(group, name, "", 100, voters, Duration.ofSeconds(1),
-                    Duration.ofSeconds(30), trustDisks, Duration.ofSeconds(1), Duration.ofSeconds(2)), new Hosting(),
-                    0.01, new Thread(), new WorldClock(), dice.nextLong(),
-                    () -> 1 + dice.nextLong(Long.MAX_VALUE));
-            agreement.begun(life);
-        }
-
-        /** Power is lost: what was not forced may be gone. */
-        void kill() {
-            process++;
-            lives = false;
-            disk.loseBuffers();
-        }
-
-        void resume() {
-            paused = false;
-            for (int count = held.size(); count > 0; count--) {
-                held.poll().run();
-            }
-        }
-
-        View view() {
-            return agreement.agreed().view();
-        }
-
-        private final class Hosting implements AgreementHost {
-            private final int of = process;
-
-            @Override
-            public Duration now() {
-                return now;
-            }
-
-            @Override
-            public void send(PeerName to, Word word) {
-                Node there = nodes.get(to);
-                if (of != process || cut(Node.this, there) || dice.nextDouble() < loss) {
-                    return;
-                }
-                byte[] bytes = word.toByteArray();
-                there.later(Duration.ofMillis(delay + dice.nextInt(delay + 1)), () -> {
-                    try {
-                        there.agreement.heard(name, Word.parseFrom(bytes));
-                    } catch (InvalidProtocolBufferException e) {
-                        throw new AssertionError(e);
-                    }
-                });
-            }
-
-            @Override
-            public void post(Runnable event) {
-                if (of == process) {
-                    later(Duration.ZERO, event);
-                }
-            }
-
-            @Override
-            public void wakeAt(Duration when) {
-                long wake = ++wakes;
-                later(when.minus(now), () -> {
-                    if (wake == wakes) {
-                        agreement.due();
-                    }
-                });
+    private void later(Duration time, Runnable run) {
+      int of = process;
+      after(
+          time,
+          () -> {
+            if (of == process && paused) {
+              held.add(run);
+            } else if (of == process && lives) {
+              run.run();
             }
+          });
+    }
 
-            @Override
-            public Disk disk() {
-                return disk;
-            }
+    void start() {
+      process++;
+      lives = true;
+      left = false;
+      paused = false;
+      held.clear();
+      life++;
+      number = 0;
+      agreement =
+          new Agreement(
+              new AgreementTerms(
+                  group,
+                  name,
+                  "",
+                  100,
+                  voters,
+                  Duration.ofSeconds(1),
+                  Duration.ofSeconds(30),
+                  trustDisks,
+                  Duration.ofSeconds(1),
+                  Duration.ofSeconds(2)),
+              new Hosting(),
+              0.01,
+              new Thread(),
+              new WorldClock(),
+              dice.nextLong(),
+              () -> 1 + dice.nextLong(Long.MAX_VALUE));
+      agreement.begun(life);
+    }
 
-            @Override
-            public void viewIs(View view) {
-                assertTrue(view.number() > number, name + " goes back from " + number + " to " + view.number());
-                number = view.number();
-                assertEquals(agreedOn.computeIfAbsent(view.number(), n -> view), view, "views of one number, at " + name);
-            }
+    /** Power is lost: what was not forced may be gone. */
+    void kill() {
+      process++;
+      lives = false;
+      disk.loseBuffers();
+    }
 
-            @Override
-            public void shareIs(double share) {
-                assertTrue(share > 0 && share <= 1);
-            }
+    void resume() {
+      paused = false;
+      for (int count = held.size(); count > 0; count--) {
+        held.poll().run();
+      }
+    }
 
-            @Override
-            public void ended(long of) {
-                life = Math.max(life, of) + 1;
-                later(Duration.ofMillis(1), () -> agreement.begun(life));
-            }
+    View view() {
+      return agreement.agreed().view();
+    }
 
-            @Override
-            public void operatorTold(Motion motion, Verdict verdict) {
-                told.add(verdict);
-            }
+    private final class Hosting implements AgreementHost {
+      private final int of = process;
 
-            @Override
-            public void left() {
-                left = true;
-            }
+      @Override
+      public Duration now() {
+        return now;
+      }
 
-            @Override
-            public void say(Level level, String words) {
-                said.add(words);
-            }
+      @Override
+      public void send(PeerName to, Word word) {
+        Node there = nodes.get(to);
+        if (of != process || cut(Node.this, there) || dice.nextDouble() < loss) {
+          return;
         }
+        byte[] bytes = word.toByteArray();
+        there.later(
+            Duration.ofMillis(delay + dice.nextInt(delay + 1)),
+            () -> {
+              try {
+                there.agreement.heard(name, Word.parseFrom(bytes));
+              } catch (InvalidProtocolBufferException e) {
+                throw new AssertionError(e);
+              }
+            });
+      }
 
-        private final class Thread implements RaftNodeExecutor {
-            private final int of = process;
-
-            @Override
-            public void execute(Runnable task) {
-                schedule(task, 0, TimeUnit.NANOSECONDS);
-            }
-
-            @Override
-            public void submit(Runnable task) {
-                execute(task);
-            }
-
-            @Override
-            public void schedule(Runnable task, long wait, TimeUnit unit) {
-                if (of == process) {
-                    later(Duration.of(wait, unit.toChronoUnit()), task);
-                }
-            }
+      @Override
+      public void post(Runnable event) {
+        if (of == process) {
+          later(Duration.ZERO, event);
         }
+      }
+
+      @Override
+      public void wakeAt(Duration when) {
+        long wake = ++wakes;
+        later(
+            when.minus(now),
+            () -> {
+              if (wake == wakes) {
+                agreement.due();
+              }
+            });
+      }
+
+      @Override
+      public Disk disk() {
+        return disk;
+      }
+
+      @Override
+      public void viewIs(View view) {
+        assertTrue(
+            view.number() > number, name + " goes back from " + number + " to " + view.number());
+        number = view.number();
+        assertEquals(
+            agreedOn.computeIfAbsent(view.number(), n -> view),
+            view,
+            "views of one number, at " + name);
+      }
+
+      @Override
+      public void shareIs(double share) {
+        assertTrue(share > 0 && share <= 1);
+      }
+
+      @Override
+      public void ended(long of) {
+        life = Math.max(life, of) + 1;
+        later(Duration.ofMillis(1), () -> agreement.begun(life));
+      }
+
+      @Override
+      public void operatorTold(Motion motion, Verdict verdict) {
+        told.add(verdict);
+      }
+
+      @Override
+      public void left() {
+        left = true;
+      }
+
+      @Override
+      public void say(Level level, String words) {
+        said.add(words);
+      }
     }
 
-    private final class WorldClock extends Clock {
-        @Override
-        public ZoneId getZone() {
-            return ZoneOffset.UTC;
-        }
+    private final class Thread implements RaftNodeExecutor {
+      private final int of = process;
 
-        @Override
-        public Clock withZone(ZoneId zone) {
-            return this;
-        }
+      @Override
+      public void execute(Runnable task) {
+        schedule(task, 0, TimeUnit.NANOSECONDS);
+      }
 
-        @Override
-        public Instant instant() {
-            return Instant.ofEpochSecond(3600).plus(now);
-        }
-    }
+      @Override
+      public void submit(Runnable task) {
+        execute(task);
+      }
 
-    final String group = "test";
-    final Map<PeerName, Node> nodes = new TreeMap<>();
-    final List<Node> all = new ArrayList<>();
-    final List<PeerName> voters;
-    /** By number, as the first that learnt of it had it. */
-    final TreeMap<Long, View> agreedOn = new TreeMap<>();
-    final SplittableRandom dice;
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.at().equals(b.at())
-            ? Long.compare(a.order(), b.order()) : a.at().compareTo(b.at()));
-    private final boolean trustDisks;
-    private long order;
-    Duration now = Duration.ZERO;
-    double loss;
-    int delay = 1;
-    /** Whether the first hears the second not. */
-    final List<List<Node>> deaf = new ArrayList<>();
-
-    AgreementWorld(int count, int voting, long seed, boolean trustDisks) {
-        dice = new SplittableRandom(seed);
-        this.trustDisks = trustDisks;
-        for (int k = 0; k < count; k++) {
-            Node node = new Node(k);
-            nodes.put(node.name, node);
-            all.add(node);
+      @Override
+      public void schedule(Runnable task, long wait, TimeUnit unit) {
+        if (of == process) {
+          later(Duration.of(wait, unit.toChronoUnit()), task);
         }
-        voters = all.subList(0, voting).stream().map(n -> n.name).toList();
-        all.forEach(Node::start);
+      }
     }
+  }
 
-    boolean cut(Node from, Node to) {
-        return from.side != to.side || deaf.contains(List.of(to, from));
+  private final class WorldClock extends Clock {
+    @Override
+    public ZoneId getZone() {
+      return ZoneOffset.UTC;
     }
 
-    private void after(Duration time, Runnable run) {
-        events.add(new Event(now.plus(time.isNegative() ? Duration.ZERO : time), ++order, run));
+    @Override
+    public Clock withZone(ZoneId zone) {
+      return this;
     }
 
-    void run(Duration span) {
-        Duration until = now.plus(span);
-        while (!events.isEmpty() && events.peek().at().compareTo(until) <= 0) {
-            Event next = events.poll();
-            now = next.at().compareTo(now) > 0 ? next.at() : now;
-            next.run().run();
-        }
-        now = until;
+    @Override
+    public Instant instant() {
+      return Instant.ofEpochSecond(3600).plus(now);
     }
-
-    /** How long until the condition holds, looked at ten times a second; null where not within that time. */
-    Duration until(Duration most, BooleanSupplier condition) {
-        Duration began = now;
-        while (!condition.getAsBoolean()) {
-            if (now.minus(began).compareTo(most) > 0) {
-                return null;
-            }
-            run(Duration.ofMillis(100));
-        }
-        return now.minus(began);
+  }
+
+  final String group = "test";
+  final Map<PeerName, Node> nodes = new TreeMap<>();
+  final List<Node> all = new ArrayList<>();
+  final List<PeerName> voters;
+
+  /** By number, as the first that learnt of it had it. */
+  final TreeMap<Long, View> agreedOn = new TreeMap<>();
+
+  final SplittableRandom dice;
+  private final PriorityQueue<Event> events =
+      new PriorityQueue<>(
+          (a, b) ->
+              a.at().equals(b.at())
+                  ? Long.compare(a.order(), b.order())
+                  : a.at().compareTo(b.at()));
+  private final boolean trustDisks;
+  private long order;
+  Duration now = Duration.ZERO;
+  double loss;
+  int delay = 1;
+
+  /** Whether the first hears the second not. */
+  final List<List<Node>> deaf = new ArrayList<>();
+
+  AgreementWorld(int count, int voting, long seed, boolean trustDisks) {
+    dice = new SplittableRandom(seed);
+    this.trustDisks = trustDisks;
+    for (int k = 0; k < count; k++) {
+      Node node = new Node(k);
+      nodes.put(node.name, node);
+      all.add(node);
     }
-
-    /** Whether all that live have one view, of all that live in this life and nobody else. */
-    boolean agree() {
-        List<Node> living = all.stream().filter(n -> n.lives && !n.paused).toList();
-        View one = living.get(0).view();
-        return living.stream().allMatch(n -> n.view().equals(one) && one.has(n.name, n.life)
-                && n.agreement.agreed().phase() == Agreed.Phase.MEMBER);
+    voters = all.subList(0, voting).stream().map(n -> n.name).toList();
+    all.forEach(Node::start);
+  }
+
+  boolean cut(Node from, Node to) {
+    return from.side != to.side || deaf.contains(List.of(to, from));
+  }
+
+  private void after(Duration time, Runnable run) {
+    events.add(new Event(now.plus(time.isNegative() ? Duration.ZERO : time), ++order, run));
+  }
+
+  void run(Duration span) {
+    Duration until = now.plus(span);
+    while (!events.isEmpty() && events.peek().at().compareTo(until) <= 0) {
+      Event next = events.poll();
+      now = next.at().compareTo(now) > 0 ? next.at() : now;
+      next.run().run();
     }
-
-    void heal() {
-        loss = 0;
-        delay = 1;
-        deaf.clear();
-        for (Node node : all) {
-            node.side = 0;
-            node.disk.forceLies = false;
-            node.disk.forceFails = false;
-            if (!node.lives) {
-                node.start();
-            } else if (node.paused) {
-                node.resume();
-            }
-        }
+    now = until;
+  }
+
+  /**
+   * How long until the condition holds, looked at ten times a second; null where not within that
+   * time.
+   */
+  Duration until(Duration most, BooleanSupplier condition) {
+    Duration began = now;
+    while (!condition.getAsBoolean()) {
+      if (now.minus(began).compareTo(most) > 0) {
+        return null;
+      }
+      run(Duration.ofMillis(100));
+    }
+    return now.minus(began);
+  }
+
+  /** Whether all that live have one view, of all that live in this life and nobody else. */
+  boolean agree() {
+    List<Node> living = all.stream().filter(n -> n.lives && !n.paused).toList();
+    View one = living.get(0).view();
+    return living.stream()
+        .allMatch(
+            n ->
+                n.view().equals(one)
+                    && one.has(n.name, n.life)
+                    && n.agreement.agreed().phase() == Agreed.Phase.MEMBER);
+  }
+
+  void heal() {
+    loss = 0;
+    delay = 1;
+    deaf.clear();
+    for (Node node : all) {
+      node.side = 0;
+      node.disk.forceLies = false;
+      node.disk.forceFails = false;
+      if (!node.lives) {
+        node.start();
+      } else if (node.paused) {
+        node.resume();
+      }
     }
+  }
 }
--- a/gateway/src/test/java/weldcross/cli/CommandsTest.java
+++ b/gateway/src/test/java/weldcross/cli/CommandsTest.java
@@ -22,94 +22,118 @@
 
 class CommandsTest {
 
-    private final PrintStream out = System.out;
-    private final PrintStream err = System.err;
-    private final InputStream in = System.in;
-    private final ByteArrayOutputStream said = new ByteArrayOutputStream();
-    private final ByteArrayOutputStream complained = new ByteArrayOutputStream();
+  private final PrintStream out = System.out;
+  private final PrintStream err = System.err;
+  private final InputStream in = System.in;
+  private final ByteArrayOutputStream said = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream complained = new ByteArrayOutputStream();
 
-    @BeforeEach
-    void listen() {
-        System.setOut(new PrintStream(said, true, StandardCharsets.UTF_8));
-        System.setErr(new PrintStream(complained, true, StandardCharsets.UTF_8));
-    }
+  @BeforeEach
+  void listen() {
+    System.setOut(new PrintStream(said, true, StandardCharsets.UTF_8));
+    System.setErr(new PrintStream(complained, true, StandardCharsets.UTF_8));
+  }
 
-    @AfterEach
-    void restore() {
-        System.setOut(out);
-        System.setErr(err);
-        System.setIn(in);
-    }
+  @AfterEach
+  void restore() {
+    System.setOut(out);
+    System.setErr(err);
+    System.setIn(in);
+  }
 
-    @Test
-    void checkSaysWhatWouldBeServed() {
-        assertEquals(Commands.OK, Commands.run("check", "deploy/example.json"));
-        String text = said.toString(StandardCharsets.UTF_8);
-        assertTrue(text.contains("n0") && text.contains("127.0.0.1:6543") && text.contains("entry-write"),
-                text);
-    }
+  @Test
+  void checkSaysWhatWouldBeServed() {
+    assertEquals(Commands.OK, Commands.run("check", "deploy/example.json"));
+    String text = said.toString(StandardCharsets.UTF_8);
+    assertTrue(
+        text.contains("n0") && text.contains("127.0.0.1:6543") && text.contains("entry-write"),
+        text);
+  }
 
-    @Test
-    void checkNamesTheFaultyKeyInOneLine(@TempDir Path folder) throws Exception {
-        Path file = folder.resolve("c.json");
-        Files.writeString(file, Files.readString(Path.of("deploy/example.json")).replace("\"tryLimit\": 10",
-                "\"tryLimit\": 0"));
-        assertEquals(Serving.FAULTY, Commands.run("check", file.toString()));
-        assertEquals("weldcross: settings.bounds.tryLimit: found '0', allowed is a number from 1 on\n",
-                complained.toString(StandardCharsets.UTF_8));
-    }
+  @Test
+  void checkNamesTheFaultyKeyInOneLine(@TempDir Path folder) throws Exception {
+    Path file = folder.resolve("c.json");
+    Files.writeString(
+        file,
+        Files.readString(Path.of("deploy/example.json"))
+            .replace("\"tryLimit\": 10", "\"tryLimit\": 0"));
+    assertEquals(Serving.FAULTY, Commands.run("check", file.toString()));
+    assertEquals(
+        "weldcross: settings.bounds.tryLimit: found '0', allowed is a number from 1 on\n",
+        complained.toString(StandardCharsets.UTF_8));
+  }
 
-    @Test
-    void serveWithoutAConfigurationEndsBeforeItListens() {
-        assertEquals(Serving.FAULTY, Commands.run("serve"));
-        assertTrue(complained.toString(StandardCharsets.UTF_8).contains("NODE_CONFIG: found nothing"));
-    }
+  @Test
+  void serveWithoutAConfigurationEndsBeforeItListens() {
+    assertEquals(Serving.FAULTY, Commands.run("serve"));
+    assertTrue(complained.toString(StandardCharsets.UTF_8).contains("NODE_CONFIG: found nothing"));
+  }
 
-    @Test
-    void aRehearsalStartsAnswersAndStops() {
-        assertEquals(Commands.OK, Commands.run("rehearse", "deploy/example.json"));
-    }
+  @Test
+  void aRehearsalStartsAnswersAndStops() {
+    assertEquals(Commands.OK, Commands.run("rehearse", "deploy/example.json"));
+  }
 
-    @Test
-    void wirehostAnswersTheBench() {
-        System.setIn(new ByteArrayInputStream("BATCH 1\nYOUR_TURN\n".getBytes(StandardCharsets.UTF_8)));
-        assertEquals(Commands.OK, Commands.run("wirehost"));
-        assertEquals("YIELD\n", said.toString(StandardCharsets.UTF_8));
-        System.setIn(new ByteArrayInputStream("HELLO\n".getBytes(StandardCharsets.UTF_8)));
-        assertEquals(Serving.FAULTY, Commands.run("wirehost"));
-    }
+  @Test
+  void wirehostAnswersTheBench() {
+    System.setIn(new ByteArrayInputStream("BATCH 1\nYOUR_TURN\n".getBytes(StandardCharsets.UTF_8)));
+    assertEquals(Commands.OK, Commands.run("wirehost"));
+    assertEquals("YIELD\n", said.toString(StandardCharsets.UTF_8));
+    System.setIn(new ByteArrayInputStream("HELLO\n".getBytes(StandardCharsets.UTF_8)));
+    assertEquals(Serving.FAULTY, Commands.run("wirehost"));
+  }
 
-    @Test
-    void theVersionIsTheBuilds() {
-        assertEquals(Commands.OK, Commands.run("version"));
-        assertTrue(said.toString(StandardCharsets.UTF_8).matches("weldcross \\d+\\.\\d+\\.\\d+(-\\w+)?\\R"),
-                said.toString());
-    }
+  @Test
+  void theVersionIsTheBuilds() {
+    assertEquals(Commands.OK, Commands.run("version"));
+    assertTrue(
+        said.toString(StandardCharsets.UTF_8).matches("weldcross \\d+\\.\\d+\\.\\d+(-\\w+)?\\R"),
+        said.toString());
+  }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"", "dance", "serve --loud", "serve --log LOUDLY", "check a b", "rehearse",
-            "version x", "cluster", "cluster status", "cluster forget n1 --at 127.0.0.1:1"})
-    void wrongArgumentsGetUsageAndTwo(String line) {
-        assertEquals(Commands.USAGE, Commands.run(line.isEmpty() ? new String[0] : line.split(" ")));
-        assertTrue(complained.toString(StandardCharsets.UTF_8).contains("Usage: weldcross"));
-        assertTrue(said.toString(StandardCharsets.UTF_8).isEmpty());
-    }
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "",
+        "dance",
+        "serve --loud",
+        "serve --log LOUDLY",
+        "check a b",
+        "rehearse",
+        "version x",
+        "cluster",
+        "cluster status",
+        "cluster forget n1 --at 127.0.0.1:1"
+      })
+  void wrongArgumentsGetUsageAndTwo(String line) {
+    assertEquals(Commands.USAGE, Commands.run(line.isEmpty() ? new String[0] : line.split(" ")));
+    assertTrue(complained.toString(StandardCharsets.UTF_8).contains("Usage: weldcross"));
+    assertTrue(said.toString(StandardCharsets.UTF_8).isEmpty());
+  }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"--help", "serve --help", "check --help", "rehearse --help", "wirehost --help",
-            "version --help", "cluster forget --help"})
-    void helpIsUsageAndNoFault(String line) {
-        assertEquals(Commands.OK, Commands.run(line.split(" ")));
-        assertTrue(said.toString(StandardCharsets.UTF_8).startsWith("Usage: weldcross"));
-    }
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "--help",
+        "serve --help",
+        "check --help",
+        "rehearse --help",
+        "wirehost --help",
+        "version --help",
+        "cluster forget --help"
+      })
+  void helpIsUsageAndNoFault(String line) {
+    assertEquals(Commands.OK, Commands.run(line.split(" ")));
+    assertTrue(said.toString(StandardCharsets.UTF_8).startsWith("Usage: weldcross"));
+  }
 
-    @Test
-    void aRecordIsOneLine() {
-        LogRecord record = new LogRecord(Level.WARNING, "list {0}");
-        record.setLoggerName("weldcross.gateway.ListWatch");
-        record.setParameters(new Object[] {7});
-        String line = new LogLines().format(record);
-        assertTrue(line.endsWith("Z WARNING ListWatch: list 7\n"), line);
-        assertFalse(line.strip().contains("\n"));
-    }
+  @Test
+  void aRecordIsOneLine() {
+    LogRecord record = new LogRecord(Level.WARNING, "list {0}");
+    record.setLoggerName("weldcross.gateway.ListWatch");
+    record.setParameters(new Object[] {7});
+    String line = new LogLines().format(record);
+    assertTrue(line.endsWith("Z WARNING ListWatch: list 7\n"), line);
+    assertFalse(line.strip().contains("\n"));
+  }
 }
--- a/gateway/src/test/java/weldcross/discovery/DiscoveryTest.java
+++ b/gateway/src/test/java/weldcross/discovery/DiscoveryTest.java
@@ -19,96 +19,118 @@
 
 class DiscoveryTest {
 
-    private static final String ENTRY = "{\"id\":\"s-1\",\"host_port\":\"127.0.0.1:6543\",\"locality\":\"b\","
-            + "\"flavor\":\"m2\",\"cell\":3,\"phase\":\"leaving\",\"size\":1.0,\"up_since_ms\":17}";
+  private static final String ENTRY =
+      "{\"id\":\"s-1\",\"host_port\":\"127.0.0.1:6543\",\"locality\":\"b\","
+          + "\"flavor\":\"m2\",\"cell\":3,\"phase\":\"leaving\",\"size\":1.0,\"up_since_ms\":17}";
 
-    @Test
-    void responsesReadTheSameInPiecesOfAnySize() throws HttpReader.Malformed {
-        String stream = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nServer: x\r\n\r\nhello"
-                + "HTTP/1.1 100 Continue\r\n\r\n"
-                + "HTTP/1.1 200 OK\r\ntransfer-encoding: "
-                + "chunked\r\n\r\n3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\nT: 1\r\n\r\n"
-                + "HTTP/1.1 503 Busy\nContent-Length: 0\n\n";
-        List<String> expected = List.of("200 hello", "200 hello", "503 ");
-        assertEquals(expected, read(stream, null));
-        for (long seed = 0; seed < 200; seed++) {
-            assertEquals(expected, read(stream, new SplittableRandom(seed)), "seed " + seed);
-        }
+  @Test
+  void responsesReadTheSameInPiecesOfAnySize() throws HttpReader.Malformed {
+    String stream =
+        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nServer: x\r\n\r\nhello"
+            + "HTTP/1.1 100 Continue\r\n\r\n"
+            + "HTTP/1.1 200 OK\r\ntransfer-encoding: "
+            + "chunked\r\n\r\n3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\nT: 1\r\n\r\n"
+            + "HTTP/1.1 503 Busy\nContent-Length: 0\n\n";
+    List<String> expected = List.of("200 hello", "200 hello", "503 ");
+    assertEquals(expected, read(stream, null));
+    for (long seed = 0; seed < 200; seed++) {
+      assertEquals(expected, read(stream, new SplittableRandom(seed)), "seed " + seed);
     }
+  }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"SSH-2.0-x\r\n", "HTTP/1.1 20x OK\r\n",
-            "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n",
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "SSH-2.0-x\r\n",
+        "HTTP/1.1 20x OK\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"})
-    void whatIsNoResponseIsToldSo(String stream) {
-        assertThrows(HttpReader.Malformed.class, () -> read(stream, null));
-    }
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
+      })
+  void whatIsNoResponseIsToldSo(String stream) {
+    assertThrows(HttpReader.Malformed.class, () -> read(stream, null));
+  }
 
-    @Test
-    void aLineWithoutAnEndIsNotKept() {
-        assertThrows(HttpReader.Malformed.class, () -> read("H".repeat(10_000), null));
-    }
+  @Test
+  void aLineWithoutAnEndIsNotKept() {
+    assertThrows(HttpReader.Malformed.class, () -> read("H".repeat(10_000), null));
+  }
 
-    @Test
-    void entriesAreReadWithTheirZonesPlace() {
-        ListedMember m = members(ENTRY).get(0);
-        assertEquals(List.of("s-1", 1, 3, Condition.DRAINING, 17L),
-                List.of(m.id(), m.zone(), m.group(), m.condition(), m.upSinceMillis()));
-        assertEquals(6543, m.address().getPort());
-        assertTrue(members().isEmpty());
-    }
+  @Test
+  void entriesAreReadWithTheirZonesPlace() {
+    ListedMember m = members(ENTRY).get(0);
+    assertEquals(
+        List.of("s-1", 1, 3, Condition.DRAINING, 17L),
+        List.of(m.id(), m.zone(), m.group(), m.condition(), m.upSinceMillis()));
+    assertEquals(6543, m.address().getPort());
+    assertTrue(members().isEmpty());
+  }
 
-    @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"\"phase\":\"leaving\"|\"phase\":\"asleep\"|members.1.phase",
-        "\"id\":\"s-1\",||members.1.id", "127.0.0.1:6543|somewhere:6543|members.1.host_port",
-        "127.0.0.1:6543|127.0.0.1:99999|members.1.host_port", "\"cell\":3|\"cell\":\"x\"|members.1.cell",
-        "17|-1|members.1.up_since_ms"})
-    void oneFaultyEntrySpoilsTheList(String part, String instead, String key) {
-        String faulty = ENTRY.replace(part, instead == null ? "" : instead);
-        FaultyTerm fault = assertThrows(FaultyTerm.class, () -> members(ENTRY, faulty));
-        assertTrue(fault.getMessage().startsWith(key + ": found "), fault.getMessage());
-    }
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      value = {
+        "\"phase\":\"leaving\"|\"phase\":\"asleep\"|members.1.phase",
+        "\"id\":\"s-1\",||members.1.id",
+        "127.0.0.1:6543|somewhere:6543|members.1.host_port",
+        "127.0.0.1:6543|127.0.0.1:99999|members.1.host_port",
+        "\"cell\":3|\"cell\":\"x\"|members.1.cell",
+        "17|-1|members.1.up_since_ms"
+      })
+  void oneFaultyEntrySpoilsTheList(String part, String instead, String key) {
+    String faulty = ENTRY.replace(part, instead == null ? "" : instead);
+    FaultyTerm fault = assertThrows(FaultyTerm.class, () -> members(ENTRY, faulty));
+    assertTrue(fault.getMessage().startsWith(key + ": found "), fault.getMessage());
+  }
 
-    private static List<ListedMember> members(String... entries) {
-        String text = "{\"revision\":41,\"complete\":true,\"members\":[" + String.join(",", entries) + "]}";
-        return ListedMember.read(NamedValues.ofJson(text.getBytes(StandardCharsets.UTF_8)), List.of("a",
-                "b"));
-    }
+  private static List<ListedMember> members(String... entries) {
+    String text =
+        "{\"revision\":41,\"complete\":true,\"members\":[" + String.join(",", entries) + "]}";
+    return ListedMember.read(
+        NamedValues.ofJson(text.getBytes(StandardCharsets.UTF_8)), List.of("a", "b"));
+  }
 
-    /** An answer without a length is whole when its connection ends in order, and never after a reset. */
-    @Test
-    void anAnswerWithoutALengthEndsWithItsConnection() throws HttpReader.Malformed {
-        List<String> got = new ArrayList<>();
-        HttpReader reader = new HttpReader((status, body) ->
-                got.add(status + " " + new String(body, StandardCharsets.UTF_8)));
-        for (String part : List.of("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n{\"rev", "ision\":4}")) {
-            reader.feed(ByteBuffer.wrap(part.getBytes(StandardCharsets.ISO_8859_1)));
-            assertTrue(got.isEmpty(), "nobody has said that it is whole");
-        }
-        reader.ended();
-        assertEquals(List.of("200 {\"revision\":4}"), got);
-        reader.ended();
-        assertEquals(1, got.size());
-        HttpReader endless = new HttpReader((status, body) -> got.add("endless"));
-        endless.feed(ByteBuffer.wrap("HTTP/1.1 200 OK\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1)));
-        assertThrows(HttpReader.Malformed.class, () -> {
-            for (int k = 0; k < 5; k++) {
-                endless.feed(ByteBuffer.allocate(1 << 20));
-            }
-        });
+  /**
+   * An answer without a length is whole when its connection ends in order, and never after a reset.
+   */
+  @Test
+  void anAnswerWithoutALengthEndsWithItsConnection() throws HttpReader.Malformed {
+    List<String> got = new ArrayList<>();
+    HttpReader reader =
+        new HttpReader(
+            (status, body) -> got.add(status + " " + new String(body, StandardCharsets.UTF_8)));
+    for (String part :
+        List.of("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n{\"rev", "ision\":4}")) {
+      reader.feed(ByteBuffer.wrap(part.getBytes(StandardCharsets.ISO_8859_1)));
+      assertTrue(got.isEmpty(), "nobody has said that it is whole");
     }
+    reader.ended();
+    assertEquals(List.of("200 {\"revision\":4}"), got);
+    reader.ended();
+    assertEquals(1, got.size());
+    HttpReader endless = new HttpReader((status, body) -> got.add("endless"));
+    endless.feed(ByteBuffer.wrap("HTTP/1.1 200 OK\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1)));
+    assertThrows(
+        HttpReader.Malformed.class,
+        () -> {
+          for (int k = 0; k < 5; k++) {
+            endless.feed(ByteBuffer.allocate(1 << 20));
+          }
+        });
+  }
 
-    private static List<String> read(String stream, SplittableRandom dice) throws HttpReader.Malformed {
-        List<String> got = new ArrayList<>();
-        HttpReader reader = new HttpReader((status, body) ->
-                got.add(status + " " + new String(body, StandardCharsets.UTF_8)));
-        byte[] bytes = stream.getBytes(StandardCharsets.ISO_8859_1);
-        for (int from = 0; from < bytes.length; ) {
-            int size = dice == null ? bytes.length : Math.min(bytes.length - from, 1 + dice.nextInt(7));
-            reader.feed(ByteBuffer.wrap(bytes, from, size));
-            from += size;
-        }
-        return got;
+  private static List<String> read(String stream, SplittableRandom dice)
+      throws HttpReader.Malformed {
+    List<String> got = new ArrayList<>();
+    HttpReader reader =
+        new HttpReader(
+            (status, body) -> got.add(status + " " + new String(body, StandardCharsets.UTF_8)));
+    byte[] bytes = stream.getBytes(StandardCharsets.ISO_8859_1);
+    for (int from = 0; from < bytes.length; ) {
+      int size = dice == null ? bytes.length : Math.min(bytes.length - from, 1 + dice.nextInt(7));
+      reader.feed(ByteBuffer.wrap(bytes, from, size));
+      from += size;
     }
+    return got;
+  }
 }
--- a/gateway/src/test/java/weldcross/gateway/RoundTest.java
+++ b/gateway/src/test/java/weldcross/gateway/RoundTest.java
@@ -14,84 +14,93 @@
 /** In which order a round of reading is told, on a reducer that shows what it does of it. */
 class RoundTest {
 
-    private final List<Gateway.Event> posted = new ArrayList<>();
-    private final Round round = new Round(posted::add);
-    private final World w = World.serving();
+  private final List<Gateway.Event> posted = new ArrayList<>();
+  private final Round round = new Round(posted::add);
+  private final World w = World.serving();
 
-    private void deliver() {
-        round.end();
-        List.copyOf(posted).forEach(w::tell);
-        posted.clear();
-    }
+  private void deliver() {
+    round.end();
+    List.copyOf(posted).forEach(w::tell);
+    posted.clear();
+  }
 
-    /** What it says is told by the round, as a stream on sockets does. */
-    private ClientReader reader(long client) {
-        return Streams.client(event -> round.tell(client, event), round::tell, () -> w.now, client);
-    }
+  /** What it says is told by the round, as a stream on sockets does. */
+  private ClientReader reader(long client) {
+    return Streams.client(event -> round.tell(client, event), round::tell, () -> w.now, client);
+  }
 
-    private static ByteBuffer read(String id) {
-        return Replies.query("SELECT content FROM kv WHERE name = 'k' /* id=" + id + ",c=look,d=900,cluster=0 */");
-    }
+  private static ByteBuffer read(String id) {
+    return Replies.query(
+        "SELECT content FROM kv WHERE name = 'k' /* id=" + id + ",c=look,d=900,cluster=0 */");
+  }
 
-    /** A request read in one go with its client's end is for nobody: it was begun, more than 0.1 s late. */
-    @Test
-    void whatAClientAskedInTheRoundOfItsEndIsNotBegun() {
-        long goes = w.connect();
-        long stays = w.connect();
-        reader(goes);
-        ClientReader one = reader(goes);
-        one.feed(Replies.startup());
-        one.feed(read("a900"));
-        ClientReader other = reader(stays);
-        other.feed(Replies.startup());
-        other.feed(read("a901"));
-        w.deadlines.put("a901", w.now.plusMillis(900));
-        w.askedBy.put("a901", stays);
-        round.went(goes);
-        deliver();
-        assertTrue(w.outOn.containsKey("a901"));
-        assertTrue(!w.outOn.containsKey("a900") && !w.gateway.inWords().contains("2 taken"), w.gateway.inWords());
-    }
+  /**
+   * A request read in one go with its client's end is for nobody: it was begun, more than 0.1 s
+   * late.
+   */
+  @Test
+  void whatAClientAskedInTheRoundOfItsEndIsNotBegun() {
+    long goes = w.connect();
+    long stays = w.connect();
+    reader(goes);
+    ClientReader one = reader(goes);
+    one.feed(Replies.startup());
+    one.feed(read("a900"));
+    ClientReader other = reader(stays);
+    other.feed(Replies.startup());
+    other.feed(read("a901"));
+    w.deadlines.put("a901", w.now.plusMillis(900));
+    w.askedBy.put("a901", stays);
+    round.went(goes);
+    deliver();
+    assertTrue(w.outOn.containsKey("a901"));
+    assertTrue(
+        !w.outOn.containsKey("a900") && !w.gateway.inWords().contains("2 taken"),
+        w.gateway.inWords());
+  }
 
-    /** All who go are one event, before anything else: none of them is made room for by another. */
-    @Test
-    void whoGoesIsToldFirstAndTogether() {
-        List<String> order = new ArrayList<>();
-        round.tell(7, g -> order.add("said"));
-        round.tell(g -> order.add("a server's word"));
-        round.went(8);
-        round.went(9);
-        round.end();
-        assertEquals(3, posted.size(), "the two that went, and a word each");
-        posted.remove(0);
-        posted.forEach(w::tell);
-        assertEquals(List.of("said", "a server's word"), order);
-        posted.clear();
-        round.end();
-        assertTrue(posted.isEmpty(), "nothing is told twice");
-    }
+  /** All who go are one event, before anything else: none of them is made room for by another. */
+  @Test
+  void whoGoesIsToldFirstAndTogether() {
+    List<String> order = new ArrayList<>();
+    round.tell(7, g -> order.add("said"));
+    round.tell(g -> order.add("a server's word"));
+    round.went(8);
+    round.went(9);
+    round.end();
+    assertEquals(3, posted.size(), "the two that went, and a word each");
+    posted.remove(0);
+    posted.forEach(w::tell);
+    assertEquals(List.of("said", "a server's word"), order);
+    posted.clear();
+    round.end();
+    assertTrue(posted.isEmpty(), "nothing is told twice");
+  }
 
-    /** Rule 5: an answer to its session's write and a read of it, found in one round, whichever socket comes first. */
-    @Test
-    void whatServersSayIsToldBeforeWhatClientsAsk() {
-        List<String> order = new ArrayList<>();
-        round.tell(7, g -> order.add("asked"));
-        round.heard(g -> order.add("answered"));
-        round.heard(g -> order.add("gone"));
-        round.went(8);
-        round.end();
-        posted.remove(0);
-        posted.forEach(w::tell);
-        assertEquals(List.of("answered", "gone", "asked"), order);
-    }
+  /**
+   * Rule 5: an answer to its session's write and a read of it, found in one round, whichever socket
+   * comes first.
+   */
+  @Test
+  void whatServersSayIsToldBeforeWhatClientsAsk() {
+    List<String> order = new ArrayList<>();
+    round.tell(7, g -> order.add("asked"));
+    round.heard(g -> order.add("answered"));
+    round.heard(g -> order.add("gone"));
+    round.went(8);
+    round.end();
+    posted.remove(0);
+    posted.forEach(w::tell);
+    assertEquals(List.of("answered", "gone", "asked"), order);
+  }
 
-    /** Who came and went in one round leaves nothing behind. */
-    @Test
-    void whoComesAndGoesInOneRoundIsNobody() {
-        round.came(70);
-        round.went(70);
-        round.came(71);
-        deliver();
-        assertTrue(w.gateway.inWords().startsWith("1 clients"), w.gateway.inWords());
-    }
+  /** Who came and went in one round leaves nothing behind. */
+  @Test
+  void whoComesAndGoesInOneRoundIsNobody() {
+    round.came(70);
+    round.went(70);
+    round.came(71);
+    deliver();
+    assertTrue(w.gateway.inWords().startsWith("1 clients"), w.gateway.inWords());
+  }
 }
--- a/gateway/src/test/java/weldcross/membership/SeenTest.java
+++ b/gateway/src/test/java/weldcross/membership/SeenTest.java
@@ -19,274 +19,318 @@
 
 class SeenTest {
 
-    private static final Duration MINUTE = Duration.ofMinutes(1);
+  private static final Duration MINUTE = Duration.ofMinutes(1);
 
-    private static Duration seconds(long count) {
-        return Duration.ofSeconds(count);
-    }
+  private static Duration seconds(long count) {
+    return Duration.ofSeconds(count);
+  }
 
-    private static SeenWorld up(int count, long seed) {
-        SeenWorld w = new SeenWorld(count, seed);
-        assertNotNull(w.until(MINUTE.multipliedBy(10), () -> w.hold(w.all, Finding.HERE)), "all find all");
-        return w;
-    }
+  private static SeenWorld up(int count, long seed) {
+    SeenWorld w = new SeenWorld(count, seed);
+    assertNotNull(
+        w.until(MINUTE.multipliedBy(10), () -> w.hold(w.all, Finding.HERE)), "all find all");
+    return w;
+  }
 
-    /** Killed and paused are both silent: nothing tells them apart but proof. */
-    @Test
-    void whoDoesNotAnswerIsSilentAndOnlyProofMakesItGone() {
-        SeenWorld w = up(5, 1);
-        SeenWorld.Node killed = w.all.get(1);
-        SeenWorld.Node paused = w.all.get(2);
-        killed.kill();
-        paused.pause();
-        assertNotNull(w.until(MINUTE, () -> w.hold(List.of(killed, paused), Finding.SILENT)));
-        w.all.get(0).seen.refusedBy(w.now, killed.name, 2);
-        assertTrue(w.hold(List.of(killed), Finding.SILENT), "a dial begun under another life proves nothing");
-        w.all.get(0).seen.refusedBy(w.now, killed.name, 1);
-        assertNotNull(w.until(seconds(10), () -> w.hold(List.of(killed), Finding.GONE)), "proof is passed on");
-        assertTrue(w.hold(List.of(paused), Finding.SILENT));
-        paused.resume();
-        assertNotNull(w.until(seconds(10), () -> w.hold(List.of(paused), Finding.HERE)));
-        killed.start();
-        assertNotNull(w.until(seconds(20), () -> w.hold(w.all, Finding.HERE)), "a later life ends it");
-        assertEquals(0, w.falselySilent);
-    }
+  /** Killed and paused are both silent: nothing tells them apart but proof. */
+  @Test
+  void whoDoesNotAnswerIsSilentAndOnlyProofMakesItGone() {
+    SeenWorld w = up(5, 1);
+    SeenWorld.Node killed = w.all.get(1);
+    SeenWorld.Node paused = w.all.get(2);
+    killed.kill();
+    paused.pause();
+    assertNotNull(w.until(MINUTE, () -> w.hold(List.of(killed, paused), Finding.SILENT)));
+    w.all.get(0).seen.refusedBy(w.now, killed.name, 2);
+    assertTrue(
+        w.hold(List.of(killed), Finding.SILENT), "a dial begun under another life proves nothing");
+    w.all.get(0).seen.refusedBy(w.now, killed.name, 1);
+    assertNotNull(
+        w.until(seconds(10), () -> w.hold(List.of(killed), Finding.GONE)), "proof is passed on");
+    assertTrue(w.hold(List.of(paused), Finding.SILENT));
+    paused.resume();
+    assertNotNull(w.until(seconds(10), () -> w.hold(List.of(paused), Finding.HERE)));
+    killed.start();
+    assertNotNull(w.until(seconds(20), () -> w.hold(w.all, Finding.HERE)), "a later life ends it");
+    assertEquals(0, w.falselySilent);
+  }
 
-    @Test
-    void whoSaysGoodbyeIsGoneAtOnce() {
-        SeenWorld w = up(30, 2);
-        w.all.get(3).seen.leave();
-        w.all.get(3).kill();
-        Duration took = w.until(seconds(20), () -> w.hold(List.of(w.all.get(3)), Finding.GONE));
-        assertNotNull(took);
-        assertTrue(took.compareTo(seconds(6)) < 0, took.toString());
-    }
+  @Test
+  void whoSaysGoodbyeIsGoneAtOnce() {
+    SeenWorld w = up(30, 2);
+    w.all.get(3).seen.leave();
+    w.all.get(3).kill();
+    Duration took = w.until(seconds(20), () -> w.hold(List.of(w.all.get(3)), Finding.GONE));
+    assertNotNull(took);
+    assertTrue(took.compareTo(seconds(6)) < 0, took.toString());
+  }
 
-    @Test
-    void twoSidesHoldEachOtherSilentAndFindTogetherAgain() {
-        SeenWorld w = up(9, 3);
-        for (int k = 0; k < 4; k++) {
-            w.all.get(k).side = 1;
-        }
-        assertNotNull(w.until(MINUTE, () -> w.all.stream().allMatch(a -> w.all.stream().allMatch(b -> a == b
-                || a.seen.findingOf(b.name) == (a.side == b.side ? Finding.HERE : Finding.SILENT)))));
-        w.all.forEach(n -> n.side = 0);
-        Duration took = w.until(MINUTE, () -> w.hold(w.all, Finding.HERE));
-        assertNotNull(took);
-        assertTrue(took.compareTo(seconds(15)) < 0, took.toString());
-        assertEquals(0, w.falselySilent);
+  @Test
+  void twoSidesHoldEachOtherSilentAndFindTogetherAgain() {
+    SeenWorld w = up(9, 3);
+    for (int k = 0; k < 4; k++) {
+      w.all.get(k).side = 1;
     }
+    assertNotNull(
+        w.until(
+            MINUTE,
+            () ->
+                w.all.stream()
+                    .allMatch(
+                        a ->
+                            w.all.stream()
+                                .allMatch(
+                                    b ->
+                                        a == b
+                                            || a.seen.findingOf(b.name)
+                                                == (a.side == b.side
+                                                    ? Finding.HERE
+                                                    : Finding.SILENT)))));
+    w.all.forEach(n -> n.side = 0);
+    Duration took = w.until(MINUTE, () -> w.hold(w.all, Finding.HERE));
+    assertNotNull(took);
+    assertTrue(took.compareTo(seconds(15)) < 0, took.toString());
+    assertEquals(0, w.falselySilent);
+  }
 
-    /** One that stands still for two seconds of each three accuses nobody: what came meanwhile is read first. */
-    @Test
-    void aSlowSelfDoesNotAccuseTheOthers() {
-        SeenWorld w = up(20, 4);
-        SeenWorld.Node slow = w.all.get(0);
-        int accused = 0;
-        for (int k = 0; k < 100; k++) {
-            slow.pause();
-            w.run(seconds(2));
-            slow.resume();
-            w.run(seconds(1));
-            accused += (int) slow.seen.held().stream().filter(n -> n.finding() == Finding.SILENT).count();
-        }
-        assertEquals(0, accused);
+  /**
+   * One that stands still for two seconds of each three accuses nobody: what came meanwhile is read
+   * first.
+   */
+  @Test
+  void aSlowSelfDoesNotAccuseTheOthers() {
+    SeenWorld w = up(20, 4);
+    SeenWorld.Node slow = w.all.get(0);
+    int accused = 0;
+    for (int k = 0; k < 100; k++) {
+      slow.pause();
+      w.run(seconds(2));
+      slow.resume();
+      w.run(seconds(1));
+      accused += (int) slow.seen.held().stream().filter(n -> n.finding() == Finding.SILENT).count();
     }
+    assertEquals(0, accused);
+  }
 
-    /** A third of all messages is lost, and each takes up to 0.2 s. */
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3})
-    void badLinksMakeFewFalselySilentAndNobodyGone(long seed) {
-        SeenWorld w = up(20, seed);
-        w.loss = 0.3;
-        w.delay = 100;
-        w.run(Duration.ofMinutes(10));
-        assertTrue(w.all.stream().anyMatch(n -> n.seen.health() > 0), "who gets no answers doubts itself");
-        double anHour = w.falselySilent / 20.0 * 6;
-        assertTrue(anHour < 12, w.falselySilent + " in ten minutes of 20 gateways");
-        w.loss = 0;
-        w.delay = 1;
-        assertNotNull(w.until(MINUTE, () -> w.hold(w.all, Finding.HERE)));
-    }
+  /** A third of all messages is lost, and each takes up to 0.2 s. */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3})
+  void badLinksMakeFewFalselySilentAndNobodyGone(long seed) {
+    SeenWorld w = up(20, seed);
+    w.loss = 0.3;
+    w.delay = 100;
+    w.run(Duration.ofMinutes(10));
+    assertTrue(
+        w.all.stream().anyMatch(n -> n.seen.health() > 0), "who gets no answers doubts itself");
+    double anHour = w.falselySilent / 20.0 * 6;
+    assertTrue(anHour < 12, w.falselySilent + " in ten minutes of 20 gateways");
+    w.loss = 0;
+    w.delay = 1;
+    assertNotNull(w.until(MINUTE, () -> w.hold(w.all, Finding.HERE)));
+  }
 
-    /** What one gateway sends is the same at thirty and three hundred; news take rounds by the logarithm. */
-    @Test
-    void theCostOfOneDoesNotGrowWithTheNumber() {
-        double[] sent = new double[2];
-        int[] counts = {30, 300};
-        for (int k = 0; k < counts.length; k++) {
-            SeenWorld w = up(counts[k], 5);
-            long before = w.messages;
-            w.run(seconds(30));
-            sent[k] = (w.messages - before) / 30.0 / counts[k];
-            SeenWorld.Node goes = w.all.get(7);
-            goes.seen.leave();
-            goes.kill();
-            Duration took = w.until(MINUTE, () -> w.hold(List.of(goes), Finding.GONE));
-            assertNotNull(took);
-            assertTrue(took.compareTo(seconds(12)) < 0, counts[k] + ": " + took);
-        }
-        assertEquals(sent[0], sent[1], 0.2);
+  /**
+   * What one gateway sends is the same at thirty and three hundred; news take rounds by the
+   * logarithm.
+   */
+  @Test
+  void theCostOfOneDoesNotGrowWithTheNumber() {
+    double[] sent = new double[2];
+    int[] counts = {30, 300};
+    for (int k = 0; k < counts.length; k++) {
+      SeenWorld w = up(counts[k], 5);
+      long before = w.messages;
+      w.run(seconds(30));
+      sent[k] = (w.messages - before) / 30.0 / counts[k];
+      SeenWorld.Node goes = w.all.get(7);
+      goes.seen.leave();
+      goes.kill();
+      Duration took = w.until(MINUTE, () -> w.hold(List.of(goes), Finding.GONE));
+      assertNotNull(took);
+      assertTrue(took.compareTo(seconds(12)) < 0, counts[k] + ": " + took);
     }
+    assertEquals(sent[0], sent[1], 0.2);
+  }
 
-    /** Lives that end and begin, pauses, sides, losses, at random: what must never be held is looked at each time. */
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void noLivingOneIsEverHeldGoneAndAllFindTogetherAgain(long seed) {
-        SeenWorld w = up(5 + (int) (seed % 4), seed);
-        for (int step = 0; step < 400; step++) {
-            SeenWorld.Node node = w.all.get(w.dice.nextInt(w.all.size()));
-            switch (w.dice.nextInt(9)) {
-                case 0 -> {
-                    if (node.lives && !node.paused) {
-                        node.kill();
-                        // Somebody may find out by a refused dial.
-                        SeenWorld.Node other = w.all.get(w.dice.nextInt(w.all.size()));
-                        if (other != node && other.lives && !other.paused && w.dice.nextBoolean()) {
-                            other.seen.refusedBy(w.now, node.name, w.dice.nextLong(node.life) + 1);
-                        }
-                    }
-                }
-                case 1, 2 -> {
-                    if (!node.lives) {
-                        node.start();
-                    }
-                }
-                case 3 -> {
-                    if (node.lives) {
-                        node.pause();
-                    }
-                }
-                case 4, 5 -> {
-                    if (node.paused) {
-                        node.resume();
-                    }
-                }
-                case 6 -> node.side = w.dice.nextInt(2);
-                case 7 -> w.loss = w.dice.nextInt(3) * 0.2;
-                default -> w.all.forEach(n -> n.side = 0);
+  /**
+   * Lives that end and begin, pauses, sides, losses, at random: what must never be held is looked
+   * at each time.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
+  void noLivingOneIsEverHeldGoneAndAllFindTogetherAgain(long seed) {
+    SeenWorld w = up(5 + (int) (seed % 4), seed);
+    for (int step = 0; step < 400; step++) {
+      SeenWorld.Node node = w.all.get(w.dice.nextInt(w.all.size()));
+      switch (w.dice.nextInt(9)) {
+        case 0 -> {
+          if (node.lives && !node.paused) {
+            node.kill();
+            // Somebody may find out by a refused dial.
+            SeenWorld.Node other = w.all.get(w.dice.nextInt(w.all.size()));
+            if (other != node && other.lives && !other.paused && w.dice.nextBoolean()) {
+              other.seen.refusedBy(w.now, node.name, w.dice.nextLong(node.life) + 1);
             }
-            w.run(Duration.ofMillis(w.dice.nextInt(3000)));
+          }
         }
-        w.loss = 0;
-        w.all.forEach(n -> {
-            n.side = 0;
-            if (!n.lives) {
-                n.start();
-            } else if (n.paused) {
-                n.resume();
-            }
-        });
-        assertNotNull(w.until(Duration.ofMinutes(2), () -> w.hold(w.all, Finding.HERE)), "after seed " + seed);
+        case 1, 2 -> {
+          if (!node.lives) {
+            node.start();
+          }
+        }
+        case 3 -> {
+          if (node.lives) {
+            node.pause();
+          }
+        }
+        case 4, 5 -> {
+          if (node.paused) {
+            node.resume();
+          }
+        }
+        case 6 -> node.side = w.dice.nextInt(2);
+        case 7 -> w.loss = w.dice.nextInt(3) * 0.2;
+        default -> w.all.forEach(n -> n.side = 0);
+      }
+      w.run(Duration.ofMillis(w.dice.nextInt(3000)));
     }
+    w.loss = 0;
+    w.all.forEach(
+        n -> {
+          n.side = 0;
+          if (!n.lives) {
+            n.start();
+          } else if (n.paused) {
+            n.resume();
+          }
+        });
+    assertNotNull(
+        w.until(Duration.ofMinutes(2), () -> w.hold(w.all, Finding.HERE)), "after seed " + seed);
+  }
+
+  // ---- All orders at small size
 
-    // ---- All orders at small size
+  private static final PeerName[] NAMES = {new PeerName("a"), new PeerName("b"), new PeerName("c")};
 
-    private static final PeerName[] NAMES = {new PeerName("a"), new PeerName("b"), new PeerName("c")};
+  /**
+   * Three that pass news about c in any order, with loss and repeats; c lives, restarts, or answers
+   * for itself.
+   */
+  @Test
+  void allOrdersOfNewsAboutOne() {
+    Set<String> seen = new HashSet<>();
+    explore(new int[0], 9, seen);
+    assertTrue(seen.size() > 1500, seen.size() + " states");
+  }
 
-    /** Three that pass news about c in any order, with loss and repeats; c lives, restarts, or answers for itself. */
-    @Test
-    void allOrdersOfNewsAboutOne() {
-        Set<String> seen = new HashSet<>();
-        explore(new int[0], 9, seen);
-        assertTrue(seen.size() > 1500, seen.size() + " states");
+  private static void explore(int[] path, int left, Set<String> seen) {
+    String state = play(path);
+    if (state == null || !seen.add(state + "@" + left) || left == 0) {
+      return;
+    }
+    for (int choice = 0; choice < 7; choice++) {
+      int[] longer = Arrays.copyOf(path, path.length + 1);
+      longer[path.length] = choice;
+      explore(longer, left - 1, seen);
     }
+  }
 
-    private static void explore(int[] path, int left, Set<String> seen) {
-        String state = play(path);
-        if (state == null || !seen.add(state + "@" + left) || left == 0) {
-            return;
+  /** Null where a choice cannot be made. */
+  private static String play(int[] path) {
+    News[] holds = {null, null};
+    List<News> under = new ArrayList<>();
+    long[] life = {1};
+    long version = 0;
+    boolean lives = true;
+    News self = new News(NAMES[2], 1, 0, Finding.HERE, "", 1, NAMES[2]);
+    under.add(self);
+    for (int choice : path) {
+      switch (choice) {
+        case 0, 1 -> {
+          // All that is under way reaches a, or b, in the order of its making; it stays, as repeats
+          // may come.
+          for (News each : under) {
+            holds[choice] = each.overrides(holds[choice]) ? each : holds[choice];
+          }
         }
-        for (int choice = 0; choice < 7; choice++) {
-            int[] longer = Arrays.copyOf(path, path.length + 1);
-            longer[path.length] = choice;
-            explore(longer, left - 1, seen);
+        case 2 -> {
+          if (under.isEmpty()) {
+            return null;
+          }
+          // The last comes to a before all others.
+          News last = under.get(under.size() - 1);
+          holds[0] = last.overrides(holds[0]) ? last : holds[0];
         }
-    }
-
-    /** Null where a choice cannot be made. */
-    private static String play(int[] path) {
-        News[] holds = {null, null};
-        List<News> under = new ArrayList<>();
-        long[] life = {1};
-        long version = 0;
-        boolean lives = true;
-        News self = new News(NAMES[2], 1, 0, Finding.HERE, "", 1, NAMES[2]);
-        under.add(self);
-        for (int choice : path) {
-            switch (choice) {
-                case 0, 1 -> {
-                    // All that is under way reaches a, or b, in the order of its making; it stays, as repeats may come.
-                    for (News each : under) {
-                        holds[choice] = each.overrides(holds[choice]) ? each : holds[choice];
-                    }
-                }
-                case 2 -> {
-                    if (under.isEmpty()) {
-                        return null;
-                    }
-                    // The last comes to a before all others.
-                    News last = under.get(under.size() - 1);
-                    holds[0] = last.overrides(holds[0]) ? last : holds[0];
-                }
-                case 3 -> {
-                    if (holds[0] == null || holds[0].finding() != Finding.HERE) {
-                        return null;
-                    }
-                    holds[0] = holds[0].with(Finding.SILENT, NAMES[0]);
-                    under.add(holds[0]);
-                }
-                case 4 -> {
-                    if (!lives || holds[0] == null || holds[0].life() != life[0] || holds[0].finding() == Finding.HERE) {
-                        return null;
-                    }
-                    // c hears what a holds of it.
-                    version = Math.max(version, holds[0].version() + 1);
-                    under.add(new News(NAMES[2], life[0], version, Finding.HERE, "", 1, NAMES[2]));
-                }
-                case 5 -> {
-                    if (!lives || holds[1] == null) {
-                        return null;
-                    }
-                    lives = false;
-                    // b finds that nobody listens where c should.
-                    holds[1] = holds[1].with(Finding.GONE, NAMES[1]);
-                    under.add(holds[1]);
-                }
-                default -> {
-                    if (lives) {
-                        return null;
-                    }
-                    lives = true;
-                    life[0]++;
-                    version = 0;
-                    under.add(new News(NAMES[2], life[0], 0, Finding.HERE, "", 1, NAMES[2]));
-                }
-            }
-            for (News each : holds) {
-                assertFalse(each != null && each.finding() == Finding.GONE && lives && each.life() == life[0],
-                        "a living one is held gone: " + each);
-            }
+        case 3 -> {
+          if (holds[0] == null || holds[0].finding() != Finding.HERE) {
+            return null;
+          }
+          holds[0] = holds[0].with(Finding.SILENT, NAMES[0]);
+          under.add(holds[0]);
         }
-        // Whatever came in whatever order: once all have come, both hold the same.
-        News[] last = holds.clone();
-        for (int k = 0; k < 2; k++) {
-            for (News each : under) {
-                last[k] = each.overrides(last[k]) ? each : last[k];
-            }
+        case 4 -> {
+          if (!lives
+              || holds[0] == null
+              || holds[0].life() != life[0]
+              || holds[0].finding() == Finding.HERE) {
+            return null;
+          }
+          // c hears what a holds of it.
+          version = Math.max(version, holds[0].version() + 1);
+          under.add(new News(NAMES[2], life[0], version, Finding.HERE, "", 1, NAMES[2]));
+        }
+        case 5 -> {
+          if (!lives || holds[1] == null) {
+            return null;
+          }
+          lives = false;
+          // b finds that nobody listens where c should.
+          holds[1] = holds[1].with(Finding.GONE, NAMES[1]);
+          under.add(holds[1]);
         }
-        assertTrue(last[0] == null || last[1] == null || last[0].life() == last[1].life() && last[0].version()
-                == last[1].version() && last[0].finding() == last[1].finding(), last[0] + " and " + last[1]);
-        return Arrays.toString(holds) + under + life[0] + version + lives;
+        default -> {
+          if (lives) {
+            return null;
+          }
+          lives = true;
+          life[0]++;
+          version = 0;
+          under.add(new News(NAMES[2], life[0], 0, Finding.HERE, "", 1, NAMES[2]));
+        }
+      }
+      for (News each : holds) {
+        assertFalse(
+            each != null && each.finding() == Finding.GONE && lives && each.life() == life[0],
+            "a living one is held gone: " + each);
+      }
     }
-
-    /** All orders of seven steps of three gateways, one of which ends and begins again while another dials it. */
-    @Test
-    void inNoOrderIsALifeHeldGoneThatHasNotEnded() {
-        SeenExplorer explorer = new SeenExplorer(false);
-        assertNull(explorer.explore(7));
-        assertTrue(explorer.states() > 5_000, explorer.states() + " states");
-        String found = new SeenExplorer(true).explore(7);
-        assertNotNull(found, "a refusal that counts for a life it does not speak of is found");
+    // Whatever came in whatever order: once all have come, both hold the same.
+    News[] last = holds.clone();
+    for (int k = 0; k < 2; k++) {
+      for (News each : under) {
+        last[k] = each.overrides(last[k]) ? each : last[k];
+      }
     }
+    assertTrue(
+        last[0] == null
+            || last[1] == null
+            || last[0].life() == last[1].life()
+                && last[0].version() == last[1].version()
+                && last[0].finding() == last[1].finding(),
+        last[0] + " and " + last[1]);
+    return Arrays.toString(holds) + under + life[0] + version + lives;
+  }
+
+  /**
+   * All orders of seven steps of three gateways, one of which ends and begins again while another
+   * dials it.
+   */
+  @Test
+  void inNoOrderIsALifeHeldGoneThatHasNotEnded() {
+    SeenExplorer explorer = new SeenExplorer(false);
+    assertNull(explorer.explore(7));
+    assertTrue(explorer.states() > 5_000, explorer.states() + " states");
+    String found = new SeenExplorer(true).explore(7);
+    assertNotNull(found, "a refusal that counts for a life it does not speak of is found");
+  }
 }
--- a/gateway/src/test/java/weldcross/pools/CrowdTest.java
+++ b/gateway/src/test/java/weldcross/pools/CrowdTest.java
@@ -8,26 +8,26 @@
 
 class CrowdTest {
 
-    private static Duration at(int millis) {
-        return Duration.ofMillis(millis);
-    }
+  private static Duration at(int millis) {
+    return Duration.ofMillis(millis);
+  }
 
-    private final Crowd<String> crowd = new Crowd<>(at(1000), at(250));
+  private final Crowd<String> crowd = new Crowd<>(at(1000), at(250));
 
-    @Test
-    void whoHasAskedNothingGoesFirstThenWhoAskedOnceThenWhoRestedLong() {
-        crowd.one("busy", 5, null);
-        assertNull(crowd.whoGoes());
-        crowd.one("brief", 5, at(900));
-        assertNull(crowd.whoGoes(), "it would come back at once");
-        crowd.one("long", 5, at(700));
-        crowd.one("longer", 9, at(600));
-        assertEquals("longer", crowd.whoGoes());
-        crowd.one("once", 1, at(990));
-        crowd.one("once before", 1, at(980));
-        assertEquals("once before", crowd.whoGoes());
-        crowd.one("silent", 0, at(999));
-        crowd.one("silent later", 0, null);
-        assertEquals("silent", crowd.whoGoes());
-    }
+  @Test
+  void whoHasAskedNothingGoesFirstThenWhoAskedOnceThenWhoRestedLong() {
+    crowd.one("busy", 5, null);
+    assertNull(crowd.whoGoes());
+    crowd.one("brief", 5, at(900));
+    assertNull(crowd.whoGoes(), "it would come back at once");
+    crowd.one("long", 5, at(700));
+    crowd.one("longer", 9, at(600));
+    assertEquals("longer", crowd.whoGoes());
+    crowd.one("once", 1, at(990));
+    crowd.one("once before", 1, at(980));
+    assertEquals("once before", crowd.whoGoes());
+    crowd.one("silent", 0, at(999));
+    crowd.one("silent later", 0, null);
+    assertEquals("silent", crowd.whoGoes());
+  }
 }
--- a/gateway/src/test/java/weldcross/terms/PartTermsTest.java
+++ b/gateway/src/test/java/weldcross/terms/PartTermsTest.java
@@ -15,7 +15,8 @@
 
 class PartTermsTest {
 
-    private static final String TEXT = """
+  private static final String TEXT =
+      """
             directory = "var/n0"
 
             [link]
@@ -32,45 +33,50 @@
             call = "127.0.0.1:7002"
             """;
 
-    @TempDir
-    private Path folder;
-
-    private PartTerms read(String text) throws IOException {
-        Path file = folder.resolve("parts.toml");
-        Files.writeString(file, text);
-        return PartTerms.read(file.toString(), GatewayTerms.read("deploy/example.json"));
-    }
-
-    @Test
-    void readsALinkWithItsPeersInTheirOrder() throws IOException {
-        PartTerms terms = read(TEXT);
-        assertEquals(new PeerName("n0"), terms.link().self());
-        assertEquals("[n1, n2]", terms.link().peers().toString());
-        assertEquals(7002, terms.places().calls().get(new PeerName("n2")).getPort());
-        assertEquals(600, terms.link().stalledAfter().toMillis());
-    }
-
-    @Test
-    void withoutATableItsPartDoesNotJoin() throws IOException {
-        assertNull(read("directory = 'var'").link());
-    }
-
-    @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
+  @TempDir private Path folder;
+
+  private PartTerms read(String text) throws IOException {
+    Path file = folder.resolve("parts.toml");
+    Files.writeString(file, text);
+    return PartTerms.read(file.toString(), GatewayTerms.read("deploy/example.json"));
+  }
+
+  @Test
+  void readsALinkWithItsPeersInTheirOrder() throws IOException {
+    PartTerms terms = read(TEXT);
+    assertEquals(new PeerName("n0"), terms.link().self());
+    assertEquals("[n1, n2]", terms.link().peers().toString());
+    assertEquals(7002, terms.places().calls().get(new PeerName("n2")).getPort());
+    assertEquals(600, terms.link().stalledAfter().toMillis());
+  }
+
+  @Test
+  void withoutATableItsPartDoesNotJoin() throws IOException {
+    assertNull(read("directory = 'var'").link());
+  }
+
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      value = {
         "beat_ms = 100 | beat_ms = 5 | link.beat_ms (line 6): found '5', allowed is a number from 10 on",
         "cluster = \"here\" | colour = 1 | link.colour (line 4): found a key that nobody reads",
         "7002\" | 7002x\" | link.peers.1.call (line 14): found '127.0.0.1:7002x', allowed is an address",
         "\"n2\" | \"n1\" | link.peers.1.name (line 13): found 'n1', allowed is a name that no other gateway has",
         "name = \"n2\" | nome = \"n2\" | link.peers.1.nome (line 13): found a key that nobody reads",
         "directory = | directory | (line 1)",
-        "beat_ms = 100 | stalled_after_ms = 100 | link.stalled_after_ms (line 6): found '100', allowed is at least"})
-    void aFaultNamesItsKeyAndLine(String from, String to, String said) {
-        String message = assertThrows(FaultyTerm.class, () -> read(TEXT.replace(from, to))).getMessage();
-        assertEquals(true, message.contains(said), message);
-    }
-
-    private static final String AGREED = TEXT.replace("7001\"", "7001\"\ntell = \"127.0.0.1:7001\"")
-            .replace("7002\"", "7002\"\ntell = \"127.0.0.1:7002\"") + """
+        "beat_ms = 100 | stalled_after_ms = 100 | link.stalled_after_ms (line 6): found '100', allowed is at least"
+      })
+  void aFaultNamesItsKeyAndLine(String from, String to, String said) {
+    String message =
+        assertThrows(FaultyTerm.class, () -> read(TEXT.replace(from, to))).getMessage();
+    assertEquals(true, message.contains(said), message);
+  }
+
+  private static final String AGREED =
+      TEXT.replace("7001\"", "7001\"\ntell = \"127.0.0.1:7001\"")
+              .replace("7002\"", "7002\"\ntell = \"127.0.0.1:7002\"")
+          + """
 
             [membership]
             part = 300
@@ -83,27 +89,31 @@
             listen = "127.0.0.1:7100"
             """;
 
-    @Test
-    void readsWhoVotesInOneOrderEverywhere() throws IOException {
-        PartTerms terms = read(AGREED);
-        assertEquals("here/n0,n1,n2", terms.agreement().group());
-        assertEquals(true, terms.agreement().isVoter());
-        assertEquals(300, terms.agreement().part());
-        assertEquals(3, terms.agreement().silence().toSeconds());
-        assertEquals(7100, terms.control().getPort());
-    }
-
-    @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
+  @Test
+  void readsWhoVotesInOneOrderEverywhere() throws IOException {
+    PartTerms terms = read(AGREED);
+    assertEquals("here/n0,n1,n2", terms.agreement().group());
+    assertEquals(true, terms.agreement().isVoter());
+    assertEquals(300, terms.agreement().part());
+    assertEquals(3, terms.agreement().silence().toSeconds());
+    assertEquals(7100, terms.control().getPort());
+  }
+
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      value = {
         "\"n2\", \"n0\", | \"n2\", | agreement.voters (line 22): found 'n2,n1', allowed is 1, 3, 5 or 7",
         "\"n0\", \"n1\"] | \"n0\", \"n9\"] | allowed is this gateway and those of link.peers, each once",
         "silence_s = 3 | silence_s = 0 | agreement.silence_s (line 23): found '0'",
         "silence_s = 3 | heartbeat_s = 2 | agreement.silence_s",
         "part = 300 | | agreement.voters (line 22): found 'n2,n0,n1', allowed is only with a [membership]",
-        "127.0.0.1:7100 | 10.0.0.1:7100 | control.listen (line 26): found '10.0.0.1:7100', allowed is an address of the"})
-    void aFaultOfTheAgreementNamesItsKey(String from, String to, String said) {
-        String message = assertThrows(FaultyTerm.class, () -> read(AGREED.replace(from, to == null ? "" : to)))
-                .getMessage();
-        assertEquals(true, message.contains(said), message);
-    }
+        "127.0.0.1:7100 | 10.0.0.1:7100 | control.listen (line 26): found '10.0.0.1:7100', allowed is an address of the"
+      })
+  void aFaultOfTheAgreementNamesItsKey(String from, String to, String said) {
+    String message =
+        assertThrows(FaultyTerm.class, () -> read(AGREED.replace(from, to == null ? "" : to)))
+            .getMessage();
+    assertEquals(true, message.contains(said), message);
+  }
 }
--- a/gateway/src/test/java/weldcross/terms/TermsTest.java
+++ b/gateway/src/test/java/weldcross/terms/TermsTest.java
@@ -22,32 +22,34 @@
 
 class TermsTest {
 
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    @Test
-    void jsonAndTheWiresKeysGiveTheSameTerms() throws IOException {
-        ServiceTerms fromJson = GatewayTerms.of(NamedValues.ofJson(example()
-                .getBytes(StandardCharsets.UTF_8)))
-                .service();
-        String wire = "INIT 3 17 nInstances=1 myZone=0 discovery=pushed categories.count=2 "
-                + "categories.0.effect=idempotent "
-                + "categories.0.target=300000 categories.0.worth=1 categories.0.lateWorth=0.2 "
-                + "categories.1.effect=at_most_once categories.1.target=600000 categories.1.worth=3.0 "
-                + "categories.1.lateWorth=0.5 familyInfo.freshness=session,write familyInfo.lagAllowed=0,0 "
-                + "familyInfo.tokenMode=remembered bounds.tryLimit=10 bounds.cancel=1 bounds.mayProbe=true "
-                + "bounds.parallelTries=true bounds.retryAfter=true bounds.maxRetryAfter=500000 "
-                + "invariants.mustAskIn=10000000 invariants.coldFrom=0.3 invariants.cold=17000000 "
-                + "invariants.fallMultiple=2 invariants.fall=1000000";
-        assertEquals(fromJson, TermsReader.service(NamedValues.ofPairs(wire.split(" "), 3)));
-        assertEquals(List.of(Need.SESSION, Need.WRITE), fromJson.methods().stream().map(m -> m.need())
-                .toList());
-        assertEquals(Effect.NON_IDEMPOTENT, fromJson.methods().get(1).effect());
-        assertEquals(Duration.ofMillis(500), fromJson.longestComeBack());
-    }
+  @Test
+  void jsonAndTheWiresKeysGiveTheSameTerms() throws IOException {
+    ServiceTerms fromJson =
+        GatewayTerms.of(NamedValues.ofJson(example().getBytes(StandardCharsets.UTF_8))).service();
+    String wire =
+        "INIT 3 17 nInstances=1 myZone=0 discovery=pushed categories.count=2 "
+            + "categories.0.effect=idempotent "
+            + "categories.0.target=300000 categories.0.worth=1 categories.0.lateWorth=0.2 "
+            + "categories.1.effect=at_most_once categories.1.target=600000 categories.1.worth=3.0 "
+            + "categories.1.lateWorth=0.5 familyInfo.freshness=session,write familyInfo.lagAllowed=0,0 "
+            + "familyInfo.tokenMode=remembered bounds.tryLimit=10 bounds.cancel=1 bounds.mayProbe=true "
+            + "bounds.parallelTries=true bounds.retryAfter=true bounds.maxRetryAfter=500000 "
+            + "invariants.mustAskIn=10000000 invariants.coldFrom=0.3 invariants.cold=17000000 "
+            + "invariants.fallMultiple=2 invariants.fall=1000000";
+    assertEquals(fromJson, TermsReader.service(NamedValues.ofPairs(wire.split(" "), 3)));
+    assertEquals(
+        List.of(Need.SESSION, Need.WRITE), fromJson.methods().stream().map(m -> m.need()).toList());
+    assertEquals(Effect.NON_IDEMPOTENT, fromJson.methods().get(1).effect());
+    assertEquals(Duration.ofMillis(500), fromJson.longestComeBack());
+  }
 
-    @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      quoteCharacter = '`',
+      value = {
         "\"name\": \"n0\",||name: found nothing",
         "127.0.0.1:6543|127.0.0.1|listen: found '127.0.0.1'",
         "127.0.0.1:8500|discovery.example:8500|discovery: found 'discovery.example:8500'",
@@ -56,10 +58,10 @@
         "\"tryLimit\": 10|\"tryLimit\": \"ten\"|settings.bounds.tryLimit: found 'ten', allowed is a number",
         "\"tryLimit\": 10|\"tryLimit\": 0|settings.bounds.tryLimit: found '0', allowed is a number from 1 on",
         "\"cancel\": true|\"cancel\": \"perhaps\"|settings.bounds.cancel: found 'perhaps', allowed is "
-        + "true or false",
+            + "true or false",
         "\"idleClose\": 30000000|\"idleClose\": -1|settings.bounds.idleClose: found '-1'",
         "\"session\", \"write\"|\"session\", \"eventual\"|settings.familyInfo.freshness: found 'session,"
-        + "eventual'",
+            + "eventual'",
         "[0, 0]|[0, \"x\"]|settings.familyInfo.lagAllowed: found '0,x'",
         "remembered|forgotten|settings.familyInfo.tokenMode: found 'forgotten'",
         "at_most_once|sometimes|settings.categories.1.effect: found 'sometimes'",
@@ -68,45 +70,54 @@
         "\"categories\"|\"methods\"|settings.categories: found nothing, allowed is a list of methods",
         "\"source\": \"probe\"|\"source\": \"rumour\"|settings.report.source: found 'rumour'",
         "\"pushed\"|\"shouted\"|settings.discovery: found 'shouted'",
-        "{\"name\": \"acme\"}|{\"label\": \"acme\"}|settings.tenants.0.name: found nothing"})
-    void aFaultyKeyIsNamedAsWritten(String part, String instead, String message) throws IOException {
-        String text = example();
-        assertTrue(text.contains(part), "no such part: " + part);
-        byte[] faulty = text.replace(part, instead == null ? "" : instead).getBytes(StandardCharsets.UTF_8);
-        FaultyTerm fault = assertThrows(FaultyTerm.class, () -> GatewayTerms.of(NamedValues.ofJson(faulty)));
-        assertTrue(fault.getMessage().startsWith(message), fault.getMessage());
-    }
+        "{\"name\": \"acme\"}|{\"label\": \"acme\"}|settings.tenants.0.name: found nothing"
+      })
+  void aFaultyKeyIsNamedAsWritten(String part, String instead, String message) throws IOException {
+    String text = example();
+    assertTrue(text.contains(part), "no such part: " + part);
+    byte[] faulty =
+        text.replace(part, instead == null ? "" : instead).getBytes(StandardCharsets.UTF_8);
+    FaultyTerm fault =
+        assertThrows(FaultyTerm.class, () -> GatewayTerms.of(NamedValues.ofJson(faulty)));
+    assertTrue(fault.getMessage().startsWith(message), fault.getMessage());
+  }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"", "[]", "{\"a\":", "{} {}", "{'a': 1}", "nonsense"})
-    void whatIsNoJsonObjectIsToldSo(String text) {
-        FaultyTerm fault = assertThrows(FaultyTerm.class,
-                () -> NamedValues.ofJson(text.getBytes(StandardCharsets.UTF_8)));
-        assertTrue(fault.getMessage().startsWith("not "), fault.getMessage());
-    }
+  @ParameterizedTest
+  @ValueSource(strings = {"", "[]", "{\"a\":", "{} {}", "{'a': 1}", "nonsense"})
+  void whatIsNoJsonObjectIsToldSo(String text) {
+    FaultyTerm fault =
+        assertThrows(
+            FaultyTerm.class, () -> NamedValues.ofJson(text.getBytes(StandardCharsets.UTF_8)));
+    assertTrue(fault.getMessage().startsWith("not "), fault.getMessage());
+  }
 
-    @Test
-    void theFileComesFromTheEnvironmentWhichStandsInForAbsentKeys() throws IOException {
-        Path file = folder.resolve("config.json");
-        Files.writeString(file, example().replace("\"name\": \"n0\",", ""));
-        assertEquals("n7", GatewayTerms.read(Map.of("NODE_CONFIG", file.toString(), "NODE_NAME", "n7"))
-                .name());
-        for (String path : List.of("", folder.resolve("absent").toString(), folder.toString())) {
-            FaultyTerm fault = assertThrows(FaultyTerm.class, () -> GatewayTerms.read(Map.of("NODE_CONFIG",
-                    path)));
-            assertTrue(fault.getMessage().startsWith("NODE_CONFIG: found "), fault.getMessage());
-        }
+  @Test
+  void theFileComesFromTheEnvironmentWhichStandsInForAbsentKeys() throws IOException {
+    Path file = folder.resolve("config.json");
+    Files.writeString(file, example().replace("\"name\": \"n0\",", ""));
+    assertEquals(
+        "n7", GatewayTerms.read(Map.of("NODE_CONFIG", file.toString(), "NODE_NAME", "n7")).name());
+    for (String path : List.of("", folder.resolve("absent").toString(), folder.toString())) {
+      FaultyTerm fault =
+          assertThrows(FaultyTerm.class, () -> GatewayTerms.read(Map.of("NODE_CONFIG", path)));
+      assertTrue(fault.getMessage().startsWith("NODE_CONFIG: found "), fault.getMessage());
     }
+  }
 
-    @Test
-    void unknownFurtherKeysAreAllowed() throws IOException {
-        String more = example().replace("\"nInstances\"",
-                "\"colour\": {\"of\": [1, null, {\"x\": []}]}, \"nInstances\"");
-        assertEquals(2, GatewayTerms.of(NamedValues.ofJson(more.getBytes(StandardCharsets.UTF_8))).methods()
-                .size());
-    }
+  @Test
+  void unknownFurtherKeysAreAllowed() throws IOException {
+    String more =
+        example()
+            .replace(
+                "\"nInstances\"", "\"colour\": {\"of\": [1, null, {\"x\": []}]}, \"nInstances\"");
+    assertEquals(
+        2,
+        GatewayTerms.of(NamedValues.ofJson(more.getBytes(StandardCharsets.UTF_8)))
+            .methods()
+            .size());
+  }
 
-    private static String example() throws IOException {
-        return Files.readString(Path.of("deploy/example.json"));
-    }
+  private static String example() throws IOException {
+    return Files.readString(Path.of("deploy/example.json"));
+  }
 }
--- a/trials/src/main/java/weldcross/trials/Main.java
+++ b/trials/src/main/java/weldcross/trials/Main.java
@@ -23,143 +23,199 @@
 import weldcross.trials.scenario.Scenario;
 
 /** The command line of the trial ground. */
-@Command(name = "weldcross-trials", mixinStandardHelpOptions = true, subcommands = {Main.Run.class, Main.ListAll.class,
-    Main.Again.class}, description = "Plays scenarios on real gateway processes and judges them by the servers' record.",
-        synopsisSubcommandLabel = "COMMAND")
+@Command(
+    name = "weldcross-trials",
+    mixinStandardHelpOptions = true,
+    subcommands = {Main.Run.class, Main.ListAll.class, Main.Again.class},
+    description =
+        "Plays scenarios on real gateway processes and judges them by the servers' record.",
+    synopsisSubcommandLabel = "COMMAND")
 public final class Main implements Runnable {
 
-    /** Clean; a rule was broken; the command line or a scenario cannot be used; the trial could not be played. */
-    static final int CLEAN = 0, BREACH = 1, USAGE = 2, BROKEN = 70;
-    /** The first breaches are told whole. */
-    private static final int TOLD = 5;
+  /**
+   * Clean; a rule was broken; the command line or a scenario cannot be used; the trial could not be
+   * played.
+   */
+  static final int CLEAN = 0, BREACH = 1, USAGE = 2, BROKEN = 70;
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+  /** The first breaches are told whole. */
+  private static final int TOLD = 5;
 
-    public static void main(String[] args) {
-        System.exit(run(args));
-    }
+  @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
+
+  public static void main(String[] args) {
+    System.exit(run(args));
+  }
 
-    static int run(String... args) {
-        return new CommandLine(new Main()).setExecutionExceptionHandler((fault, line, parsed) -> {
-            if (fault instanceof FaultyTerm) {
+  static int run(String... args) {
+    return new CommandLine(new Main())
+        .setExecutionExceptionHandler(
+            (fault, line, parsed) -> {
+              if (fault instanceof FaultyTerm) {
                 line.getErr().println("weldcross-trials: " + fault.getMessage());
                 return USAGE;
-            }
-            fault.printStackTrace(line.getErr());
-            return BROKEN;
-        }).execute(args);
-    }
+              }
+              fault.printStackTrace(line.getErr());
+              return BROKEN;
+            })
+        .execute(args);
+  }
+
+  @Override
+  public void run() {
+    throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
+  }
+
+  @Command(
+      name = "run",
+      mixinStandardHelpOptions = true,
+      description = "Plays a scenario; ends with 1 at a breach.")
+  static final class Run implements Callable<Integer> {
+
+    @Parameters(
+        arity = "1",
+        paramLabel = "SCENARIO",
+        description = "A TOML file, or a schedule written by a trial.")
+    private String file;
+
+    @Option(
+        names = "--seed",
+        defaultValue = "1",
+        description = "Of the first play (default: ${DEFAULT-VALUE}).")
+    private long seed;
+
+    @Option(names = "--times", defaultValue = "1", description = "Plays, each with the next seed.")
+    private int times;
+
+    @Option(names = "--seconds", description = "In place of the scenario's.")
+    private Integer seconds;
+
+    @Option(
+        names = "--out",
+        defaultValue = "target/trials",
+        description = "Where trials leave their directories.")
+    private Path out;
+
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
-    public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
+    public Integer call() throws IOException, InterruptedException {
+      Scenario read = Scenario.read(file);
+      Scenario scenario = seconds == null ? read : read.lasting(Duration.ofSeconds(seconds));
+      int status = CLEAN;
+      for (long next = seed; next < seed + times; next++) {
+        Path directory =
+            out.resolve(
+                scenario.name()
+                    + "-"
+                    + next
+                    + "-"
+                    + LocalDateTime.now().format(DateTimeFormatter.ofPattern("yyyyMMdd'T'HHmmss")));
+        status = Math.max(status, one(scenario, next, directory));
+      }
+      return status;
     }
 
-    @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays a scenario; ends with 1 at a breach.")
-    static final class Run implements Callable<Integer> {
-
-        @Parameters(arity = "1", paramLabel = "SCENARIO", description = "A TOML file, or a schedule written by a trial.")
-        private String file;
-
-        @Option(names = "--seed", defaultValue = "1", description = "Of the first play (default: ${DEFAULT-VALUE}).")
-        private long seed;
-
-        @Option(names = "--times", defaultValue = "1", description = "Plays, each with the next seed.")
-        private int times;
-
-        @Option(names = "--seconds", description = "In place of the scenario's.")
-        private Integer seconds;
+    private int one(Scenario scenario, long next, Path directory)
+        throws IOException, InterruptedException {
+      java.io.PrintWriter told = spec.commandLine().getOut();
+      told.println(scenario.name() + ", seed " + next + ": " + directory);
+      Trial.Outcome trial;
+      try (ProgressBar bar =
+          new ProgressBarBuilder()
+              .setTaskName("plays")
+              .setUnit(" s", 1)
+              .setStyle(ProgressBarStyle.ASCII)
+              .setInitialMax(scenario.lasting().toSeconds())
+              .setUpdateIntervalMillis(1000)
+              .build()) {
+        trial = Trial.play(scenario, next, directory, bar::stepTo);
+      }
+      Report.keep(trial, directory);
+      told.println(new Figures(trial).inWords());
+      trial.ready().forEach(told::println);
+      tell(trial, directory, told);
+      told.println("report: " + Report.write(trial, directory));
+      told.flush();
+      return trial.isClean() ? CLEAN : BREACH;
+    }
+  }
+
+  private static void tell(Trial.Outcome trial, Path directory, java.io.PrintWriter told)
+      throws IOException {
+    List<Audit.Breach> all = trial.breaches();
+    told.println(all.isEmpty() ? "no rule broken" : all.size() + " BREACHES");
+    for (Audit.Breach each : all.subList(0, Math.min(TOLD, all.size()))) {
+      told.println(
+          each.rule().words
+              + ": "
+              + each.rpc()
+              + " at "
+              + each.at() / 1_000_000
+              + " ms, "
+              + each.what());
+      Trial.lines(directory, each.rpc()).forEach(l -> told.println("    " + l));
+    }
+  }
 
-        @Option(names = "--out", defaultValue = "target/trials", description = "Where trials leave their directories.")
-        private Path out;
+  @Command(
+      name = "list",
+      mixinStandardHelpOptions = true,
+      description = "Lists the scenarios of a directory.")
+  static final class ListAll implements Callable<Integer> {
 
-        @CommandLine.Spec
-        private CommandLine.Model.CommandSpec spec;
+    @Parameters(arity = "0..1", defaultValue = "trials/scenarios", paramLabel = "DIRECTORY")
+    private Path directory;
 
-        @Override
-        public Integer call() throws IOException, InterruptedException {
-            Scenario read = Scenario.read(file);
-            Scenario scenario = seconds == null ? read : read.lasting(Duration.ofSeconds(seconds));
-            int status = CLEAN;
-            for (long next = seed; next < seed + times; next++) {
-                Path directory = out.resolve(scenario.name() + "-" + next + "-" + LocalDateTime.now()
-                        .format(DateTimeFormatter.ofPattern("yyyyMMdd'T'HHmmss")));
-                status = Math.max(status, one(scenario, next, directory));
-            }
-            return status;
-        }
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-        private int one(Scenario scenario, long next, Path directory) throws IOException, InterruptedException {
-            java.io.PrintWriter told = spec.commandLine().getOut();
-            told.println(scenario.name() + ", seed " + next + ": " + directory);
-            Trial.Outcome trial;
-            try (ProgressBar bar = new ProgressBarBuilder().setTaskName("plays").setUnit(" s", 1)
-                    .setStyle(ProgressBarStyle.ASCII).setInitialMax(scenario.lasting().toSeconds())
-                    .setUpdateIntervalMillis(1000).build()) {
-                trial = Trial.play(scenario, next, directory, bar::stepTo);
-            }
-            Report.keep(trial, directory);
-            told.println(new Figures(trial).inWords());
-            trial.ready().forEach(told::println);
-            tell(trial, directory, told);
-            told.println("report: " + Report.write(trial, directory));
-            told.flush();
-            return trial.isClean() ? CLEAN : BREACH;
+    @Override
+    public Integer call() throws IOException {
+      try (Stream<Path> all = Files.list(directory)) {
+        for (Path each : all.filter(p -> p.toString().endsWith(".toml")).sorted().toList()) {
+          Scenario s = Scenario.read(each.toString());
+          spec.commandLine()
+              .getOut()
+              .printf(
+                  "%-44s %4d s, %d gateways, %d servers, %d RPCs a second: %s%n",
+                  each,
+                  s.lasting().toSeconds(),
+                  s.gateways(),
+                  s.groups() * s.serversPerGroup(),
+                  s.rate(),
+                  s.about());
         }
+      }
+      return CLEAN;
     }
+  }
 
-    private static void tell(Trial.Outcome trial, Path directory, java.io.PrintWriter told) throws IOException {
-        List<Audit.Breach> all = trial.breaches();
-        told.println(all.isEmpty() ? "no rule broken" : all.size() + " BREACHES");
-        for (Audit.Breach each : all.subList(0, Math.min(TOLD, all.size()))) {
-            told.println(each.rule().words + ": " + each.rpc() + " at " + each.at() / 1_000_000 + " ms, " + each.what());
-            Trial.lines(directory, each.rpc()).forEach(l -> told.println("    " + l));
-        }
-    }
+  @Command(
+      name = "report",
+      mixinStandardHelpOptions = true,
+      description = "Judges the evidence of a trial again and makes its page anew.")
+  static final class Again implements Callable<Integer> {
 
-    @Command(name = "list", mixinStandardHelpOptions = true, description = "Lists the scenarios of a directory.")
-    static final class ListAll implements Callable<Integer> {
-
-        @Parameters(arity = "0..1", defaultValue = "trials/scenarios", paramLabel = "DIRECTORY")
-        private Path directory;
-
-        @CommandLine.Spec
-        private CommandLine.Model.CommandSpec spec;
-
-        @Override
-        public Integer call() throws IOException {
-            try (Stream<Path> all = Files.list(directory)) {
-                for (Path each : all.filter(p -> p.toString().endsWith(".toml")).sorted().toList()) {
-                    Scenario s = Scenario.read(each.toString());
-                    spec.commandLine().getOut().printf("%-44s %4d s, %d gateways, %d servers, %d RPCs a second: %s%n",
-                            each, s.lasting().toSeconds(), s.gateways(), s.groups() * s.serversPerGroup(), s.rate(),
-                            s.about());
-                }
-            }
-            return CLEAN;
-        }
-    }
+    @Parameters(arity = "1", paramLabel = "DIRECTORY", description = "Of a trial.")
+    private Path directory;
 
-    @Command(name = "report", mixinStandardHelpOptions = true,
-            description = "Judges the evidence of a trial again and makes its page anew.")
-    static final class Again implements Callable<Integer> {
-
-        @Parameters(arity = "1", paramLabel = "DIRECTORY", description = "Of a trial.")
-        private Path directory;
-
-        @CommandLine.Spec
-        private CommandLine.Model.CommandSpec spec;
-
-        @Override
-        public Integer call() throws IOException {
-            Trial.Outcome kept = Report.kept(directory);
-            Trial.Outcome trial = new Trial.Outcome(kept.played(), kept.seed(), kept.evidence(),
-                    Audit.of(kept.evidence()), kept.ready(), kept.where());
-            spec.commandLine().getOut().println(new Figures(trial).inWords());
-            tell(trial, directory, spec.commandLine().getOut());
-            spec.commandLine().getOut().println("report: " + Report.write(trial, directory));
-            return trial.isClean() ? CLEAN : BREACH;
-        }
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
+
+    @Override
+    public Integer call() throws IOException {
+      Trial.Outcome kept = Report.kept(directory);
+      Trial.Outcome trial =
+          new Trial.Outcome(
+              kept.played(),
+              kept.seed(),
+              kept.evidence(),
+              Audit.of(kept.evidence()),
+              kept.ready(),
+              kept.where());
+      spec.commandLine().getOut().println(new Figures(trial).inWords());
+      tell(trial, directory, spec.commandLine().getOut());
+      spec.commandLine().getOut().println("report: " + Report.write(trial, directory));
+      return trial.isClean() ? CLEAN : BREACH;
     }
+  }
 }
--- a/trials/src/main/java/weldcross/trials/inside/LyingDisk.java
+++ b/trials/src/main/java/weldcross/trials/inside/LyingDisk.java
@@ -17,8 +17,8 @@
 import weldcross.storage.PlainDisk;
 
 /**
- * Within a gateway of a trial: a disk that keeps what is not forced in the process's memory, so that a kill loses
- * it, and that does wrong what a file of words tells at the moment of each call:
+ * Within a gateway of a trial: a disk that keeps what is not forced in the process's memory, so
+ * that a kill loses it, and that does wrong what a file of words tells at the moment of each call:
  *
  * <pre>
  * lie        a force says yes and does nothing
@@ -33,224 +33,230 @@
  */
 public final class LyingDisk implements Disk {
 
-    /** The path of the file of words; without it the disk is honest. */
-    public static final String WORDS = "weldcross.trials.disk";
-    private static final int ASIDE = 16;
+  /** The path of the file of words; without it the disk is honest. */
+  public static final String WORDS = "weldcross.trials.disk";
 
-    /** Takes the place of the plain disk. */
-    public static final class Maker implements Disk.Maker {
+  private static final int ASIDE = 16;
 
-        @Override
-        public int rank() {
-            return 10;
-        }
+  /** Takes the place of the plain disk. */
+  public static final class Maker implements Disk.Maker {
 
-        @Override
-        public Disk open(Path directory) throws IOException {
-            return new LyingDisk(new PlainDisk.Plain().open(directory), System.getProperty(WORDS));
-        }
+    @Override
+    public int rank() {
+      return 10;
     }
 
-    private final Disk real;
-    private final Path words;
-    private final SplittableRandom dice = new SplittableRandom(7);
-    /** Names as this process sees them, each with the file that holds it. */
-    private final Map<String, Kept> seen = new HashMap<>();
-    /** Names that the real disk has under another or that are gone here, until names are forced. */
-    private final Set<String> unforced = new HashSet<>();
-
-    LyingDisk(Disk real, String words) throws IOException {
-        this.real = real;
-        this.words = words == null ? null : Path.of(words);
-        for (String name : real.names()) {
-            seen.put(name, new Kept(name));
-        }
+    @Override
+    public Disk open(Path directory) throws IOException {
+      return new LyingDisk(new PlainDisk.Plain().open(directory), System.getProperty(WORDS));
     }
+  }
 
-    private Set<String> told() {
-        try {
-            return words == null || !Files.exists(words) ? Set.of()
-                    : Set.copyOf(Arrays.asList(Files.readString(words).strip().split("\\s+")));
-        } catch (IOException e) {
-            return Set.of();
-        }
-    }
+  private final Disk real;
+  private final Path words;
+  private final SplittableRandom dice = new SplittableRandom(7);
 
-    private void obey(Set<String> told) throws IOException {
-        for (String word : told) {
-            if (word.startsWith("slow=")) {
-                LockSupport.parkNanos(Long.parseLong(word.substring(5)) * 1_000_000);
-            }
-        }
-        while (told().contains("stuck")) {
-            LockSupport.parkNanos(5_000_000);
-        }
-        if (told.contains("fail")) {
-            throw new IOException("told to fail");
-        }
-    }
+  /** Names as this process sees them, each with the file that holds it. */
+  private final Map<String, Kept> seen = new HashMap<>();
 
-    @Override
-    public SortedSet<String> names() {
-        return new TreeSet<>(seen.keySet());
-    }
+  /** Names that the real disk has under another or that are gone here, until names are forced. */
+  private final Set<String> unforced = new HashSet<>();
 
-    @Override
-    public File open(String name) throws IOException {
-        Kept kept = seen.get(name);
-        if (kept == null) {
-            kept = new Kept(name);
-            seen.put(name, kept);
-            unforced.add(name);
-        }
-        kept.load();
-        return new Handle(kept);
+  LyingDisk(Disk real, String words) throws IOException {
+    this.real = real;
+    this.words = words == null ? null : Path.of(words);
+    for (String name : real.names()) {
+      seen.put(name, new Kept(name));
     }
+  }
 
-    @Override
-    public void rename(String from, String to) {
-        Kept kept = seen.remove(from);
-        kept.name = to;
-        seen.put(to, kept);
-        unforced.add(from);
-        unforced.add(to);
+  private Set<String> told() {
+    try {
+      return words == null || !Files.exists(words)
+          ? Set.of()
+          : Set.copyOf(Arrays.asList(Files.readString(words).strip().split("\\s+")));
+    } catch (IOException e) {
+      return Set.of();
     }
+  }
 
-    @Override
-    public void delete(String name) {
-        seen.remove(name);
-        unforced.add(name);
+  private void obey(Set<String> told) throws IOException {
+    for (String word : told) {
+      if (word.startsWith("slow=")) {
+        LockSupport.parkNanos(Long.parseLong(word.substring(5)) * 1_000_000);
+      }
+    }
+    while (told().contains("stuck")) {
+      LockSupport.parkNanos(5_000_000);
     }
+    if (told.contains("fail")) {
+      throw new IOException("told to fail");
+    }
+  }
 
-    /** Names and what is sure of their files reach the real disk together, or not at all where it lies. */
-    @Override
-    public void forceNames() throws IOException {
-        Set<String> told = told();
-        obey(told);
-        if (told.contains("lie")) {
-            return;
-        }
-        for (String name : unforced) {
-            Kept kept = seen.get(name);
-            if (kept != null) {
-                kept.place(name, told);
-            } else if (real.names().contains(name)) {
-                real.delete(name);
-            }
-        }
-        unforced.clear();
-        real.forceNames();
+  @Override
+  public SortedSet<String> names() {
+    return new TreeSet<>(seen.keySet());
+  }
+
+  @Override
+  public File open(String name) throws IOException {
+    Kept kept = seen.get(name);
+    if (kept == null) {
+      kept = new Kept(name);
+      seen.put(name, kept);
+      unforced.add(name);
     }
+    kept.load();
+    return new Handle(kept);
+  }
 
-    @Override
-    public void close() throws IOException {
-        real.close();
+  @Override
+  public void rename(String from, String to) {
+    Kept kept = seen.remove(from);
+    kept.name = to;
+    seen.put(to, kept);
+    unforced.add(from);
+    unforced.add(to);
+  }
+
+  @Override
+  public void delete(String name) {
+    seen.remove(name);
+    unforced.add(name);
+  }
+
+  /**
+   * Names and what is sure of their files reach the real disk together, or not at all where it
+   * lies.
+   */
+  @Override
+  public void forceNames() throws IOException {
+    Set<String> told = told();
+    obey(told);
+    if (told.contains("lie")) {
+      return;
+    }
+    for (String name : unforced) {
+      Kept kept = seen.get(name);
+      if (kept != null) {
+        kept.place(name, told);
+      } else if (real.names().contains(name)) {
+        real.delete(name);
+      }
     }
+    unforced.clear();
+    real.forceNames();
+  }
 
-    /** One file: as the process sees it, and as it was when last forced. */
-    private final class Kept {
-        String name;
-        byte[] now;
-        byte[] sure;
+  @Override
+  public void close() throws IOException {
+    real.close();
+  }
 
-        Kept(String name) {
-            this.name = name;
-        }
+  /** One file: as the process sees it, and as it was when last forced. */
+  private final class Kept {
+    String name;
+    byte[] now;
+    byte[] sure;
 
-        void load() throws IOException {
-            if (now == null) {
-                now = new byte[0];
-                if (real.names().contains(name)) {
-                    try (File file = real.open(name)) {
-                        ByteBuffer all = ByteBuffer.allocate((int) file.size());
-                        file.read(0, all);
-                        now = all.array();
-                    }
-                }
-                sure = now.clone();
-            }
-        }
+    Kept(String name) {
+      this.name = name;
+    }
 
-        void force() throws IOException {
-            Set<String> told = told();
-            obey(told);
-            if (told.contains("lie")) {
-                return;
-            }
-            sure = now.clone();
-            if (!unforced.contains(name)) {
-                place(name, told);
-            }
+    void load() throws IOException {
+      if (now == null) {
+        now = new byte[0];
+        if (real.names().contains(name)) {
+          try (File file = real.open(name)) {
+            ByteBuffer all = ByteBuffer.allocate((int) file.size());
+            file.read(0, all);
+            now = all.array();
+          }
         }
+        sure = now.clone();
+      }
+    }
 
-        void place(String where, Set<String> told) throws IOException {
-            if (sure == null) {
-                return;
-            }
-            try (File file = real.open(where)) {
-                boolean torn = told.contains("torn");
-                int from = told.contains("misdirect") ? Math.min(ASIDE, sure.length) : 0;
-                int count = torn ? (sure.length + before(file)) / 2 : sure.length - from;
-                file.truncate(sure.length);
-                file.write(from, ByteBuffer.wrap(sure, 0, Math.min(count, sure.length)).slice());
-                file.force();
-                while (torn) {
-                    LockSupport.parkNanos(5_000_000);
-                }
-            }
-        }
+    void force() throws IOException {
+      Set<String> told = told();
+      obey(told);
+      if (told.contains("lie")) {
+        return;
+      }
+      sure = now.clone();
+      if (!unforced.contains(name)) {
+        place(name, told);
+      }
+    }
 
-        private int before(File file) throws IOException {
-            return (int) Math.min(file.size(), sure.length);
+    void place(String where, Set<String> told) throws IOException {
+      if (sure == null) {
+        return;
+      }
+      try (File file = real.open(where)) {
+        boolean torn = told.contains("torn");
+        int from = told.contains("misdirect") ? Math.min(ASIDE, sure.length) : 0;
+        int count = torn ? (sure.length + before(file)) / 2 : sure.length - from;
+        file.truncate(sure.length);
+        file.write(from, ByteBuffer.wrap(sure, 0, Math.min(count, sure.length)).slice());
+        file.force();
+        while (torn) {
+          LockSupport.parkNanos(5_000_000);
         }
+      }
     }
 
-    private final class Handle implements File {
-        private final Kept kept;
+    private int before(File file) throws IOException {
+      return (int) Math.min(file.size(), sure.length);
+    }
+  }
 
-        Handle(Kept kept) {
-            this.kept = kept;
-        }
+  private final class Handle implements File {
+    private final Kept kept;
 
-        @Override
-        public long size() {
-            return kept.now.length;
-        }
+    Handle(Kept kept) {
+      this.kept = kept;
+    }
 
-        @Override
-        public void read(long at, ByteBuffer into) {
-            int count = Math.max(0, Math.min(into.remaining(), kept.now.length - (int) at));
-            int from = into.position();
-            into.put(kept.now, (int) at, count);
-            if (count > 0 && told().contains("flip")) {
-                int where = from + dice.nextInt(count);
-                into.put(where, (byte) (into.get(where) ^ 1 << dice.nextInt(8)));
-            }
-        }
+    @Override
+    public long size() {
+      return kept.now.length;
+    }
 
-        @Override
-        public void write(long at, ByteBuffer from) throws IOException {
-            if (told().contains("full")) {
-                throw new IOException("told to be full");
-            }
-            int count = from.remaining();
-            byte[] grown = Arrays.copyOf(kept.now, Math.max(kept.now.length, (int) at + count));
-            from.get(grown, (int) at, count);
-            kept.now = grown;
-        }
+    @Override
+    public void read(long at, ByteBuffer into) {
+      int count = Math.max(0, Math.min(into.remaining(), kept.now.length - (int) at));
+      int from = into.position();
+      into.put(kept.now, (int) at, count);
+      if (count > 0 && told().contains("flip")) {
+        int where = from + dice.nextInt(count);
+        into.put(where, (byte) (into.get(where) ^ 1 << dice.nextInt(8)));
+      }
+    }
 
-        @Override
-        public void truncate(long size) {
-            kept.now = Arrays.copyOf(kept.now, (int) Math.min(size, kept.now.length));
-        }
+    @Override
+    public void write(long at, ByteBuffer from) throws IOException {
+      if (told().contains("full")) {
+        throw new IOException("told to be full");
+      }
+      int count = from.remaining();
+      byte[] grown = Arrays.copyOf(kept.now, Math.max(kept.now.length, (int) at + count));
+      from.get(grown, (int) at, count);
+      kept.now = grown;
+    }
 
-        @Override
-        public void force() throws IOException {
-            kept.force();
-        }
+    @Override
+    public void truncate(long size) {
+      kept.now = Arrays.copyOf(kept.now, (int) Math.min(size, kept.now.length));
+    }
 
-        @Override
-        public void close() {
-        }
+    @Override
+    public void force() throws IOException {
+      kept.force();
     }
+
+    @Override
+    public void close() {}
+  }
 }
--- a/trials/src/main/java/weldcross/trials/relay/Way.java
+++ b/trials/src/main/java/weldcross/trials/relay/Way.java
@@ -3,33 +3,36 @@
 import java.time.Duration;
 
 /**
- * One direction between two hosts, as packets find it. Set by the thread that plays a scenario, read by the
- * relay's.
+ * One direction between two hosts, as packets find it. Set by the thread that plays a scenario,
+ * read by the relay's.
  *
  * @param held what is sent waits here until the way is free again; nothing is lost
- * @param cut what is sent vanishes, and connections that lived through it are reset when the way is back
+ * @param cut what is sent vanishes, and connections that lived through it are reset when the way is
+ *     back
  * @param delay of everything
- * @param lost share of datagrams that vanish; of a stream's pieces, that come a retransmission later
+ * @param lost share of datagrams that vanish; of a stream's pieces, that come a retransmission
+ *     later
  * @param repeated share of datagrams that come twice
  * @param reordered share of datagrams that are overtaken
  */
-public record Way(boolean held, boolean cut, Duration delay, double lost, double repeated, double reordered) {
+public record Way(
+    boolean held, boolean cut, Duration delay, double lost, double repeated, double reordered) {
 
-    public static final Way FREE = new Way(false, false, Duration.ZERO, 0, 0, 0);
+  public static final Way FREE = new Way(false, false, Duration.ZERO, 0, 0, 0);
 
-    public Way withHeld(boolean on) {
-        return new Way(on, cut, delay, lost, repeated, reordered);
-    }
+  public Way withHeld(boolean on) {
+    return new Way(on, cut, delay, lost, repeated, reordered);
+  }
 
-    public Way withCut(boolean on) {
-        return new Way(held, on, delay, lost, repeated, reordered);
-    }
+  public Way withCut(boolean on) {
+    return new Way(held, on, delay, lost, repeated, reordered);
+  }
 
-    public Way withTrouble(Duration late, double loses, double repeats, double reorders) {
-        return new Way(held, cut, late, loses, repeats, reorders);
-    }
+  public Way withTrouble(Duration late, double loses, double repeats, double reorders) {
+    return new Way(held, cut, late, loses, repeats, reorders);
+  }
 
-    boolean isFree() {
-        return !held && !cut;
-    }
+  boolean isFree() {
+    return !held && !cut;
+  }
 }
--- a/trials/src/main/java/weldcross/trials/scenario/Nemesis.java
+++ b/trials/src/main/java/weldcross/trials/scenario/Nemesis.java
@@ -9,76 +9,103 @@
 /** Draws faults from a stated mix; the same seed draws the same. Pure. */
 public final class Nemesis {
 
-    /** Load comes up before the first fault, and all is healed for so long before the end. */
-    private static final Duration BEFORE = Duration.ofSeconds(3), AFTER = Duration.ofSeconds(6);
-    private static final int SHORTEST = 200, LONGEST = 4000;
+  /** Load comes up before the first fault, and all is healed for so long before the end. */
+  private static final Duration BEFORE = Duration.ofSeconds(3), AFTER = Duration.ofSeconds(6);
 
-    private final SplittableRandom dice;
-    private final Scenario scenario;
+  private static final int SHORTEST = 200, LONGEST = 4000;
 
-    public Nemesis(Scenario scenario, long seed) {
-        this.scenario = scenario;
-        this.dice = new SplittableRandom(seed);
-    }
+  private final SplittableRandom dice;
+  private final Scenario scenario;
 
-    /** What is written and what is drawn, in the order of their times. */
-    public List<Fault> faults() {
-        List<Fault> all = new ArrayList<>(scenario.faults());
-        long span = scenario.lasting().minus(BEFORE).minus(AFTER).toMillis();
-        for (int k = 0; k < scenario.draws() && span > 0; k++) {
-            Fault fault = draw(scenario.drawn().get(dice.nextInt(scenario.drawn().size())),
-                    BEFORE.plusMillis(dice.nextLong(span)), Duration.ofMillis(dice.nextLong(SHORTEST, LONGEST)));
-            // One process at a time has one of its troubles: a paused one cannot be told to stop.
-            if (all.stream().noneMatch(f -> f.kind().isOnGateway() && fault.kind().isOnGateway()
-                    && f.on().equals(fault.on()) && f.at().compareTo(fault.until().plus(AFTER)) < 0
-                    && fault.at().compareTo(f.until().plus(AFTER)) < 0)) {
-                all.add(fault);
-            }
-        }
-        all.sort(Comparator.comparing(Fault::at));
-        return all;
-    }
+  public Nemesis(Scenario scenario, long seed) {
+    this.scenario = scenario;
+    this.dice = new SplittableRandom(seed);
+  }
 
-    private Fault draw(Fault.Kind kind, Duration at, Duration lasting) {
-        String gateway = "n" + dice.nextInt(scenario.gateways());
-        String server = "s" + dice.nextInt(scenario.groups() * scenario.serversPerGroup());
-        return switch (kind) {
-            case KILL -> new Fault(at, lasting, kind, gateway, "", List.of("old", "empty", "earlier")
-                    .get(dice.nextInt(3)));
-            case TERM, PAUSE -> new Fault(at, lasting, kind, gateway, "", "");
-            case CLOCK -> new Fault(at, lasting, kind, gateway, "", dice.nextBoolean() ? "5000" : "-5000");
-            case DISK -> new Fault(at, lasting, kind, gateway, "", List.of("lie", "fail", "full", "slow=500", "stuck")
-                    .get(dice.nextInt(5)));
-            case SPLIT -> new Fault(at, lasting, kind, "", "", sides());
-            case LAG -> new Fault(at, lasting, kind, server, "", Integer.toString(dice.nextInt(500, 3000)));
-            case SERVER_KILL, SERVER_STALL, ANSWERS_LOST -> new Fault(at, lasting, kind, server, "", "");
-            default -> between(kind, at, lasting, gateway, server);
-        };
+  /** What is written and what is drawn, in the order of their times. */
+  public List<Fault> faults() {
+    List<Fault> all = new ArrayList<>(scenario.faults());
+    long span = scenario.lasting().minus(BEFORE).minus(AFTER).toMillis();
+    for (int k = 0; k < scenario.draws() && span > 0; k++) {
+      Fault fault =
+          draw(
+              scenario.drawn().get(dice.nextInt(scenario.drawn().size())),
+              BEFORE.plusMillis(dice.nextLong(span)),
+              Duration.ofMillis(dice.nextLong(SHORTEST, LONGEST)));
+      // One process at a time has one of its troubles: a paused one cannot be told to stop.
+      if (all.stream()
+          .noneMatch(
+              f ->
+                  f.kind().isOnGateway()
+                      && fault.kind().isOnGateway()
+                      && f.on().equals(fault.on())
+                      && f.at().compareTo(fault.until().plus(AFTER)) < 0
+                      && fault.at().compareTo(f.until().plus(AFTER)) < 0)) {
+        all.add(fault);
+      }
     }
+    all.sort(Comparator.comparing(Fault::at));
+    return all;
+  }
 
-    private Fault between(Fault.Kind kind, Duration at, Duration lasting, String gateway, String server) {
-        String to = switch (dice.nextInt(4)) {
-            case 0 -> "clients";
-            case 1 -> other(gateway);
-            default -> server;
+  private Fault draw(Fault.Kind kind, Duration at, Duration lasting) {
+    String gateway = "n" + dice.nextInt(scenario.gateways());
+    String server = "s" + dice.nextInt(scenario.groups() * scenario.serversPerGroup());
+    return switch (kind) {
+      case KILL ->
+          new Fault(
+              at,
+              lasting,
+              kind,
+              gateway,
+              "",
+              List.of("old", "empty", "earlier").get(dice.nextInt(3)));
+      case TERM, PAUSE -> new Fault(at, lasting, kind, gateway, "", "");
+      case CLOCK ->
+          new Fault(at, lasting, kind, gateway, "", dice.nextBoolean() ? "5000" : "-5000");
+      case DISK ->
+          new Fault(
+              at,
+              lasting,
+              kind,
+              gateway,
+              "",
+              List.of("lie", "fail", "full", "slow=500", "stuck").get(dice.nextInt(5)));
+      case SPLIT -> new Fault(at, lasting, kind, "", "", sides());
+      case LAG ->
+          new Fault(at, lasting, kind, server, "", Integer.toString(dice.nextInt(500, 3000)));
+      case SERVER_KILL, SERVER_STALL, ANSWERS_LOST -> new Fault(at, lasting, kind, server, "", "");
+      default -> between(kind, at, lasting, gateway, server);
+    };
+  }
+
+  private Fault between(
+      Fault.Kind kind, Duration at, Duration lasting, String gateway, String server) {
+    String to =
+        switch (dice.nextInt(4)) {
+          case 0 -> "clients";
+          case 1 -> other(gateway);
+          default -> server;
         };
-        String how = kind == Fault.Kind.DELAY ? Integer.toString(dice.nextInt(20, 300))
-                : kind == Fault.Kind.LOSS ? "0.3" : "";
-        boolean swapped = to.equals("clients") || kind != Fault.Kind.REFUSE && dice.nextBoolean();
-        return new Fault(at, lasting, kind, swapped ? to : gateway, swapped ? gateway : to, how);
-    }
+    String how =
+        kind == Fault.Kind.DELAY
+            ? Integer.toString(dice.nextInt(20, 300))
+            : kind == Fault.Kind.LOSS ? "0.3" : "";
+    boolean swapped = to.equals("clients") || kind != Fault.Kind.REFUSE && dice.nextBoolean();
+    return new Fault(at, lasting, kind, swapped ? to : gateway, swapped ? gateway : to, how);
+  }
 
-    private String other(String gateway) {
-        String other = "n" + dice.nextInt(scenario.gateways());
-        return other.equals(gateway) ? "discovery" : other;
-    }
+  private String other(String gateway) {
+    String other = "n" + dice.nextInt(scenario.gateways());
+    return other.equals(gateway) ? "discovery" : other;
+  }
 
-    private String sides() {
-        List<String> one = new ArrayList<>();
-        List<String> two = new ArrayList<>();
-        for (int k = 0; k < scenario.gateways(); k++) {
-            (dice.nextBoolean() ? one : two).add("n" + k);
-        }
-        return String.join(",", one) + "|" + String.join(",", two);
+  private String sides() {
+    List<String> one = new ArrayList<>();
+    List<String> two = new ArrayList<>();
+    for (int k = 0; k < scenario.gateways(); k++) {
+      (dice.nextBoolean() ? one : two).add("n" + k);
     }
+    return String.join(",", one) + "|" + String.join(",", two);
+  }
 }
--- a/trials/src/main/java/weldcross/trials/scenario/Scenario.java
+++ b/trials/src/main/java/weldcross/trials/scenario/Scenario.java
@@ -20,117 +20,221 @@
  * @param drawn kinds that a seed may draw from; empty where only what is written is played
  * @param draws how many are drawn
  */
-public record Scenario(String name, String about, Duration lasting, int rate, int gateways, int groups,
-        int serversPerGroup, Duration lag, Duration service, boolean linked, int voters, String log, List<Fault> faults,
-        List<Fault.Kind> drawn, int draws) {
+public record Scenario(
+    String name,
+    String about,
+    Duration lasting,
+    int rate,
+    int gateways,
+    int groups,
+    int serversPerGroup,
+    Duration lag,
+    Duration service,
+    boolean linked,
+    int voters,
+    String log,
+    List<Fault> faults,
+    List<Fault.Kind> drawn,
+    int draws) {
 
-    private static final List<String> KEYS = List.of("name", "about", "seconds", "rate", "gateways", "groups",
-            "servers_per_group", "lag_ms", "service_ms", "linked", "voters", "log", "fault", "fault.*.at_ms",
-            "fault.*.for_ms", "fault.*.kind", "fault.*.on", "fault.*.to", "fault.*.how", "nemesis.kinds", "nemesis.draws");
+  private static final List<String> KEYS =
+      List.of(
+          "name",
+          "about",
+          "seconds",
+          "rate",
+          "gateways",
+          "groups",
+          "servers_per_group",
+          "lag_ms",
+          "service_ms",
+          "linked",
+          "voters",
+          "log",
+          "fault",
+          "fault.*.at_ms",
+          "fault.*.for_ms",
+          "fault.*.kind",
+          "fault.*.on",
+          "fault.*.to",
+          "fault.*.how",
+          "nemesis.kinds",
+          "nemesis.draws");
 
-    /** @throws FaultyTerm naming the key and its line */
-    public static Scenario read(String file) {
-        NamedValues told = TomlValues.read(file);
-        told.knowsOnly(KEYS);
-        int gateways = within(told, "gateways", 5, 40);
-        int groups = within(told, "groups", 3, 20);
-        int servers = within(told, "servers_per_group", 3, 9);
-        Duration lasting = Duration.ofSeconds(told.whole("seconds", 30, 1));
-        List<Fault> faults = new ArrayList<>();
-        for (int k = 0; k < told.count("fault"); k++) {
-            faults.add(fault(told.under("fault." + k), gateways, groups * servers, lasting));
-        }
-        List<Fault.Kind> drawn = new ArrayList<>();
-        for (String word : told.list("nemesis.kinds")) {
-            drawn.add(kind(told, "nemesis.kinds", word));
-        }
-        return new Scenario(told.text("name"), told.text("about", ""), lasting,
-                (int) told.whole("rate", 200, 1), gateways, groups, servers,
-                told.millis("lag_ms", Duration.ofMillis(30), 0), told.millis("service_ms", Duration.ofMillis(4), 0),
-                told.flag("linked", false) || told.has("voters"), voters(told, gateways), told.word("log", "INFO", "FINE", "WARNING"), List.copyOf(faults),
-                List.copyOf(drawn), (int) told.whole("nemesis.draws", drawn.isEmpty() ? 0 : 8, 0));
+  /**
+   * @throws FaultyTerm naming the key and its line
+   */
+  public static Scenario read(String file) {
+    NamedValues told = TomlValues.read(file);
+    told.knowsOnly(KEYS);
+    int gateways = within(told, "gateways", 5, 40);
+    int groups = within(told, "groups", 3, 20);
+    int servers = within(told, "servers_per_group", 3, 9);
+    Duration lasting = Duration.ofSeconds(told.whole("seconds", 30, 1));
+    List<Fault> faults = new ArrayList<>();
+    for (int k = 0; k < told.count("fault"); k++) {
+      faults.add(fault(told.under("fault." + k), gateways, groups * servers, lasting));
     }
-
-    private static int within(NamedValues told, String key, int absent, int most) {
-        int value = (int) told.whole(key, absent, 1);
-        if (value > most) {
-            throw told.fault(key, "a number from 1 to " + most);
-        }
-        return value;
+    List<Fault.Kind> drawn = new ArrayList<>();
+    for (String word : told.list("nemesis.kinds")) {
+      drawn.add(kind(told, "nemesis.kinds", word));
     }
+    return new Scenario(
+        told.text("name"),
+        told.text("about", ""),
+        lasting,
+        (int) told.whole("rate", 200, 1),
+        gateways,
+        groups,
+        servers,
+        told.millis("lag_ms", Duration.ofMillis(30), 0),
+        told.millis("service_ms", Duration.ofMillis(4), 0),
+        told.flag("linked", false) || told.has("voters"),
+        voters(told, gateways),
+        told.word("log", "INFO", "FINE", "WARNING"),
+        List.copyOf(faults),
+        List.copyOf(drawn),
+        (int) told.whole("nemesis.draws", drawn.isEmpty() ? 0 : 8, 0));
+  }
 
-    private static int voters(NamedValues told, int gateways) {
-        int voters = (int) told.whole("voters", 0, 0);
-        if (voters > gateways || voters > 0 && voters % 2 == 0) {
-            throw told.fault("voters", "an odd number of the gateways, or 0 for no agreement");
-        }
-        return voters;
+  private static int within(NamedValues told, String key, int absent, int most) {
+    int value = (int) told.whole(key, absent, 1);
+    if (value > most) {
+      throw told.fault(key, "a number from 1 to " + most);
     }
+    return value;
+  }
 
-    private static Fault fault(NamedValues told, int gateways, int servers, Duration lasting) {
-        Fault.Kind kind = kind(told, "kind", told.text("kind"));
-        Duration at = told.millis("at_ms", Duration.ZERO, 0);
-        if (at.compareTo(lasting) > 0) {
-            throw told.fault("at_ms", "a time within the trial");
-        }
-        String on = told.text("on", "");
-        String to = told.text("to", "");
-        if (kind.isOnGateway()) {
-            known(told, "on", on, gateways, 0);
-        } else if (kind.isBetween()) {
-            known(told, "on", on, gateways, servers);
-            if (!to.equals("*")) {
-                known(told, "to", to, gateways, servers);
-            }
-        } else if (kind != Fault.Kind.SPLIT) {
-            known(told, "on", on, 0, servers);
-        } else if (!told.text("how", "").contains("|")) {
-            throw told.fault("how", "sides such as n0,n1|n2,n3");
-        }
-        return new Fault(at, told.millis("for_ms", Duration.ZERO, 0), kind, on, to, told.text("how", ""));
+  private static int voters(NamedValues told, int gateways) {
+    int voters = (int) told.whole("voters", 0, 0);
+    if (voters > gateways || voters > 0 && voters % 2 == 0) {
+      throw told.fault("voters", "an odd number of the gateways, or 0 for no agreement");
     }
+    return voters;
+  }
 
-    private static Fault.Kind kind(NamedValues told, String key, String word) {
-        for (Fault.Kind each : Fault.Kind.values()) {
-            if (each.word().equals(word)) {
-                return each;
-            }
-        }
-        throw told.fault(key, List.of(Fault.Kind.values()).stream().map(Fault.Kind::word)
-                .collect(Collectors.joining(", ")));
+  private static Fault fault(NamedValues told, int gateways, int servers, Duration lasting) {
+    Fault.Kind kind = kind(told, "kind", told.text("kind"));
+    Duration at = told.millis("at_ms", Duration.ZERO, 0);
+    if (at.compareTo(lasting) > 0) {
+      throw told.fault("at_ms", "a time within the trial");
     }
-
-    private static void known(NamedValues told, String key, String host, int gateways, int servers) {
-        boolean fits = host.equals("clients") && servers > 0 || host.equals("discovery") && servers > 0;
-        for (int k = 0; k < gateways; k++) {
-            fits |= host.equals("n" + k);
-        }
-        for (int k = 0; k < servers; k++) {
-            fits |= host.equals("s" + k);
-        }
-        if (!fits) {
-            throw told.fault(key, "a host of the trial" + (gateways > 0 ? ", n0 to n" + (gateways - 1) : "")
-                    + (servers > 0 ? ", s0 to s" + (servers - 1) : ""));
-        }
+    String on = told.text("on", "");
+    String to = told.text("to", "");
+    if (kind.isOnGateway()) {
+      known(told, "on", on, gateways, 0);
+    } else if (kind.isBetween()) {
+      known(told, "on", on, gateways, servers);
+      if (!to.equals("*")) {
+        known(told, "to", to, gateways, servers);
+      }
+    } else if (kind != Fault.Kind.SPLIT) {
+      known(told, "on", on, 0, servers);
+    } else if (!told.text("how", "").contains("|")) {
+      throw told.fault("how", "sides such as n0,n1|n2,n3");
     }
+    return new Fault(
+        at, told.millis("for_ms", Duration.ZERO, 0), kind, on, to, told.text("how", ""));
+  }
 
-    public Scenario with(List<Fault> others) {
-        return new Scenario(name, about, lasting, rate, gateways, groups, serversPerGroup, lag, service, linked, voters, log,
-                List.copyOf(others), List.of(), 0);
+  private static Fault.Kind kind(NamedValues told, String key, String word) {
+    for (Fault.Kind each : Fault.Kind.values()) {
+      if (each.word().equals(word)) {
+        return each;
+      }
     }
+    throw told.fault(
+        key,
+        List.of(Fault.Kind.values()).stream()
+            .map(Fault.Kind::word)
+            .collect(Collectors.joining(", ")));
+  }
 
-    public Scenario lasting(Duration time) {
-        return new Scenario(name, about, time, rate, gateways, groups, serversPerGroup, lag, service, linked, voters, log,
-                faults, drawn, draws);
+  private static void known(NamedValues told, String key, String host, int gateways, int servers) {
+    boolean fits = host.equals("clients") && servers > 0 || host.equals("discovery") && servers > 0;
+    for (int k = 0; k < gateways; k++) {
+      fits |= host.equals("n" + k);
     }
-
-    /** As a document that {@link #read} takes. */
-    public String toml() {
-        StringBuilder text = new StringBuilder("name = \"" + name + "\"\nabout = \"" + about + "\"\nseconds = "
-                + lasting.toSeconds() + "\nrate = " + rate + "\ngateways = " + gateways + "\ngroups = " + groups
-                + "\nservers_per_group = " + serversPerGroup + "\nlag_ms = " + lag.toMillis() + "\nservice_ms = "
-                + service.toMillis() + "\nlinked = " + linked + "\nvoters = " + voters + "\nlog = \"" + log.toUpperCase(Locale.ROOT) + "\"\n");
-        faults.forEach(f -> text.append('\n').append(String.join("\n", f.toml())).append('\n'));
-        return text.toString();
+    for (int k = 0; k < servers; k++) {
+      fits |= host.equals("s" + k);
+    }
+    if (!fits) {
+      throw told.fault(
+          key,
+          "a host of the trial"
+              + (gateways > 0 ? ", n0 to n" + (gateways - 1) : "")
+              + (servers > 0 ? ", s0 to s" + (servers - 1) : ""));
     }
+  }
+
+  public Scenario with(List<Fault> others) {
+    return new Scenario(
+        name,
+        about,
+        lasting,
+        rate,
+        gateways,
+        groups,
+        serversPerGroup,
+        lag,
+        service,
+        linked,
+        voters,
+        log,
+        List.copyOf(others),
+        List.of(),
+        0);
+  }
+
+  public Scenario lasting(Duration time) {
+    return new Scenario(
+        name,
+        about,
+        time,
+        rate,
+        gateways,
+        groups,
+        serversPerGroup,
+        lag,
+        service,
+        linked,
+        voters,
+        log,
+        faults,
+        drawn,
+        draws);
+  }
+
+  /** As a document that {@link #read} takes. */
+  public String toml() {
+    StringBuilder text =
+        new StringBuilder(
+            "name = \""
+                + name
+                + "\"\nabout = \""
+                + about
+                + "\"\nseconds = "
+                + lasting.toSeconds()
+                + "\nrate = "
+                + rate
+                + "\ngateways = "
+                + gateways
+                + "\ngroups = "
+                + groups
+                + "\nservers_per_group = "
+                + serversPerGroup
+                + "\nlag_ms = "
+                + lag.toMillis()
+                + "\nservice_ms = "
+                + service.toMillis()
+                + "\nlinked = "
+                + linked
+                + "\nvoters = "
+                + voters
+                + "\nlog = \""
+                + log.toUpperCase(Locale.ROOT)
+                + "\"\n");
+    faults.forEach(f -> text.append('\n').append(String.join("\n", f.toml())).append('\n'));
+    return text.toString();
+  }
 }
--- a/trials/src/test/java/weldcross/trials/AgreementTrialTest.java
+++ b/trials/src/test/java/weldcross/trials/AgreementTrialTest.java
@@ -27,131 +27,163 @@
 @Timeout(150)
 class AgreementTrialTest {
 
-    private static final Duration LAG = Duration.ofMillis(30), WITHIN = Duration.ofSeconds(40);
-
-    @TempDir
-    private Path folder;
-
-    private Ground ground(int gateways, int voters) throws IOException {
-        Ground ground = new Ground(new Scenario("agreed", "", Duration.ofSeconds(1), 100, gateways, 1, 2, LAG,
-                Duration.ofMillis(2), true, voters, "INFO", List.of(), List.of(), 0), 3, folder);
-        ground.start();
-        agree(ground);
-        return ground;
-    }
-
-    private static void agree(Ground ground) throws IOException {
-        Child.until("all hold one view of all", WITHIN, ground::agree);
-    }
-
-    private static Fault fault(Fault.Kind kind, String on, String how) {
-        return new Fault(Duration.ZERO, Duration.ZERO, kind, on, "", how);
-    }
-
-    private static String log(Ground.Gateway gateway) {
-        try {
-            return Files.readString(gateway.log());
-        } catch (IOException e) {
-            return "";
-        }
-    }
-
-    private static void tells(Ground.Gateway gateway, int from, String words) throws IOException {
-        Child.until(gateway.name() + " tells: " + words, WITHIN, () -> log(gateway).substring(from).contains(words));
+  private static final Duration LAG = Duration.ofMillis(30), WITHIN = Duration.ofSeconds(40);
+
+  @TempDir private Path folder;
+
+  private Ground ground(int gateways, int voters) throws IOException {
+    Ground ground =
+        new Ground(
+            new Scenario(
+                "agreed",
+                "",
+                Duration.ofSeconds(1),
+                100,
+                gateways,
+                1,
+                2,
+                LAG,
+                Duration.ofMillis(2),
+                true,
+                voters,
+                "INFO",
+                List.of(),
+                List.of(),
+                0),
+            3,
+            folder);
+    ground.start();
+    agree(ground);
+    return ground;
+  }
+
+  private static void agree(Ground ground) throws IOException {
+    Child.until("all hold one view of all", WITHIN, ground::agree);
+  }
+
+  private static Fault fault(Fault.Kind kind, String on, String how) {
+    return new Fault(Duration.ZERO, Duration.ZERO, kind, on, "", how);
+  }
+
+  private static String log(Ground.Gateway gateway) {
+    try {
+      return Files.readString(gateway.log());
+    } catch (IOException e) {
+      return "";
     }
-
-    /** As an operator at its control address would. */
-    private static int cluster(Ground.Gateway at, String... args) {
-        List<String> all = new ArrayList<>(List.of("cluster"));
-        all.addAll(List.of(args));
-        all.addAll(List.of("--at", at.control()));
-        return Commands.run(all.toArray(new String[0]));
-    }
-
-    /** The view of a gateway names no life of this one. */
-    private static void drops(Ground.Gateway gateway, String name) throws IOException {
-        Child.until(gateway.name() + " drops " + name, WITHIN, () -> !gateway.lastView().isEmpty()
+  }
+
+  private static void tells(Ground.Gateway gateway, int from, String words) throws IOException {
+    Child.until(
+        gateway.name() + " tells: " + words,
+        WITHIN,
+        () -> log(gateway).substring(from).contains(words));
+  }
+
+  /** As an operator at its control address would. */
+  private static int cluster(Ground.Gateway at, String... args) {
+    List<String> all = new ArrayList<>(List.of("cluster"));
+    all.addAll(List.of(args));
+    all.addAll(List.of("--at", at.control()));
+    return Commands.run(all.toArray(new String[0]));
+  }
+
+  /** The view of a gateway names no life of this one. */
+  private static void drops(Ground.Gateway gateway, String name) throws IOException {
+    Child.until(
+        gateway.name() + " drops " + name,
+        WITHIN,
+        () ->
+            !gateway.lastView().isEmpty()
                 && !(" " + gateway.lastView()).contains(" " + name + ":"));
+  }
+
+  /** Proof takes a killed one out; one that stands still stays, as nothing proves that it ended. */
+  @Test
+  void aKilledOneGoesByProofAndAPausedOneStays() throws IOException {
+    try (Ground ground = ground(4, 3)) {
+      Havoc havoc = new Havoc(ground);
+      Ground.Gateway n0 = ground.gateway("n0");
+      Fault pause = fault(Fault.Kind.PAUSE, "n3", "");
+      havoc.begin(pause);
+      tells(n0, 0, "n3 is SILENT");
+      Fault kill = fault(Fault.Kind.KILL, "n1", "old");
+      havoc.begin(kill);
+      drops(n0, "n1");
+      assertTrue(n0.lastView().contains("n3:1"), n0.lastView());
+      havoc.end(pause, LAG);
+      havoc.end(kill, LAG);
+      agree(ground);
+      assertTrue(n0.lastView().contains("n1:2"), n0.lastView());
+      // It is out by its own word before its process ends.
+      havoc.begin(fault(Fault.Kind.TERM, "n3", ""));
+      drops(n0, "n3");
+      assertEquals(0, cluster(n0, "status"));
     }
-
-    /** Proof takes a killed one out; one that stands still stays, as nothing proves that it ended. */
-    @Test
-    void aKilledOneGoesByProofAndAPausedOneStays() throws IOException {
-        try (Ground ground = ground(4, 3)) {
-            Havoc havoc = new Havoc(ground);
-            Ground.Gateway n0 = ground.gateway("n0");
-            Fault pause = fault(Fault.Kind.PAUSE, "n3", "");
-            havoc.begin(pause);
-            tells(n0, 0, "n3 is SILENT");
-            Fault kill = fault(Fault.Kind.KILL, "n1", "old");
-            havoc.begin(kill);
-            drops(n0, "n1");
-            assertTrue(n0.lastView().contains("n3:1"), n0.lastView());
-            havoc.end(pause, LAG);
-            havoc.end(kill, LAG);
-            agree(ground);
-            assertTrue(n0.lastView().contains("n1:2"), n0.lastView());
-            // It is out by its own word before its process ends.
-            havoc.begin(fault(Fault.Kind.TERM, "n3", ""));
-            drops(n0, "n3");
-            assertEquals(0, cluster(n0, "status"));
-        }
+  }
+
+  /** A minority agrees on nothing and serves on; only an operator takes out who is silent. */
+  @Test
+  void aMinorityStaysBehindAndAnOperatorForgets() throws IOException {
+    try (Ground ground = ground(5, 3)) {
+      Havoc havoc = new Havoc(ground);
+      Ground.Gateway n0 = ground.gateway("n0");
+      Ground.Gateway n2 = ground.gateway("n2");
+      Fault split = fault(Fault.Kind.SPLIT, "", "n0,n3|n1,n2,n4");
+      havoc.begin(split);
+      tells(n2, 0, "n0 is SILENT");
+      tells(n0, 0, "n2 is SILENT");
+      String before = n0.lastView();
+      // Asked of the minority nothing is done; of the majority it is.
+      assertEquals(1, cluster(n0, "forget", "n1", "--it-has-ended"));
+      assertEquals(0, cluster(n2, "forget", "n0", "--it-has-ended"));
+      drops(n2, "n0");
+      assertEquals(before, n0.lastView());
+      assertTrue(n0.isReady() && n2.isReady(), "serving stops for nothing");
+      havoc.end(split, LAG);
+      // It lives, and comes back as a later life by itself.
+      agree(ground);
+      assertTrue(n2.lastView().contains("n0:2"), n2.lastView());
+      assertFalse(log(n2).contains("is GONE"), "nobody ended");
     }
-
-    /** A minority agrees on nothing and serves on; only an operator takes out who is silent. */
-    @Test
-    void aMinorityStaysBehindAndAnOperatorForgets() throws IOException {
-        try (Ground ground = ground(5, 3)) {
-            Havoc havoc = new Havoc(ground);
-            Ground.Gateway n0 = ground.gateway("n0");
-            Ground.Gateway n2 = ground.gateway("n2");
-            Fault split = fault(Fault.Kind.SPLIT, "", "n0,n3|n1,n2,n4");
-            havoc.begin(split);
-            tells(n2, 0, "n0 is SILENT");
-            tells(n0, 0, "n2 is SILENT");
-            String before = n0.lastView();
-            // Asked of the minority nothing is done; of the majority it is.
-            assertEquals(1, cluster(n0, "forget", "n1", "--it-has-ended"));
-            assertEquals(0, cluster(n2, "forget", "n0", "--it-has-ended"));
-            drops(n2, "n0");
-            assertEquals(before, n0.lastView());
-            assertTrue(n0.isReady() && n2.isReady(), "serving stops for nothing");
-            havoc.end(split, LAG);
-            // It lives, and comes back as a later life by itself.
-            agree(ground);
-            assertTrue(n2.lastView().contains("n0:2"), n2.lastView());
-            assertFalse(log(n2).contains("is GONE"), "nobody ended");
-        }
-    }
-
-    /** A voter whose disk lost what it had said was kept votes no more; another one of its name takes its place. */
-    @Test
-    void aVoterThatComesBackBehindIsAnotherOne() throws Exception {
-        try (Ground ground = ground(3, 3)) {
-            // Neither leads: the leader remembers what they acknowledged.
-            List<Ground.Gateway> others = new ArrayList<>(ground.gateways());
-            others.remove(ground.gateway(leader(ground.gateway("n0"))));
-            Ground.Gateway liar = others.get(0);
-            Ground.Gateway other = others.get(1);
-            liar.disk("lie");
-            // Something to be kept, which that disk then loses.
-            other.child().kill();
-            drops(liar, other.name());
-            other.start();
-            agree(ground);
-            liar.child().kill();
-            liar.disk("");
-            int from = log(liar).length();
-            liar.start();
-            tells(liar, from, "IS_NEW: this disk");
-            agree(ground);
-            tells(liar, from, "has learnt what the others have, and votes");
-        }
-    }
-
-    private static String leader(Ground.Gateway asked) throws Exception {
-        String json = HttpClient.newHttpClient().send(HttpRequest.newBuilder(URI.create("http://" + asked.control()
-                + "/cluster")).build(), HttpResponse.BodyHandlers.ofString()).body();
-        return new ObjectMapper().readTree(json).get("leader").asText();
+  }
+
+  /**
+   * A voter whose disk lost what it had said was kept votes no more; another one of its name takes
+   * its place.
+   */
+  @Test
+  void aVoterThatComesBackBehindIsAnotherOne() throws Exception {
+    try (Ground ground = ground(3, 3)) {
+      // Neither leads: the leader remembers what they acknowledged.
+      List<Ground.Gateway> others = new ArrayList<>(ground.gateways());
+      others.remove(ground.gateway(leader(ground.gateway("n0"))));
+      Ground.Gateway liar = others.get(0);
+      Ground.Gateway other = others.get(1);
+      liar.disk("lie");
+      // Something to be kept, which that disk then loses.
+      other.child().kill();
+      drops(liar, other.name());
+      other.start();
+      agree(ground);
+      liar.child().kill();
+      liar.disk("");
+      int from = log(liar).length();
+      liar.start();
+      tells(liar, from, "IS_NEW: this disk");
+      agree(ground);
+      tells(liar, from, "has learnt what the others have, and votes");
     }
+  }
+
+  private static String leader(Ground.Gateway asked) throws Exception {
+    String json =
+        HttpClient.newHttpClient()
+            .send(
+                HttpRequest.newBuilder(URI.create("http://" + asked.control() + "/cluster"))
+                    .build(),
+                HttpResponse.BodyHandlers.ofString())
+            .body();
+    return new ObjectMapper().readTree(json).get("leader").asText();
+  }
 }
--- a/trials/src/test/java/weldcross/trials/LyingDiskTest.java
+++ b/trials/src/test/java/weldcross/trials/LyingDiskTest.java
@@ -23,185 +23,201 @@
 import weldcross.trials.inside.LyingDisk;
 import weldcross.trials.process.Child;
 
-/** Each lie of the disk really acts on a log, which says what it can know of it; a process's end is a forgetting. */
+/**
+ * Each lie of the disk really acts on a log, which says what it can know of it; a process's end is
+ * a forgetting.
+ */
 @Timeout(60)
 class LyingDiskTest {
 
-    @TempDir
-    private Path folder;
-    private final List<String> read = new ArrayList<>();
-
-    @BeforeEach
-    void tell() throws IOException {
-        System.setProperty(LyingDisk.WORDS, folder.resolve("words").toString());
-        words("");
-    }
-
-    @AfterEach
-    void honest() {
-        System.clearProperty(LyingDisk.WORDS);
-    }
-
-    private void words(String words) throws IOException {
-        Files.writeString(folder.resolve("words"), words);
-    }
-
-    private final class Life {
-        final Disk disk = PlainDisk.at(folder.resolve("log"));
-        final RecordLog log;
-
-        Life() throws IOException {
-            read.clear();
-            try {
-                log = RecordLog.open(disk, 200, new RecordLog.Reader() {
-                    @Override
-                    public void snapshot(long upTo, ByteBuffer content) {
-                        read.add("snapshot " + upTo);
-                    }
-
-                    @Override
-                    public void record(long number, ByteBuffer content) {
-                        read.add(number + " " + content.get());
-                    }
+  @TempDir private Path folder;
+  private final List<String> read = new ArrayList<>();
+
+  @BeforeEach
+  void tell() throws IOException {
+    System.setProperty(LyingDisk.WORDS, folder.resolve("words").toString());
+    words("");
+  }
+
+  @AfterEach
+  void honest() {
+    System.clearProperty(LyingDisk.WORDS);
+  }
+
+  private void words(String words) throws IOException {
+    Files.writeString(folder.resolve("words"), words);
+  }
+
+  private final class Life {
+    final Disk disk = PlainDisk.at(folder.resolve("log"));
+    final RecordLog log;
+
+    Life() throws IOException {
+      read.clear();
+      try {
+        log =
+            RecordLog.open(
+                disk,
+                200,
+                new RecordLog.Reader() {
+                  @Override
+                  public void snapshot(long upTo, ByteBuffer content) {
+                    read.add("snapshot " + upTo);
+                  }
+
+                  @Override
+                  public void record(long number, ByteBuffer content) {
+                    read.add(number + " " + content.get());
+                  }
                 });
-            } catch (IOException e) {
-                disk.close();
-                throw e;
-            }
-        }
-
-        void add(int value) throws IOException {
-            log.add(ByteBuffer.wrap(new byte[] {(byte) value}));
-            log.commit();
-        }
-
-        /** The process is gone: the lock with it, and all that was only in its memory. */
-        void killed() throws IOException {
-            disk.close();
-        }
-    }
-
-    @Test
-    void itIsFoundOnTheClassPathAndWithoutWordsIsHonest() throws IOException {
-        Life life = new Life();
-        assertTrue(life.disk instanceof LyingDisk);
-        for (int k = 1; k <= 40; k++) {
-            life.add(k);
-        }
-        life.log.snapshot(20, ByteBuffer.wrap(new byte[] {1}));
-        life.killed();
-        new Life().killed();
-        assertEquals("snapshot 20", read.get(0));
-        assertEquals("40 40", read.get(read.size() - 1));
-        assertEquals(21, read.size());
+      } catch (IOException e) {
+        disk.close();
+        throw e;
+      }
     }
 
-    @Test
-    void aForceThatLiesLosesWhatWasSaidToBeSure() throws IOException {
-        Life life = new Life();
-        life.add(1);
-        words("lie");
-        life.add(2);
-        life.add(3);
-        life.killed();
-        words("");
-        new Life().killed();
-        assertEquals(List.of("1 1"), read);
+    void add(int value) throws IOException {
+      log.add(ByteBuffer.wrap(new byte[] {(byte) value}));
+      log.commit();
     }
 
-    @Test
-    void aForceThatFailsEndsTheLogUntilItIsOpenedAnew() throws IOException {
-        Life life = new Life();
-        life.add(1);
-        words("fail");
-        assertThrows(IOException.class, () -> life.add(2));
-        words("");
-        assertEquals(RecordLog.State.FAILED, life.log.state());
-        assertThrows(IOException.class, () -> life.add(3));
-        life.killed();
-        new Life().killed();
-        assertEquals(List.of("1 1"), read);
+    /** The process is gone: the lock with it, and all that was only in its memory. */
+    void killed() throws IOException {
+      disk.close();
     }
-
-    @Test
-    void aFullDiskTakesNothing() throws IOException {
-        Life life = new Life();
-        words("full");
-        assertThrows(RecordLog.NotTaken.class, () -> life.add(1));
-        words("");
-        life.add(2);
-        life.killed();
-        new Life().killed();
-        assertEquals(List.of("1 2"), read);
+  }
+
+  @Test
+  void itIsFoundOnTheClassPathAndWithoutWordsIsHonest() throws IOException {
+    Life life = new Life();
+    assertTrue(life.disk instanceof LyingDisk);
+    for (int k = 1; k <= 40; k++) {
+      life.add(k);
     }
-
-    @Test
-    void slowAndStuckKeepACommitWaiting() throws Exception {
-        Life life = new Life();
-        words("slow=150");
-        long began = System.nanoTime();
-        life.add(1);
-        assertTrue(System.nanoTime() - began >= 149_000_000);
-        words("stuck");
-        CompletableFuture<Void> second = CompletableFuture.runAsync(() -> {
-            try {
+    life.log.snapshot(20, ByteBuffer.wrap(new byte[] {1}));
+    life.killed();
+    new Life().killed();
+    assertEquals("snapshot 20", read.get(0));
+    assertEquals("40 40", read.get(read.size() - 1));
+    assertEquals(21, read.size());
+  }
+
+  @Test
+  void aForceThatLiesLosesWhatWasSaidToBeSure() throws IOException {
+    Life life = new Life();
+    life.add(1);
+    words("lie");
+    life.add(2);
+    life.add(3);
+    life.killed();
+    words("");
+    new Life().killed();
+    assertEquals(List.of("1 1"), read);
+  }
+
+  @Test
+  void aForceThatFailsEndsTheLogUntilItIsOpenedAnew() throws IOException {
+    Life life = new Life();
+    life.add(1);
+    words("fail");
+    assertThrows(IOException.class, () -> life.add(2));
+    words("");
+    assertEquals(RecordLog.State.FAILED, life.log.state());
+    assertThrows(IOException.class, () -> life.add(3));
+    life.killed();
+    new Life().killed();
+    assertEquals(List.of("1 1"), read);
+  }
+
+  @Test
+  void aFullDiskTakesNothing() throws IOException {
+    Life life = new Life();
+    words("full");
+    assertThrows(RecordLog.NotTaken.class, () -> life.add(1));
+    words("");
+    life.add(2);
+    life.killed();
+    new Life().killed();
+    assertEquals(List.of("1 2"), read);
+  }
+
+  @Test
+  void slowAndStuckKeepACommitWaiting() throws Exception {
+    Life life = new Life();
+    words("slow=150");
+    long began = System.nanoTime();
+    life.add(1);
+    assertTrue(System.nanoTime() - began >= 149_000_000);
+    words("stuck");
+    CompletableFuture<Void> second =
+        CompletableFuture.runAsync(
+            () -> {
+              try {
                 life.add(2);
-            } catch (IOException e) {
+              } catch (IOException e) {
                 throw new IllegalStateException(e);
-            }
+              }
+            });
+    assertThrows(
+        java.util.concurrent.TimeoutException.class,
+        () -> second.get(200, java.util.concurrent.TimeUnit.MILLISECONDS));
+    words("");
+    second.get(10, java.util.concurrent.TimeUnit.SECONDS);
+    life.killed();
+  }
+
+  /**
+   * Half of a frame reached the disk when the process died: never told as sure, so cut, and told as
+   * cut.
+   */
+  @Test
+  void aTornWriteIsCutAndTold() throws Exception {
+    Life life = new Life();
+    life.add(1);
+    words("torn");
+    CompletableFuture.runAsync(
+        () -> {
+          try {
+            life.add(2);
+          } catch (IOException e) {
+            throw new IllegalStateException(e);
+          }
         });
-        assertThrows(java.util.concurrent.TimeoutException.class,
-                () -> second.get(200, java.util.concurrent.TimeUnit.MILLISECONDS));
-        words("");
-        second.get(10, java.util.concurrent.TimeUnit.SECONDS);
-        life.killed();
+    Path log = folder.resolve("log").resolve("log-0000000000000001");
+    long whole = 16 + 33;
+    Child.until("half is written", Duration.ofSeconds(10), () -> log.toFile().length() > whole);
+    life.killed();
+    words("");
+    Life after = new Life();
+    assertEquals(List.of("1 1"), read);
+    assertTrue(after.log.found().tornBytes() > 0);
+    after.killed();
+  }
+
+  @Test
+  void aFlippedBitAndAMisdirectedWriteAreDamageOrAToldEnd() throws IOException {
+    Life life = new Life();
+    for (int k = 1; k <= 5; k++) {
+      life.add(k);
     }
-
-    /** Half of a frame reached the disk when the process died: never told as sure, so cut, and told as cut. */
-    @Test
-    void aTornWriteIsCutAndTold() throws Exception {
-        Life life = new Life();
-        life.add(1);
-        words("torn");
-        CompletableFuture.runAsync(() -> {
-            try {
-                life.add(2);
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
+    life.killed();
+    words("flip");
+    assertThrows(RecordLog.Damaged.class, Life::new);
+    words("");
+    Life second = new Life();
+    assertEquals(5, read.size());
+    words("misdirect");
+    second.add(6);
+    words("");
+    second.killed();
+    assertThrows(
+        RecordLog.Damaged.class,
+        () -> {
+          Life third = new Life();
+          // What is misdirected from the head on is no log any more; it must not read as an empty
+          // one.
+          assertEquals(6, read.size(), "read as if nothing were: " + read);
+          third.killed();
         });
-        Path log = folder.resolve("log").resolve("log-0000000000000001");
-        long whole = 16 + 33;
-        Child.until("half is written", Duration.ofSeconds(10), () -> log.toFile().length() > whole);
-        life.killed();
-        words("");
-        Life after = new Life();
-        assertEquals(List.of("1 1"), read);
-        assertTrue(after.log.found().tornBytes() > 0);
-        after.killed();
-    }
-
-    @Test
-    void aFlippedBitAndAMisdirectedWriteAreDamageOrAToldEnd() throws IOException {
-        Life life = new Life();
-        for (int k = 1; k <= 5; k++) {
-            life.add(k);
-        }
-        life.killed();
-        words("flip");
-        assertThrows(RecordLog.Damaged.class, Life::new);
-        words("");
-        Life second = new Life();
-        assertEquals(5, read.size());
-        words("misdirect");
-        second.add(6);
-        words("");
-        second.killed();
-        assertThrows(RecordLog.Damaged.class, () -> {
-            Life third = new Life();
-            // What is misdirected from the head on is no log any more; it must not read as an empty one.
-            assertEquals(6, read.size(), "read as if nothing were: " + read);
-            third.killed();
-        });
-    }
+  }
 }
--- a/trials/src/test/java/weldcross/trials/MembershipTrialTest.java
+++ b/trials/src/test/java/weldcross/trials/MembershipTrialTest.java
@@ -18,84 +18,108 @@
 @Timeout(150)
 class MembershipTrialTest {
 
-    private static final Duration LAG = Duration.ofMillis(30);
+  private static final Duration LAG = Duration.ofMillis(30);
 
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    private Ground ground(int gateways) throws IOException {
-        Ground ground = new Ground(new Scenario("seen", "", Duration.ofSeconds(1), 100, gateways, 1, 2, LAG,
-                Duration.ofMillis(2), true, 0, "INFO", List.of(), List.of(), 0), 3, folder);
-        ground.start();
-        for (Ground.Gateway a : ground.gateways()) {
-            for (Ground.Gateway b : ground.gateways()) {
-                if (a != b) {
-                    tells(a, 0, b.name() + " is HERE");
-                }
-            }
+  private Ground ground(int gateways) throws IOException {
+    Ground ground =
+        new Ground(
+            new Scenario(
+                "seen",
+                "",
+                Duration.ofSeconds(1),
+                100,
+                gateways,
+                1,
+                2,
+                LAG,
+                Duration.ofMillis(2),
+                true,
+                0,
+                "INFO",
+                List.of(),
+                List.of(),
+                0),
+            3,
+            folder);
+    ground.start();
+    for (Ground.Gateway a : ground.gateways()) {
+      for (Ground.Gateway b : ground.gateways()) {
+        if (a != b) {
+          tells(a, 0, b.name() + " is HERE");
         }
-        return ground;
+      }
     }
+    return ground;
+  }
 
-    private static Fault fault(Fault.Kind kind, String on, String how) {
-        return new Fault(Duration.ZERO, Duration.ZERO, kind, on, "", how);
-    }
+  private static Fault fault(Fault.Kind kind, String on, String how) {
+    return new Fault(Duration.ZERO, Duration.ZERO, kind, on, "", how);
+  }
 
-    private static String log(Ground.Gateway gateway) {
-        try {
-            return Files.readString(gateway.log());
-        } catch (IOException e) {
-            return "";
-        }
+  private static String log(Ground.Gateway gateway) {
+    try {
+      return Files.readString(gateway.log());
+    } catch (IOException e) {
+      return "";
     }
+  }
 
-    private static void tells(Ground.Gateway gateway, int from, String words) throws IOException {
-        Child.until(gateway.name() + " tells: " + words, Duration.ofSeconds(40), () -> log(gateway).substring(from)
-                .contains("membership: " + words));
-    }
+  private static void tells(Ground.Gateway gateway, int from, String words) throws IOException {
+    Child.until(
+        gateway.name() + " tells: " + words,
+        Duration.ofSeconds(40),
+        () -> log(gateway).substring(from).contains("membership: " + words));
+  }
 
-    /** A process that stands still is silent and never gone; one that is killed is gone by proof; both come back. */
-    @Test
-    void pausedIsSilentAndKilledIsGone() throws IOException {
-        try (Ground ground = ground(4)) {
-            Havoc havoc = new Havoc(ground);
-            Ground.Gateway n0 = ground.gateway("n0");
-            Fault pause = fault(Fault.Kind.PAUSE, "n1", "");
-            havoc.begin(pause);
-            tells(n0, 0, "n1 is SILENT");
-            int from = log(n0).length();
-            havoc.end(pause, LAG);
-            tells(n0, from, "n1 is HERE");
-            for (Ground.Gateway each : ground.gateways()) {
-                assertFalse(log(each).contains("n1 is GONE"), each.name());
-            }
-            int before = log(n0).length();
-            Fault kill = fault(Fault.Kind.KILL, "n2", "old");
-            havoc.begin(kill);
-            tells(n0, before, "n2 is GONE, life 1");
-            havoc.end(kill, LAG);
-            tells(n0, before, "n2 is HERE, life 2");
-            havoc.begin(fault(Fault.Kind.TERM, "n3", ""));
-            tells(n0, before, "n3 is GONE, life 1");
-        }
+  /**
+   * A process that stands still is silent and never gone; one that is killed is gone by proof; both
+   * come back.
+   */
+  @Test
+  void pausedIsSilentAndKilledIsGone() throws IOException {
+    try (Ground ground = ground(4)) {
+      Havoc havoc = new Havoc(ground);
+      Ground.Gateway n0 = ground.gateway("n0");
+      Fault pause = fault(Fault.Kind.PAUSE, "n1", "");
+      havoc.begin(pause);
+      tells(n0, 0, "n1 is SILENT");
+      int from = log(n0).length();
+      havoc.end(pause, LAG);
+      tells(n0, from, "n1 is HERE");
+      for (Ground.Gateway each : ground.gateways()) {
+        assertFalse(log(each).contains("n1 is GONE"), each.name());
+      }
+      int before = log(n0).length();
+      Fault kill = fault(Fault.Kind.KILL, "n2", "old");
+      havoc.begin(kill);
+      tells(n0, before, "n2 is GONE, life 1");
+      havoc.end(kill, LAG);
+      tells(n0, before, "n2 is HERE, life 2");
+      havoc.begin(fault(Fault.Kind.TERM, "n3", ""));
+      tells(n0, before, "n3 is GONE, life 1");
     }
+  }
 
-    /** Each side holds the other silent, nobody gone; healed, all are here again without an operator. */
-    @Test
-    void aSplitIsSilenceAndHealsByItself() throws IOException {
-        try (Ground ground = ground(4)) {
-            Havoc havoc = new Havoc(ground);
-            Fault split = fault(Fault.Kind.SPLIT, "", "n0,n1|n2,n3");
-            havoc.begin(split);
-            tells(ground.gateway("n0"), 0, "n2 is SILENT");
-            tells(ground.gateway("n3"), 0, "n1 is SILENT");
-            int[] from = ground.gateways().stream().mapToInt(g -> log(g).length()).toArray();
-            havoc.end(split, LAG);
-            tells(ground.gateway("n0"), from[0], "n2 is HERE");
-            tells(ground.gateway("n3"), from[3], "n1 is HERE");
-            for (Ground.Gateway each : ground.gateways()) {
-                assertFalse(log(each).contains("is GONE"), each.name());
-            }
-        }
+  /**
+   * Each side holds the other silent, nobody gone; healed, all are here again without an operator.
+   */
+  @Test
+  void aSplitIsSilenceAndHealsByItself() throws IOException {
+    try (Ground ground = ground(4)) {
+      Havoc havoc = new Havoc(ground);
+      Fault split = fault(Fault.Kind.SPLIT, "", "n0,n1|n2,n3");
+      havoc.begin(split);
+      tells(ground.gateway("n0"), 0, "n2 is SILENT");
+      tells(ground.gateway("n3"), 0, "n1 is SILENT");
+      int[] from = ground.gateways().stream().mapToInt(g -> log(g).length()).toArray();
+      havoc.end(split, LAG);
+      tells(ground.gateway("n0"), from[0], "n2 is HERE");
+      tells(ground.gateway("n3"), from[3], "n1 is HERE");
+      for (Ground.Gateway each : ground.gateways()) {
+        assertFalse(log(each).contains("is GONE"), each.name());
+      }
     }
+  }
 }
--- a/trials/src/test/java/weldcross/trials/RelayTest.java
+++ b/trials/src/test/java/weldcross/trials/RelayTest.java
@@ -29,209 +29,235 @@
 @Timeout(60)
 class RelayTest {
 
-    private final InetAddress here = InetAddress.getLoopbackAddress();
-    private Relay relay;
-    private ServerSocket server;
-    private Relay.Route route;
-    private Socket near, far;
-
-    @BeforeEach
-    void connect() throws IOException {
-        relay = new Relay(here, 1);
-        server = new ServerSocket(0, 50, here);
-        route = relay.stream("a", "b", (InetSocketAddress) server.getLocalSocketAddress());
-        near = new Socket(route.address().getAddress(), route.address().getPort());
-        far = server.accept();
-        passes(near, far, 1);
-        passes(far, near, 2);
-    }
+  private final InetAddress here = InetAddress.getLoopbackAddress();
+  private Relay relay;
+  private ServerSocket server;
+  private Relay.Route route;
+  private Socket near, far;
 
-    @AfterEach
-    void end() throws IOException {
-        near.close();
-        far.close();
-        server.close();
-        relay.close();
-    }
+  @BeforeEach
+  void connect() throws IOException {
+    relay = new Relay(here, 1);
+    server = new ServerSocket(0, 50, here);
+    route = relay.stream("a", "b", (InetSocketAddress) server.getLocalSocketAddress());
+    near = new Socket(route.address().getAddress(), route.address().getPort());
+    far = server.accept();
+    passes(near, far, 1);
+    passes(far, near, 2);
+  }
 
-    private static void passes(Socket from, Socket to, int value) throws IOException {
-        from.getOutputStream().write(value);
-        to.setSoTimeout(5000);
-        assertEquals(value, to.getInputStream().read());
-    }
+  @AfterEach
+  void end() throws IOException {
+    near.close();
+    far.close();
+    server.close();
+    relay.close();
+  }
 
-    private static void doesNotPass(Socket from, Socket to, int value) throws IOException {
-        from.getOutputStream().write(value);
-        to.setSoTimeout(150);
-        assertThrows(SocketTimeoutException.class, () -> to.getInputStream().read());
-    }
+  private static void passes(Socket from, Socket to, int value) throws IOException {
+    from.getOutputStream().write(value);
+    to.setSoTimeout(5000);
+    assertEquals(value, to.getInputStream().read());
+  }
 
-    @Test
-    void whatIsHeldInOneDirectionWaitsAndThenComes() throws IOException {
-        relay.set("a", "b", Way.FREE.withHeld(true));
-        doesNotPass(near, far, 7);
-        passes(far, near, 8);
-        Child.until("held", Duration.ofSeconds(5), () -> relay.held() == 1);
-        relay.set("a", "b", Way.FREE);
-        far.setSoTimeout(5000);
-        assertEquals(7, far.getInputStream().read());
-    }
+  private static void doesNotPass(Socket from, Socket to, int value) throws IOException {
+    from.getOutputStream().write(value);
+    to.setSoTimeout(150);
+    assertThrows(SocketTimeoutException.class, () -> to.getInputStream().read());
+  }
 
-    @Test
-    void aCutIsSilentDialsDoNotComeUpAndWhatLivedThroughItIsReset() throws IOException {
-        relay.set("a", "b", Way.FREE.withCut(true));
-        relay.set("b", "a", Way.FREE.withCut(true));
-        doesNotPass(near, far, 7);
-        doesNotPass(far, near, 8);
-        assertTrue(relay.swallowed() >= 2, "vanished: " + relay.swallowed());
-        try (Socket dial = new Socket()) {
-            assertThrows(SocketTimeoutException.class, () -> dial.connect(route.address(), 400));
-        }
-        relay.set("a", "b", Way.FREE);
-        relay.set("b", "a", Way.FREE);
-        near.setSoTimeout(5000);
-        assertThrows(SocketException.class, () -> {
-            while (near.getInputStream().read() >= 0) {
-                continue;
-            }
+  @Test
+  void whatIsHeldInOneDirectionWaitsAndThenComes() throws IOException {
+    relay.set("a", "b", Way.FREE.withHeld(true));
+    doesNotPass(near, far, 7);
+    passes(far, near, 8);
+    Child.until("held", Duration.ofSeconds(5), () -> relay.held() == 1);
+    relay.set("a", "b", Way.FREE);
+    far.setSoTimeout(5000);
+    assertEquals(7, far.getInputStream().read());
+  }
+
+  @Test
+  void aCutIsSilentDialsDoNotComeUpAndWhatLivedThroughItIsReset() throws IOException {
+    relay.set("a", "b", Way.FREE.withCut(true));
+    relay.set("b", "a", Way.FREE.withCut(true));
+    doesNotPass(near, far, 7);
+    doesNotPass(far, near, 8);
+    assertTrue(relay.swallowed() >= 2, "vanished: " + relay.swallowed());
+    try (Socket dial = new Socket()) {
+      assertThrows(SocketTimeoutException.class, () -> dial.connect(route.address(), 400));
+    }
+    relay.set("a", "b", Way.FREE);
+    relay.set("b", "a", Way.FREE);
+    near.setSoTimeout(5000);
+    assertThrows(
+        SocketException.class,
+        () -> {
+          while (near.getInputStream().read() >= 0) {
+            continue;
+          }
         });
-        try (Socket again = new Socket(route.address().getAddress(), route.address().getPort());
-                Socket taken = server.accept()) {
-            passes(again, taken, 9);
-        }
+    try (Socket again = new Socket(route.address().getAddress(), route.address().getPort());
+        Socket taken = server.accept()) {
+      passes(again, taken, 9);
     }
+  }
 
-    /** A piece that is lost comes a retransmission later, and what was sent after it waits: nothing is out of order. */
-    @Test
-    void aLossOnAStreamIsDelay() throws IOException {
-        relay.set("a", "b", Way.FREE.withTrouble(Duration.ZERO, 1, 0, 0));
-        long from = System.nanoTime();
-        passes(near, far, 7);
-        long late = System.nanoTime() - from;
-        relay.set("a", "b", Way.FREE.withTrouble(Duration.ZERO, 0.5, 0, 0));
-        for (int k = 0; k < 40; k++) {
-            passes(near, far, k);
-        }
-        assertTrue(late >= 200_000_000L, "it came after " + late / 1_000_000 + " ms");
+  /**
+   * A piece that is lost comes a retransmission later, and what was sent after it waits: nothing is
+   * out of order.
+   */
+  @Test
+  void aLossOnAStreamIsDelay() throws IOException {
+    relay.set("a", "b", Way.FREE.withTrouble(Duration.ZERO, 1, 0, 0));
+    long from = System.nanoTime();
+    passes(near, far, 7);
+    long late = System.nanoTime() - from;
+    relay.set("a", "b", Way.FREE.withTrouble(Duration.ZERO, 0.5, 0, 0));
+    for (int k = 0; k < 40; k++) {
+      passes(near, far, k);
     }
+    assertTrue(late >= 200_000_000L, "it came after " + late / 1_000_000 + " ms");
+  }
 
-    /** A process being started has a copy of every descriptor for a moment: what was closed listens on in it. */
-    @Test
-    void cutsAndProcessesThatStartDoNotDisturbEachOther() throws Exception {
-        AtomicBoolean over = new AtomicBoolean();
-        CompletableFuture<Integer> starts = CompletableFuture.supplyAsync(() -> {
-            int count = 0;
-            try {
+  /**
+   * A process being started has a copy of every descriptor for a moment: what was closed listens on
+   * in it.
+   */
+  @Test
+  void cutsAndProcessesThatStartDoNotDisturbEachOther() throws Exception {
+    AtomicBoolean over = new AtomicBoolean();
+    CompletableFuture<Integer> starts =
+        CompletableFuture.supplyAsync(
+            () -> {
+              int count = 0;
+              try {
                 for (; !over.get(); count++) {
-                    new ProcessBuilder("true").start().waitFor();
+                  new ProcessBuilder("true").start().waitFor();
                 }
-            } catch (IOException | InterruptedException e) {
+              } catch (IOException | InterruptedException e) {
                 throw new IllegalStateException(e);
-            }
-            return count;
-        });
-        try {
-            for (int k = 0; k < 300; k++) {
-                relay.set("a", "b", Way.FREE.withCut(k % 2 == 0));
-            }
-        } finally {
-            over.set(true);
-        }
-        assertTrue(starts.get() > 10, "processes were started meanwhile");
-        try (Socket again = new Socket(route.address().getAddress(), route.address().getPort());
-                Socket taken = server.accept()) {
-            passes(again, taken, 9);
-        }
+              }
+              return count;
+            });
+    try {
+      for (int k = 0; k < 300; k++) {
+        relay.set("a", "b", Way.FREE.withCut(k % 2 == 0));
+      }
+    } finally {
+      over.set(true);
     }
-
-    /** An end is not told while the way is cut: the other side sees an open, silent connection. */
-    @Test
-    void anEndDoesNotCrossACut() throws IOException {
-        relay.set("a", "b", Way.FREE.withCut(true));
-        near.close();
-        far.setSoTimeout(300);
-        assertThrows(SocketTimeoutException.class, () -> far.getInputStream().read());
+    assertTrue(starts.get() > 10, "processes were started meanwhile");
+    try (Socket again = new Socket(route.address().getAddress(), route.address().getPort());
+        Socket taken = server.accept()) {
+      passes(again, taken, 9);
     }
+  }
 
-    @Test
-    void resetAndRefused() throws IOException {
-        assertEquals(1, relay.reset("a", "b"));
-        near.setSoTimeout(5000);
-        assertThrows(SocketException.class, () -> near.getInputStream().read());
-        relay.refuse("a", "b", true);
-        try (Socket dial = new Socket()) {
-            assertThrows(ConnectException.class, () -> dial.connect(route.address(), 1000));
-        }
-        relay.refuse("a", "b", false);
-        try (Socket again = new Socket(route.address().getAddress(), route.address().getPort());
-                Socket taken = server.accept()) {
-            passes(again, taken, 9);
-        }
+  /** An end is not told while the way is cut: the other side sees an open, silent connection. */
+  @Test
+  void anEndDoesNotCrossACut() throws IOException {
+    relay.set("a", "b", Way.FREE.withCut(true));
+    near.close();
+    far.setSoTimeout(300);
+    assertThrows(SocketTimeoutException.class, () -> far.getInputStream().read());
+  }
+
+  @Test
+  void resetAndRefused() throws IOException {
+    assertEquals(1, relay.reset("a", "b"));
+    near.setSoTimeout(5000);
+    assertThrows(SocketException.class, () -> near.getInputStream().read());
+    relay.refuse("a", "b", true);
+    try (Socket dial = new Socket()) {
+      assertThrows(ConnectException.class, () -> dial.connect(route.address(), 1000));
+    }
+    relay.refuse("a", "b", false);
+    try (Socket again = new Socket(route.address().getAddress(), route.address().getPort());
+        Socket taken = server.accept()) {
+      passes(again, taken, 9);
     }
+  }
 
-    /** Where nobody listens any more dials are refused, as without a relay, and taken again once somebody does. */
-    @Test
-    void whereNobodyListensDialsAreRefusedUntilSomebodyDoes() throws IOException {
-        int port = server.getLocalPort();
-        server.close();
-        Child.until("refused", Duration.ofSeconds(10), () -> {
-            try (Socket dial = new Socket()) {
-                dial.connect(route.address(), 1000);
-                return false;
-            } catch (ConnectException e) {
-                return true;
-            } catch (IOException e) {
-                return false;
-            }
+  /**
+   * Where nobody listens any more dials are refused, as without a relay, and taken again once
+   * somebody does.
+   */
+  @Test
+  void whereNobodyListensDialsAreRefusedUntilSomebodyDoes() throws IOException {
+    int port = server.getLocalPort();
+    server.close();
+    Child.until(
+        "refused",
+        Duration.ofSeconds(10),
+        () -> {
+          try (Socket dial = new Socket()) {
+            dial.connect(route.address(), 1000);
+            return false;
+          } catch (ConnectException e) {
+            return true;
+          } catch (IOException e) {
+            return false;
+          }
         });
-        server = new ServerSocket(port, 50, here);
-        Child.until("taken again", Duration.ofSeconds(10), () -> {
-            try (Socket dial = new Socket()) {
-                dial.connect(route.address(), 1000);
-                return true;
-            } catch (IOException e) {
-                return false;
-            }
+    server = new ServerSocket(port, 50, here);
+    Child.until(
+        "taken again",
+        Duration.ofSeconds(10),
+        () -> {
+          try (Socket dial = new Socket()) {
+            dial.connect(route.address(), 1000);
+            return true;
+          } catch (IOException e) {
+            return false;
+          }
         });
-    }
+  }
 
-    @Test
-    void whatIsDelayedComesLate() throws IOException {
-        relay.set("a", "b", Way.FREE.withTrouble(Duration.ofMillis(120), 0, 0, 0));
-        long began = System.nanoTime();
-        passes(near, far, 7);
-        long took = (System.nanoTime() - began) / 1_000_000;
-        assertTrue(took >= 119, took + " ms");
-    }
+  @Test
+  void whatIsDelayedComesLate() throws IOException {
+    relay.set("a", "b", Way.FREE.withTrouble(Duration.ofMillis(120), 0, 0, 0));
+    long began = System.nanoTime();
+    passes(near, far, 7);
+    long took = (System.nanoTime() - began) / 1_000_000;
+    assertTrue(took >= 119, took + " ms");
+  }
 
-    @Test
-    void datagramsAreLostRepeatedAndOvertaken() throws IOException {
-        try (DatagramSocket to = new DatagramSocket(0, here); DatagramSocket from = new DatagramSocket(0, here)) {
-            InetSocketAddress way = relay.datagrams("a", "b", (InetSocketAddress) to.getLocalSocketAddress());
-            relay.set("a", "b", Way.FREE.withTrouble(Duration.ZERO, 0.3, 0.3, 0.3));
-            int sent = 200;
-            for (int k = 0; k < sent; k++) {
-                from.send(new DatagramPacket(new byte[] {(byte) k}, 1, way));
-            }
-            to.setSoTimeout(1000);
-            int came = 0;
-            int overtaken = 0;
-            int last = -1;
-            try {
-                while (true) {
-                    DatagramPacket packet = new DatagramPacket(new byte[10], 10);
-                    to.receive(packet);
-                    came++;
-                    int number = packet.getData()[0] & 0xff;
-                    overtaken += number < last ? 1 : 0;
-                    last = Math.max(last, number);
-                }
-            } catch (SocketTimeoutException e) {
-                // All that comes has come.
-            }
-            assertEquals(sent - relay.datagramsLost() + relay.datagramsRepeated(), came);
-            assertTrue(relay.datagramsLost() > 20 && relay.datagramsRepeated() > 20 && overtaken > 20,
-                    relay.datagramsLost() + " lost, " + relay.datagramsRepeated() + " repeated, " + overtaken);
+  @Test
+  void datagramsAreLostRepeatedAndOvertaken() throws IOException {
+    try (DatagramSocket to = new DatagramSocket(0, here);
+        DatagramSocket from = new DatagramSocket(0, here)) {
+      InetSocketAddress way =
+          relay.datagrams("a", "b", (InetSocketAddress) to.getLocalSocketAddress());
+      relay.set("a", "b", Way.FREE.withTrouble(Duration.ZERO, 0.3, 0.3, 0.3));
+      int sent = 200;
+      for (int k = 0; k < sent; k++) {
+        from.send(new DatagramPacket(new byte[] {(byte) k}, 1, way));
+      }
+      to.setSoTimeout(1000);
+      int came = 0;
+      int overtaken = 0;
+      int last = -1;
+      try {
+        while (true) {
+          DatagramPacket packet = new DatagramPacket(new byte[10], 10);
+          to.receive(packet);
+          came++;
+          int number = packet.getData()[0] & 0xff;
+          overtaken += number < last ? 1 : 0;
+          last = Math.max(last, number);
         }
+      } catch (SocketTimeoutException e) {
+        // All that comes has come.
+      }
+      assertEquals(sent - relay.datagramsLost() + relay.datagramsRepeated(), came);
+      assertTrue(
+          relay.datagramsLost() > 20 && relay.datagramsRepeated() > 20 && overtaken > 20,
+          relay.datagramsLost()
+              + " lost, "
+              + relay.datagramsRepeated()
+              + " repeated, "
+              + overtaken);
     }
+  }
 }
