--- a/benchmarks/src/main/java/weldcross/benchmarks/StorageFigures.java
+++ b/benchmarks/src/main/java/weldcross/benchmarks/StorageFigures.java
@@ -38,7 +38,6 @@
           1,
           time(
               COMMITS,
-              1,
               () -> {
                 file.write(ByteBuffer.allocate(4 + RECORD).putInt(RECORD).rewind());
                 file.force(false);
@@ -52,7 +51,6 @@
         Histogram times =
             time(
                 COMMITS / Math.max(1, batch / 16),
-                batch,
                 () -> {
                   for (int k = 0; k < batch; k++) {
                     log.add(ByteBuffer.allocate(RECORD));
@@ -106,7 +104,7 @@
         });
   }
 
-  private static Histogram time(int times, int batch, Step step) throws IOException {
+  private static Histogram time(int times, Step step) throws IOException {
     Histogram histogram = new Histogram(3);
     for (int k = 0; k < times; k++) {
       long began = System.nanoTime();
--- a/gateway/src/main/java/weldcross/agreement/Returning.java
+++ b/gateway/src/main/java/weldcross/agreement/Returning.java
@@ -111,7 +111,7 @@
     List<Answer> having = answers.values().stream().filter(Answer::has).toList();
     if (kept.identity() == null) {
       boolean begun =
-          answers.values().stream().anyMatch(a -> a.has() && a.lastIndex() > 0 || !a.founding());
+          answers.values().stream().anyMatch(a -> (a.has() && a.lastIndex() > 0) || !a.founding());
       if (begun) {
         become(Phase.IS_NEW, "this disk has no records, and others have");
       } else if (answers.size() == voters - 1 && !had) {
@@ -151,7 +151,7 @@
           having.stream()
               .anyMatch(
                   a ->
-                      phase == Phase.ASKING && a.term() > kept.term()
+                      (phase == Phase.ASKING && a.term() > kept.term())
                           || isBefore(
                               kept.lastTerm(), kept.lastIndex(), a.lastTerm(), a.lastIndex()));
       become(
--- a/gateway/src/main/java/weldcross/agreement/Views.java
+++ b/gateway/src/main/java/weldcross/agreement/Views.java
@@ -42,7 +42,7 @@
           return Verdict.SAME;
         }
         if (motion.life() <= ended.getOrDefault(name, 0L)
-            || member != null && motion.life() < member.life()) {
+            || (member != null && motion.life() < member.life())) {
           return Verdict.ENDED;
         }
         if (member != null && member.life() < motion.life()) {
--- a/gateway/src/main/java/weldcross/agreement/raft/Voter.java
+++ b/gateway/src/main/java/weldcross/agreement/raft/Voter.java
@@ -241,7 +241,7 @@
       again();
       return;
     }
-    if (phase == Phase.JOINING || phase == Phase.VOTING && leader() != null) {
+    if (phase == Phase.JOINING || (phase == Phase.VOTING && leader() != null)) {
       return;
     }
     Word word =
@@ -385,7 +385,7 @@
     boolean joined =
         phase == Phase.JOINING && node.getCommittedMembers().getVotingMembers().contains(self);
     if (joined
-        || phase == Phase.LEARNING && returning.has(kept.inShort()) == Returning.Phase.GOES_ON) {
+        || (phase == Phase.LEARNING && returning.has(kept.inShort()) == Returning.Phase.GOES_ON)) {
       phase = Phase.VOTING;
       host.say(Level.INFO, self + " has learnt what the others have, and votes");
     }
@@ -423,9 +423,9 @@
     remember(message);
     if (phase == Phase.LEARNING) {
       boolean lacking =
-          message instanceof VoteRequest v && lacks(v.getLastLogTerm(), v.getLastLogIndex())
-              || message instanceof PreVoteRequest p
-                  && lacks(p.getLastLogTerm(), p.getLastLogIndex());
+          (message instanceof VoteRequest v && lacks(v.getLastLogTerm(), v.getLastLogIndex()))
+              || (message instanceof PreVoteRequest p
+                  && lacks(p.getLastLogTerm(), p.getLastLogIndex()));
       if (lacking || message instanceof TriggerLeaderElectionRequest) {
         return;
       }
--- a/gateway/src/main/java/weldcross/gateway/Gateway.java
+++ b/gateway/src/main/java/weldcross/gateway/Gateway.java
@@ -605,7 +605,7 @@
       at(now.plus(STILL_COMING), this::stopIfDone);
     }
     boolean waited = answeredAt != null && now.minus(answeredAt).compareTo(STILL_COMING) >= 0;
-    if ((clients.isEmpty() && leaving.isEmpty() || waited)
+    if (((clients.isEmpty() && leaving.isEmpty()) || waited)
         && parts.stream().allMatch(Part::isDone)) {
       for (int k = parts.size() - 1; k >= 0; k--) {
         parts.get(k).stop();
--- a/gateway/src/main/java/weldcross/gateway/ListWatch.java
+++ b/gateway/src/main/java/weldcross/gateway/ListWatch.java
@@ -245,7 +245,7 @@
     if (!stays && !told.flag("complete", false)) {
       talk.askWhole = true;
     }
-    return stays || talk.askWhole && !told.flag("complete", false);
+    return stays || (talk.askWhole && !told.flag("complete", false));
   }
 
   /**
--- a/gateway/src/main/java/weldcross/gateway/Round.java
+++ b/gateway/src/main/java/weldcross/gateway/Round.java
@@ -66,7 +66,7 @@
     if (!gone.isEmpty()) {
       post.accept(g -> gone.forEach(g::clientGone));
     }
-    heard.forEach(post::accept);
+    heard.forEach(post);
     heard.clear();
     told.stream().filter(t -> !went.contains(t.client)).forEach(t -> post.accept(t.event));
     told.clear();
--- a/gateway/src/main/java/weldcross/gateway/ServerLinks.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerLinks.java
@@ -227,7 +227,7 @@
   }
 
   private void allOut(Link link) {
-    if (!link.up || link.question != null && link.question.isBrief()) {
+    if (!link.up || (link.question != null && link.question.isBrief())) {
       expect(link);
     }
   }
@@ -320,7 +320,7 @@
       return kept ? Outcome.KEPT_CUT : Outcome.CUT;
     }
     // Taken up and ended before its welcome, or while it rested: whoever did so may well live.
-    return kept || link.reached && !link.up ? Outcome.NOT_TAKEN : Outcome.NO_ROUTE;
+    return kept || (link.reached && !link.up) ? Outcome.NOT_TAKEN : Outcome.NO_ROUTE;
   }
 
   /**
--- a/gateway/src/main/java/weldcross/link/Links.java
+++ b/gateway/src/main/java/weldcross/link/Links.java
@@ -468,7 +468,8 @@
   private static boolean isOld(Peer peer, Life life) {
     return peer.heard != null
         && (life.incarnation() < peer.heard.incarnation()
-            || life.incarnation() == peer.heard.incarnation() && life.mark() != peer.heard.mark());
+            || (life.incarnation() == peer.heard.incarnation()
+                && life.mark() != peer.heard.mark()));
   }
 
   /**
@@ -587,7 +588,7 @@
     Caller caller = peer == null ? null : callers.get(peer.heardLink);
     Duration called = caller != null && caller.peer == peer ? caller.aliveAt : null;
     Duration own = peer != null && peer.phase == Phase.UP ? peer.aliveAt : null;
-    return called == null || own != null && own.compareTo(called) > 0 ? own : called;
+    return called == null || (own != null && own.compareTo(called) > 0) ? own : called;
   }
 
   /** The latest life of the peer that was heard of; null where none was. */
--- a/gateway/src/main/java/weldcross/membership/Seen.java
+++ b/gateway/src/main/java/weldcross/membership/Seen.java
@@ -197,7 +197,8 @@
 
   /** Only this gateway raises its version, and only above what is said of it. */
   private void answerToSelf(News said) {
-    if (said.life() > self.life() || said.life() == self.life() && said.finding() == Finding.GONE) {
+    if (said.life() > self.life()
+        || (said.life() == self.life() && said.finding() == Finding.GONE)) {
       host.takenForGone(said.life());
     } else if (said.life() == self.life()
         && said.finding() != Finding.HERE
--- a/gateway/src/main/java/weldcross/pgwire/ServerAnswer.java
+++ b/gateway/src/main/java/weldcross/pgwire/ServerAnswer.java
@@ -111,8 +111,8 @@
     return state == null
         && complete != null
         && (tag == null
-            || complete.limit() == 6 + tag.length()
-                && text(complete, 5, complete.limit()).equals(tag + "\0"));
+            || (complete.limit() == 6 + tag.length()
+                && text(complete, 5, complete.limit()).equals(tag + "\0")));
   }
 
   /** The row as its client gets it: untouched, then ready. */
--- a/gateway/src/main/java/weldcross/pools/RestRecord.java
+++ b/gateway/src/main/java/weldcross/pools/RestRecord.java
@@ -69,7 +69,7 @@
   }
 
   private static int classOf(Duration rested) {
-    double doublings = Math.log(rested.toMillis() + 1) / Math.log(2);
+    double doublings = Math.log((double) (rested.toMillis() + 1)) / Math.log(2);
     return Math.min(CLASSES - 1, (int) (2 * doublings));
   }
 }
--- a/gateway/src/main/java/weldcross/routing/Router.java
+++ b/gateway/src/main/java/weldcross/routing/Router.java
@@ -286,7 +286,7 @@
     seat.goneAt = null;
     // Where only draining binds, a list that is wrong for a while does not take it back.
     boolean same = !terms.goneBinds() && (start == null || start.equals(seat.start));
-    seat.draining = condition == Condition.DRAINING || seat.draining && same;
+    seat.draining = condition == Condition.DRAINING || (seat.draining && same);
     // A start not seen before is a cold server, whatever this router thought of it.
     if (start != null && !start.equals(seat.start)) {
       seat.start = start;
@@ -360,7 +360,7 @@
     Seat seat = callOut.seat;
     boolean repeatKnown =
         rpc.row.effect() != Effect.TOKENED
-            || rpc.out == 1 && !rpc.mayHaveRun
+            || (rpc.out == 1 && !rpc.mayHaveRun)
             || repeatsDropped(now, rpc);
     return !rpc.answered
         && listStands
@@ -598,7 +598,7 @@
       // else to do.
       seat.askGap = sooner(seat.askGap.multipliedBy(2), LONGEST_DOUBT);
     }
-    if (seat.doubted || seat.group.held.isEmpty() && lost(c)) {
+    if (seat.doubted || (seat.group.held.isEmpty() && lost(c))) {
       rescue(now, c);
     }
     dueAt(now.plus(span(c.work)), at -> overdue(at, c));
@@ -611,7 +611,7 @@
   private void probeIfUnknown(Duration now, Seat seat) {
     Seat primary = seat.group.primary;
     boolean sought = seat.pos == null || primary == null || primary.doubted;
-    boolean needed = seat.probedAt == null || sought && !seat.group.held.isEmpty();
+    boolean needed = seat.probedAt == null || (sought && !seat.group.held.isEmpty());
     if (needed && seat.listed && !seat.draining && probe(now, seat, seat.seekGap)) {
       seat.seekGap = sooner(seat.seekGap.multipliedBy(2), LONGEST_DOUBT);
     }
@@ -623,7 +623,7 @@
    */
   private boolean refreshed(Duration now, Rpc rpc) {
     Need need = rpc.row.need();
-    boolean byPosition = need == Need.BOUNDED || need == Need.SESSION && token(rpc) != null;
+    boolean byPosition = need == Need.BOUNDED || (need == Need.SESSION && token(rpc) != null);
     Seat next = byPosition && terms.probes() ? leastBusy(now, rpc, false) : null;
     boolean old =
         next != null && (next.pos == null || now.minus(next.pos).compareTo(probeAfter) > 0);
@@ -636,7 +636,7 @@
   private boolean probe(Duration now, Seat seat, Duration gap) {
     if (!terms.probes()
         || seat.probing
-        || seat.probedAt != null && now.minus(seat.probedAt).compareTo(gap) < 0) {
+        || (seat.probedAt != null && now.minus(seat.probedAt).compareTo(gap) < 0)) {
       return false;
     }
     seat.probing = true;
@@ -678,7 +678,7 @@
     return switch (rpc.row.need()) {
       case ANY -> true;
       case BOUNDED -> pos != null && now.minus(pos).compareTo(rpc.row.bound()) < 0;
-      case SESSION -> token(rpc) == null || pos != null && pos.compareTo(token(rpc)) >= 0;
+      case SESSION -> token(rpc) == null || (pos != null && pos.compareTo(token(rpc)) >= 0);
       case FRESH -> pos != null && pos.compareTo(rpc.arrived) >= 0;
       case WRITE -> false;
     };
@@ -813,7 +813,7 @@
     boolean clean = rpc.out == 0 && !rpc.mayHaveRun;
     if (rpc.row.effect() == Effect.IDEMPOTENT
         || clean
-        || rpc.row.effect() == Effect.TOKENED && rpc.row.scope() == MethodRow.Scope.ALL) {
+        || (rpc.row.effect() == Effect.TOKENED && rpc.row.scope() == MethodRow.Scope.ALL)) {
       host.pushBack(rpc.id, terms.longestComeBack());
     } else {
       host.abort(rpc.id);
@@ -869,7 +869,7 @@
   /** No effect twice: whether the RPC may go out, or out again, by its method and the terms. */
   private boolean mayGoOut(Duration now, Rpc rpc) {
     boolean limited =
-        rpc.callOuts.size() >= terms.callOutLimit() || rpc.out > 0 && !terms.parallelCallOuts();
+        rpc.callOuts.size() >= terms.callOutLimit() || (rpc.out > 0 && !terms.parallelCallOuts());
     boolean risk = rpc.out > 0 || rpc.mayHaveRun;
     return !limited
         && (!risk
@@ -1038,7 +1038,7 @@
    * what the work takes.
    */
   private void widen(Duration now, Seat seat, CallOut callOut, Outcome outcome, Duration took) {
-    if (outcome.neverRan && outcome != Outcome.NO_ROOM
+    if ((outcome.neverRan && outcome != Outcome.NO_ROOM)
         || outcome == Outcome.KEPT_CUT
         || lost(callOut)) {
       return;
@@ -1146,7 +1146,7 @@
   }
 
   private static Duration later(Duration a, Duration b) {
-    return a == null || b != null && b.compareTo(a) > 0 ? b : a;
+    return a == null || (b != null && b.compareTo(a) > 0) ? b : a;
   }
 
   private static Duration sooner(Duration a, Duration b) {
--- a/gateway/src/main/java/weldcross/storage/RecordLog.java
+++ b/gateway/src/main/java/weldcross/storage/RecordLog.java
@@ -357,7 +357,7 @@
     if (isLast) {
       rewrite(first, all.slice(0, at));
     }
-    return size - at;
+    return (long) size - at;
   }
 
   /**
@@ -372,7 +372,7 @@
     ByteBuffer in = all.slice(at + 8, end - at - 8);
     long number = in.getLong();
     long first = in.getLong();
-    if (frame != 0 && number != frame + 1 || first != last + 1) {
+    if ((frame != 0 && number != frame + 1) || first != last + 1) {
       return 0;
     }
     frame = number;
--- a/gateway/src/main/java/weldcross/terms/PartTerms.java
+++ b/gateway/src/main/java/weldcross/terms/PartTerms.java
@@ -173,7 +173,7 @@
     List<PeerName> voters = new ArrayList<>();
     for (String each : agreement.list("voters")) {
       PeerName name = new PeerName(each);
-      if (voters.contains(name) || !name.equals(self) && !peers.contains(name)) {
+      if (voters.contains(name) || (!name.equals(self) && !peers.contains(name))) {
         throw agreement.fault("voters", "this gateway and those of link.peers, each once");
       }
       voters.add(name);
--- a/gateway/src/test/java/weldcross/agreement/DecisionsTest.java
+++ b/gateway/src/test/java/weldcross/agreement/DecisionsTest.java
@@ -71,7 +71,7 @@
     Map<PeerName, Long> highestEnded = new TreeMap<>();
     for (int step = 0; step < 5000; step++) {
       PeerName name = List.of(A, B, C).get(dice.nextInt(3));
-      long life = 1 + dice.nextInt(40);
+      long life = 1L + dice.nextInt(40);
       Motion motion =
           switch (dice.nextInt(4)) {
             case 0 -> Motion.gone(name, life, B);
@@ -101,12 +101,12 @@
               m ->
                   assertTrue(
                       m.life() > highestEnded.getOrDefault(m.name(), 0L)
-                          || before.has(m.name(), m.life())
-                              && m.life() >= highestEnded.getOrDefault(m.name(), 0L)));
+                          || (before.has(m.name(), m.life())
+                              && m.life() >= highestEnded.getOrDefault(m.name(), 0L))));
       for (PeerName lost : List.of(A, B, C)) {
         PeerName owner = views.view().ownerAfter(lost);
         assertTrue(
-            owner == null || !owner.equals(lost) && views.view().members().containsKey(owner));
+            owner == null || (!owner.equals(lost) && views.view().members().containsKey(owner)));
       }
       if (step % 500 == 0) {
         Views restored = new Views();
--- a/gateway/src/test/java/weldcross/cli/CommandsTest.java
+++ b/gateway/src/test/java/weldcross/cli/CommandsTest.java
@@ -1,5 +1,6 @@
 package weldcross.cli;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -88,7 +89,7 @@
     assertEquals(Commands.OK, Commands.run("version"));
     assertTrue(
         said.toString(StandardCharsets.UTF_8).matches("weldcross \\d+\\.\\d+\\.\\d+(-\\w+)?\\R"),
-        said.toString());
+        said.toString(UTF_8));
   }
 
   @ParameterizedTest
--- a/gateway/src/test/java/weldcross/gateway/ConnectionEndsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ConnectionEndsTest.java
@@ -82,7 +82,7 @@
             "\"sockets\":1024", "\"sockets\":" + sockets, "\"mayTell\":true", "\"mayTell\":false");
     GatewayTerms terms = GatewayTerms.of(NamedValues.ofJson(config));
     effects = new MinaEffects(loop, this::clock, sockets * 3 / 4);
-    gateway = new Gateway(terms, effects, Duration.ofMillis(1_800_000_000_000L));
+    gateway = new Gateway(terms, effects, Duration.ofHours(500_000));
     gateway.reduce(now, Gateway::start);
     at = effects.listening().get(20, TimeUnit.SECONDS);
     // Its own greeting is over before anything is counted; before it began there are no clients
--- a/gateway/src/test/java/weldcross/gateway/GatewayTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayTest.java
@@ -460,7 +460,7 @@
       check(!answers.containsKey(id) && !left.contains(id), "rule 1: sent after its answer");
       Set<Long> out = outOn.computeIfAbsent(id, i -> new HashSet<>());
       check(
-          m.group(1).equals("SELECT") || out.isEmpty() && !mayHaveRun.contains(id),
+          m.group(1).equals("SELECT") || (out.isEmpty() && !mayHaveRun.contains(id)),
           "rule 2: sent twice");
       check(
           now.plusMillis(Long.parseLong(m.group(4))).compareTo(deadlines.get(id).plus(GRACE)) <= 0,
@@ -496,7 +496,9 @@
       String answer = served ? "ok" : text.replaceAll("(?s).*?\0C(\\w{5})\0.*", "$1");
       boolean write = outOn.containsKey(id) && writes.contains(id);
       check(
-          !answer.equals("53300") || !write || outOn.get(id).isEmpty() && !mayHaveRun.contains(id),
+          !answer.equals("53300")
+              || !write
+              || (outOn.get(id).isEmpty() && !mayHaveRun.contains(id)),
           "rule 2: pushed back though it may have run ");
       answers.put(id, answer);
     }
@@ -536,7 +538,7 @@
           (number, messages) -> {
             Wire wire = wires.get(number);
             boolean quiet =
-                !wire.open || wire.fromClient.told() <= messages && !wire.fromClient.isWithin();
+                !wire.open || (wire.fromClient.told() <= messages && !wire.fromClient.isWithin());
             wire.open &= !quiet;
             wire.dropped |= quiet;
             gateway.soon(
@@ -1363,9 +1365,9 @@
                 Duration.ofMillis(2),
                 () -> {
                   g.stop();
-                  clock[0] = Duration.ofMillis(9000);
+                  clock[0] = Duration.ofSeconds(9);
                 }));
-    clock[0] = Duration.ofMillis(5000);
+    clock[0] = Duration.ofSeconds(5);
     loop.run(w.gateway);
     assertEquals(List.of("came", "came", "came", "due"), order);
   }
--- a/gateway/src/test/java/weldcross/gateway/ServiceTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ServiceTest.java
@@ -139,7 +139,7 @@
     void serve(DataInputStream in, OutputStream out) throws IOException {
       String request = in.readLine();
       while (!in.readLine().isEmpty()) {
-        continue;
+        // Skips the headers.
       }
       if (request.startsWith("GET /catalog/members HTTP")) {
         out.write(
--- a/gateway/src/test/java/weldcross/link/LinkPartTest.java
+++ b/gateway/src/test/java/weldcross/link/LinkPartTest.java
@@ -1,5 +1,6 @@
 package weldcross.link;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -231,7 +232,7 @@
     Greeting.Builder later =
         Greeting.newBuilder().setVersion(99).setCluster("c").setFrom("n2").setTo("n1");
     byte[][] bad = {
-      "GET / HTTP/1.1\r\n\r\n".getBytes(),
+      "GET / HTTP/1.1\r\n\r\n".getBytes(UTF_8),
       {0x7f, 0, 0, 0},
       {(byte) 0xff, 0, 0, 0, 1},
       {0, 0, 0, 3, 9, 9, 9},
@@ -245,7 +246,7 @@
         stranger.setSoTimeout(10_000);
         stranger.getOutputStream().write(each);
         while (stranger.getInputStream().read() >= 0) {
-          continue;
+          // Reads to the end.
         }
       } catch (java.net.SocketException e) {
         // Reset is an end as well.
--- a/gateway/src/test/java/weldcross/link/LinkWorld.java
+++ b/gateway/src/test/java/weldcross/link/LinkWorld.java
@@ -37,7 +37,7 @@
   }
 
   /** One end of a connection, and what is on its way to it. */
-  final class End {
+  static final class End {
     final Node node;
     final long number;
     End other;
--- a/gateway/src/test/java/weldcross/link/LinksTest.java
+++ b/gateway/src/test/java/weldcross/link/LinksTest.java
@@ -102,8 +102,8 @@
       {"c", one, w.node(0).name, new Life(0, 5), 1}
     };
     for (Object[] each : wrong) {
-      LinkWorld.End end = w.new End(w.node(0), 1000);
-      end.other = w.new End(w.node(1), -1000);
+      LinkWorld.End end = new LinkWorld.End(w.node(0), 1000);
+      end.other = new LinkWorld.End(w.node(1), -1000);
       w.node(0).ends.put(1000L, end);
       links.accepted(w.now, 1000, true);
       links.greeted(
@@ -126,7 +126,7 @@
   void silentCallersLeaveRoom() {
     LinkWorld w = new LinkWorld(2);
     for (int k = 0; k < 5; k++) {
-      LinkWorld.End end = w.new End(w.node(0), 2000 + k);
+      LinkWorld.End end = new LinkWorld.End(w.node(0), 2000 + k);
       w.node(0).ends.put(end.number, end);
       w.node(0).links.accepted(w.now, end.number, true);
     }
--- a/gateway/src/test/java/weldcross/membership/SeenTest.java
+++ b/gateway/src/test/java/weldcross/membership/SeenTest.java
@@ -314,9 +314,9 @@
     assertTrue(
         last[0] == null
             || last[1] == null
-            || last[0].life() == last[1].life()
+            || (last[0].life() == last[1].life()
                 && last[0].version() == last[1].version()
-                && last[0].finding() == last[1].finding(),
+                && last[0].finding() == last[1].finding()),
         last[0] + " and " + last[1]);
     return Arrays.toString(holds) + under + life[0] + version + lives;
   }
--- a/gateway/src/test/java/weldcross/pools/RestRecordTest.java
+++ b/gateway/src/test/java/weldcross/pools/RestRecordTest.java
@@ -44,7 +44,7 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void findsTheRestThatConnectionsDoNotOutliveAndThatTheyDoAgain(long seed) {
     SplittableRandom dice = new SplittableRandom(seed);
-    long limit = 20 + dice.nextInt(2000);
+    long limit = 20L + dice.nextInt(2000);
     double gone = 0.4 + 0.6 * dice.nextDouble();
     int lost = 0;
     for (int k = 0; k < 3000; k++) {
--- a/gateway/src/test/java/weldcross/routing/Rig.java
+++ b/gateway/src/test/java/weldcross/routing/Rig.java
@@ -372,7 +372,7 @@
     check(
         clean
             || entry.row.effect() == Effect.IDEMPOTENT
-            || entry.row.effect() == Effect.TOKENED && entry.row.scope() == Scope.ALL,
+            || (entry.row.effect() == Effect.TOKENED && entry.row.scope() == Scope.ALL),
         "rule 2: pushed back though it may have run");
     answered(entry, "pushed back");
   }
--- a/standins/src/main/java/weldcross/standins/PgServer.java
+++ b/standins/src/main/java/weldcross/standins/PgServer.java
@@ -235,7 +235,7 @@
             (r[head] & 0xff) << 24
                 | (r[head + 1] & 0xff) << 16
                 | (r[head + 2] & 0xff) << 8
-                | r[head + 3] & 0xff;
+                | (r[head + 3] & 0xff);
         if (r.length < head + length) {
           return;
         }
@@ -271,7 +271,7 @@
       String rpc = id(write.group(3));
       String key = write.group(1);
       String value = write.group(2);
-      take(session, stream, rpc, () -> write(session, stream, rpc, key, value));
+      take(session, stream, rpc, () -> write(stream, rpc, key, value));
     } else if (outcome.matches()) {
       take(
           session,
@@ -372,7 +372,7 @@
     return row(store.read(clock.nanos(), rpc, group, name, key, horizon()), "SELECT 1");
   }
 
-  private Out write(IoSession session, Stream stream, String rpc, String key, String value) {
+  private Out write(Stream stream, String rpc, String key, String value) {
     if (!primary) {
       return new Out().error("25006", "cannot write on a replica").state(this).ready();
     }
--- a/trials/src/main/java/weldcross/trials/relay/Relay.java
+++ b/trials/src/main/java/weldcross/trials/relay/Relay.java
@@ -51,7 +51,7 @@
   private static final int FIRST_PORT = 10_000, LAST_PORT = 30_000;
 
   /** An address of the relay, through which one host reaches another. */
-  public final class Route {
+  public static final class Route {
     final String from, to;
     final InetSocketAddress target;
     InetSocketAddress address;
@@ -78,7 +78,7 @@
   private record Piece(long due, ByteBuffer bytes) {}
 
   /** One direction of a connection. */
-  private final class Pipe {
+  private static final class Pipe {
     final Link link;
     final SocketChannel in, out;
     final String from, to;
@@ -101,7 +101,7 @@
     final Route route;
     final SocketChannel near, far;
     final Pipe there, back;
-    boolean up, broken;
+    boolean up;
 
     Link(Route route, SocketChannel near, SocketChannel far) {
       this.route = route;
@@ -200,8 +200,8 @@
           Way before = ways.getOrDefault(from + ">" + to, Way.FREE);
           ways.put(from + ">" + to, way);
           for (Route route : routes) {
-            if (route.from.equals(from) && route.to.equals(to)
-                || route.from.equals(to) && route.to.equals(from)) {
+            if ((route.from.equals(from) && route.to.equals(to))
+                || (route.from.equals(to) && route.to.equals(from))) {
               if (before.cut() && !way.cut()) {
                 List.copyOf(route.links).forEach(this::reset);
               }
@@ -223,8 +223,8 @@
         () -> {
           int count = 0;
           for (Route route : routes) {
-            if (route.from.equals(a) && route.to.equals(b)
-                || route.from.equals(b) && route.to.equals(a)) {
+            if ((route.from.equals(a) && route.to.equals(b))
+                || (route.from.equals(b) && route.to.equals(a))) {
               count += route.links.size();
               List.copyOf(route.links).forEach(this::reset);
             }
@@ -506,7 +506,7 @@
     if (wayOf(told.from, told.to).isFree()) {
       reset(link);
     } else {
-      link.broken = true;
+
       told.lost = true;
       SelectionKey key = channel.keyFor(selector);
       if (key != null) {
@@ -576,7 +576,7 @@
       for (Link link : List.copyOf(route.links)) {
         for (Pipe pipe : new Pipe[] {link.there, link.back}) {
           try {
-            if (!pipe.pieces.isEmpty() || pipe.ended && !pipe.endTold || pipe.lost) {
+            if (!pipe.pieces.isEmpty() || (pipe.ended && !pipe.endTold) || pipe.lost) {
               next = Math.min(next, move(pipe, now));
             }
           } catch (IOException e) {
@@ -652,7 +652,7 @@
       buffer.flip();
       ByteBuffer bytes = ByteBuffer.allocate(buffer.remaining()).put(buffer).flip();
       Way way = wayOf(from, to);
-      if (!way.isFree() || way.lost() > 0 && dice.nextDouble() < way.lost()) {
+      if (!way.isFree() || (way.lost() > 0 && dice.nextDouble() < way.lost())) {
         datagramsLost++;
         return;
       }
--- a/trials/src/main/java/weldcross/trials/scenario/Nemesis.java
+++ b/trials/src/main/java/weldcross/trials/scenario/Nemesis.java
@@ -91,7 +91,7 @@
         kind == Fault.Kind.DELAY
             ? Integer.toString(dice.nextInt(20, 300))
             : kind == Fault.Kind.LOSS ? "0.3" : "";
-    boolean swapped = to.equals("clients") || kind != Fault.Kind.REFUSE && dice.nextBoolean();
+    boolean swapped = to.equals("clients") || (kind != Fault.Kind.REFUSE && dice.nextBoolean());
     return new Fault(at, lasting, kind, swapped ? to : gateway, swapped ? gateway : to, how);
   }
 
--- a/trials/src/main/java/weldcross/trials/scenario/Scenario.java
+++ b/trials/src/main/java/weldcross/trials/scenario/Scenario.java
@@ -107,7 +107,7 @@
 
   private static int voters(NamedValues told, int gateways) {
     int voters = (int) told.whole("voters", 0, 0);
-    if (voters > gateways || voters > 0 && voters % 2 == 0) {
+    if (voters > gateways || (voters > 0 && voters % 2 == 0)) {
       throw told.fault("voters", "an odd number of the gateways, or 0 for no agreement");
     }
     return voters;
@@ -151,7 +151,8 @@
   }
 
   private static void known(NamedValues told, String key, String host, int gateways, int servers) {
-    boolean fits = host.equals("clients") && servers > 0 || host.equals("discovery") && servers > 0;
+    boolean fits =
+        (host.equals("clients") && servers > 0) || (host.equals("discovery") && servers > 0);
     for (int k = 0; k < gateways; k++) {
       fits |= host.equals("n" + k);
     }
--- a/trials/src/test/java/weldcross/trials/RelayTest.java
+++ b/trials/src/test/java/weldcross/trials/RelayTest.java
@@ -94,7 +94,7 @@
         SocketException.class,
         () -> {
           while (near.getInputStream().read() >= 0) {
-            continue;
+            // Reads to the end.
           }
         });
     try (Socket again = new Socket(route.address().getAddress(), route.address().getPort());
