--- a/benchmarks/src/main/java/weldcross/benchmarks/LinkFigures.java
+++ b/benchmarks/src/main/java/weldcross/benchmarks/LinkFigures.java
@@ -17,15 +17,15 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import weldcross.link.Life;
-import weldcross.link.LinkHost;
-import weldcross.link.LinkPlaces;
-import weldcross.link.LinkTerms;
-import weldcross.link.Links;
-import weldcross.link.PeerName;
-import weldcross.link.Refusal;
-import weldcross.link.net.LinkPart;
-import weldcross.seam.Seam;
+import weldcross.extension.Seam;
+import weldcross.mesh.Life;
+import weldcross.mesh.LinkHost;
+import weldcross.mesh.LinkPlaces;
+import weldcross.mesh.LinkTerms;
+import weldcross.mesh.Links;
+import weldcross.mesh.PeerName;
+import weldcross.mesh.Refusal;
+import weldcross.mesh.net.LinkPart;
 
 /**
  * What the link carries and costs: five gateways' links on sockets, at rest and sending all they
--- a/trials/src/main/java/weldcross/trials/Ground.java
+++ b/chaos/src/main/java/weldcross/chaos/Ground.java
@@ -1,4 +1,4 @@
-package weldcross.trials;
+package weldcross.chaos;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -20,17 +20,17 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import weldcross.standins.Catalog;
-import weldcross.standins.DiscoveryAgent;
-import weldcross.standins.PgServer;
-import weldcross.standins.Store;
-import weldcross.trials.audit.Evidence;
-import weldcross.trials.load.Method;
-import weldcross.trials.process.Child;
-import weldcross.trials.process.Children;
-import weldcross.trials.process.Place;
-import weldcross.trials.relay.Relay;
-import weldcross.trials.scenario.Scenario;
+import weldcross.chaos.history.Evidence;
+import weldcross.chaos.load.Method;
+import weldcross.chaos.process.Child;
+import weldcross.chaos.process.Children;
+import weldcross.chaos.process.Place;
+import weldcross.chaos.proxy.Relay;
+import weldcross.chaos.scenario.Scenario;
+import weldcross.fakes.Catalog;
+import weldcross.fakes.DiscoveryAgent;
+import weldcross.fakes.PgServer;
+import weldcross.fakes.Store;
 
 /**
  * Where one trial takes place: gateways as processes with directories and addresses of their own,
@@ -115,8 +115,8 @@
                   "-Djdk.nio.maxCachedBufferSize=262144",
                   "-Dslf4j.provider=org.slf4j.jul.JULServiceProvider"));
       if (scenario.linked()) {
-        command.add("-Dweldcross.trials.disk=" + home.resolve("disk.words"));
-        command.add("-Dweldcross.trials.wall=" + wallOff);
+        command.add("-Dweldcross.chaos.disk=" + home.resolve("disk.words"));
+        command.add("-Dweldcross.chaos.wall=" + wallOff);
         command.addAll(
             List.of(
                 "-cp",
--- a/trials/src/main/java/weldcross/trials/Havoc.java
+++ b/chaos/src/main/java/weldcross/chaos/Havoc.java
@@ -1,12 +1,12 @@
-package weldcross.trials;
+package weldcross.chaos;
 
 import java.io.IOException;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import weldcross.standins.PgServer;
-import weldcross.trials.relay.Way;
-import weldcross.trials.scenario.Fault;
+import weldcross.chaos.proxy.Way;
+import weldcross.chaos.scenario.Fault;
+import weldcross.fakes.PgServer;
 
 /** Has faults happen on a ground, and heals them. */
 final class Havoc {
--- a/trials/src/main/java/weldcross/trials/Main.java
+++ b/chaos/src/main/java/weldcross/chaos/Main.java
@@ -1,4 +1,4 @@
-package weldcross.trials;
+package weldcross.chaos;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -16,15 +16,15 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import weldcross.terms.FaultyTerm;
-import weldcross.trials.audit.Audit;
-import weldcross.trials.report.Figures;
-import weldcross.trials.report.Report;
-import weldcross.trials.scenario.Scenario;
+import weldcross.chaos.history.Audit;
+import weldcross.chaos.report.Figures;
+import weldcross.chaos.report.Report;
+import weldcross.chaos.scenario.Scenario;
+import weldcross.config.FaultyTerm;
 
 /** The command line of the trial ground. */
 @Command(
-    name = "weldcross-trials",
+    name = "weldcross-chaos",
     mixinStandardHelpOptions = true,
     subcommands = {Main.Run.class, Main.ListAll.class, Main.Again.class},
     description =
@@ -52,7 +52,7 @@
         .setExecutionExceptionHandler(
             (fault, line, parsed) -> {
               if (fault instanceof FaultyTerm) {
-                line.getErr().println("weldcross-trials: " + fault.getMessage());
+                line.getErr().println("weldcross-chaos: " + fault.getMessage());
                 return USAGE;
               }
               fault.printStackTrace(line.getErr());
@@ -164,7 +164,7 @@
       description = "Lists the scenarios of a directory.")
   static final class ListAll implements Callable<Integer> {
 
-    @Parameters(arity = "0..1", defaultValue = "trials/scenarios", paramLabel = "DIRECTORY")
+    @Parameters(arity = "0..1", defaultValue = "chaos/scenarios", paramLabel = "DIRECTORY")
     private Path directory;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
--- a/trials/src/main/java/weldcross/trials/Trial.java
+++ b/chaos/src/main/java/weldcross/chaos/Trial.java
@@ -1,4 +1,4 @@
-package weldcross.trials;
+package weldcross.chaos;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -11,14 +11,14 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
-import weldcross.standins.Store;
-import weldcross.trials.audit.Audit;
-import weldcross.trials.audit.Evidence;
-import weldcross.trials.load.Load;
-import weldcross.trials.process.Child;
-import weldcross.trials.scenario.Fault;
-import weldcross.trials.scenario.Nemesis;
-import weldcross.trials.scenario.Scenario;
+import weldcross.chaos.history.Audit;
+import weldcross.chaos.history.Evidence;
+import weldcross.chaos.load.Load;
+import weldcross.chaos.process.Child;
+import weldcross.chaos.scenario.Fault;
+import weldcross.chaos.scenario.Nemesis;
+import weldcross.chaos.scenario.Scenario;
+import weldcross.fakes.Store;
 
 /** One play of a scenario: load, faults in their time, healing, and the evidence of all of it. */
 public final class Trial {
--- a/trials/src/main/java/weldcross/trials/inside/LyingDisk.java
+++ b/chaos/src/main/java/weldcross/chaos/agent/LyingDisk.java
@@ -1,4 +1,4 @@
-package weldcross.trials.inside;
+package weldcross.chaos.agent;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -34,7 +34,7 @@
 public final class LyingDisk implements Disk {
 
   /** The path of the file of words; without it the disk is honest. */
-  public static final String WORDS = "weldcross.trials.disk";
+  public static final String WORDS = "weldcross.chaos.disk";
 
   private static final int ASIDE = 16;
 
--- a/trials/src/main/java/weldcross/trials/inside/ShiftedClock.java
+++ b/chaos/src/main/java/weldcross/chaos/agent/ShiftedClock.java
@@ -1,4 +1,4 @@
-package weldcross.trials.inside;
+package weldcross.chaos.agent;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -8,7 +8,7 @@
 public final class ShiftedClock implements InstantSource {
 
   /** In milliseconds. */
-  public static final String OFF = "weldcross.trials.wall";
+  public static final String OFF = "weldcross.chaos.wall";
 
   @Override
   public Instant instant() {
--- a/trials/src/main/java/weldcross/trials/audit/Audit.java
+++ b/chaos/src/main/java/weldcross/chaos/history/Audit.java
@@ -1,4 +1,4 @@
-package weldcross.trials.audit;
+package weldcross.chaos.history;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import weldcross.standins.Store;
-import weldcross.trials.load.Asked;
-import weldcross.trials.load.Load;
+import weldcross.chaos.load.Asked;
+import weldcross.chaos.load.Load;
+import weldcross.fakes.Store;
 
 /**
  * Judges a trial by the servers' own record and what clients saw; knows nothing of the program.
--- a/trials/src/main/java/weldcross/trials/audit/Evidence.java
+++ b/chaos/src/main/java/weldcross/chaos/history/Evidence.java
@@ -1,8 +1,8 @@
-package weldcross.trials.audit;
+package weldcross.chaos.history;
 
 import java.util.List;
-import weldcross.standins.Store;
-import weldcross.trials.load.Asked;
+import weldcross.chaos.load.Asked;
+import weldcross.fakes.Store;
 
 /**
  * What a trial leaves to judge by: what clients saw, what servers did, and when which host had
--- a/trials/src/main/java/weldcross/trials/load/Load.java
+++ b/chaos/src/main/java/weldcross/chaos/load/Load.java
@@ -1,4 +1,4 @@
-package weldcross.trials.load;
+package weldcross.chaos.load;
 
 import java.io.DataInputStream;
 import java.io.EOFException;
--- a/trials/src/main/java/weldcross/trials/process/Reaper.java
+++ b/chaos/src/main/java/weldcross/chaos/process/Reaper.java
@@ -1,4 +1,4 @@
-package weldcross.trials.process;
+package weldcross.chaos.process;
 
 import java.io.IOException;
 import java.io.OutputStream;
--- a/trials/src/main/java/weldcross/trials/relay/Way.java
+++ b/chaos/src/main/java/weldcross/chaos/proxy/Way.java
@@ -1,4 +1,4 @@
-package weldcross.trials.relay;
+package weldcross.chaos.proxy;
 
 import java.time.Duration;
 
--- a/trials/src/main/java/weldcross/trials/report/Figures.java
+++ b/chaos/src/main/java/weldcross/chaos/report/Figures.java
@@ -1,4 +1,4 @@
-package weldcross.trials.report;
+package weldcross.chaos.report;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -6,11 +6,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import weldcross.trials.Trial;
-import weldcross.trials.audit.Audit;
-import weldcross.trials.audit.Evidence;
-import weldcross.trials.load.Asked;
-import weldcross.trials.load.Method;
+import weldcross.chaos.Trial;
+import weldcross.chaos.history.Audit;
+import weldcross.chaos.history.Evidence;
+import weldcross.chaos.load.Asked;
+import weldcross.chaos.load.Method;
 
 /**
  * What a trial's evidence comes to: counts by second, gateway and cause, and times by method. Pure.
--- a/trials/src/main/java/weldcross/trials/report/Report.java
+++ b/chaos/src/main/java/weldcross/chaos/report/Report.java
@@ -1,4 +1,4 @@
-package weldcross.trials.report;
+package weldcross.chaos.report;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
@@ -17,9 +17,9 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import weldcross.trials.Trial;
-import weldcross.trials.audit.Audit;
-import weldcross.trials.audit.Evidence;
+import weldcross.chaos.Trial;
+import weldcross.chaos.history.Audit;
+import weldcross.chaos.history.Evidence;
 
 /** A trial's page, and its evidence as a file, from which the page can be made again. */
 public final class Report {
@@ -64,7 +64,7 @@
   /** Writes the page; returns where it is. */
   public static Path write(Trial.Outcome trial, Path directory) throws IOException {
     Configuration templates = new Configuration(Configuration.VERSION_2_3_33);
-    templates.setClassForTemplateLoading(Report.class, "/weldcross/trials");
+    templates.setClassForTemplateLoading(Report.class, "/weldcross/chaos");
     templates.setDefaultEncoding("UTF-8");
     templates.setLocale(Locale.ROOT);
     templates.setNumberFormat("0.###");
--- a/trials/src/main/java/weldcross/trials/scenario/Fault.java
+++ b/chaos/src/main/java/weldcross/chaos/scenario/Fault.java
@@ -1,4 +1,4 @@
-package weldcross.trials.scenario;
+package weldcross.chaos.scenario;
 
 import java.time.Duration;
 import java.util.List;
--- a/trials/src/main/java/weldcross/trials/scenario/Scenario.java
+++ b/chaos/src/main/java/weldcross/chaos/scenario/Scenario.java
@@ -1,13 +1,13 @@
-package weldcross.trials.scenario;
+package weldcross.chaos.scenario;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.Collectors;
-import weldcross.terms.FaultyTerm;
-import weldcross.terms.NamedValues;
-import weldcross.terms.TomlValues;
+import weldcross.config.FaultyTerm;
+import weldcross.config.NamedValues;
+import weldcross.config.TomlValues;
 
 /**
  * What a trial plays.
--- a/trials/src/test/java/weldcross/trials/AgreementTrialTest.java
+++ b/chaos/src/test/java/weldcross/chaos/AgreementTrialTest.java
@@ -1,4 +1,4 @@
-package weldcross.trials;
+package weldcross.chaos;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -18,10 +18,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
+import weldcross.chaos.process.Child;
+import weldcross.chaos.scenario.Fault;
+import weldcross.chaos.scenario.Scenario;
 import weldcross.cli.Commands;
-import weldcross.trials.process.Child;
-import weldcross.trials.scenario.Fault;
-import weldcross.trials.scenario.Scenario;
 
 /** What gateways agree on, as processes under faults. */
 @Timeout(150)
--- a/trials/src/test/java/weldcross/trials/AuditTest.java
+++ b/chaos/src/test/java/weldcross/chaos/AuditTest.java
@@ -1,4 +1,4 @@
-package weldcross.trials;
+package weldcross.chaos;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,13 +6,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import weldcross.standins.Store;
-import weldcross.trials.audit.Audit;
-import weldcross.trials.audit.Audit.Rule;
-import weldcross.trials.audit.Evidence;
-import weldcross.trials.load.Asked;
-import weldcross.trials.load.Asked.Outcome;
-import weldcross.trials.load.Method;
+import weldcross.chaos.history.Audit;
+import weldcross.chaos.history.Audit.Rule;
+import weldcross.chaos.history.Evidence;
+import weldcross.chaos.load.Asked;
+import weldcross.chaos.load.Asked.Outcome;
+import weldcross.chaos.load.Method;
+import weldcross.fakes.Store;
 
 /** The audit finds each breach that is planted, and nothing in what is right. */
 class AuditTest {
--- a/trials/src/test/java/weldcross/trials/HavocTest.java
+++ b/chaos/src/test/java/weldcross/chaos/HavocTest.java
@@ -1,4 +1,4 @@
-package weldcross.trials;
+package weldcross.chaos;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -20,13 +20,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import weldcross.standins.Store;
-import weldcross.trials.load.Asked;
-import weldcross.trials.load.Load;
-import weldcross.trials.load.Method;
-import weldcross.trials.process.Child;
-import weldcross.trials.scenario.Fault;
-import weldcross.trials.scenario.Scenario;
+import weldcross.chaos.load.Asked;
+import weldcross.chaos.load.Load;
+import weldcross.chaos.load.Method;
+import weldcross.chaos.process.Child;
+import weldcross.chaos.scenario.Fault;
+import weldcross.chaos.scenario.Scenario;
+import weldcross.fakes.Store;
 
 /**
  * What is done to gateways and servers by order really happens to them: shown by them, not by who
--- a/trials/src/test/java/weldcross/trials/LyingDiskTest.java
+++ b/chaos/src/test/java/weldcross/chaos/LyingDiskTest.java
@@ -1,4 +1,4 @@
-package weldcross.trials;
+package weldcross.chaos;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -17,11 +17,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
+import weldcross.chaos.agent.LyingDisk;
+import weldcross.chaos.process.Child;
 import weldcross.storage.Disk;
 import weldcross.storage.PlainDisk;
 import weldcross.storage.RecordLog;
-import weldcross.trials.inside.LyingDisk;
-import weldcross.trials.process.Child;
 
 /**
  * Each lie of the disk really acts on a log, which says what it can know of it; a process's end is
--- a/trials/src/test/java/weldcross/trials/RelayTest.java
+++ b/chaos/src/test/java/weldcross/chaos/RelayTest.java
@@ -1,4 +1,4 @@
-package weldcross.trials;
+package weldcross.chaos;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -21,9 +21,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import weldcross.trials.process.Child;
-import weldcross.trials.relay.Relay;
-import weldcross.trials.relay.Way;
+import weldcross.chaos.process.Child;
+import weldcross.chaos.proxy.Relay;
+import weldcross.chaos.proxy.Way;
 
 /** Each trouble between hosts really acts: one that does nothing would prove nothing. */
 @Timeout(60)
--- a/trials/src/test/java/weldcross/trials/ScenarioTest.java
+++ b/chaos/src/test/java/weldcross/chaos/ScenarioTest.java
@@ -1,4 +1,4 @@
-package weldcross.trials;
+package weldcross.chaos;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -16,10 +16,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import weldcross.terms.FaultyTerm;
-import weldcross.trials.scenario.Fault;
-import weldcross.trials.scenario.Nemesis;
-import weldcross.trials.scenario.Scenario;
+import weldcross.chaos.scenario.Fault;
+import weldcross.chaos.scenario.Nemesis;
+import weldcross.chaos.scenario.Scenario;
+import weldcross.config.FaultyTerm;
 
 class ScenarioTest {
 
@@ -33,7 +33,7 @@
 
   @Test
   void theSameSeedDrawsTheSameAndWhatWasDrawnIsPlayedAgain() throws IOException {
-    Scenario nemesis = Scenario.read("trials/scenarios/nemesis.toml");
+    Scenario nemesis = Scenario.read("chaos/scenarios/nemesis.toml");
     Set<Fault.Kind> kinds = new HashSet<>();
     for (long seed = 1; seed <= 100; seed++) {
       List<Fault> faults = new Nemesis(nemesis, seed).faults();
@@ -50,7 +50,7 @@
   @Test
   void theScenariosOfTheRepositoryAreRead() throws IOException {
     assertEquals(0, Main.run("list"));
-    Scenario baseline = Scenario.read("trials/scenarios/baseline.toml");
+    Scenario baseline = Scenario.read("chaos/scenarios/baseline.toml");
     assertEquals(5, baseline.faults().size());
     assertFalse(baseline.faults().stream().anyMatch(f -> f.at().compareTo(baseline.lasting()) > 0));
   }
--- a/trials/src/test/java/weldcross/trials/TrialTest.java
+++ b/chaos/src/test/java/weldcross/chaos/TrialTest.java
@@ -1,4 +1,4 @@
-package weldcross.trials;
+package weldcross.chaos;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -16,14 +16,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import weldcross.trials.audit.Audit;
-import weldcross.trials.load.Asked;
-import weldcross.trials.load.Load;
-import weldcross.trials.process.Child;
-import weldcross.trials.report.Figures;
-import weldcross.trials.report.Report;
-import weldcross.trials.scenario.Fault;
-import weldcross.trials.scenario.Scenario;
+import weldcross.chaos.history.Audit;
+import weldcross.chaos.load.Asked;
+import weldcross.chaos.load.Load;
+import weldcross.chaos.process.Child;
+import weldcross.chaos.report.Figures;
+import weldcross.chaos.report.Report;
+import weldcross.chaos.scenario.Fault;
+import weldcross.chaos.scenario.Scenario;
 
 /** Short trials of real processes with fixed seeds; the same verdict each time. */
 @Timeout(120)
@@ -137,13 +137,13 @@
         load.end();
         List<Audit.Rule> broken =
             Audit.of(
-                    new weldcross.trials.audit.Evidence(
+                    new weldcross.chaos.history.Evidence(
                         load.asked(),
                         load.unasked(),
                         ground.store().effects().stream()
                             .map(
                                 e ->
-                                    new weldcross.standins.Store.Effect(
+                                    new weldcross.fakes.Store.Effect(
                                         e.at() - zero,
                                         e.rpc(),
                                         e.group(),
@@ -156,7 +156,7 @@
                         ground.store().reads().stream()
                             .map(
                                 r ->
-                                    new weldcross.standins.Store.Read(
+                                    new weldcross.fakes.Store.Read(
                                         r.at() - zero,
                                         r.rpc(),
                                         r.group(),
@@ -261,7 +261,7 @@
                 ProcessHandle.current().info().command().orElse("java"),
                 "-cp",
                 System.getProperty("java.class.path"),
-                "weldcross.trials.Main",
+                "weldcross.chaos.Main",
                 "run",
                 file.toString(),
                 "--out",
--- a/standins/src/main/java/weldcross/standins/Catalog.java
+++ b/fakes/src/main/java/weldcross/fakes/Catalog.java
@@ -1,4 +1,4 @@
-package weldcross.standins;
+package weldcross.fakes;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/standins/src/main/java/weldcross/standins/DiscoveryAgent.java
+++ b/fakes/src/main/java/weldcross/fakes/DiscoveryAgent.java
@@ -1,4 +1,4 @@
-package weldcross.standins;
+package weldcross.fakes;
 
 import java.io.BufferedReader;
 import java.io.IOException;
--- a/standins/src/main/java/weldcross/standins/PgServer.java
+++ b/fakes/src/main/java/weldcross/fakes/PgServer.java
@@ -1,4 +1,4 @@
-package weldcross.standins;
+package weldcross.fakes;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/standins/src/main/java/weldcross/standins/Store.java
+++ b/fakes/src/main/java/weldcross/fakes/Store.java
@@ -1,4 +1,4 @@
-package weldcross.standins;
+package weldcross.fakes;
 
 import java.time.Duration;
 import java.util.ArrayList;
--- a/standins/src/main/java/weldcross/standins/package-info.java
+++ b/fakes/src/main/java/weldcross/fakes/package-info.java
@@ -3,4 +3,4 @@
  * servers that speak PostgreSQL's protocol v3, and discovery over HTTP/1.1. Imports nothing of the
  * gateway, so that a fault in one is not a fault in both.
  */
-package weldcross.standins;
+package weldcross.fakes;
--- a/gateway/src/main/java/weldcross/cli/Cluster.java
+++ b/gateway/src/main/java/weldcross/cli/Cluster.java
@@ -27,7 +27,7 @@
 import picocli.CommandLine.Help.TextTable;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import weldcross.terms.NamedValues;
+import weldcross.config.NamedValues;
 
 /** What an operator asks of a gateway about the others, and tells it; by its control address. */
 @Command(
--- a/gateway/src/main/java/weldcross/cli/Commands.java
+++ b/gateway/src/main/java/weldcross/cli/Commands.java
@@ -9,10 +9,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.IVersionProvider;
 import picocli.CommandLine.Option;
-import weldcross.bench.WireLoop;
-import weldcross.terms.FaultyTerm;
-import weldcross.terms.GatewayTerms;
-import weldcross.terms.PartTerms;
+import weldcross.config.FaultyTerm;
+import weldcross.config.GatewayTerms;
+import weldcross.config.PartTerms;
+import weldcross.simulator.WireLoop;
 
 /** The command line: one sub-command a shape that the program can take. */
 @Command(
--- a/gateway/src/main/java/weldcross/cli/Joining.java
+++ b/gateway/src/main/java/weldcross/cli/Joining.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.ServiceLoader;
 import java.util.function.Supplier;
-import weldcross.agreement.net.AgreementPart;
+import weldcross.config.GatewayTerms;
+import weldcross.config.PartTerms;
+import weldcross.consensus.net.AgreementPart;
 import weldcross.control.ControlPart;
-import weldcross.link.net.LinkPart;
+import weldcross.extension.Part;
 import weldcross.membership.net.SeenPart;
-import weldcross.seam.Part;
-import weldcross.terms.GatewayTerms;
-import weldcross.terms.PartTerms;
+import weldcross.mesh.net.LinkPart;
 
 /** Makes the parts that a file of terms names; loaded only where one is told. */
 final class Joining {
--- a/gateway/src/main/java/weldcross/cli/Serving.java
+++ b/gateway/src/main/java/weldcross/cli/Serving.java
@@ -2,10 +2,10 @@
 
 import java.io.IOException;
 import java.util.logging.Level;
+import weldcross.config.FaultyTerm;
+import weldcross.config.GatewayTerms;
 import weldcross.gateway.Rehearsal;
 import weldcross.gateway.Service;
-import weldcross.terms.FaultyTerm;
-import weldcross.terms.GatewayTerms;
 
 /** What {@code serve} does, apart from how its command line is read. */
 public final class Serving {
--- a/gateway/src/main/java/weldcross/terms/FaultyTerm.java
+++ b/gateway/src/main/java/weldcross/config/FaultyTerm.java
@@ -1,4 +1,4 @@
-package weldcross.terms;
+package weldcross.config;
 
 /** A value told at the start that cannot be used; the message names its key as written. */
 public final class FaultyTerm extends RuntimeException {
--- a/gateway/src/main/java/weldcross/terms/NamedValues.java
+++ b/gateway/src/main/java/weldcross/config/NamedValues.java
@@ -1,4 +1,4 @@
-package weldcross.terms;
+package weldcross.config;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
--- a/gateway/src/main/java/weldcross/terms/PartTerms.java
+++ b/gateway/src/main/java/weldcross/config/PartTerms.java
@@ -1,4 +1,4 @@
-package weldcross.terms;
+package weldcross.config;
 
 import java.net.InetSocketAddress;
 import java.nio.file.InvalidPathException;
@@ -10,11 +10,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
-import weldcross.agreement.AgreementTerms;
-import weldcross.link.LinkPlaces;
-import weldcross.link.LinkTerms;
-import weldcross.link.PeerName;
+import weldcross.consensus.AgreementTerms;
 import weldcross.membership.SeenTerms;
+import weldcross.mesh.LinkPlaces;
+import weldcross.mesh.LinkTerms;
+import weldcross.mesh.PeerName;
 
 /**
  * What the parts that join a gateway are told at its start, by a file of their own. A table that is
--- a/gateway/src/main/java/weldcross/terms/TermsReader.java
+++ b/gateway/src/main/java/weldcross/config/TermsReader.java
@@ -1,4 +1,4 @@
-package weldcross.terms;
+package weldcross.config;
 
 import java.math.BigDecimal;
 import java.time.Duration;
--- a/gateway/src/main/java/weldcross/terms/TomlValues.java
+++ b/gateway/src/main/java/weldcross/config/TomlValues.java
@@ -1,4 +1,4 @@
-package weldcross.terms;
+package weldcross.config;
 
 import java.io.IOException;
 import java.nio.file.InvalidPathException;
--- a/gateway/src/main/java/weldcross/sockets/Dials.java
+++ b/gateway/src/main/java/weldcross/connections/Dials.java
@@ -1,4 +1,4 @@
-package weldcross.sockets;
+package weldcross.connections;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/gateway/src/main/java/weldcross/pools/RestRecord.java
+++ b/gateway/src/main/java/weldcross/connections/RestRecord.java
@@ -1,4 +1,4 @@
-package weldcross.pools;
+package weldcross.connections;
 
 import java.time.Duration;
 
--- a/gateway/src/main/java/weldcross/agreement/Agreed.java
+++ b/gateway/src/main/java/weldcross/consensus/Agreed.java
@@ -1,11 +1,11 @@
-package weldcross.agreement;
+package weldcross.consensus;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import weldcross.link.PeerName;
+import weldcross.mesh.PeerName;
 
 /**
  * What one gateway, voter or not, knows of the agreed view, and what it asks the voters for: to be
--- a/gateway/src/main/java/weldcross/agreement/AgreedHost.java
+++ b/gateway/src/main/java/weldcross/consensus/AgreedHost.java
@@ -1,7 +1,7 @@
-package weldcross.agreement;
+package weldcross.consensus;
 
 import java.time.Duration;
-import weldcross.link.PeerName;
+import weldcross.mesh.PeerName;
 
 /** What {@link Agreed} can do to the world; what is sent to a voter may be lost. */
 public interface AgreedHost {
--- a/gateway/src/main/java/weldcross/agreement/AgreementTerms.java
+++ b/gateway/src/main/java/weldcross/consensus/AgreementTerms.java
@@ -1,8 +1,8 @@
-package weldcross.agreement;
+package weldcross.consensus;
 
 import java.time.Duration;
 import java.util.List;
-import weldcross.link.PeerName;
+import weldcross.mesh.PeerName;
 
 /**
  * What the agreement is told at the start.
--- a/gateway/src/main/java/weldcross/agreement/FleetShare.java
+++ b/gateway/src/main/java/weldcross/consensus/FleetShare.java
@@ -1,4 +1,4 @@
-package weldcross.agreement;
+package weldcross.consensus;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
--- a/gateway/src/main/java/weldcross/agreement/Member.java
+++ b/gateway/src/main/java/weldcross/consensus/Member.java
@@ -1,6 +1,6 @@
-package weldcross.agreement;
+package weldcross.consensus;
 
-import weldcross.link.PeerName;
+import weldcross.mesh.PeerName;
 
 /**
  * One gateway as the view has it.
--- a/gateway/src/main/java/weldcross/agreement/Motion.java
+++ b/gateway/src/main/java/weldcross/consensus/Motion.java
@@ -1,6 +1,6 @@
-package weldcross.agreement;
+package weldcross.consensus;
 
-import weldcross.link.PeerName;
+import weldcross.mesh.PeerName;
 
 /**
  * A change of the view that is asked for. Asking twice changes nothing the second time, so whoever
--- a/gateway/src/main/java/weldcross/agreement/Returning.java
+++ b/gateway/src/main/java/weldcross/consensus/Returning.java
@@ -1,9 +1,9 @@
-package weldcross.agreement;
+package weldcross.consensus;
 
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import weldcross.link.PeerName;
+import weldcross.mesh.PeerName;
 
 /**
  * Whether a voter that has started may vote. A disk may have lost what it had said was kept, an end
--- a/gateway/src/main/java/weldcross/agreement/Verdict.java
+++ b/gateway/src/main/java/weldcross/consensus/Verdict.java
@@ -1,4 +1,4 @@
-package weldcross.agreement;
+package weldcross.consensus;
 
 /** What became of a motion. */
 public enum Verdict {
--- a/gateway/src/main/java/weldcross/agreement/View.java
+++ b/gateway/src/main/java/weldcross/consensus/View.java
@@ -1,9 +1,9 @@
-package weldcross.agreement;
+package weldcross.consensus;
 
 import java.util.Collections;
 import java.util.Map;
 import java.util.TreeMap;
-import weldcross.link.PeerName;
+import weldcross.mesh.PeerName;
 
 /**
  * Who is a member, as a majority of the voters has it. Views are numbered without gaps; there is
--- a/gateway/src/main/java/weldcross/agreement/Views.java
+++ b/gateway/src/main/java/weldcross/consensus/Views.java
@@ -1,9 +1,9 @@
-package weldcross.agreement;
+package weldcross.consensus;
 
 import java.util.Collections;
 import java.util.Map;
 import java.util.TreeMap;
-import weldcross.link.PeerName;
+import weldcross.mesh.PeerName;
 
 /**
  * The view in force and how motions change it: the same motions in the same order give the same
--- a/gateway/src/main/java/weldcross/agreement/net/Agreement.java
+++ b/gateway/src/main/java/weldcross/consensus/net/Agreement.java
@@ -1,4 +1,4 @@
-package weldcross.agreement.net;
+package weldcross.consensus.net;
 
 import io.microraft.executor.RaftNodeExecutor;
 import java.io.IOException;
@@ -7,20 +7,20 @@
 import java.util.Random;
 import java.util.function.LongSupplier;
 import java.util.logging.Level;
-import weldcross.agreement.Agreed;
-import weldcross.agreement.AgreedHost;
-import weldcross.agreement.AgreementTerms;
-import weldcross.agreement.Motion;
-import weldcross.agreement.Verdict;
-import weldcross.agreement.View;
-import weldcross.agreement.raft.RaftWords;
-import weldcross.agreement.raft.Voter;
-import weldcross.agreement.raft.VoterHost;
-import weldcross.agreement.wire.Move;
-import weldcross.agreement.wire.Moved;
-import weldcross.agreement.wire.Told;
-import weldcross.agreement.wire.Word;
-import weldcross.link.PeerName;
+import weldcross.consensus.Agreed;
+import weldcross.consensus.AgreedHost;
+import weldcross.consensus.AgreementTerms;
+import weldcross.consensus.Motion;
+import weldcross.consensus.Verdict;
+import weldcross.consensus.View;
+import weldcross.consensus.raft.RaftWords;
+import weldcross.consensus.raft.Voter;
+import weldcross.consensus.raft.VoterHost;
+import weldcross.consensus.wire.Move;
+import weldcross.consensus.wire.Moved;
+import weldcross.consensus.wire.Told;
+import weldcross.consensus.wire.Word;
+import weldcross.mesh.PeerName;
 import weldcross.storage.Disk;
 
 /**
--- a/gateway/src/main/java/weldcross/agreement/net/AgreementHost.java
+++ b/gateway/src/main/java/weldcross/consensus/net/AgreementHost.java
@@ -1,13 +1,13 @@
-package weldcross.agreement.net;
+package weldcross.consensus.net;
 
 import java.io.IOException;
 import java.time.Duration;
 import java.util.logging.Level;
-import weldcross.agreement.Motion;
-import weldcross.agreement.Verdict;
-import weldcross.agreement.View;
-import weldcross.agreement.wire.Word;
-import weldcross.link.PeerName;
+import weldcross.consensus.Motion;
+import weldcross.consensus.Verdict;
+import weldcross.consensus.View;
+import weldcross.consensus.wire.Word;
+import weldcross.mesh.PeerName;
 import weldcross.storage.Disk;
 
 /**
@@ -30,19 +30,19 @@
   /** On the voter's thread: the directory of the voter alone. */
   Disk disk() throws IOException;
 
-  /** As {@link weldcross.agreement.AgreedHost#viewIs}. */
+  /** As {@link weldcross.consensus.AgreedHost#viewIs}. */
   void viewIs(View view);
 
-  /** As {@link weldcross.agreement.AgreedHost#shareIs}. */
+  /** As {@link weldcross.consensus.AgreedHost#shareIs}. */
   void shareIs(double share);
 
-  /** As {@link weldcross.agreement.AgreedHost#ended}. */
+  /** As {@link weldcross.consensus.AgreedHost#ended}. */
   void ended(long life);
 
-  /** As {@link weldcross.agreement.AgreedHost#operatorTold}. */
+  /** As {@link weldcross.consensus.AgreedHost#operatorTold}. */
   void operatorTold(Motion motion, Verdict verdict);
 
-  /** As {@link weldcross.agreement.AgreedHost#left}. */
+  /** As {@link weldcross.consensus.AgreedHost#left}. */
   void left();
 
   /** From any thread. */
--- a/gateway/src/main/java/weldcross/agreement/net/AgreementPart.java
+++ b/gateway/src/main/java/weldcross/consensus/net/AgreementPart.java
@@ -1,4 +1,4 @@
-package weldcross.agreement.net;
+package weldcross.consensus.net;
 
 import com.google.protobuf.InvalidProtocolBufferException;
 import io.microraft.executor.RaftNodeExecutor;
@@ -16,18 +16,18 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import java.util.stream.Collectors;
-import weldcross.agreement.AgreementTerms;
-import weldcross.agreement.Motion;
-import weldcross.agreement.Verdict;
-import weldcross.agreement.View;
-import weldcross.agreement.wire.Word;
-import weldcross.link.Life;
-import weldcross.link.PeerName;
-import weldcross.link.net.LinkPart;
+import weldcross.consensus.AgreementTerms;
+import weldcross.consensus.Motion;
+import weldcross.consensus.Verdict;
+import weldcross.consensus.View;
+import weldcross.consensus.wire.Word;
+import weldcross.extension.Part;
+import weldcross.extension.Seam;
 import weldcross.membership.Finding;
 import weldcross.membership.net.SeenPart;
-import weldcross.seam.Part;
-import weldcross.seam.Seam;
+import weldcross.mesh.Life;
+import weldcross.mesh.PeerName;
+import weldcross.mesh.net.LinkPart;
 import weldcross.storage.Disk;
 import weldcross.storage.PlainDisk;
 
--- a/gateway/src/main/java/weldcross/agreement/raft/Guarded.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/Guarded.java
@@ -1,4 +1,4 @@
-package weldcross.agreement.raft;
+package weldcross.consensus.raft;
 
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
--- a/gateway/src/main/java/weldcross/agreement/raft/RaftKept.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/RaftKept.java
@@ -1,4 +1,4 @@
-package weldcross.agreement.raft;
+package weldcross.consensus.raft;
 
 import com.google.protobuf.InvalidProtocolBufferException;
 import io.microraft.model.log.LogEntry;
@@ -15,13 +15,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
-import weldcross.agreement.Returning;
-import weldcross.agreement.wire.Group;
-import weldcross.agreement.wire.Kept;
-import weldcross.agreement.wire.KeptAll;
-import weldcross.agreement.wire.KeptEndpoint;
-import weldcross.agreement.wire.KeptTerm;
-import weldcross.agreement.wire.LogEntrySaid;
+import weldcross.consensus.Returning;
+import weldcross.consensus.wire.Group;
+import weldcross.consensus.wire.Kept;
+import weldcross.consensus.wire.KeptAll;
+import weldcross.consensus.wire.KeptEndpoint;
+import weldcross.consensus.wire.KeptTerm;
+import weldcross.consensus.wire.LogEntrySaid;
 import weldcross.storage.Disk;
 import weldcross.storage.RecordLog;
 
--- a/gateway/src/main/java/weldcross/agreement/raft/RaftWords.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/RaftWords.java
@@ -1,4 +1,4 @@
-package weldcross.agreement.raft;
+package weldcross.consensus.raft;
 
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftEndpoint;
@@ -26,20 +26,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import weldcross.agreement.Member;
-import weldcross.agreement.Motion;
-import weldcross.agreement.View;
-import weldcross.agreement.Views;
-import weldcross.agreement.wire.Chunk;
-import weldcross.agreement.wire.Ended;
-import weldcross.agreement.wire.Group;
-import weldcross.agreement.wire.GroupChange;
-import weldcross.agreement.wire.LogEntrySaid;
-import weldcross.agreement.wire.MemberSaid;
-import weldcross.agreement.wire.MotionSaid;
-import weldcross.agreement.wire.Raft;
-import weldcross.agreement.wire.ViewSaid;
-import weldcross.link.PeerName;
+import weldcross.consensus.Member;
+import weldcross.consensus.Motion;
+import weldcross.consensus.View;
+import weldcross.consensus.Views;
+import weldcross.consensus.wire.Chunk;
+import weldcross.consensus.wire.Ended;
+import weldcross.consensus.wire.Group;
+import weldcross.consensus.wire.GroupChange;
+import weldcross.consensus.wire.LogEntrySaid;
+import weldcross.consensus.wire.MemberSaid;
+import weldcross.consensus.wire.MotionSaid;
+import weldcross.consensus.wire.Raft;
+import weldcross.consensus.wire.ViewSaid;
+import weldcross.mesh.PeerName;
 
 /** The consensus library's messages and records as Protocol Buffers, and back; decides nothing. */
 public final class RaftWords {
--- a/gateway/src/main/java/weldcross/agreement/raft/Voter.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/Voter.java
@@ -1,4 +1,4 @@
-package weldcross.agreement.raft;
+package weldcross.consensus.raft;
 
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftConfig;
@@ -27,18 +27,18 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.logging.Level;
-import weldcross.agreement.AgreementTerms;
-import weldcross.agreement.Motion;
-import weldcross.agreement.Returning;
-import weldcross.agreement.Verdict;
-import weldcross.agreement.Views;
-import weldcross.agreement.wire.Compare;
-import weldcross.agreement.wire.Compared;
-import weldcross.agreement.wire.MotionSaid;
-import weldcross.agreement.wire.Raft;
-import weldcross.agreement.wire.ViewSaid;
-import weldcross.agreement.wire.Word;
-import weldcross.link.PeerName;
+import weldcross.consensus.AgreementTerms;
+import weldcross.consensus.Motion;
+import weldcross.consensus.Returning;
+import weldcross.consensus.Verdict;
+import weldcross.consensus.Views;
+import weldcross.consensus.wire.Compare;
+import weldcross.consensus.wire.Compared;
+import weldcross.consensus.wire.MotionSaid;
+import weldcross.consensus.wire.Raft;
+import weldcross.consensus.wire.ViewSaid;
+import weldcross.consensus.wire.Word;
+import weldcross.mesh.PeerName;
 import weldcross.storage.Disk;
 import weldcross.storage.RecordLog;
 
--- a/gateway/src/main/java/weldcross/agreement/raft/VoterHost.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/VoterHost.java
@@ -1,11 +1,11 @@
-package weldcross.agreement.raft;
+package weldcross.consensus.raft;
 
 import java.io.IOException;
 import java.util.logging.Level;
-import weldcross.agreement.Verdict;
-import weldcross.agreement.View;
-import weldcross.agreement.wire.Word;
-import weldcross.link.PeerName;
+import weldcross.consensus.Verdict;
+import weldcross.consensus.View;
+import weldcross.consensus.wire.Word;
+import weldcross.mesh.PeerName;
 import weldcross.storage.Disk;
 
 /**
--- a/gateway/src/main/java/weldcross/agreement/raft/VoterId.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/VoterId.java
@@ -1,7 +1,7 @@
-package weldcross.agreement.raft;
+package weldcross.consensus.raft;
 
 import io.microraft.RaftEndpoint;
-import weldcross.link.PeerName;
+import weldcross.mesh.PeerName;
 
 /**
  * Under what a voter votes: its name and a mark, 0 for who was there from the first. Who loses what
--- a/gateway/src/main/java/weldcross/control/ControlPart.java
+++ b/gateway/src/main/java/weldcross/control/ControlPart.java
@@ -21,20 +21,20 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.logging.Logger;
-import weldcross.agreement.Agreed;
-import weldcross.agreement.AgreementTerms;
-import weldcross.agreement.Member;
-import weldcross.agreement.Motion;
-import weldcross.agreement.Verdict;
-import weldcross.agreement.View;
-import weldcross.agreement.net.AgreementPart;
-import weldcross.link.Links;
-import weldcross.link.PeerName;
-import weldcross.link.net.LinkPart;
+import weldcross.consensus.Agreed;
+import weldcross.consensus.AgreementTerms;
+import weldcross.consensus.Member;
+import weldcross.consensus.Motion;
+import weldcross.consensus.Verdict;
+import weldcross.consensus.View;
+import weldcross.consensus.net.AgreementPart;
+import weldcross.extension.Part;
+import weldcross.extension.Seam;
 import weldcross.membership.News;
 import weldcross.membership.net.SeenPart;
-import weldcross.seam.Part;
-import weldcross.seam.Seam;
+import weldcross.mesh.Links;
+import weldcross.mesh.PeerName;
+import weldcross.mesh.net.LinkPart;
 
 /**
  * Where an operator of this machine asks what the gateway knows of the others, and tells it what
--- a/gateway/src/main/java/weldcross/discovery/ListedMember.java
+++ b/gateway/src/main/java/weldcross/discovery/ListedMember.java
@@ -3,8 +3,8 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
+import weldcross.config.NamedValues;
 import weldcross.routing.Condition;
-import weldcross.terms.NamedValues;
 
 /**
  * One server as the list has it.
--- a/gateway/src/main/java/weldcross/seam/Part.java
+++ b/gateway/src/main/java/weldcross/extension/Part.java
@@ -1,4 +1,4 @@
-package weldcross.seam;
+package weldcross.extension;
 
 /**
  * A subsystem that joins a gateway: an adapter that turns what its own pure module decides into
--- a/gateway/src/main/java/weldcross/seam/Seam.java
+++ b/gateway/src/main/java/weldcross/extension/Seam.java
@@ -1,4 +1,4 @@
-package weldcross.seam;
+package weldcross.extension;
 
 import java.time.Duration;
 
--- a/gateway/src/main/java/weldcross/gateway/Gateway.java
+++ b/gateway/src/main/java/weldcross/gateway/Gateway.java
@@ -16,12 +16,16 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import java.util.stream.Collectors;
+import weldcross.config.GatewayTerms;
+import weldcross.config.LoadReport;
+import weldcross.connections.Crowd;
 import weldcross.discovery.ListedMember;
-import weldcross.peers.PeerWord;
+import weldcross.extension.Part;
+import weldcross.extension.Seam;
+import weldcross.gossip.PeerWord;
 import weldcross.pgwire.Replies;
 import weldcross.pgwire.ServerAnswer;
 import weldcross.pgwire.Statement;
-import weldcross.pools.Crowd;
 import weldcross.routing.Condition;
 import weldcross.routing.GroupId;
 import weldcross.routing.Host;
@@ -32,10 +36,6 @@
 import weldcross.routing.ServerId;
 import weldcross.routing.SessionId;
 import weldcross.routing.ZoneId;
-import weldcross.seam.Part;
-import weldcross.seam.Seam;
-import weldcross.terms.GatewayTerms;
-import weldcross.terms.LoadReport;
 
 /**
  * The one owner of a gateway's state. Every change of it is an event that goes through {@link
--- a/gateway/src/main/java/weldcross/gateway/ListWatch.java
+++ b/gateway/src/main/java/weldcross/gateway/ListWatch.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.logging.Logger;
+import weldcross.config.FaultyTerm;
+import weldcross.config.GatewayTerms;
+import weldcross.config.NamedValues;
 import weldcross.discovery.ListTerm;
 import weldcross.discovery.ListedMember;
 import weldcross.routing.Condition;
-import weldcross.terms.FaultyTerm;
-import weldcross.terms.GatewayTerms;
-import weldcross.terms.NamedValues;
 
 /**
  * The reducer's talk with discovery: the list as last had, the whole list, then one watch after the
--- a/gateway/src/main/java/weldcross/gateway/MinaEffects.java
+++ b/gateway/src/main/java/weldcross/gateway/MinaEffects.java
@@ -20,12 +20,12 @@
 import org.apache.mina.transport.socket.SocketSessionConfig;
 import org.apache.mina.transport.socket.nio.NioDatagramAcceptor;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
+import weldcross.connections.Dials;
 import weldcross.discovery.HttpReader;
-import weldcross.peers.PeerWord;
+import weldcross.gossip.PeerWord;
 import weldcross.pgwire.Replies;
 import weldcross.pgwire.ServerReader;
 import weldcross.routing.ServerId;
-import weldcross.sockets.Dials;
 
 /** Performs the effects on Apache MINA; its threads only parse what comes and post it. */
 final class MinaEffects implements Effects {
--- a/gateway/src/main/java/weldcross/gateway/Rehearsal.java
+++ b/gateway/src/main/java/weldcross/gateway/Rehearsal.java
@@ -10,8 +10,8 @@
 import java.net.SocketException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import weldcross.config.GatewayTerms;
 import weldcross.pgwire.Replies;
-import weldcross.terms.GatewayTerms;
 
 /**
  * One short life of a gateway on loopback ports of its own, with a stand-in for a server and one
--- a/gateway/src/main/java/weldcross/gateway/ServerLinks.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerLinks.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import weldcross.connections.RestRecord;
 import weldcross.pgwire.Replies;
 import weldcross.pgwire.ServerAnswer;
-import weldcross.pools.RestRecord;
 import weldcross.routing.Outcome;
 import weldcross.routing.ServerId;
 
--- a/gateway/src/main/java/weldcross/gateway/Service.java
+++ b/gateway/src/main/java/weldcross/gateway/Service.java
@@ -14,10 +14,10 @@
 import java.util.logging.Logger;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
-import weldcross.seam.Part;
-import weldcross.seam.Seam;
-import weldcross.terms.FaultyTerm;
-import weldcross.terms.GatewayTerms;
+import weldcross.config.FaultyTerm;
+import weldcross.config.GatewayTerms;
+import weldcross.extension.Part;
+import weldcross.extension.Seam;
 
 /**
  * One gateway as a process: its clock, its thread, and the signals that end it or have it read its
--- a/gateway/src/main/java/weldcross/gateway/WarmUp.java
+++ b/gateway/src/main/java/weldcross/gateway/WarmUp.java
@@ -9,10 +9,10 @@
 import java.util.Map;
 import java.util.logging.Level;
 import java.util.logging.Logger;
+import weldcross.config.GatewayTerms;
 import weldcross.pgwire.ClientReader;
 import weldcross.pgwire.Replies;
 import weldcross.pgwire.ServerReader;
-import weldcross.terms.GatewayTerms;
 
 /**
  * Plays RPCs to a gateway of its own in memory, without sockets and on a clock moved by hand,
--- a/gateway/src/main/java/weldcross/peers/PeerWord.java
+++ b/gateway/src/main/java/weldcross/gossip/PeerWord.java
@@ -1,4 +1,4 @@
-package weldcross.peers;
+package weldcross.gossip;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
--- a/gateway/src/main/java/weldcross/membership/News.java
+++ b/gateway/src/main/java/weldcross/membership/News.java
@@ -1,6 +1,6 @@
 package weldcross.membership;
 
-import weldcross.link.PeerName;
+import weldcross.mesh.PeerName;
 
 /**
  * What is said of one gateway, as it goes from one to the next.
--- a/gateway/src/main/java/weldcross/membership/Seen.java
+++ b/gateway/src/main/java/weldcross/membership/Seen.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import weldcross.link.PeerName;
+import weldcross.mesh.PeerName;
 
 /**
  * Who is here, who is silent and who is gone, as one gateway sees it. After SWIM (Das, Gupta,
--- a/gateway/src/main/java/weldcross/membership/SeenHost.java
+++ b/gateway/src/main/java/weldcross/membership/SeenHost.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.List;
-import weldcross.link.PeerName;
+import weldcross.mesh.PeerName;
 
 /** What {@link Seen} can do to the world; messages may be lost, late and repeated. */
 public interface SeenHost {
--- a/gateway/src/main/java/weldcross/membership/SeenTerms.java
+++ b/gateway/src/main/java/weldcross/membership/SeenTerms.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.List;
-import weldcross.link.PeerName;
+import weldcross.mesh.PeerName;
 
 /**
  * What the seeing of others is told at the start.
--- a/gateway/src/main/java/weldcross/membership/net/SeenPart.java
+++ b/gateway/src/main/java/weldcross/membership/net/SeenPart.java
@@ -8,9 +8,8 @@
 import java.util.function.Consumer;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import weldcross.link.Life;
-import weldcross.link.PeerName;
-import weldcross.link.net.LinkPart;
+import weldcross.extension.Part;
+import weldcross.extension.Seam;
 import weldcross.membership.Finding;
 import weldcross.membership.News;
 import weldcross.membership.Seen;
@@ -18,8 +17,9 @@
 import weldcross.membership.SeenTerms;
 import weldcross.membership.wire.Entry;
 import weldcross.membership.wire.Word;
-import weldcross.seam.Part;
-import weldcross.seam.Seam;
+import weldcross.mesh.Life;
+import weldcross.mesh.PeerName;
+import weldcross.mesh.net.LinkPart;
 
 /** Who is here, as a part of a gateway: {@link Seen} decides, the link carries its words. */
 public final class SeenPart implements Part, SeenHost, LinkPart.Talker {
--- a/gateway/src/main/java/weldcross/link/Life.java
+++ b/gateway/src/main/java/weldcross/mesh/Life.java
@@ -1,4 +1,4 @@
-package weldcross.link;
+package weldcross.mesh;
 
 /**
  * One life of a gateway's process.
--- a/gateway/src/main/java/weldcross/link/LinkPlaces.java
+++ b/gateway/src/main/java/weldcross/mesh/LinkPlaces.java
@@ -1,4 +1,4 @@
-package weldcross.link;
+package weldcross.mesh;
 
 import java.net.InetSocketAddress;
 import java.util.Map;
--- a/gateway/src/main/java/weldcross/link/LinkTerms.java
+++ b/gateway/src/main/java/weldcross/mesh/LinkTerms.java
@@ -1,4 +1,4 @@
-package weldcross.link;
+package weldcross.mesh;
 
 import java.time.Duration;
 import java.util.List;
--- a/gateway/src/main/java/weldcross/link/Links.java
+++ b/gateway/src/main/java/weldcross/mesh/Links.java
@@ -1,4 +1,4 @@
-package weldcross.link;
+package weldcross.mesh;
 
 import java.nio.ByteBuffer;
 import java.time.Duration;
--- a/gateway/src/main/java/weldcross/link/Refusal.java
+++ b/gateway/src/main/java/weldcross/mesh/Refusal.java
@@ -1,4 +1,4 @@
-package weldcross.link;
+package weldcross.mesh;
 
 /** Why a gateway does not speak with who called it. */
 public enum Refusal {
--- a/gateway/src/main/java/weldcross/link/net/FrameCodec.java
+++ b/gateway/src/main/java/weldcross/mesh/net/FrameCodec.java
@@ -1,4 +1,4 @@
-package weldcross.link.net;
+package weldcross.mesh.net;
 
 import com.google.protobuf.InvalidProtocolBufferException;
 import org.apache.mina.core.buffer.IoBuffer;
@@ -9,8 +9,8 @@
 import org.apache.mina.filter.codec.ProtocolDecoderOutput;
 import org.apache.mina.filter.codec.ProtocolEncoderAdapter;
 import org.apache.mina.filter.codec.ProtocolEncoderOutput;
-import weldcross.link.LinkTerms;
-import weldcross.link.wire.Frame;
+import weldcross.mesh.LinkTerms;
+import weldcross.mesh.wire.Frame;
 
 /**
  * Frames on a stream: their length in four bytes, then the message. What is too long is never
--- a/gateway/src/main/java/weldcross/link/net/LinkPart.java
+++ b/gateway/src/main/java/weldcross/mesh/net/LinkPart.java
@@ -1,4 +1,4 @@
-package weldcross.link.net;
+package weldcross.mesh.net;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -9,15 +9,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.logging.Logger;
-import weldcross.link.Life;
-import weldcross.link.LinkHost;
-import weldcross.link.LinkPlaces;
-import weldcross.link.LinkTerms;
-import weldcross.link.Links;
-import weldcross.link.PeerName;
-import weldcross.link.Refusal;
-import weldcross.seam.Part;
-import weldcross.seam.Seam;
+import weldcross.extension.Part;
+import weldcross.extension.Seam;
+import weldcross.mesh.Life;
+import weldcross.mesh.LinkHost;
+import weldcross.mesh.LinkPlaces;
+import weldcross.mesh.LinkTerms;
+import weldcross.mesh.Links;
+import weldcross.mesh.PeerName;
+import weldcross.mesh.Refusal;
 import weldcross.storage.LogKeeper;
 import weldcross.storage.RecordLog;
 
--- a/gateway/src/main/java/weldcross/link/net/MinaLinks.java
+++ b/gateway/src/main/java/weldcross/mesh/net/MinaLinks.java
@@ -1,4 +1,4 @@
-package weldcross.link.net;
+package weldcross.mesh.net;
 
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
@@ -31,20 +31,20 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
-import weldcross.link.LinkPlaces;
-import weldcross.link.LinkTerms;
-import weldcross.link.Links;
-import weldcross.link.PeerName;
-import weldcross.link.Refusal;
-import weldcross.link.wire.Datagram;
-import weldcross.link.wire.Frame;
-import weldcross.link.wire.Greeting;
-import weldcross.link.wire.Life;
-import weldcross.link.wire.Message;
-import weldcross.link.wire.Refused;
-import weldcross.link.wire.Welcome;
-import weldcross.seam.Seam;
-import weldcross.sockets.Dials;
+import weldcross.connections.Dials;
+import weldcross.extension.Seam;
+import weldcross.mesh.LinkPlaces;
+import weldcross.mesh.LinkTerms;
+import weldcross.mesh.Links;
+import weldcross.mesh.PeerName;
+import weldcross.mesh.Refusal;
+import weldcross.mesh.wire.Datagram;
+import weldcross.mesh.wire.Frame;
+import weldcross.mesh.wire.Greeting;
+import weldcross.mesh.wire.Life;
+import weldcross.mesh.wire.Message;
+import weldcross.mesh.wire.Refused;
+import weldcross.mesh.wire.Welcome;
 
 /** The sockets of the link, on Apache MINA; its threads only read what comes and post it. */
 final class MinaLinks {
@@ -200,7 +200,7 @@
         });
   }
 
-  void greet(long number, PeerName to, weldcross.link.Life self) {
+  void greet(long number, PeerName to, weldcross.mesh.Life self) {
     write(
         number,
         Frame.newBuilder()
@@ -213,7 +213,7 @@
                     .setLife(wire(self))));
   }
 
-  void welcome(long number, weldcross.link.Life self) {
+  void welcome(long number, weldcross.mesh.Life self) {
     write(
         number,
         Frame.newBuilder()
@@ -277,7 +277,7 @@
     }
   }
 
-  void datagram(PeerName to, weldcross.link.Life self, int subject, ByteBuffer content) {
+  void datagram(PeerName to, weldcross.mesh.Life self, int subject, ByteBuffer content) {
     InetSocketAddress place = places.tells().get(to);
     if (datagrams == null || place == null) {
       return;
@@ -302,12 +302,12 @@
     return session == null ? null : session.write(frame.build());
   }
 
-  private static Life wire(weldcross.link.Life life) {
+  private static Life wire(weldcross.mesh.Life life) {
     return Life.newBuilder().setIncarnation(life.incarnation()).setMark(life.mark()).build();
   }
 
-  private static weldcross.link.Life plain(Life life) {
-    return new weldcross.link.Life(life.getIncarnation(), life.getMark());
+  private static weldcross.mesh.Life plain(Life life) {
+    return new weldcross.mesh.Life(life.getIncarnation(), life.getMark());
   }
 
   // ---- What comes
--- a/gateway/src/main/java/weldcross/routing/Router.java
+++ b/gateway/src/main/java/weldcross/routing/Router.java
@@ -18,10 +18,10 @@
  * Decides where each RPC goes: the fast causal reads of Readwritesplit, from one gateway's own
  * knowledge.
  *
- * <p>A gateway ({@code weldcross.gateway.Gateway}, on the bench {@code weldcross.bench.WireLoop})
- * calls one public method for each thing that happens, with the time since this router started; it
- * acts by calling {@link Host}, its interface outwards. The ordinary path is {@link #choose};
- * docs/design.md has the rest.
+ * <p>A gateway ({@code weldcross.gateway.Gateway}, on the bench {@code
+ * weldcross.simulator.WireLoop}) calls one public method for each thing that happens, with the time
+ * since this router started; it acts by calling {@link Host}, its interface outwards. The ordinary
+ * path is {@link #choose}; docs/design.md has the rest.
  */
 public final class Router {
 
--- a/gateway/src/main/java/weldcross/bench/WireHost.java
+++ b/gateway/src/main/java/weldcross/simulator/WireHost.java
@@ -1,8 +1,8 @@
-package weldcross.bench;
+package weldcross.simulator;
 
 import java.time.Duration;
 import java.util.HexFormat;
-import weldcross.peers.PeerWord;
+import weldcross.gossip.PeerWord;
 import weldcross.routing.Host;
 import weldcross.routing.RpcId;
 import weldcross.routing.ServerId;
--- a/gateway/src/main/java/weldcross/bench/WireLoop.java
+++ b/gateway/src/main/java/weldcross/simulator/WireLoop.java
@@ -1,4 +1,4 @@
-package weldcross.bench;
+package weldcross.simulator;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -12,7 +12,10 @@
 import java.util.HashMap;
 import java.util.HexFormat;
 import java.util.Map;
-import weldcross.peers.PeerWord;
+import weldcross.config.LoadReport;
+import weldcross.config.NamedValues;
+import weldcross.config.TermsReader;
+import weldcross.gossip.PeerWord;
 import weldcross.routing.Condition;
 import weldcross.routing.GroupId;
 import weldcross.routing.Outcome;
@@ -21,9 +24,6 @@
 import weldcross.routing.ServerId;
 import weldcross.routing.SessionId;
 import weldcross.routing.ZoneId;
-import weldcross.terms.LoadReport;
-import weldcross.terms.NamedValues;
-import weldcross.terms.TermsReader;
 
 /** Reads the bench's batches, calls the instances' routers, and writes one reply a batch. */
 public final class WireLoop {
--- a/gateway/src/test/java/weldcross/terms/PartTermsTest.java
+++ b/gateway/src/test/java/weldcross/config/PartTermsTest.java
@@ -1,4 +1,4 @@
-package weldcross.terms;
+package weldcross.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import weldcross.link.PeerName;
+import weldcross.mesh.PeerName;
 
 class PartTermsTest {
 
--- a/gateway/src/test/java/weldcross/terms/TermsTest.java
+++ b/gateway/src/test/java/weldcross/config/TermsTest.java
@@ -1,4 +1,4 @@
-package weldcross.terms;
+package weldcross.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/gateway/src/test/java/weldcross/sockets/DialsTest.java
+++ b/gateway/src/test/java/weldcross/connections/DialsTest.java
@@ -1,4 +1,4 @@
-package weldcross.sockets;
+package weldcross.connections;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/gateway/src/test/java/weldcross/agreement/DecisionsTest.java
+++ b/gateway/src/test/java/weldcross/consensus/DecisionsTest.java
@@ -1,4 +1,4 @@
-package weldcross.agreement;
+package weldcross.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -13,10 +13,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import weldcross.agreement.Returning.Answer;
-import weldcross.agreement.Returning.Kept;
-import weldcross.agreement.Returning.Phase;
-import weldcross.link.PeerName;
+import weldcross.consensus.Returning.Answer;
+import weldcross.consensus.Returning.Kept;
+import weldcross.consensus.Returning.Phase;
+import weldcross.mesh.PeerName;
 
 /** The pure modules of the agreement: views, who may vote, what share a gateway has. */
 class DecisionsTest {
--- a/gateway/src/test/java/weldcross/agreement/net/AgreementSweep.java
+++ b/gateway/src/test/java/weldcross/consensus/net/AgreementSweep.java
@@ -1,4 +1,4 @@
-package weldcross.agreement.net;
+package weldcross.consensus.net;
 
 import java.time.Duration;
 import java.util.ArrayList;
--- a/gateway/src/test/java/weldcross/agreement/net/AgreementTest.java
+++ b/gateway/src/test/java/weldcross/consensus/net/AgreementTest.java
@@ -1,4 +1,4 @@
-package weldcross.agreement.net;
+package weldcross.consensus.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import weldcross.agreement.Agreed;
-import weldcross.agreement.Verdict;
-import weldcross.agreement.raft.Voter;
+import weldcross.consensus.Agreed;
+import weldcross.consensus.Verdict;
+import weldcross.consensus.raft.Voter;
 
 /**
- * The agreement of several gateways in memory; a row of docs/agreement.md's table each, then all at
+ * The agreement of several gateways in memory; a row of docs/consensus.md's table each, then all at
  * random.
  */
 @Timeout(60)
@@ -164,11 +164,11 @@
         .agreement
         .heard(
             w.all.get(2).name,
-            weldcross.agreement.wire.Word.newBuilder()
+            weldcross.consensus.wire.Word.newBuilder()
                 .setGroup("test/n9")
                 .setTold(
-                    weldcross.agreement.wire.Told.newBuilder()
-                        .setView(weldcross.agreement.wire.ViewSaid.newBuilder().setNumber(99)))
+                    weldcross.consensus.wire.Told.newBuilder()
+                        .setView(weldcross.consensus.wire.ViewSaid.newBuilder().setNumber(99)))
                 .build());
     assertEquals(before, w.all.get(0).view().number());
     assertTrue(
--- a/gateway/src/test/java/weldcross/agreement/net/AgreementWorld.java
+++ b/gateway/src/test/java/weldcross/consensus/net/AgreementWorld.java
@@ -1,4 +1,4 @@
-package weldcross.agreement.net;
+package weldcross.consensus.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -21,13 +21,13 @@
 import java.util.function.BooleanSupplier;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import weldcross.agreement.Agreed;
-import weldcross.agreement.AgreementTerms;
-import weldcross.agreement.Motion;
-import weldcross.agreement.Verdict;
-import weldcross.agreement.View;
-import weldcross.agreement.wire.Word;
-import weldcross.link.PeerName;
+import weldcross.consensus.Agreed;
+import weldcross.consensus.AgreementTerms;
+import weldcross.consensus.Motion;
+import weldcross.consensus.Verdict;
+import weldcross.consensus.View;
+import weldcross.consensus.wire.Word;
+import weldcross.mesh.PeerName;
 import weldcross.storage.Disk;
 import weldcross.storage.FaultyDisk;
 
--- a/gateway/src/test/java/weldcross/discovery/DiscoveryTest.java
+++ b/gateway/src/test/java/weldcross/discovery/DiscoveryTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import weldcross.config.FaultyTerm;
+import weldcross.config.NamedValues;
 import weldcross.routing.Condition;
-import weldcross.terms.FaultyTerm;
-import weldcross.terms.NamedValues;
 
 class DiscoveryTest {
 
--- a/gateway/src/test/java/weldcross/gateway/ConnectionEndsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ConnectionEndsTest.java
@@ -21,9 +21,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import weldcross.config.GatewayTerms;
+import weldcross.config.NamedValues;
 import weldcross.pgwire.Replies;
-import weldcross.terms.GatewayTerms;
-import weldcross.terms.NamedValues;
 
 /**
  * Ends of connections on loopback sockets that cross what is still on its way. The reducer turns
--- a/gateway/src/test/java/weldcross/gateway/GatewayTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayTest.java
@@ -30,11 +30,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import weldcross.config.GatewayTerms;
+import weldcross.config.NamedValues;
 import weldcross.pgwire.ClientReader;
 import weldcross.pgwire.Replies;
 import weldcross.pgwire.ServerReader;
-import weldcross.terms.GatewayTerms;
-import weldcross.terms.NamedValues;
 
 /**
  * The reducer under recorded effects and a clock moved by hand; what it asks for is checked at
--- a/gateway/src/test/java/weldcross/gateway/ServiceTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ServiceTest.java
@@ -33,11 +33,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
+import weldcross.config.GatewayTerms;
+import weldcross.config.NamedValues;
+import weldcross.extension.Part;
+import weldcross.extension.Seam;
 import weldcross.pgwire.Replies;
-import weldcross.seam.Part;
-import weldcross.seam.Seam;
-import weldcross.terms.GatewayTerms;
-import weldcross.terms.NamedValues;
 
 /**
  * A short run over loopback, with a server and a discovery of this project's own in the place of
@@ -617,7 +617,7 @@
             + "listen = \"127.0.0.1:0\"\n");
     assertTrue(
         loaded(folder, "serve", "--with", with.toString()).stream()
-            .anyMatch(l -> l.contains("weldcross.link.Links ")),
+            .anyMatch(l -> l.contains("weldcross.mesh.Links ")),
         "with one they are");
   }
 
--- a/gateway/src/test/java/weldcross/gateway/TwoCustomersTest.java
+++ b/gateway/src/test/java/weldcross/gateway/TwoCustomersTest.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import weldcross.config.GatewayTerms;
+import weldcross.config.NamedValues;
 import weldcross.gateway.GatewayTest.Wire;
 import weldcross.gateway.GatewayTest.World;
 import weldcross.pgwire.Replies;
-import weldcross.terms.GatewayTerms;
-import weldcross.terms.NamedValues;
 
 /**
  * Two gateways of two customers in one process, the first told to read the other's configuration
--- a/gateway/src/test/java/weldcross/membership/SeenExplorer.java
+++ b/gateway/src/test/java/weldcross/membership/SeenExplorer.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import java.util.UUID;
 import java.util.function.Consumer;
-import weldcross.link.PeerName;
+import weldcross.mesh.PeerName;
 
 /**
  * Three gateways that see each other, through all orders of what can happen: each message arrives
--- a/gateway/src/test/java/weldcross/membership/SeenTest.java
+++ b/gateway/src/test/java/weldcross/membership/SeenTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import weldcross.link.PeerName;
+import weldcross.mesh.PeerName;
 
 class SeenTest {
 
--- a/gateway/src/test/java/weldcross/membership/SeenWorld.java
+++ b/gateway/src/test/java/weldcross/membership/SeenWorld.java
@@ -11,7 +11,7 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import weldcross.link.PeerName;
+import weldcross.mesh.PeerName;
 
 /**
  * Many gateways' seeing over a network in memory, on a clock moved by hand: messages late, lost,
--- a/gateway/src/test/java/weldcross/link/LinkPartTest.java
+++ b/gateway/src/test/java/weldcross/mesh/LinkPartTest.java
@@ -1,4 +1,4 @@
-package weldcross.link;
+package weldcross.mesh;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -32,10 +32,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import weldcross.link.net.LinkPart;
-import weldcross.link.wire.Frame;
-import weldcross.link.wire.Greeting;
-import weldcross.seam.Seam;
+import weldcross.extension.Seam;
+import weldcross.mesh.net.LinkPart;
+import weldcross.mesh.wire.Frame;
+import weldcross.mesh.wire.Greeting;
 
 /**
  * Links on real sockets and a real directory: what is bad costs its sender its connection, and
@@ -237,8 +237,8 @@
       {(byte) 0xff, 0, 0, 0, 1},
       {0, 0, 0, 3, 9, 9, 9},
       framed(Frame.newBuilder().setBeat(1)),
-      framed(Frame.newBuilder().setWelcome(weldcross.link.wire.Welcome.getDefaultInstance())),
-      framed(Frame.newBuilder().setMessage(weldcross.link.wire.Message.newBuilder().setSubject(7))),
+      framed(Frame.newBuilder().setWelcome(weldcross.mesh.wire.Welcome.getDefaultInstance())),
+      framed(Frame.newBuilder().setMessage(weldcross.mesh.wire.Message.newBuilder().setSubject(7))),
       framed(Frame.newBuilder().setGreeting(later))
     };
     for (byte[] each : bad) {
--- a/gateway/src/test/java/weldcross/link/LinksTest.java
+++ b/gateway/src/test/java/weldcross/mesh/LinksTest.java
@@ -1,4 +1,4 @@
-package weldcross.link;
+package weldcross.mesh;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
