--- a/benchmarks/src/main/java/weldcross/benchmarks/LinkFigures.java
+++ b/benchmarks/src/main/java/weldcross/benchmarks/MeshMeasurements.java
@@ -17,25 +17,25 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import weldcross.extension.Seam;
-import weldcross.mesh.Life;
-import weldcross.mesh.LinkHost;
-import weldcross.mesh.LinkPlaces;
-import weldcross.mesh.LinkTerms;
-import weldcross.mesh.Links;
+import weldcross.extension.ExtensionContext;
+import weldcross.mesh.HandshakeRejection;
+import weldcross.mesh.Incarnation;
+import weldcross.mesh.MeshConfig;
+import weldcross.mesh.PeerAddresses;
+import weldcross.mesh.PeerConnectionActions;
+import weldcross.mesh.PeerConnectionManager;
 import weldcross.mesh.PeerName;
-import weldcross.mesh.Refusal;
-import weldcross.mesh.net.LinkPart;
+import weldcross.mesh.net.MeshExtension;
 
 /**
  * What the link carries and costs: five gateways' links on sockets, at rest and sending all they
  * can; and 300 in memory by the pure module, at rest, counting what would cross the network.
  */
-public final class LinkFigures {
+public final class MeshMeasurements {
 
   private static final int FIVE = 5, MANY = 300, CONTENT = 200, SECONDS = 5;
 
-  private LinkFigures() {}
+  private MeshMeasurements() {}
 
   public static void main(String[] args) throws Exception {
     onSockets();
@@ -43,14 +43,14 @@
     inMemory(MANY);
   }
 
-  private static LinkTerms terms(int self, int count) {
+  private static MeshConfig terms(int self, int count) {
     List<PeerName> peers = new ArrayList<>();
     for (int k = 0; k < count; k++) {
       if (k != self) {
         peers.add(new PeerName("n" + k));
       }
     }
-    return new LinkTerms(
+    return new MeshConfig(
         "c",
         new PeerName("n" + self),
         peers,
@@ -64,7 +64,7 @@
   }
 
   /** A part's thread, and its clock. */
-  private static final class Thread1 implements Seam {
+  private static final class Thread1 implements ExtensionContext {
     final LinkedBlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
     final PriorityQueue<Map.Entry<Duration, Runnable>> dues =
         new PriorityQueue<>(Map.Entry.comparingByKey());
@@ -132,25 +132,25 @@
     Path directory = Files.createTempDirectory("link-figures");
     AtomicLong heard = new AtomicLong();
     AtomicLong ups = new AtomicLong();
-    List<LinkPart> parts = new ArrayList<>();
+    List<MeshExtension> parts = new ArrayList<>();
     List<Thread1> threads = new ArrayList<>();
     for (int k = 0; k < FIVE; k++) {
-      LinkPart part =
-          new LinkPart(
+      MeshExtension part =
+          new MeshExtension(
               terms(k, FIVE),
-              new LinkPlaces(places.get(new PeerName("n" + k)), null, places, Map.of()),
+              new PeerAddresses(places.get(new PeerName("n" + k)), null, places, Map.of()),
               directory.resolve("n" + k),
               k);
       part.talk(
           1,
-          new LinkPart.Talker() {
+          new MeshExtension.Talker() {
             @Override
-            public void heard(PeerName from, Life life, ByteBuffer content) {
+            public void heard(PeerName from, Incarnation life, ByteBuffer content) {
               heard.incrementAndGet();
             }
 
             @Override
-            public void up(PeerName peer, Life life) {
+            public void up(PeerName peer, Incarnation life) {
               ups.incrementAndGet();
             }
 
@@ -209,8 +209,8 @@
    * A gateway's link in memory: frames are counted with the bytes that they would have, and come at
    * once.
    */
-  private static final class InMemory implements LinkHost {
-    final Links links;
+  private static final class InMemory implements PeerConnectionActions {
+    final PeerConnectionManager links;
     final int number;
     final Net net;
     Duration wakeAt;
@@ -218,7 +218,7 @@
     InMemory(int number, Net net, int count) {
       this.number = number;
       this.net = net;
-      this.links = new Links(terms(number, count), this, number);
+      this.links = new PeerConnectionManager(terms(number, count), this, number);
     }
 
     private void to(long link, int bytes, Frame frame) {
@@ -248,7 +248,7 @@
     }
 
     @Override
-    public void greet(long link, PeerName to, Life self) {
+    public void greet(long link, PeerName to, Incarnation self) {
       to(
           link,
           40,
@@ -257,12 +257,12 @@
     }
 
     @Override
-    public void welcome(long link, Life self) {
+    public void welcome(long link, Incarnation self) {
       to(link, 20, (there, l) -> there.links.welcomed(net.now, l, self));
     }
 
     @Override
-    public void refuse(long link, Refusal why, long known) {
+    public void refuse(long link, HandshakeRejection why, long known) {
       to(link, 20, (there, l) -> there.links.refused(net.now, l, why, known));
     }
 
@@ -302,10 +302,10 @@
     }
 
     @Override
-    public void heard(PeerName from, Life life, int subject, ByteBuffer content) {}
+    public void heard(PeerName from, Incarnation life, int subject, ByteBuffer content) {}
 
     @Override
-    public void up(PeerName peer, Life life) {
+    public void up(PeerName peer, Incarnation life) {
       net.ups++;
     }
 
@@ -313,7 +313,7 @@
     public void down(PeerName peer, String why) {}
 
     @Override
-    public void refusedBy(PeerName peer, Life before) {}
+    public void refusedBy(PeerName peer, Incarnation before) {}
 
     @Override
     public void outlived(long incarnation) {}
@@ -346,7 +346,7 @@
     for (int k = 0; k < count; k++) {
       net.nodes.add(new InMemory(k, net, count));
     }
-    net.nodes.forEach(n -> n.links.start(net.now, new Life(1, n.number)));
+    net.nodes.forEach(n -> n.links.start(net.now, new Incarnation(1, n.number)));
     net.run(Duration.ofSeconds(2));
     long frames = net.frames;
     long bytes = net.bytes;
--- a/benchmarks/src/main/java/weldcross/benchmarks/RecordLogBenchmark.java
+++ b/benchmarks/src/main/java/weldcross/benchmarks/RecordLogBenchmark.java
@@ -16,8 +16,8 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
-import weldcross.storage.Disk;
 import weldcross.storage.RecordLog;
+import weldcross.storage.StorageDirectory;
 
 /**
  * What the log's frames cost beside a plain file of lengths and bytes, on a disk that does nothing:
@@ -32,7 +32,7 @@
 public class RecordLogBenchmark {
 
   /** Takes everything and keeps nothing. */
-  private static final class NoDisk implements Disk {
+  private static final class NoDisk implements StorageDirectory {
 
     @Override
     public SortedSet<String> names() {
@@ -84,7 +84,7 @@
 
   private final ByteBuffer record = ByteBuffer.allocate(100);
   private RecordLog log;
-  private Disk.File plain;
+  private StorageDirectory.File plain;
 
   @Setup
   public void open() throws IOException {
--- a/benchmarks/src/main/java/weldcross/benchmarks/StorageFigures.java
+++ b/benchmarks/src/main/java/weldcross/benchmarks/StorageMeasurements.java
@@ -8,20 +8,20 @@
 import java.nio.file.StandardOpenOption;
 import java.util.stream.Stream;
 import org.HdrHistogram.Histogram;
-import weldcross.storage.Disk;
-import weldcross.storage.PlainDisk;
+import weldcross.storage.FileStorageDirectory;
 import weldcross.storage.RecordLog;
+import weldcross.storage.StorageDirectory;
 
 /**
  * The record log on a real disk beside a plain file that is forced for each record: records a
  * second, how long one is not sure, bytes written for each byte kept; and how long it takes to read
  * a million records back. The argument is a directory on the disk to be measured.
  */
-public final class StorageFigures {
+public final class StorageMeasurements {
 
   private static final int RECORD = 100, COMMITS = 2000, MANY = 1_000_000;
 
-  private StorageFigures() {}
+  private StorageMeasurements() {}
 
   public static void main(String[] args) throws IOException {
     Path directory =
@@ -46,7 +46,7 @@
     }
     for (int batch : new int[] {1, 16, 256}) {
       Path place = directory.resolve("log-" + batch);
-      try (Disk disk = PlainDisk.at(place);
+      try (StorageDirectory disk = FileStorageDirectory.at(place);
           RecordLog log = open(disk, new long[1])) {
         Histogram times =
             time(
@@ -61,7 +61,7 @@
       }
     }
     Path place = directory.resolve("many");
-    try (Disk disk = PlainDisk.at(place);
+    try (StorageDirectory disk = FileStorageDirectory.at(place);
         RecordLog log = open(disk, new long[1])) {
       for (int k = 0; k < MANY; k++) {
         log.add(ByteBuffer.allocate(RECORD).putInt(0, k));
@@ -72,7 +72,7 @@
     }
     long[] read = new long[1];
     long began = System.nanoTime();
-    try (Disk disk = PlainDisk.at(place);
+    try (StorageDirectory disk = FileStorageDirectory.at(place);
         RecordLog log = open(disk, read)) {
       System.out.printf(
           "%d records (%d MB) read back in %d ms%n",
@@ -89,7 +89,7 @@
     void run() throws IOException;
   }
 
-  private static RecordLog open(Disk disk, long[] read) throws IOException {
+  private static RecordLog open(StorageDirectory disk, long[] read) throws IOException {
     return RecordLog.open(
         disk,
         8 << 20,
--- a/chaos/src/main/java/weldcross/chaos/Ground.java
+++ b/chaos/src/main/java/weldcross/chaos/ChaosCluster.java
@@ -20,24 +20,24 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import weldcross.chaos.history.Evidence;
+import weldcross.chaos.history.History;
 import weldcross.chaos.load.Method;
-import weldcross.chaos.process.Child;
-import weldcross.chaos.process.Children;
-import weldcross.chaos.process.Place;
-import weldcross.chaos.proxy.Relay;
+import weldcross.chaos.process.LoopbackSubnet;
+import weldcross.chaos.process.ManagedProcess;
+import weldcross.chaos.process.ManagedProcesses;
+import weldcross.chaos.proxy.FaultProxy;
 import weldcross.chaos.scenario.Scenario;
-import weldcross.fakes.Catalog;
-import weldcross.fakes.DiscoveryAgent;
-import weldcross.fakes.PgServer;
-import weldcross.fakes.Store;
+import weldcross.fakes.FakeDiscoveryCatalog;
+import weldcross.fakes.FakeDiscoveryServer;
+import weldcross.fakes.FakePostgresServer;
+import weldcross.fakes.ReplicatedStoreModel;
 
 /**
  * Where one trial takes place: gateways as processes with directories and addresses of their own,
  * stand-ins for servers and discovery, and between all of them the relay. Hosts are named n0, n1
  * (gateways), s0, s1 (servers), {@code clients} and {@code discovery}.
  */
-public final class Ground implements AutoCloseable {
+public final class ChaosCluster implements AutoCloseable {
 
   private static final int CLIENT_PORT = 6543, LINK_PORT = 7000, CONTROL_PORT = 7100;
   private static final String BEGINS = "STARTING to LISTENING";
@@ -53,9 +53,9 @@
     final String name;
     final Path home;
     private final InetAddress host;
-    private final Relay.Route clients;
-    private DiscoveryAgent agent;
-    private Child child;
+    private final FaultProxy.Route clients;
+    private FakeDiscoveryServer agent;
+    private ManagedProcess child;
     private int lives;
     private long wallOff;
 
@@ -71,7 +71,7 @@
       return name;
     }
 
-    public Child child() {
+    public ManagedProcess child() {
       return child;
     }
 
@@ -140,8 +140,8 @@
 
     /** Waits until it answers that it is ready; throws where its process ends before. */
     public void awaitReady() throws IOException {
-      Child of = child;
-      Child.until(
+      ManagedProcess of = child;
+      ManagedProcess.until(
           name + " is ready, see " + log(),
           READY_WITHIN,
           () -> {
@@ -198,7 +198,7 @@
 
     /** Whether its last word on what is agreed is a view of all gateways in this life of theirs. */
     String lastView() {
-      List<Evidence.Held> all = views();
+      List<History.Held> all = views();
       int process = processes();
       return all.isEmpty() || all.get(all.size() - 1).process() < process
           ? ""
@@ -214,15 +214,15 @@
     }
 
     /** What it said it had agreed on, by its log. */
-    List<Evidence.Held> views() {
-      List<Evidence.Held> all = new ArrayList<>();
+    List<History.Held> views() {
+      List<History.Held> all = new ArrayList<>();
       int process = 0;
       try {
         for (String line : Files.readAllLines(log())) {
           process += line.contains(BEGINS) ? 1 : 0;
           Matcher view = VIEW.matcher(line);
           if (view.find()) {
-            all.add(new Evidence.Held(name, process, Long.parseLong(view.group(1)), view.group(2)));
+            all.add(new History.Held(name, process, Long.parseLong(view.group(1)), view.group(2)));
           }
         }
       } catch (IOException e) {
@@ -232,12 +232,12 @@
     }
 
     void begin() throws IOException {
-      Map<String, Relay.Route> routes = new HashMap<>();
-      for (PgServer server : servers.values()) {
+      Map<String, FaultProxy.Route> routes = new HashMap<>();
+      for (FakePostgresServer server : servers.values()) {
         routes.put(server.name(), relay.stream(name, server.name(), server.address()));
       }
-      agent = new DiscoveryAgent(catalog, place.host(3), id -> routes.get(id).hostPort());
-      Relay.Route discovery = relay.stream(name, "discovery", agent.address());
+      agent = new FakeDiscoveryServer(catalog, place.host(3), id -> routes.get(id).hostPort());
+      FaultProxy.Route discovery = relay.stream(name, "discovery", agent.address());
       Files.writeString(home.resolve("config.json"), config(discovery.hostPort()));
     }
 
@@ -359,13 +359,13 @@
   private final Scenario scenario;
   private final boolean trustDisks;
   private final Path directory;
-  private final Place place;
-  private final Relay relay;
-  private final Children children;
-  private final Store store = new Store();
-  private final Store.Clock clock = new Store.Clock();
-  private final Catalog catalog = new Catalog();
-  private final Map<String, PgServer> servers = new TreeMap<>();
+  private final LoopbackSubnet place;
+  private final FaultProxy relay;
+  private final ManagedProcesses children;
+  private final ReplicatedStoreModel store = new ReplicatedStoreModel();
+  private final ReplicatedStoreModel.Clock clock = new ReplicatedStoreModel.Clock();
+  private final FakeDiscoveryCatalog catalog = new FakeDiscoveryCatalog();
+  private final Map<String, FakePostgresServer> servers = new TreeMap<>();
   private final List<Gateway> gateways = new ArrayList<>();
   private final ScheduledExecutorService timer =
       Executors.newScheduledThreadPool(
@@ -379,23 +379,24 @@
   /**
    * @param directory of this trial alone, made if absent
    */
-  public Ground(Scenario scenario, long seed, Path directory) throws IOException {
+  public ChaosCluster(Scenario scenario, long seed, Path directory) throws IOException {
     this(scenario, seed, directory, false);
   }
 
   /**
    * @param trustDisks whether voters are told that disks never lose what they said was kept
    */
-  Ground(Scenario scenario, long seed, Path directory, boolean trustDisks) throws IOException {
+  ChaosCluster(Scenario scenario, long seed, Path directory, boolean trustDisks)
+      throws IOException {
     this.scenario = scenario;
     this.trustDisks = trustDisks;
     this.directory = Files.createDirectories(directory).toAbsolutePath();
-    this.place = Place.claim();
-    this.children = new Children();
-    this.relay = new Relay(place.host(2), seed);
+    this.place = LoopbackSubnet.claim();
+    this.children = new ManagedProcesses();
+    this.relay = new FaultProxy(place.host(2), seed);
     for (int k = 0; k < scenario.groups() * scenario.serversPerGroup(); k++) {
-      PgServer server =
-          new PgServer(
+      FakePostgresServer server =
+          new FakePostgresServer(
               "s" + k,
               k / scenario.serversPerGroup(),
               k % scenario.serversPerGroup() == 0,
@@ -421,9 +422,10 @@
   }
 
   /** The list has it as it is now. */
-  void list(PgServer server) {
+  void list(FakePostgresServer server) {
     catalog.set(
-        new Catalog.Member(server.name(), server.group(), "a", "active", server.upSinceMillis()));
+        new FakeDiscoveryCatalog.Member(
+            server.name(), server.group(), "a", "active", server.upSinceMillis()));
   }
 
   /** All gateways are started, and ready. */
@@ -452,7 +454,7 @@
   /** Where the classes of this module are, for what works within a gateway. */
   private static String own() {
     try {
-      return Path.of(Ground.class.getProtectionDomain().getCodeSource().getLocation().toURI())
+      return Path.of(ChaosCluster.class.getProtectionDomain().getCodeSource().getLocation().toURI())
           .toString();
     } catch (java.net.URISyntaxException e) {
       throw new IllegalStateException(e);
@@ -467,23 +469,23 @@
     return gateways.get(Integer.parseInt(name.substring(1)));
   }
 
-  public PgServer server(String name) {
+  public FakePostgresServer server(String name) {
     return servers.get(name);
   }
 
-  public Relay relay() {
+  public FaultProxy relay() {
     return relay;
   }
 
-  public Store store() {
+  public ReplicatedStoreModel store() {
     return store;
   }
 
-  public Store.Clock clock() {
+  public ReplicatedStoreModel.Clock clock() {
     return clock;
   }
 
-  public Catalog catalog() {
+  public FakeDiscoveryCatalog catalog() {
     return catalog;
   }
 
@@ -520,7 +522,7 @@
   @Override
   public void close() throws IOException {
     children.close();
-    for (PgServer each : servers.values()) {
+    for (FakePostgresServer each : servers.values()) {
       each.close();
     }
     for (Gateway each : gateways) {
--- a/chaos/src/main/java/weldcross/chaos/Trial.java
+++ b/chaos/src/main/java/weldcross/chaos/ChaosRun.java
@@ -11,17 +11,17 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
-import weldcross.chaos.history.Audit;
-import weldcross.chaos.history.Evidence;
-import weldcross.chaos.load.Load;
-import weldcross.chaos.process.Child;
+import weldcross.chaos.history.History;
+import weldcross.chaos.history.HistoryChecker;
+import weldcross.chaos.load.LoadGenerator;
+import weldcross.chaos.process.ManagedProcess;
 import weldcross.chaos.scenario.Fault;
 import weldcross.chaos.scenario.Nemesis;
 import weldcross.chaos.scenario.Scenario;
-import weldcross.fakes.Store;
+import weldcross.fakes.ReplicatedStoreModel;
 
 /** One play of a scenario: load, faults in their time, healing, and the evidence of all of it. */
-public final class Trial {
+public final class ChaosRun {
 
   /** After a process serves again or a way is free, calls that were held are still answered. */
   private static final Duration SETTLES = Duration.ofSeconds(3);
@@ -33,11 +33,11 @@
    * @param ready when each start of a gateway after the first was ready, by name, since the load
    *     began
    */
-  public record Outcome(
+  public record Result(
       Scenario played,
       long seed,
-      Evidence evidence,
-      List<Audit.Breach> breaches,
+      History evidence,
+      List<HistoryChecker.Breach> breaches,
       List<String> ready,
       String where) {
 
@@ -50,7 +50,7 @@
 
   private static final Duration AGREES_WITHIN = Duration.ofSeconds(30);
 
-  private Trial() {}
+  private ChaosRun() {}
 
   /**
    * Plays it; the schedule is written down before it begins, to be played again.
@@ -58,39 +58,39 @@
    * @param directory of this trial alone
    * @param progress told how many seconds of it are over
    */
-  public static Outcome play(
+  public static Result play(
       Scenario scenario, long seed, Path directory, Consumer<Integer> progress)
       throws IOException, InterruptedException {
     List<Fault> faults = new Nemesis(scenario, seed).faults();
     Scenario played = scenario.with(faults);
     Files.createDirectories(directory);
     Files.writeString(directory.resolve("schedule.toml"), "# seed " + seed + "\n" + played.toml());
-    try (Ground ground = new Ground(scenario, seed, directory)) {
+    try (ChaosCluster ground = new ChaosCluster(scenario, seed, directory)) {
       ground.start();
-      for (Ground.Gateway each : ground.gateways()) {
+      for (ChaosCluster.Gateway each : ground.gateways()) {
         each.keepCopy();
       }
       long zero = ground.clock().nanos();
-      try (Load load =
-          new Load(
-              ground.gateways().stream().map(Ground.Gateway::address).toList(),
+      try (LoadGenerator load =
+          new LoadGenerator(
+              ground.gateways().stream().map(ChaosCluster.Gateway::address).toList(),
               scenario.groups(),
               () -> ground.clock().nanos() - zero,
               seed)) {
-        return new Trial().run(played, seed, ground, load, zero, progress, directory);
+        return new ChaosRun().run(played, seed, ground, load, zero, progress, directory);
       }
     }
   }
 
-  private final List<Evidence.Trouble> troubles = new ArrayList<>();
+  private final List<History.Trouble> troubles = new ArrayList<>();
   private final List<String> ready = new ArrayList<>();
   private final List<CompletableFuture<Void>> healing = new ArrayList<>();
 
-  private Outcome run(
+  private Result run(
       Scenario played,
       long seed,
-      Ground ground,
-      Load load,
+      ChaosCluster ground,
+      LoadGenerator load,
       long zero,
       Consumer<Integer> progress,
       Path directory)
@@ -101,7 +101,7 @@
       steps.add(new Step(each.until(), false, each));
     }
     steps.sort(Comparator.comparing(Step::at));
-    Havoc havoc = new Havoc(ground);
+    FaultInjector havoc = new FaultInjector(ground);
     load.begin(played.rate());
     int told = -1;
     for (long now = 0; now < played.lasting().toNanos(); ) {
@@ -124,7 +124,7 @@
     }
     Long agreedAfter = played.voters() == 0 ? null : agreed(ground);
     load.end();
-    for (Ground.Gateway each : ground.gateways()) {
+    for (ChaosCluster.Gateway each : ground.gateways()) {
       if (!each.child().isAlive()) {
         throw new IOException(
             each.name()
@@ -134,8 +134,8 @@
                 + each.log());
       }
     }
-    Evidence evidence =
-        new Evidence(
+    History evidence =
+        new History(
             load.asked(),
             load.unasked(),
             shift(ground.store().effects(), zero),
@@ -143,22 +143,27 @@
             List.copyOf(troubles),
             ground.gateways().stream().flatMap(g -> g.views().stream()).toList(),
             agreedAfter);
-    return new Outcome(
-        played, seed, evidence, Audit.of(evidence), List.copyOf(ready), directory.toString());
+    return new Result(
+        played,
+        seed,
+        evidence,
+        HistoryChecker.of(evidence),
+        List.copyOf(ready),
+        directory.toString());
   }
 
   /** Milliseconds from now until all hold one view of all; below zero where that does not come. */
-  private static long agreed(Ground ground) {
+  private static long agreed(ChaosCluster ground) {
     long from = System.nanoTime();
     try {
-      Child.until("all hold one view of all", AGREES_WITHIN, ground::agree);
+      ManagedProcess.until("all hold one view of all", AGREES_WITHIN, ground::agree);
       return (System.nanoTime() - from) / 1_000_000;
     } catch (IOException e) {
       return -1;
     }
   }
 
-  private void step(Step step, Scenario played, Ground ground, Havoc havoc, long zero)
+  private void step(Step step, Scenario played, ChaosCluster ground, FaultInjector havoc, long zero)
       throws IOException {
     Fault fault = step.fault();
     if (step.begins()) {
@@ -167,7 +172,7 @@
       synchronized (troubles) {
         // Until it is healed, without an end.
         troubles.add(
-            new Evidence.Trouble(from, Long.MAX_VALUE / 2, havoc.excused(fault), fault.inWords()));
+            new History.Trouble(from, Long.MAX_VALUE / 2, havoc.excused(fault), fault.inWords()));
       }
       return;
     }
@@ -178,7 +183,7 @@
               try {
                 havoc.end(fault, played.lag());
                 if (fault.kind().isOnGateway() && fault.kind() != Fault.Kind.DISK) {
-                  Ground.Gateway gateway = ground.gateway(fault.on());
+                  ChaosCluster.Gateway gateway = ground.gateway(fault.on());
                   gateway.awaitReady();
                   synchronized (troubles) {
                     ready.add(
@@ -196,14 +201,14 @@
             }));
   }
 
-  private void healed(Fault fault, Havoc havoc, long at) {
+  private void healed(Fault fault, FaultInjector havoc, long at) {
     synchronized (troubles) {
       for (int k = 0; k < troubles.size(); k++) {
-        Evidence.Trouble t = troubles.get(k);
+        History.Trouble t = troubles.get(k);
         if (t.until() == Long.MAX_VALUE / 2 && t.what().equals(fault.inWords())) {
           troubles.set(
               k,
-              new Evidence.Trouble(
+              new History.Trouble(
                   t.from(), at + SETTLES.toNanos(), havoc.excused(fault), t.what()));
           return;
         }
@@ -211,11 +216,12 @@
     }
   }
 
-  private static List<Store.Effect> shift(List<Store.Effect> all, long zero) {
+  private static List<ReplicatedStoreModel.Effect> shift(
+      List<ReplicatedStoreModel.Effect> all, long zero) {
     return all.stream()
         .map(
             e ->
-                new Store.Effect(
+                new ReplicatedStoreModel.Effect(
                     e.at() - zero,
                     e.rpc(),
                     e.group(),
@@ -227,11 +233,12 @@
         .toList();
   }
 
-  private static List<Store.Read> shiftReads(List<Store.Read> all, long zero) {
+  private static List<ReplicatedStoreModel.Read> shiftReads(
+      List<ReplicatedStoreModel.Read> all, long zero) {
     return all.stream()
         .map(
             r ->
-                new Store.Read(
+                new ReplicatedStoreModel.Read(
                     r.at() - zero,
                     r.rpc(),
                     r.group(),
--- a/chaos/src/main/java/weldcross/chaos/Havoc.java
+++ b/chaos/src/main/java/weldcross/chaos/FaultInjector.java
@@ -4,16 +4,16 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import weldcross.chaos.proxy.Way;
+import weldcross.chaos.proxy.NetworkPath;
 import weldcross.chaos.scenario.Fault;
-import weldcross.fakes.PgServer;
+import weldcross.fakes.FakePostgresServer;
 
 /** Has faults happen on a ground, and heals them. */
-final class Havoc {
+final class FaultInjector {
 
-  private final Ground ground;
+  private final ChaosCluster ground;
 
-  Havoc(Ground ground) {
+  FaultInjector(ChaosCluster ground) {
     this.ground = ground;
   }
 
@@ -35,7 +35,7 @@
 
   /** Begins it; returns once it acts. */
   void begin(Fault f) throws IOException {
-    Ground.Gateway gateway = f.kind().isOnGateway() ? ground.gateway(f.on()) : null;
+    ChaosCluster.Gateway gateway = f.kind().isOnGateway() ? ground.gateway(f.on()) : null;
     switch (f.kind()) {
       case KILL, CLOCK -> gateway.child().kill();
       case TERM -> gateway.child().term();
@@ -68,7 +68,7 @@
 
   /** Heals it; returns once that is asked for, processes may still be starting. */
   void end(Fault f, Duration usualLag) throws IOException {
-    Ground.Gateway gateway = f.kind().isOnGateway() ? ground.gateway(f.on()) : null;
+    ChaosCluster.Gateway gateway = f.kind().isOnGateway() ? ground.gateway(f.on()) : null;
     switch (f.kind()) {
       case KILL -> {
         gateway.recordsAre(f.how());
@@ -94,7 +94,7 @@
       case DELAY, LOSS -> ways(f, true, true, w -> w.withTrouble(Duration.ZERO, 0, 0, 0));
       case SPLIT -> split(f, false);
       case SERVER_KILL -> {
-        PgServer server = ground.server(f.on());
+        FakePostgresServer server = ground.server(f.on());
         server.start();
         ground.list(server);
       }
@@ -112,7 +112,7 @@
   }
 
   private interface Change {
-    Way of(Way before);
+    NetworkPath of(NetworkPath before);
   }
 
   private void ways(Fault f, boolean there, boolean back, Change change) {
@@ -136,8 +136,8 @@
     for (String side : f.how().split("\\|", -1)) {
       sides.add(List.of(side.split(",")));
     }
-    for (Ground.Gateway a : ground.gateways()) {
-      for (Ground.Gateway b : ground.gateways()) {
+    for (ChaosCluster.Gateway a : ground.gateways()) {
+      for (ChaosCluster.Gateway b : ground.gateways()) {
         boolean known =
             sides.stream().anyMatch(s -> s.contains(a.name()))
                 && sides.stream().anyMatch(s -> s.contains(b.name()));
--- a/chaos/src/main/java/weldcross/chaos/Main.java
+++ b/chaos/src/main/java/weldcross/chaos/Main.java
@@ -16,11 +16,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import weldcross.chaos.history.Audit;
-import weldcross.chaos.report.Figures;
+import weldcross.chaos.history.HistoryChecker;
+import weldcross.chaos.report.LatencyStatistics;
 import weldcross.chaos.report.Report;
 import weldcross.chaos.scenario.Scenario;
-import weldcross.config.FaultyTerm;
+import weldcross.config.InvalidConfigException;
 
 /** The command line of the trial ground. */
 @Command(
@@ -51,7 +51,7 @@
     return new CommandLine(new Main())
         .setExecutionExceptionHandler(
             (fault, line, parsed) -> {
-              if (fault instanceof FaultyTerm) {
+              if (fault instanceof InvalidConfigException) {
                 line.getErr().println("weldcross-chaos: " + fault.getMessage());
                 return USAGE;
               }
@@ -120,7 +120,7 @@
         throws IOException, InterruptedException {
       java.io.PrintWriter told = spec.commandLine().getOut();
       told.println(scenario.name() + ", seed " + next + ": " + directory);
-      Trial.Outcome trial;
+      ChaosRun.Result trial;
       try (ProgressBar bar =
           new ProgressBarBuilder()
               .setTaskName("plays")
@@ -129,10 +129,10 @@
               .setInitialMax(scenario.lasting().toSeconds())
               .setUpdateIntervalMillis(1000)
               .build()) {
-        trial = Trial.play(scenario, next, directory, bar::stepTo);
+        trial = ChaosRun.play(scenario, next, directory, bar::stepTo);
       }
       Report.keep(trial, directory);
-      told.println(new Figures(trial).inWords());
+      told.println(new LatencyStatistics(trial).inWords());
       trial.ready().forEach(told::println);
       tell(trial, directory, told);
       told.println("report: " + Report.write(trial, directory));
@@ -141,11 +141,11 @@
     }
   }
 
-  private static void tell(Trial.Outcome trial, Path directory, java.io.PrintWriter told)
+  private static void tell(ChaosRun.Result trial, Path directory, java.io.PrintWriter told)
       throws IOException {
-    List<Audit.Breach> all = trial.breaches();
+    List<HistoryChecker.Breach> all = trial.breaches();
     told.println(all.isEmpty() ? "no rule broken" : all.size() + " BREACHES");
-    for (Audit.Breach each : all.subList(0, Math.min(TOLD, all.size()))) {
+    for (HistoryChecker.Breach each : all.subList(0, Math.min(TOLD, all.size()))) {
       told.println(
           each.rule().words
               + ": "
@@ -154,7 +154,7 @@
               + each.at() / 1_000_000
               + " ms, "
               + each.what());
-      Trial.lines(directory, each.rpc()).forEach(l -> told.println("    " + l));
+      ChaosRun.lines(directory, each.rpc()).forEach(l -> told.println("    " + l));
     }
   }
 
@@ -203,16 +203,16 @@
 
     @Override
     public Integer call() throws IOException {
-      Trial.Outcome kept = Report.kept(directory);
-      Trial.Outcome trial =
-          new Trial.Outcome(
+      ChaosRun.Result kept = Report.kept(directory);
+      ChaosRun.Result trial =
+          new ChaosRun.Result(
               kept.played(),
               kept.seed(),
               kept.evidence(),
-              Audit.of(kept.evidence()),
+              HistoryChecker.of(kept.evidence()),
               kept.ready(),
               kept.where());
-      spec.commandLine().getOut().println(new Figures(trial).inWords());
+      spec.commandLine().getOut().println(new LatencyStatistics(trial).inWords());
       tell(trial, directory, spec.commandLine().getOut());
       spec.commandLine().getOut().println("report: " + Report.write(trial, directory));
       return trial.isClean() ? CLEAN : BREACH;
--- a/chaos/src/main/java/weldcross/chaos/agent/LyingDisk.java
+++ b/chaos/src/main/java/weldcross/chaos/agent/LyingStorageDirectory.java
@@ -13,8 +13,8 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 import java.util.concurrent.locks.LockSupport;
-import weldcross.storage.Disk;
-import weldcross.storage.PlainDisk;
+import weldcross.storage.FileStorageDirectory;
+import weldcross.storage.StorageDirectory;
 
 /**
  * Within a gateway of a trial: a disk that keeps what is not forced in the process's memory, so
@@ -31,7 +31,7 @@
  * misdirect  a force writes what it should some bytes behind its place
  * </pre>
  */
-public final class LyingDisk implements Disk {
+public final class LyingStorageDirectory implements StorageDirectory {
 
   /** The path of the file of words; without it the disk is honest. */
   public static final String WORDS = "weldcross.chaos.disk";
@@ -39,7 +39,7 @@
   private static final int ASIDE = 16;
 
   /** Takes the place of the plain disk. */
-  public static final class Maker implements Disk.Maker {
+  public static final class Factory implements StorageDirectory.Factory {
 
     @Override
     public int rank() {
@@ -47,12 +47,13 @@
     }
 
     @Override
-    public Disk open(Path directory) throws IOException {
-      return new LyingDisk(new PlainDisk.Plain().open(directory), System.getProperty(WORDS));
+    public StorageDirectory open(Path directory) throws IOException {
+      return new LyingStorageDirectory(
+          new FileStorageDirectory.Plain().open(directory), System.getProperty(WORDS));
     }
   }
 
-  private final Disk real;
+  private final StorageDirectory real;
   private final Path words;
   private final SplittableRandom dice = new SplittableRandom(7);
 
@@ -62,7 +63,7 @@
   /** Names that the real disk has under another or that are gone here, until names are forced. */
   private final Set<String> unforced = new HashSet<>();
 
-  LyingDisk(Disk real, String words) throws IOException {
+  LyingStorageDirectory(StorageDirectory real, String words) throws IOException {
     this.real = real;
     this.words = words == null ? null : Path.of(words);
     for (String name : real.names()) {
--- a/chaos/src/main/java/weldcross/chaos/history/Evidence.java
+++ b/chaos/src/main/java/weldcross/chaos/history/History.java
@@ -1,8 +1,8 @@
 package weldcross.chaos.history;
 
 import java.util.List;
-import weldcross.chaos.load.Asked;
-import weldcross.fakes.Store;
+import weldcross.chaos.load.ClientOperation;
+import weldcross.fakes.ReplicatedStoreModel;
 
 /**
  * What a trial leaves to judge by: what clients saw, what servers did, and when which host had
@@ -13,21 +13,21 @@
  * @param agreedAfter milliseconds from the end of all troubles until all held one view of all;
  *     below zero where that did not come, null where nothing is agreed
  */
-public record Evidence(
-    List<Asked> asked,
+public record History(
+    List<ClientOperation> asked,
     List<String> unasked,
-    List<Store.Effect> effects,
-    List<Store.Read> reads,
+    List<ReplicatedStoreModel.Effect> effects,
+    List<ReplicatedStoreModel.Read> reads,
     List<Trouble> troubles,
     List<Held> views,
     Long agreedAfter) {
 
   /** Of a trial without agreement. */
-  public Evidence(
-      List<Asked> asked,
+  public History(
+      List<ClientOperation> asked,
       List<String> unasked,
-      List<Store.Effect> effects,
-      List<Store.Read> reads,
+      List<ReplicatedStoreModel.Effect> effects,
+      List<ReplicatedStoreModel.Read> reads,
       List<Trouble> troubles) {
     this(asked, unasked, effects, reads, troubles, List.of(), null);
   }
--- a/chaos/src/main/java/weldcross/chaos/history/Audit.java
+++ b/chaos/src/main/java/weldcross/chaos/history/HistoryChecker.java
@@ -7,16 +7,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import weldcross.chaos.load.Asked;
-import weldcross.chaos.load.Load;
-import weldcross.fakes.Store;
+import weldcross.chaos.load.ClientOperation;
+import weldcross.chaos.load.LoadGenerator;
+import weldcross.fakes.ReplicatedStoreModel;
 
 /**
  * Judges a trial by the servers' own record and what clients saw; knows nothing of the program.
  * Pure. What a trouble explains is a loss and is told in the report; what nothing explains is a
  * breach.
  */
-public final class Audit {
+public final class HistoryChecker {
 
   /** The rules, as the operators word them. */
   public enum Rule {
@@ -42,33 +42,33 @@
   public record Breach(Rule rule, String rpc, long at, String what) {}
 
   /** A late clock tick of the server beside the client's. */
-  private static final long SLACK = Load.SLACK.toNanos();
+  private static final long SLACK = LoadGenerator.SLACK.toNanos();
 
   /** What a trouble leaves behind: calls that were held, servers that were doubted. */
   private static final long AFTERMATH = Duration.ofSeconds(3).toNanos();
 
-  private final Evidence evidence;
-  private final Map<String, List<Store.Effect>> effects = new HashMap<>();
+  private final History evidence;
+  private final Map<String, List<ReplicatedStoreModel.Effect>> effects = new HashMap<>();
   private final Map<String, Long> sequences = new HashMap<>();
-  private final Map<String, List<Store.Read>> reads = new HashMap<>();
+  private final Map<String, List<ReplicatedStoreModel.Read>> reads = new HashMap<>();
   private final List<Breach> breaches = new ArrayList<>();
 
-  private Audit(Evidence evidence) {
+  private HistoryChecker(History evidence) {
     this.evidence = evidence;
-    for (Store.Effect each : evidence.effects()) {
+    for (ReplicatedStoreModel.Effect each : evidence.effects()) {
       effects.computeIfAbsent(each.rpc(), r -> new ArrayList<>()).add(each);
       sequences.put(each.value(), each.sequence());
     }
-    for (Store.Read each : evidence.reads()) {
+    for (ReplicatedStoreModel.Read each : evidence.reads()) {
       reads.computeIfAbsent(each.rpc(), r -> new ArrayList<>()).add(each);
     }
   }
 
   /** All breaches, in the order of their RPCs. */
-  public static List<Breach> of(Evidence evidence) {
-    Audit audit = new Audit(evidence);
+  public static List<Breach> of(History evidence) {
+    HistoryChecker audit = new HistoryChecker(evidence);
     Set<String> ids = new HashSet<>();
-    for (Asked each : evidence.asked()) {
+    for (ClientOperation each : evidence.asked()) {
       if (!ids.add(each.rpc())) {
         audit.breach(Rule.ONE_ANSWER, each, "answered twice");
       }
@@ -97,7 +97,7 @@
     return audit.breaches;
   }
 
-  private void breach(Rule rule, Asked of, String what) {
+  private void breach(Rule rule, ClientOperation of, String what) {
     breaches.add(
         new Breach(
             rule,
@@ -115,10 +115,10 @@
   }
 
   private void views() {
-    Map<Long, Evidence.Held> first = new HashMap<>();
+    Map<Long, History.Held> first = new HashMap<>();
     Map<String, Long> last = new HashMap<>();
-    for (Evidence.Held each : evidence.views()) {
-      Evidence.Held one = first.putIfAbsent(each.number(), each);
+    for (History.Held each : evidence.views()) {
+      History.Held one = first.putIfAbsent(each.number(), each);
       if (one != null && !one.members().equals(each.members())) {
         breaches.add(
             new Breach(
@@ -148,33 +148,37 @@
     }
   }
 
-  private void answers(Asked a) {
-    if (a.outcome() == Asked.Outcome.SILENT || a.outcome() == Asked.Outcome.ENDED) {
+  private void answers(ClientOperation a) {
+    if (a.outcome() == ClientOperation.ClientOutcome.SILENT
+        || a.outcome() == ClientOperation.ClientOutcome.ENDED) {
       if (reason(evidence, a) == null) {
         breach(Rule.ONE_ANSWER, a, "no answer, and no trouble of its gateway explains it");
       }
     }
-    if (a.outcome() == Asked.Outcome.OK && a.method().write && !a.value().equals(a.rpc())) {
+    if (a.outcome() == ClientOperation.ClientOutcome.OK
+        && a.method().write
+        && !a.value().equals(a.rpc())) {
       breach(Rule.ONE_ANSWER, a, "another's value: " + a.value());
     }
   }
 
-  private void effects(Asked a) {
-    List<Store.Effect> mine = effects.getOrDefault(a.rpc(), List.of());
+  private void effects(ClientOperation a) {
+    List<ReplicatedStoreModel.Effect> mine = effects.getOrDefault(a.rpc(), List.of());
     if (mine.size() > 1) {
       breach(Rule.ONE_EFFECT, a, mine.size() + " effects, at " + mine);
     }
-    if (a.outcome() == Asked.Outcome.OK && a.method().write && mine.isEmpty()) {
+    if (a.outcome() == ClientOperation.ClientOutcome.OK && a.method().write && mine.isEmpty()) {
       breach(Rule.EFFECT_THERE, a, "no server has it");
     }
-    if ((a.outcome() == Asked.Outcome.PUSHED_BACK || a.outcome() == Asked.Outcome.NOT_TAKEN)
+    if ((a.outcome() == ClientOperation.ClientOutcome.PUSHED_BACK
+            || a.outcome() == ClientOperation.ClientOutcome.NOT_TAKEN)
         && !mine.isEmpty()) {
       breach(Rule.REFUSED_HARMLESS, a, "it ran, at " + mine);
     }
   }
 
-  private void freshness(Asked a) {
-    if (a.outcome() != Asked.Outcome.OK || a.method().write) {
+  private void freshness(ClientOperation a) {
+    if (a.outcome() != ClientOperation.ClientOutcome.OK || a.method().write) {
       return;
     }
     if (a.method().need.equals("session") && !a.after().isEmpty()) {
@@ -193,7 +197,7 @@
       long freshest =
           reads.getOrDefault(a.rpc(), List.of()).stream()
               .filter(r -> r.seen() == seen)
-              .mapToLong(Store.Read::position)
+              .mapToLong(ReplicatedStoreModel.Read::position)
               .max()
               .orElse(Long.MIN_VALUE);
       if (freshest < a.sent() - a.method().bound.toNanos() - SLACK) {
@@ -206,8 +210,8 @@
   }
 
   /** The trouble that explains why a client was told nothing; null where there is none. */
-  public static String reason(Evidence evidence, Asked a) {
-    for (Evidence.Trouble each : evidence.troubles()) {
+  public static String reason(History evidence, ClientOperation a) {
+    for (History.Trouble each : evidence.troubles()) {
       if (each.touches(a.gateway(), a.sent(), a.ended())) {
         return each.what();
       }
@@ -219,9 +223,9 @@
    * The trouble nearest before a refusal or failure, within its aftermath; null where there is
    * none.
    */
-  public static String cause(Evidence evidence, Asked a) {
+  public static String cause(History evidence, ClientOperation a) {
     String reason = reason(evidence, a);
-    for (Evidence.Trouble each : evidence.troubles()) {
+    for (History.Trouble each : evidence.troubles()) {
       if (reason == null && each.from() <= a.ended() && each.until() + AFTERMATH >= a.sent()) {
         reason = each.what();
       }
--- a/chaos/src/main/java/weldcross/chaos/load/Asked.java
+++ b/chaos/src/main/java/weldcross/chaos/load/ClientOperation.java
@@ -10,7 +10,7 @@
  * @param after the value that the session's last acknowledged write had when this was sent; empty
  *     for none
  */
-public record Asked(
+public record ClientOperation(
     String rpc,
     String session,
     Method method,
@@ -18,13 +18,13 @@
     String gateway,
     long sent,
     long ended,
-    Outcome outcome,
+    ClientOutcome outcome,
     String value,
     String detail,
     String after) {
 
   /** What became of it. */
-  public enum Outcome {
+  public enum ClientOutcome {
     OK,
     PUSHED_BACK,
     ABORTED,
--- a/chaos/src/main/java/weldcross/chaos/load/Load.java
+++ b/chaos/src/main/java/weldcross/chaos/load/LoadGenerator.java
@@ -28,7 +28,7 @@
  * at a time. A session keeps to one gateway until a connection to it fails, and then goes to
  * another. Each answer is written down, with whatever came that nobody had asked for.
  */
-public final class Load implements AutoCloseable {
+public final class LoadGenerator implements AutoCloseable {
 
   /** Beyond an RPC's time an answer is still waited for, as the platform has it. */
   public static final Duration SLACK = Duration.ofMillis(50);
@@ -94,7 +94,7 @@
   private final Map<Integer, ArrayDeque<Line>> idle = new HashMap<>();
   private final ArrayDeque<Session> atRest = new ArrayDeque<>();
   private final List<String> keys = new ArrayList<>();
-  private final List<Asked> asked = new ArrayList<>();
+  private final List<ClientOperation> asked = new ArrayList<>();
 
   /** What came on a connection beyond the answers asked for. */
   private final List<String> unasked = new ArrayList<>();
@@ -115,7 +115,8 @@
    * @param gateways where clients reach each, in the order of their numbers
    * @param clock time since the load began, in nanoseconds
    */
-  public Load(List<InetSocketAddress> gateways, int groups, LongSupplier clock, long seed) {
+  public LoadGenerator(
+      List<InetSocketAddress> gateways, int groups, LongSupplier clock, long seed) {
     this.gateways = gateways;
     this.groups = groups;
     this.clock = clock;
@@ -168,7 +169,7 @@
     }
   }
 
-  public synchronized List<Asked> asked() {
+  public synchronized List<ClientOperation> asked() {
     return List.copyOf(asked);
   }
 
@@ -250,7 +251,7 @@
   private Duration ask(Session session, Method method, String rpc, String key) {
     int gateway = session.gateway;
     String after = session.lastWrite;
-    Asked.Outcome outcome;
+    ClientOperation.ClientOutcome outcome;
     String value = "";
     String detail = "";
     Duration again = null;
@@ -265,14 +266,14 @@
       String[] answer = answer(line, until);
       outcome =
           answer[0].equals("ok")
-              ? Asked.Outcome.OK
+              ? ClientOperation.ClientOutcome.OK
               : answer[0].equals("53300") || answer[0].equals("57P03")
-                  ? Asked.Outcome.PUSHED_BACK
-                  : Asked.Outcome.ABORTED;
-      value = outcome == Asked.Outcome.OK ? answer[1] : "";
-      detail = outcome == Asked.Outcome.OK ? "" : answer[0];
+                  ? ClientOperation.ClientOutcome.PUSHED_BACK
+                  : ClientOperation.ClientOutcome.ABORTED;
+      value = outcome == ClientOperation.ClientOutcome.OK ? answer[1] : "";
+      detail = outcome == ClientOperation.ClientOutcome.OK ? "" : answer[0];
       again =
-          outcome == Asked.Outcome.PUSHED_BACK
+          outcome == ClientOperation.ClientOutcome.PUSHED_BACK
               ? answer[3].isEmpty() ? SOON : Duration.ofMillis(Long.parseLong(answer[3]))
               : null;
       if (answer[2].isEmpty()) {
@@ -281,26 +282,32 @@
         rest(gateway, line);
       }
     } catch (SocketTimeoutException e) {
-      outcome = line == null ? Asked.Outcome.NOT_TAKEN : Asked.Outcome.SILENT;
+      outcome =
+          line == null
+              ? ClientOperation.ClientOutcome.NOT_TAKEN
+              : ClientOperation.ClientOutcome.SILENT;
       detail = line == null ? "no connection came up" : "";
     } catch (ConnectException e) {
-      outcome = Asked.Outcome.NOT_TAKEN;
+      outcome = ClientOperation.ClientOutcome.NOT_TAKEN;
       detail = String.valueOf(e.getMessage());
     } catch (IOException e) {
       // One that never said its first word was taken up by nobody: the relay answers dials in a
       // gateway's place.
-      outcome = line == null || !line.greeted ? Asked.Outcome.NOT_TAKEN : Asked.Outcome.ENDED;
+      outcome =
+          line == null || !line.greeted
+              ? ClientOperation.ClientOutcome.NOT_TAKEN
+              : ClientOperation.ClientOutcome.ENDED;
       detail = e instanceof EOFException ? "ended" : String.valueOf(e.getMessage());
     }
     long ended = clock.getAsLong();
     boolean failed =
-        outcome == Asked.Outcome.NOT_TAKEN
-            || outcome == Asked.Outcome.ENDED
-            || outcome == Asked.Outcome.SILENT;
+        outcome == ClientOperation.ClientOutcome.NOT_TAKEN
+            || outcome == ClientOperation.ClientOutcome.ENDED
+            || outcome == ClientOperation.ClientOutcome.SILENT;
     if (failed && line != null) {
       line.close();
     }
-    if (method.write && outcome == Asked.Outcome.OK) {
+    if (method.write && outcome == ClientOperation.ClientOutcome.OK) {
       session.lastWrite = rpc;
     }
     synchronized (this) {
@@ -312,7 +319,7 @@
                 : (gateway + 1 + dice.nextInt(gateways.size() - 1)) % gateways.size();
       }
       asked.add(
-          new Asked(
+          new ClientOperation(
               rpc,
               session.key,
               method,
@@ -325,7 +332,7 @@
               detail,
               after));
     }
-    return outcome == Asked.Outcome.NOT_TAKEN ? SOON : again;
+    return outcome == ClientOperation.ClientOutcome.NOT_TAKEN ? SOON : again;
   }
 
   private static String text(Method method, String rpc, String key, int group) {
--- a/chaos/src/main/java/weldcross/chaos/process/Place.java
+++ b/chaos/src/main/java/weldcross/chaos/process/LoopbackSubnet.java
@@ -9,26 +9,26 @@
  * A part of the loopback range that belongs to one trial: 127.x.y.0/24, claimed by a socket for as
  * long as the trial lives, so that two trials at once share no address.
  */
-public final class Place implements AutoCloseable {
+public final class LoopbackSubnet implements AutoCloseable {
 
   private static final int CLAIM = 7999;
 
   private final int x, y;
   private final ServerSocket claim;
 
-  private Place(int x, int y, ServerSocket claim) {
+  private LoopbackSubnet(int x, int y, ServerSocket claim) {
     this.x = x;
     this.y = y;
     this.claim = claim;
   }
 
   /** The first that nobody holds. */
-  public static Place claim() throws IOException {
+  public static LoopbackSubnet claim() throws IOException {
     for (int n = 0; n < 64 * 250; n++) {
       int x = 64 + n / 250;
       int y = 1 + n % 250;
       try {
-        return new Place(x, y, new ServerSocket(CLAIM, 1, address(x, y, 1)));
+        return new LoopbackSubnet(x, y, new ServerSocket(CLAIM, 1, address(x, y, 1)));
       } catch (BindException e) {
         // Another trial's.
       }
--- a/chaos/src/main/java/weldcross/chaos/process/Child.java
+++ b/chaos/src/main/java/weldcross/chaos/process/ManagedProcess.java
@@ -10,12 +10,13 @@
 import java.util.function.BooleanSupplier;
 
 /** One process that a trial started, with signals, and its log in a file that its lives share. */
-public final class Child {
+public final class ManagedProcess {
 
   private final Process process;
-  private final Reaper reaper;
+  private final ProcessReaper reaper;
 
-  Child(Reaper reaper, List<String> command, Map<String, String> environment, Path log)
+  ManagedProcess(
+      ProcessReaper reaper, List<String> command, Map<String, String> environment, Path log)
       throws IOException {
     this.reaper = reaper;
     ProcessBuilder builder =
--- a/chaos/src/main/java/weldcross/chaos/process/Reaper.java
+++ b/chaos/src/main/java/weldcross/chaos/process/ProcessReaper.java
@@ -9,7 +9,7 @@
  * told of each child and ends those it knows once it hears no more. A child started in the instant
  * of the kill may be missed: it is told of as soon as its id is known.
  */
-final class Reaper implements AutoCloseable {
+final class ProcessReaper implements AutoCloseable {
 
   private static final String SCRIPT =
       "declare -A known; while read -r word id; do if [ \"$word\" = + ]; then "
@@ -18,7 +18,7 @@
   private final Process process;
   private final OutputStream words;
 
-  Reaper() throws IOException {
+  ProcessReaper() throws IOException {
     process =
         new ProcessBuilder("setsid", "bash", "-c", SCRIPT)
             .redirectOutput(ProcessBuilder.Redirect.DISCARD)
--- a/chaos/src/main/java/weldcross/chaos/proxy/Relay.java
+++ b/chaos/src/main/java/weldcross/chaos/proxy/FaultProxy.java
@@ -31,14 +31,14 @@
 
 /**
  * All that crosses between processes goes through here: streams and datagrams, each from one host
- * to another by an address of its own, and in each direction as the {@link Way} between the two has
- * it. One thread.
+ * to another by an address of its own, and in each direction as the {@link NetworkPath} between the
+ * two has it. One thread.
  *
  * <p>A silent cut has to keep dials from coming up. The system takes up a dial before any process
  * sees it, so while a way is cut its address is held by a listener whose queue is filled: what
  * dials it then waits for an answer that does not come, as with a machine that is gone.
  */
-public final class Relay implements AutoCloseable {
+public final class FaultProxy implements AutoCloseable {
 
   private static final int PIECE = 16 << 10;
   private static final int MOST_HELD = 1 << 20;
@@ -117,7 +117,7 @@
   private final InetAddress host;
   private final Selector selector = Selector.open();
   private final Queue<Runnable> asked = new ConcurrentLinkedQueue<>();
-  private final Map<String, Way> ways = new HashMap<>();
+  private final Map<String, NetworkPath> ways = new HashMap<>();
   private final List<Route> routes = new ArrayList<>();
   private final PriorityQueue<Late> late =
       new PriorityQueue<>(
@@ -137,7 +137,7 @@
   /**
    * @param host the loopback address on which all routes listen
    */
-  public Relay(InetAddress host, long seed) throws IOException {
+  public FaultProxy(InetAddress host, long seed) throws IOException {
     this.host = host;
     this.dice = new SplittableRandom(seed);
     thread = new Thread(this::run, "relay");
@@ -194,10 +194,10 @@
   }
 
   /** From now on packets between these find this. */
-  public void set(String from, String to, Way way) {
+  public void set(String from, String to, NetworkPath way) {
     ask(
         () -> {
-          Way before = ways.getOrDefault(from + ">" + to, Way.FREE);
+          NetworkPath before = ways.getOrDefault(from + ">" + to, NetworkPath.FREE);
           ways.put(from + ">" + to, way);
           for (Route route : routes) {
             if ((route.from.equals(from) && route.to.equals(to))
@@ -213,8 +213,8 @@
         });
   }
 
-  public Way way(String from, String to) {
-    return ask(() -> ways.getOrDefault(from + ">" + to, Way.FREE));
+  public NetworkPath way(String from, String to) {
+    return ask(() -> ways.getOrDefault(from + ">" + to, NetworkPath.FREE));
   }
 
   /** Ends all connections between these, whoever dialled them, as a reset does. */
@@ -317,8 +317,8 @@
     }
   }
 
-  private Way wayOf(String from, String to) {
-    return ways.getOrDefault(from + ">" + to, Way.FREE);
+  private NetworkPath wayOf(String from, String to) {
+    return ways.getOrDefault(from + ">" + to, NetworkPath.FREE);
   }
 
   /**
@@ -516,7 +516,7 @@
   }
 
   private void read(Pipe pipe) throws IOException {
-    Way way = wayOf(pipe.from, pipe.to);
+    NetworkPath way = wayOf(pipe.from, pipe.to);
     buffer.clear().limit(PIECE);
     int count = pipe.in.read(buffer);
     if (count < 0) {
@@ -540,7 +540,7 @@
 
   /** Passes on what is due; returns in how many nanoseconds the next is, or none. */
   private long move(Pipe pipe, long now) throws IOException {
-    Way way = wayOf(pipe.from, pipe.to);
+    NetworkPath way = wayOf(pipe.from, pipe.to);
     if (!pipe.link.up || !way.isFree()) {
       return Long.MAX_VALUE;
     }
@@ -651,7 +651,7 @@
       }
       buffer.flip();
       ByteBuffer bytes = ByteBuffer.allocate(buffer.remaining()).put(buffer).flip();
-      Way way = wayOf(from, to);
+      NetworkPath way = wayOf(from, to);
       if (!way.isFree() || (way.lost() > 0 && dice.nextDouble() < way.lost())) {
         datagramsLost++;
         return;
--- a/chaos/src/main/java/weldcross/chaos/proxy/Way.java
+++ b/chaos/src/main/java/weldcross/chaos/proxy/NetworkPath.java
@@ -15,21 +15,21 @@
  * @param repeated share of datagrams that come twice
  * @param reordered share of datagrams that are overtaken
  */
-public record Way(
+public record NetworkPath(
     boolean held, boolean cut, Duration delay, double lost, double repeated, double reordered) {
 
-  public static final Way FREE = new Way(false, false, Duration.ZERO, 0, 0, 0);
+  public static final NetworkPath FREE = new NetworkPath(false, false, Duration.ZERO, 0, 0, 0);
 
-  public Way withHeld(boolean on) {
-    return new Way(on, cut, delay, lost, repeated, reordered);
+  public NetworkPath withHeld(boolean on) {
+    return new NetworkPath(on, cut, delay, lost, repeated, reordered);
   }
 
-  public Way withCut(boolean on) {
-    return new Way(held, on, delay, lost, repeated, reordered);
+  public NetworkPath withCut(boolean on) {
+    return new NetworkPath(held, on, delay, lost, repeated, reordered);
   }
 
-  public Way withTrouble(Duration late, double loses, double repeats, double reorders) {
-    return new Way(held, cut, late, loses, repeats, reorders);
+  public NetworkPath withTrouble(Duration late, double loses, double repeats, double reorders) {
+    return new NetworkPath(held, cut, late, loses, repeats, reorders);
   }
 
   boolean isFree() {
--- a/chaos/src/main/java/weldcross/chaos/report/Figures.java
+++ b/chaos/src/main/java/weldcross/chaos/report/LatencyStatistics.java
@@ -6,22 +6,22 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import weldcross.chaos.Trial;
-import weldcross.chaos.history.Audit;
-import weldcross.chaos.history.Evidence;
-import weldcross.chaos.load.Asked;
+import weldcross.chaos.ChaosRun;
+import weldcross.chaos.history.History;
+import weldcross.chaos.history.HistoryChecker;
+import weldcross.chaos.load.ClientOperation;
 import weldcross.chaos.load.Method;
 
 /**
  * What a trial's evidence comes to: counts by second, gateway and cause, and times by method. Pure.
  */
-public final class Figures {
+public final class LatencyStatistics {
 
   /** RPCs sent in one second, or at one gateway, by what became of them. */
   public static final class Count {
     private int served, pushedBack, aborted, lost;
 
-    void add(Asked.Outcome outcome) {
+    void add(ClientOperation.ClientOutcome outcome) {
       switch (outcome) {
         case OK -> served++;
         case PUSHED_BACK -> pushedBack++;
@@ -90,9 +90,9 @@
   private final Count total = new Count();
   private final String agreement;
 
-  public Figures(Trial.Outcome trial) {
-    Evidence evidence = trial.evidence();
-    long views = evidence.views().stream().mapToLong(Evidence.Held::number).max().orElse(0);
+  public LatencyStatistics(ChaosRun.Result trial) {
+    History evidence = trial.evidence();
+    long views = evidence.views().stream().mapToLong(History.Held::number).max().orElse(0);
     agreement =
         evidence.agreedAfter() == null
             ? ""
@@ -105,21 +105,21 @@
     for (int k = 0; k < trial.played().lasting().toSeconds(); k++) {
       seconds.add(new Count());
     }
-    for (Asked each : evidence.asked()) {
+    for (ClientOperation each : evidence.asked()) {
       int second = (int) (Math.max(0, each.sent()) / 1_000_000_000L);
       if (second < seconds.size()) {
         seconds.get(second).add(each.outcome());
       }
       total.add(each.outcome());
       gateways.computeIfAbsent(each.gateway(), g -> new Count()).add(each.outcome());
-      if (each.outcome() == Asked.Outcome.OK) {
+      if (each.outcome() == ClientOperation.ClientOutcome.OK) {
         histograms
             .computeIfAbsent(each.method(), m -> new Histogram(60_000_000L, 3))
             .recordValue(Math.max(0, Math.min(60_000_000L, each.took() / 1000)));
         soft.merge(
             each.method(), each.took() <= each.method().soft.toNanos() ? 1 : 0, Integer::sum);
       } else {
-        String cause = Audit.cause(evidence, each);
+        String cause = HistoryChecker.cause(evidence, each);
         causes
             .computeIfAbsent(cause == null ? "no trouble near" : cause, c -> new Count())
             .add(each.outcome());
--- a/chaos/src/main/java/weldcross/chaos/report/Report.java
+++ b/chaos/src/main/java/weldcross/chaos/report/Report.java
@@ -17,9 +17,9 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import weldcross.chaos.Trial;
-import weldcross.chaos.history.Audit;
-import weldcross.chaos.history.Evidence;
+import weldcross.chaos.ChaosRun;
+import weldcross.chaos.history.History;
+import weldcross.chaos.history.HistoryChecker;
 
 /** A trial's page, and its evidence as a file, from which the page can be made again. */
 public final class Report {
@@ -53,16 +53,16 @@
             false);
   }
 
-  public static void keep(Trial.Outcome trial, Path directory) throws IOException {
+  public static void keep(ChaosRun.Result trial, Path directory) throws IOException {
     mapper().writeValue(directory.resolve(EVIDENCE).toFile(), trial);
   }
 
-  public static Trial.Outcome kept(Path directory) throws IOException {
-    return mapper().readValue(directory.resolve(EVIDENCE).toFile(), Trial.Outcome.class);
+  public static ChaosRun.Result kept(Path directory) throws IOException {
+    return mapper().readValue(directory.resolve(EVIDENCE).toFile(), ChaosRun.Result.class);
   }
 
   /** Writes the page; returns where it is. */
-  public static Path write(Trial.Outcome trial, Path directory) throws IOException {
+  public static Path write(ChaosRun.Result trial, Path directory) throws IOException {
     Configuration templates = new Configuration(Configuration.VERSION_2_3_33);
     templates.setClassForTemplateLoading(Report.class, "/weldcross/chaos");
     templates.setDefaultEncoding("UTF-8");
@@ -71,7 +71,7 @@
     templates.setTemplateExceptionHandler(TemplateExceptionHandler.RETHROW_HANDLER);
     templates.setLogTemplateExceptions(false);
     Map<String, Object> model = new HashMap<>();
-    model.put("figures", new Figures(trial));
+    model.put("figures", new LatencyStatistics(trial));
     model.put("name", trial.played().name());
     model.put("about", trial.played().about());
     model.put("seed", Long.toString(trial.seed()));
@@ -80,7 +80,7 @@
     model.put("ready", trial.ready());
     model.put("troubles", trial.evidence().troubles().stream().map(Report::row).toList());
     List<Map<String, Object>> breaches = new ArrayList<>();
-    for (Audit.Breach each :
+    for (HistoryChecker.Breach each :
         trial.breaches().subList(0, Math.min(MOST_BREACHES, trial.breaches().size()))) {
       breaches.add(
           Map.of(
@@ -93,7 +93,7 @@
               "what",
               each.what(),
               "lines",
-              Trial.lines(directory, each.rpc())));
+              ChaosRun.lines(directory, each.rpc())));
     }
     model.put("breaches", breaches);
     model.put("breachCount", trial.breaches().size());
@@ -106,7 +106,7 @@
     return page;
   }
 
-  private static Map<String, Object> row(Evidence.Trouble each) {
+  private static Map<String, Object> row(History.Trouble each) {
     return Map.of(
         "from",
         each.from() / 1e9,
--- a/chaos/src/main/java/weldcross/chaos/scenario/Scenario.java
+++ b/chaos/src/main/java/weldcross/chaos/scenario/Scenario.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.Collectors;
-import weldcross.config.FaultyTerm;
-import weldcross.config.NamedValues;
-import weldcross.config.TomlValues;
+import weldcross.config.ConfigValues;
+import weldcross.config.InvalidConfigException;
+import weldcross.config.TomlConfigParser;
 
 /**
  * What a trial plays.
@@ -62,10 +62,10 @@
           "nemesis.draws");
 
   /**
-   * @throws FaultyTerm naming the key and its line
+   * @throws InvalidConfigException naming the key and its line
    */
   public static Scenario read(String file) {
-    NamedValues told = TomlValues.read(file);
+    ConfigValues told = TomlConfigParser.read(file);
     told.knowsOnly(KEYS);
     int gateways = within(told, "gateways", 5, 40);
     int groups = within(told, "groups", 3, 20);
@@ -97,7 +97,7 @@
         (int) told.whole("nemesis.draws", drawn.isEmpty() ? 0 : 8, 0));
   }
 
-  private static int within(NamedValues told, String key, int absent, int most) {
+  private static int within(ConfigValues told, String key, int absent, int most) {
     int value = (int) told.whole(key, absent, 1);
     if (value > most) {
       throw told.fault(key, "a number from 1 to " + most);
@@ -105,7 +105,7 @@
     return value;
   }
 
-  private static int voters(NamedValues told, int gateways) {
+  private static int voters(ConfigValues told, int gateways) {
     int voters = (int) told.whole("voters", 0, 0);
     if (voters > gateways || (voters > 0 && voters % 2 == 0)) {
       throw told.fault("voters", "an odd number of the gateways, or 0 for no agreement");
@@ -113,7 +113,7 @@
     return voters;
   }
 
-  private static Fault fault(NamedValues told, int gateways, int servers, Duration lasting) {
+  private static Fault fault(ConfigValues told, int gateways, int servers, Duration lasting) {
     Fault.Kind kind = kind(told, "kind", told.text("kind"));
     Duration at = told.millis("at_ms", Duration.ZERO, 0);
     if (at.compareTo(lasting) > 0) {
@@ -137,7 +137,7 @@
         at, told.millis("for_ms", Duration.ZERO, 0), kind, on, to, told.text("how", ""));
   }
 
-  private static Fault.Kind kind(NamedValues told, String key, String word) {
+  private static Fault.Kind kind(ConfigValues told, String key, String word) {
     for (Fault.Kind each : Fault.Kind.values()) {
       if (each.word().equals(word)) {
         return each;
@@ -150,7 +150,7 @@
             .collect(Collectors.joining(", ")));
   }
 
-  private static void known(NamedValues told, String key, String host, int gateways, int servers) {
+  private static void known(ConfigValues told, String key, String host, int gateways, int servers) {
     boolean fits =
         (host.equals("clients") && servers > 0) || (host.equals("discovery") && servers > 0);
     for (int k = 0; k < gateways; k++) {
--- a/chaos/src/test/java/weldcross/chaos/TrialTest.java
+++ b/chaos/src/test/java/weldcross/chaos/ChaosRunTest.java
@@ -16,18 +16,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import weldcross.chaos.history.Audit;
-import weldcross.chaos.load.Asked;
-import weldcross.chaos.load.Load;
-import weldcross.chaos.process.Child;
-import weldcross.chaos.report.Figures;
+import weldcross.chaos.history.HistoryChecker;
+import weldcross.chaos.load.ClientOperation;
+import weldcross.chaos.load.LoadGenerator;
+import weldcross.chaos.process.ManagedProcess;
+import weldcross.chaos.report.LatencyStatistics;
 import weldcross.chaos.report.Report;
 import weldcross.chaos.scenario.Fault;
 import weldcross.chaos.scenario.Scenario;
 
 /** Short trials of real processes with fixed seeds; the same verdict each time. */
 @Timeout(120)
-class TrialTest {
+class ChaosRunTest {
 
   @TempDir private Path folder;
 
@@ -56,17 +56,17 @@
     return new Fault(Duration.ofMillis(at), Duration.ofMillis(lasting), kind, on, to, how);
   }
 
-  private Trial.Outcome play(Scenario scenario) throws Exception {
-    return Trial.play(scenario, 11, folder.resolve(scenario.name()), second -> {});
+  private ChaosRun.Result play(Scenario scenario) throws Exception {
+    return ChaosRun.play(scenario, 11, folder.resolve(scenario.name()), second -> {});
   }
 
-  private static String told(Trial.Outcome trial) {
-    return new Figures(trial).inWords() + "\n" + trial.breaches();
+  private static String told(ChaosRun.Result trial) {
+    return new LatencyStatistics(trial).inWords() + "\n" + trial.breaches();
   }
 
   @Test
-  void aKillAPauseAndACutLoseRpcsAndBreakNoRule() throws Exception {
-    Trial.Outcome trial =
+  void killAPauseAndACutLoseRpcsAndBreakNoRule() throws Exception {
+    ChaosRun.Result trial =
         play(
             scenario(
                 "faults",
@@ -80,14 +80,19 @@
     Map<String, Long> lost =
         trial.evidence().asked().stream()
             .filter(
-                a -> a.outcome() != Asked.Outcome.OK && a.outcome() != Asked.Outcome.PUSHED_BACK)
-            .collect(Collectors.groupingBy(Asked::gateway, Collectors.counting()));
+                a ->
+                    a.outcome() != ClientOperation.ClientOutcome.OK
+                        && a.outcome() != ClientOperation.ClientOutcome.PUSHED_BACK)
+            .collect(Collectors.groupingBy(ClientOperation::gateway, Collectors.counting()));
     assertTrue(lost.getOrDefault("n1", 0L) > 0, "the kill acted: " + told(trial));
     assertTrue(
         trial.evidence().asked().stream()
-            .anyMatch(a -> a.gateway().equals("n2") && a.outcome() == Asked.Outcome.SILENT),
+            .anyMatch(
+                a ->
+                    a.gateway().equals("n2")
+                        && a.outcome() == ClientOperation.ClientOutcome.SILENT),
         "the pause acted: " + told(trial));
-    Figures figures = new Figures(trial);
+    LatencyStatistics figures = new LatencyStatistics(trial);
     assertTrue(figures.getTotal().getServed() > 1000, told(trial));
     assertEquals(
         1,
@@ -104,28 +109,28 @@
     // Log lines of one RPC, of all gateways that had it.
     String rpc =
         trial.evidence().asked().stream()
-            .filter(a -> a.outcome() == Asked.Outcome.OK)
+            .filter(a -> a.outcome() == ClientOperation.ClientOutcome.OK)
             .findFirst()
             .get()
             .rpc();
-    assertFalse(Trial.lines(directory, rpc).isEmpty());
+    assertFalse(ChaosRun.lines(directory, rpc).isEmpty());
   }
 
   /** What servers do wrong by order is found by the audit, through real gateways. */
   @Test
   void plantedBreachesAreFound() throws Exception {
     Scenario scenario = scenario("planted", 1, 1, false);
-    try (Ground ground = new Ground(scenario, 1, folder.resolve("planted"))) {
+    try (ChaosCluster ground = new ChaosCluster(scenario, 1, folder.resolve("planted"))) {
       ground.start();
       long zero = ground.clock().nanos();
-      try (Load load =
-          new Load(
+      try (LoadGenerator load =
+          new LoadGenerator(
               List.of(ground.gateways().get(0).address()),
               2,
               () -> ground.clock().nanos() - zero,
               5)) {
         load.begin(200);
-        Child.until("RPCs are served", Duration.ofSeconds(20), () -> load.count() > 200);
+        ManagedProcess.until("RPCs are served", Duration.ofSeconds(20), () -> load.count() > 200);
         ground.server("s0").doubling(true);
         // Replicas that are far behind say that they are not.
         for (String replica : List.of("s1", "s2", "s4", "s5")) {
@@ -133,17 +138,18 @@
           ground.server(replica).lag(Duration.ofSeconds(5));
         }
         int before = load.count();
-        Child.until("more are served", Duration.ofSeconds(20), () -> load.count() > before + 600);
+        ManagedProcess.until(
+            "more are served", Duration.ofSeconds(20), () -> load.count() > before + 600);
         load.end();
-        List<Audit.Rule> broken =
-            Audit.of(
-                    new weldcross.chaos.history.Evidence(
+        List<HistoryChecker.Rule> broken =
+            HistoryChecker.of(
+                    new weldcross.chaos.history.History(
                         load.asked(),
                         load.unasked(),
                         ground.store().effects().stream()
                             .map(
                                 e ->
-                                    new weldcross.fakes.Store.Effect(
+                                    new weldcross.fakes.ReplicatedStoreModel.Effect(
                                         e.at() - zero,
                                         e.rpc(),
                                         e.group(),
@@ -156,7 +162,7 @@
                         ground.store().reads().stream()
                             .map(
                                 r ->
-                                    new weldcross.fakes.Store.Read(
+                                    new weldcross.fakes.ReplicatedStoreModel.Read(
                                         r.at() - zero,
                                         r.rpc(),
                                         r.group(),
@@ -167,10 +173,11 @@
                             .toList(),
                         List.of()))
                 .stream()
-                .map(Audit.Breach::rule)
+                .map(HistoryChecker.Breach::rule)
                 .toList();
         assertTrue(
-            broken.contains(Audit.Rule.ONE_EFFECT) && broken.contains(Audit.Rule.FRESH),
+            broken.contains(HistoryChecker.Rule.ONE_EFFECT)
+                && broken.contains(HistoryChecker.Rule.FRESH),
             broken.toString());
       }
     }
@@ -181,13 +188,13 @@
    * so.
    */
   @Test
-  void aDiskThatLiesIsToldByThePeers() throws Exception {
+  void diskThatLiesIsToldByThePeers() throws Exception {
     Scenario scenario = scenario("lying", 1, 3, true);
     Path directory = folder.resolve("lying");
-    try (Ground ground = new Ground(scenario, 1, directory)) {
-      Ground.Gateway one = ground.gateways().get(1);
+    try (ChaosCluster ground = new ChaosCluster(scenario, 1, directory)) {
+      ChaosCluster.Gateway one = ground.gateways().get(1);
       ground.start();
-      Ground.Gateway zero = ground.gateways().get(0);
+      ChaosCluster.Gateway zero = ground.gateways().get(0);
       logs(zero, "link: n1 is up, incarnation 1");
       one.disk("lie");
       one.child().kill();
@@ -202,8 +209,8 @@
     }
   }
 
-  private static void logs(Ground.Gateway gateway, String words) throws IOException {
-    Child.until(
+  private static void logs(ChaosCluster.Gateway gateway, String words) throws IOException {
+    ManagedProcess.until(
         gateway.name() + " logs: " + words,
         Duration.ofSeconds(30),
         () -> {
@@ -217,8 +224,8 @@
 
   /** A wall clock that is off shows in what a gateway takes for the present, and breaks no rule. */
   @Test
-  void aWallClockThatIsOffBreaksNoRule() throws Exception {
-    Trial.Outcome trial =
+  void wallClockThatIsOffBreaksNoRule() throws Exception {
+    ChaosRun.Result trial =
         play(
             scenario(
                 "clock",
@@ -232,7 +239,7 @@
 
   @Test
   void twoTrialsAtOnceShareNothing() throws Exception {
-    CompletableFuture<Trial.Outcome> other =
+    CompletableFuture<ChaosRun.Result> other =
         CompletableFuture.supplyAsync(
             () -> {
               try {
@@ -241,17 +248,17 @@
                 throw new IllegalStateException(e);
               }
             });
-    Trial.Outcome right = play(scenario("right", 4, 2, true));
-    Trial.Outcome left = other.get();
-    for (Trial.Outcome each : List.of(left, right)) {
+    ChaosRun.Result right = play(scenario("right", 4, 2, true));
+    ChaosRun.Result left = other.get();
+    for (ChaosRun.Result each : List.of(left, right)) {
       assertEquals(List.of(), each.breaches(), told(each));
-      assertTrue(new Figures(each).getTotal().getServed() > 300, told(each));
+      assertTrue(new LatencyStatistics(each).getTotal().getServed() > 300, told(each));
     }
   }
 
   /** Not even a trial that is killed leaves a process behind, paused ones among them. */
   @Test
-  void aTrialThatIsKilledLeavesNoProcess() throws Exception {
+  void trialThatIsKilledLeavesNoProcess() throws Exception {
     Scenario scenario =
         scenario("killed", 60, 2, false, fault(0, 50_000, Fault.Kind.PAUSE, "n1", "", ""));
     Path file = folder.resolve("killed.toml");
@@ -269,14 +276,15 @@
             .redirectErrorStream(true)
             .redirectOutput(folder.resolve("out").toFile())
             .start();
-    Child.until(
+    ManagedProcess.until(
         "two gateways run, one stands still",
         Duration.ofSeconds(40),
-        () -> gateways(trial).size() == 2 && gateways(trial).stream().anyMatch(TrialTest::stands));
+        () ->
+            gateways(trial).size() == 2 && gateways(trial).stream().anyMatch(ChaosRunTest::stands));
     List<ProcessHandle> gateways = gateways(trial);
     trial.destroyForcibly();
     for (ProcessHandle each : gateways) {
-      Child.until(
+      ManagedProcess.until(
           "process " + each.pid() + " is gone", Duration.ofSeconds(20), () -> !each.isAlive());
     }
   }
--- a/chaos/src/test/java/weldcross/chaos/AgreementTrialTest.java
+++ b/chaos/src/test/java/weldcross/chaos/ConsensusChaosTest.java
@@ -18,22 +18,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import weldcross.chaos.process.Child;
+import weldcross.chaos.process.ManagedProcess;
 import weldcross.chaos.scenario.Fault;
 import weldcross.chaos.scenario.Scenario;
-import weldcross.cli.Commands;
+import weldcross.cli.WeldcrossCommand;
 
 /** What gateways agree on, as processes under faults. */
 @Timeout(150)
-class AgreementTrialTest {
+class ConsensusChaosTest {
 
   private static final Duration LAG = Duration.ofMillis(30), WITHIN = Duration.ofSeconds(40);
 
   @TempDir private Path folder;
 
-  private Ground ground(int gateways, int voters) throws IOException {
-    Ground ground =
-        new Ground(
+  private ChaosCluster ground(int gateways, int voters) throws IOException {
+    ChaosCluster ground =
+        new ChaosCluster(
             new Scenario(
                 "agreed",
                 "",
@@ -57,15 +57,15 @@
     return ground;
   }
 
-  private static void agree(Ground ground) throws IOException {
-    Child.until("all hold one view of all", WITHIN, ground::agree);
+  private static void agree(ChaosCluster ground) throws IOException {
+    ManagedProcess.until("all hold one view of all", WITHIN, ground::agree);
   }
 
   private static Fault fault(Fault.Kind kind, String on, String how) {
     return new Fault(Duration.ZERO, Duration.ZERO, kind, on, "", how);
   }
 
-  private static String log(Ground.Gateway gateway) {
+  private static String log(ChaosCluster.Gateway gateway) {
     try {
       return Files.readString(gateway.log());
     } catch (IOException e) {
@@ -73,24 +73,25 @@
     }
   }
 
-  private static void tells(Ground.Gateway gateway, int from, String words) throws IOException {
-    Child.until(
+  private static void tells(ChaosCluster.Gateway gateway, int from, String words)
+      throws IOException {
+    ManagedProcess.until(
         gateway.name() + " tells: " + words,
         WITHIN,
         () -> log(gateway).substring(from).contains(words));
   }
 
   /** As an operator at its control address would. */
-  private static int cluster(Ground.Gateway at, String... args) {
+  private static int cluster(ChaosCluster.Gateway at, String... args) {
     List<String> all = new ArrayList<>(List.of("cluster"));
     all.addAll(List.of(args));
     all.addAll(List.of("--at", at.control()));
-    return Commands.run(all.toArray(new String[0]));
+    return WeldcrossCommand.run(all.toArray(new String[0]));
   }
 
   /** The view of a gateway names no life of this one. */
-  private static void drops(Ground.Gateway gateway, String name) throws IOException {
-    Child.until(
+  private static void drops(ChaosCluster.Gateway gateway, String name) throws IOException {
+    ManagedProcess.until(
         gateway.name() + " drops " + name,
         WITHIN,
         () ->
@@ -100,10 +101,10 @@
 
   /** Proof takes a killed one out; one that stands still stays, as nothing proves that it ended. */
   @Test
-  void aKilledOneGoesByProofAndAPausedOneStays() throws IOException {
-    try (Ground ground = ground(4, 3)) {
-      Havoc havoc = new Havoc(ground);
-      Ground.Gateway n0 = ground.gateway("n0");
+  void killedOneGoesByProofAndAPausedOneStays() throws IOException {
+    try (ChaosCluster ground = ground(4, 3)) {
+      FaultInjector havoc = new FaultInjector(ground);
+      ChaosCluster.Gateway n0 = ground.gateway("n0");
       Fault pause = fault(Fault.Kind.PAUSE, "n3", "");
       havoc.begin(pause);
       tells(n0, 0, "n3 is SILENT");
@@ -124,11 +125,11 @@
 
   /** A minority agrees on nothing and serves on; only an operator takes out who is silent. */
   @Test
-  void aMinorityStaysBehindAndAnOperatorForgets() throws IOException {
-    try (Ground ground = ground(5, 3)) {
-      Havoc havoc = new Havoc(ground);
-      Ground.Gateway n0 = ground.gateway("n0");
-      Ground.Gateway n2 = ground.gateway("n2");
+  void minorityStaysBehindAndAnOperatorForgets() throws IOException {
+    try (ChaosCluster ground = ground(5, 3)) {
+      FaultInjector havoc = new FaultInjector(ground);
+      ChaosCluster.Gateway n0 = ground.gateway("n0");
+      ChaosCluster.Gateway n2 = ground.gateway("n2");
       Fault split = fault(Fault.Kind.SPLIT, "", "n0,n3|n1,n2,n4");
       havoc.begin(split);
       tells(n2, 0, "n0 is SILENT");
@@ -153,13 +154,13 @@
    * its place.
    */
   @Test
-  void aVoterThatComesBackBehindIsAnotherOne() throws Exception {
-    try (Ground ground = ground(3, 3)) {
+  void voterThatComesBackBehindIsAnotherOne() throws Exception {
+    try (ChaosCluster ground = ground(3, 3)) {
       // Neither leads: the leader remembers what they acknowledged.
-      List<Ground.Gateway> others = new ArrayList<>(ground.gateways());
+      List<ChaosCluster.Gateway> others = new ArrayList<>(ground.gateways());
       others.remove(ground.gateway(leader(ground.gateway("n0"))));
-      Ground.Gateway liar = others.get(0);
-      Ground.Gateway other = others.get(1);
+      ChaosCluster.Gateway liar = others.get(0);
+      ChaosCluster.Gateway other = others.get(1);
       liar.disk("lie");
       // Something to be kept, which that disk then loses.
       other.child().kill();
@@ -176,7 +177,7 @@
     }
   }
 
-  private static String leader(Ground.Gateway asked) throws Exception {
+  private static String leader(ChaosCluster.Gateway asked) throws Exception {
     String json =
         HttpClient.newHttpClient()
             .send(
--- a/chaos/src/test/java/weldcross/chaos/HavocTest.java
+++ b/chaos/src/test/java/weldcross/chaos/FaultInjectorTest.java
@@ -20,27 +20,27 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import weldcross.chaos.load.Asked;
-import weldcross.chaos.load.Load;
+import weldcross.chaos.load.ClientOperation;
+import weldcross.chaos.load.LoadGenerator;
 import weldcross.chaos.load.Method;
-import weldcross.chaos.process.Child;
+import weldcross.chaos.process.ManagedProcess;
 import weldcross.chaos.scenario.Fault;
 import weldcross.chaos.scenario.Scenario;
-import weldcross.fakes.Store;
+import weldcross.fakes.ReplicatedStoreModel;
 
 /**
  * What is done to gateways and servers by order really happens to them: shown by them, not by who
  * did it.
  */
 @Timeout(120)
-class HavocTest {
+class FaultInjectorTest {
 
   private static final Duration LAG = Duration.ofMillis(30);
 
   @TempDir private Path folder;
 
-  private Ground ground(int gateways) throws IOException {
-    return new Ground(
+  private ChaosCluster ground(int gateways) throws IOException {
+    return new ChaosCluster(
         new Scenario(
             "havoc",
             "",
@@ -66,8 +66,9 @@
   }
 
   /** Lines of the log from this place on. */
-  private static void logs(Ground.Gateway gateway, int from, String words) throws IOException {
-    Child.until(
+  private static void logs(ChaosCluster.Gateway gateway, int from, String words)
+      throws IOException {
+    ManagedProcess.until(
         gateway.name() + " logs: " + words,
         Duration.ofSeconds(30),
         () -> {
@@ -79,20 +80,20 @@
         });
   }
 
-  private static int length(Ground.Gateway gateway) throws IOException {
+  private static int length(ChaosCluster.Gateway gateway) throws IOException {
     return Files.readString(gateway.log()).length();
   }
 
   /** Sides that overlap: n1 hears both, n0 and n2 do not hear each other; then all do again. */
   @Test
-  void aSplitWhoseSidesOverlapPartsOnlyThoseWithoutACommonSide() throws IOException {
-    try (Ground ground = ground(3)) {
+  void splitWhoseSidesOverlapPartsOnlyThoseWithoutACommonSide() throws IOException {
+    try (ChaosCluster ground = ground(3)) {
       ground.start();
-      Ground.Gateway n0 = ground.gateway("n0");
-      Ground.Gateway n2 = ground.gateway("n2");
+      ChaosCluster.Gateway n0 = ground.gateway("n0");
+      ChaosCluster.Gateway n2 = ground.gateway("n2");
       logs(n0, 0, "link: n2 is up");
       logs(n2, 0, "link: n0 is up");
-      Havoc havoc = new Havoc(ground);
+      FaultInjector havoc = new FaultInjector(ground);
       Fault split = fault(Fault.Kind.SPLIT, "", "", "n0,n1|n1,n2");
       havoc.begin(split);
       logs(n0, 0, "link: n2 is down: silent");
@@ -109,13 +110,13 @@
    * better, and say so.
    */
   @Test
-  void aGatewayComesBackWithItsRecordsOldEarlierOrEmpty() throws IOException {
-    try (Ground ground = ground(2)) {
-      Ground.Gateway n1 = ground.gateway("n1");
+  void gatewayComesBackWithItsRecordsOldEarlierOrEmpty() throws IOException {
+    try (ChaosCluster ground = ground(2)) {
+      ChaosCluster.Gateway n1 = ground.gateway("n1");
       ground.start();
       logs(ground.gateway("n0"), 0, "link: n1 is up, incarnation 1");
       n1.keepCopy();
-      Havoc havoc = new Havoc(ground);
+      FaultInjector havoc = new FaultInjector(ground);
       String[][] lives = {{"old", "2"}, {"earlier", "3"}, {"empty", "4"}};
       for (String[] life : lives) {
         int from = length(n1);
@@ -133,13 +134,13 @@
 
   @Test
   void sigtermIsAStopInOrderAndSigstopIsNoticedByNobodyInside() throws IOException {
-    try (Ground ground = ground(2)) {
+    try (ChaosCluster ground = ground(2)) {
       ground.start();
-      Ground.Gateway n0 = ground.gateway("n0");
-      Ground.Gateway n1 = ground.gateway("n1");
+      ChaosCluster.Gateway n0 = ground.gateway("n0");
+      ChaosCluster.Gateway n1 = ground.gateway("n1");
       logs(n0, 0, "link: n1 is up");
       logs(n1, 0, "link: n0 is up");
-      Havoc havoc = new Havoc(ground);
+      FaultInjector havoc = new FaultInjector(ground);
       Fault pause = fault(Fault.Kind.PAUSE, "n1", "", "");
       havoc.begin(pause);
       assertEquals('T', n1.child().state());
@@ -147,7 +148,7 @@
       logs(n0, 0, "link: n1 is down: silent");
       havoc.end(pause, LAG);
       logs(n1, 0, "link: n0 is down");
-      Child.until("serves again", Duration.ofSeconds(20), n1::isReady);
+      ManagedProcess.until("serves again", Duration.ofSeconds(20), n1::isReady);
       havoc.begin(fault(Fault.Kind.TERM, "n1", "", ""));
       assertTrue(n1.child().await(Duration.ofSeconds(20)));
       assertEquals(0, n1.child().status());
@@ -161,9 +162,9 @@
    */
   @Test
   void withoutADiskTheLinkWaitsAndServiceGoesOn() throws IOException {
-    try (Ground ground = ground(2)) {
+    try (ChaosCluster ground = ground(2)) {
       ground.gateway("n0").start();
-      Ground.Gateway n1 = ground.gateway("n1");
+      ChaosCluster.Gateway n1 = ground.gateway("n1");
       for (String words : List.of("full", "fail", "stuck")) {
         int from = Files.exists(n1.log()) ? length(n1) : 0;
         n1.disk(words);
@@ -187,24 +188,24 @@
    * have them.
    */
   @Test
-  void aWallClockThatIsOffShowsInWhereBoundedReadsGo() throws Exception {
-    try (Ground ground = ground(2)) {
+  void wallClockThatIsOffShowsInWhereBoundedReadsGo() throws Exception {
+    try (ChaosCluster ground = ground(2)) {
       ground.gateway("n1").wallOff(5000);
       ground.start();
       long zero = ground.clock().nanos();
-      try (Load load =
-          new Load(
-              ground.gateways().stream().map(Ground.Gateway::address).toList(),
+      try (LoadGenerator load =
+          new LoadGenerator(
+              ground.gateways().stream().map(ChaosCluster.Gateway::address).toList(),
               1,
               () -> ground.clock().nanos() - zero,
               9)) {
         load.begin(200);
-        Child.until("RPCs are served", Duration.ofSeconds(30), () -> load.count() > 1200);
+        ManagedProcess.until("RPCs are served", Duration.ofSeconds(30), () -> load.count() > 1200);
         load.end();
         Set<String> atReplicas =
             ground.store().reads().stream()
                 .filter(r -> !r.server().equals("s0"))
-                .map(Store.Read::rpc)
+                .map(ReplicatedStoreModel.Read::rpc)
                 .collect(Collectors.toSet());
         assertEquals(0, browsed(load, "n1", atReplicas));
         assertTrue(
@@ -213,19 +214,19 @@
     }
   }
 
-  private static long browsed(Load load, String gateway, Set<String> among) {
+  private static long browsed(LoadGenerator load, String gateway, Set<String> among) {
     return load.asked().stream()
         .filter(
             a ->
                 a.method() == Method.BROWSE
                     && a.gateway().equals(gateway)
-                    && a.outcome() == Asked.Outcome.OK
+                    && a.outcome() == ClientOperation.ClientOutcome.OK
                     && among.contains(a.rpc()))
         .count();
   }
 
   /** What a server says of its position, asked at its own address, in Unix seconds. */
-  private static double position(Ground ground, String server) throws IOException {
+  private static double position(ChaosCluster ground, String server) throws IOException {
     try (Socket socket =
         new Socket(
             ground.server(server).address().getAddress(),
@@ -261,25 +262,25 @@
    */
   @Test
   void serversDoWrongAsOrdered() throws Exception {
-    try (Ground ground = ground(1)) {
+    try (ChaosCluster ground = ground(1)) {
       ground.start();
       long zero = ground.clock().nanos();
-      try (Load load =
-          new Load(
+      try (LoadGenerator load =
+          new LoadGenerator(
               List.of(ground.gateway("n0").address()), 1, () -> ground.clock().nanos() - zero, 4)) {
         load.begin(200);
-        Child.until("RPCs are served", Duration.ofSeconds(30), () -> load.count() > 300);
-        Havoc havoc = new Havoc(ground);
+        ManagedProcess.until("RPCs are served", Duration.ofSeconds(30), () -> load.count() > 300);
+        FaultInjector havoc = new FaultInjector(ground);
         Fault lost = fault(Fault.Kind.ANSWERS_LOST, "s0", "", "");
         havoc.begin(lost);
-        Child.until(
+        ManagedProcess.until(
             "an answer got lost after its effect",
             Duration.ofSeconds(30),
             () ->
                 load.asked().stream()
                     .anyMatch(
                         a ->
-                            a.outcome() == Asked.Outcome.ABORTED
+                            a.outcome() == ClientOperation.ClientOutcome.ABORTED
                                 && ground.store().effects().stream()
                                     .anyMatch(e -> e.rpc().equals(a.rpc()))));
         havoc.end(lost, LAG);
--- a/chaos/src/test/java/weldcross/chaos/RelayTest.java
+++ b/chaos/src/test/java/weldcross/chaos/FaultProxyTest.java
@@ -21,23 +21,23 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import weldcross.chaos.process.Child;
-import weldcross.chaos.proxy.Relay;
-import weldcross.chaos.proxy.Way;
+import weldcross.chaos.process.ManagedProcess;
+import weldcross.chaos.proxy.FaultProxy;
+import weldcross.chaos.proxy.NetworkPath;
 
 /** Each trouble between hosts really acts: one that does nothing would prove nothing. */
 @Timeout(60)
-class RelayTest {
+class FaultProxyTest {
 
   private final InetAddress here = InetAddress.getLoopbackAddress();
-  private Relay relay;
+  private FaultProxy relay;
   private ServerSocket server;
-  private Relay.Route route;
+  private FaultProxy.Route route;
   private Socket near, far;
 
   @BeforeEach
   void connect() throws IOException {
-    relay = new Relay(here, 1);
+    relay = new FaultProxy(here, 1);
     server = new ServerSocket(0, 50, here);
     route = relay.stream("a", "b", (InetSocketAddress) server.getLocalSocketAddress());
     near = new Socket(route.address().getAddress(), route.address().getPort());
@@ -68,27 +68,27 @@
 
   @Test
   void whatIsHeldInOneDirectionWaitsAndThenComes() throws IOException {
-    relay.set("a", "b", Way.FREE.withHeld(true));
+    relay.set("a", "b", NetworkPath.FREE.withHeld(true));
     doesNotPass(near, far, 7);
     passes(far, near, 8);
-    Child.until("held", Duration.ofSeconds(5), () -> relay.held() == 1);
-    relay.set("a", "b", Way.FREE);
+    ManagedProcess.until("held", Duration.ofSeconds(5), () -> relay.held() == 1);
+    relay.set("a", "b", NetworkPath.FREE);
     far.setSoTimeout(5000);
     assertEquals(7, far.getInputStream().read());
   }
 
   @Test
-  void aCutIsSilentDialsDoNotComeUpAndWhatLivedThroughItIsReset() throws IOException {
-    relay.set("a", "b", Way.FREE.withCut(true));
-    relay.set("b", "a", Way.FREE.withCut(true));
+  void cutIsSilentDialsDoNotComeUpAndWhatLivedThroughItIsReset() throws IOException {
+    relay.set("a", "b", NetworkPath.FREE.withCut(true));
+    relay.set("b", "a", NetworkPath.FREE.withCut(true));
     doesNotPass(near, far, 7);
     doesNotPass(far, near, 8);
     assertTrue(relay.swallowed() >= 2, "vanished: " + relay.swallowed());
     try (Socket dial = new Socket()) {
       assertThrows(SocketTimeoutException.class, () -> dial.connect(route.address(), 400));
     }
-    relay.set("a", "b", Way.FREE);
-    relay.set("b", "a", Way.FREE);
+    relay.set("a", "b", NetworkPath.FREE);
+    relay.set("b", "a", NetworkPath.FREE);
     near.setSoTimeout(5000);
     assertThrows(
         SocketException.class,
@@ -108,12 +108,12 @@
    * out of order.
    */
   @Test
-  void aLossOnAStreamIsDelay() throws IOException {
-    relay.set("a", "b", Way.FREE.withTrouble(Duration.ZERO, 1, 0, 0));
+  void lossOnAStreamIsDelay() throws IOException {
+    relay.set("a", "b", NetworkPath.FREE.withTrouble(Duration.ZERO, 1, 0, 0));
     long from = System.nanoTime();
     passes(near, far, 7);
     long late = System.nanoTime() - from;
-    relay.set("a", "b", Way.FREE.withTrouble(Duration.ZERO, 0.5, 0, 0));
+    relay.set("a", "b", NetworkPath.FREE.withTrouble(Duration.ZERO, 0.5, 0, 0));
     for (int k = 0; k < 40; k++) {
       passes(near, far, k);
     }
@@ -142,7 +142,7 @@
             });
     try {
       for (int k = 0; k < 300; k++) {
-        relay.set("a", "b", Way.FREE.withCut(k % 2 == 0));
+        relay.set("a", "b", NetworkPath.FREE.withCut(k % 2 == 0));
       }
     } finally {
       over.set(true);
@@ -156,8 +156,8 @@
 
   /** An end is not told while the way is cut: the other side sees an open, silent connection. */
   @Test
-  void anEndDoesNotCrossACut() throws IOException {
-    relay.set("a", "b", Way.FREE.withCut(true));
+  void endDoesNotCrossACut() throws IOException {
+    relay.set("a", "b", NetworkPath.FREE.withCut(true));
     near.close();
     far.setSoTimeout(300);
     assertThrows(SocketTimeoutException.class, () -> far.getInputStream().read());
@@ -187,7 +187,7 @@
   void whereNobodyListensDialsAreRefusedUntilSomebodyDoes() throws IOException {
     int port = server.getLocalPort();
     server.close();
-    Child.until(
+    ManagedProcess.until(
         "refused",
         Duration.ofSeconds(10),
         () -> {
@@ -201,7 +201,7 @@
           }
         });
     server = new ServerSocket(port, 50, here);
-    Child.until(
+    ManagedProcess.until(
         "taken again",
         Duration.ofSeconds(10),
         () -> {
@@ -216,7 +216,7 @@
 
   @Test
   void whatIsDelayedComesLate() throws IOException {
-    relay.set("a", "b", Way.FREE.withTrouble(Duration.ofMillis(120), 0, 0, 0));
+    relay.set("a", "b", NetworkPath.FREE.withTrouble(Duration.ofMillis(120), 0, 0, 0));
     long began = System.nanoTime();
     passes(near, far, 7);
     long took = (System.nanoTime() - began) / 1_000_000;
@@ -229,7 +229,7 @@
         DatagramSocket from = new DatagramSocket(0, here)) {
       InetSocketAddress way =
           relay.datagrams("a", "b", (InetSocketAddress) to.getLocalSocketAddress());
-      relay.set("a", "b", Way.FREE.withTrouble(Duration.ZERO, 0.3, 0.3, 0.3));
+      relay.set("a", "b", NetworkPath.FREE.withTrouble(Duration.ZERO, 0.3, 0.3, 0.3));
       int sent = 200;
       for (int k = 0; k < sent; k++) {
         from.send(new DatagramPacket(new byte[] {(byte) k}, 1, way));
--- a/chaos/src/test/java/weldcross/chaos/LyingDiskTest.java
+++ b/chaos/src/test/java/weldcross/chaos/LyingStorageDirectoryTest.java
@@ -17,42 +17,42 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import weldcross.chaos.agent.LyingDisk;
-import weldcross.chaos.process.Child;
-import weldcross.storage.Disk;
-import weldcross.storage.PlainDisk;
+import weldcross.chaos.agent.LyingStorageDirectory;
+import weldcross.chaos.process.ManagedProcess;
+import weldcross.storage.FileStorageDirectory;
 import weldcross.storage.RecordLog;
+import weldcross.storage.StorageDirectory;
 
 /**
  * Each lie of the disk really acts on a log, which says what it can know of it; a process's end is
  * a forgetting.
  */
 @Timeout(60)
-class LyingDiskTest {
+class LyingStorageDirectoryTest {
 
   @TempDir private Path folder;
   private final List<String> read = new ArrayList<>();
 
   @BeforeEach
   void tell() throws IOException {
-    System.setProperty(LyingDisk.WORDS, folder.resolve("words").toString());
+    System.setProperty(LyingStorageDirectory.WORDS, folder.resolve("words").toString());
     words("");
   }
 
   @AfterEach
   void honest() {
-    System.clearProperty(LyingDisk.WORDS);
+    System.clearProperty(LyingStorageDirectory.WORDS);
   }
 
   private void words(String words) throws IOException {
     Files.writeString(folder.resolve("words"), words);
   }
 
-  private final class Life {
-    final Disk disk = PlainDisk.at(folder.resolve("log"));
+  private final class ProcessRun {
+    final StorageDirectory disk = FileStorageDirectory.at(folder.resolve("log"));
     final RecordLog log;
 
-    Life() throws IOException {
+    ProcessRun() throws IOException {
       read.clear();
       try {
         log =
@@ -89,35 +89,35 @@
 
   @Test
   void itIsFoundOnTheClassPathAndWithoutWordsIsHonest() throws IOException {
-    Life life = new Life();
-    assertTrue(life.disk instanceof LyingDisk);
+    ProcessRun life = new ProcessRun();
+    assertTrue(life.disk instanceof LyingStorageDirectory);
     for (int k = 1; k <= 40; k++) {
       life.add(k);
     }
     life.log.snapshot(20, ByteBuffer.wrap(new byte[] {1}));
     life.killed();
-    new Life().killed();
+    new ProcessRun().killed();
     assertEquals("snapshot 20", read.get(0));
     assertEquals("40 40", read.get(read.size() - 1));
     assertEquals(21, read.size());
   }
 
   @Test
-  void aForceThatLiesLosesWhatWasSaidToBeSure() throws IOException {
-    Life life = new Life();
+  void forceThatLiesLosesWhatWasSaidToBeSure() throws IOException {
+    ProcessRun life = new ProcessRun();
     life.add(1);
     words("lie");
     life.add(2);
     life.add(3);
     life.killed();
     words("");
-    new Life().killed();
+    new ProcessRun().killed();
     assertEquals(List.of("1 1"), read);
   }
 
   @Test
-  void aForceThatFailsEndsTheLogUntilItIsOpenedAnew() throws IOException {
-    Life life = new Life();
+  void forceThatFailsEndsTheLogUntilItIsOpenedAnew() throws IOException {
+    ProcessRun life = new ProcessRun();
     life.add(1);
     words("fail");
     assertThrows(IOException.class, () -> life.add(2));
@@ -125,25 +125,25 @@
     assertEquals(RecordLog.State.FAILED, life.log.state());
     assertThrows(IOException.class, () -> life.add(3));
     life.killed();
-    new Life().killed();
+    new ProcessRun().killed();
     assertEquals(List.of("1 1"), read);
   }
 
   @Test
-  void aFullDiskTakesNothing() throws IOException {
-    Life life = new Life();
+  void fullDiskTakesNothing() throws IOException {
+    ProcessRun life = new ProcessRun();
     words("full");
     assertThrows(RecordLog.NotTaken.class, () -> life.add(1));
     words("");
     life.add(2);
     life.killed();
-    new Life().killed();
+    new ProcessRun().killed();
     assertEquals(List.of("1 2"), read);
   }
 
   @Test
   void slowAndStuckKeepACommitWaiting() throws Exception {
-    Life life = new Life();
+    ProcessRun life = new ProcessRun();
     words("slow=150");
     long began = System.nanoTime();
     life.add(1);
@@ -171,8 +171,8 @@
    * cut.
    */
   @Test
-  void aTornWriteIsCutAndTold() throws Exception {
-    Life life = new Life();
+  void tornWriteIsCutAndTold() throws Exception {
+    ProcessRun life = new ProcessRun();
     life.add(1);
     words("torn");
     CompletableFuture.runAsync(
@@ -185,26 +185,27 @@
         });
     Path log = folder.resolve("log").resolve("log-0000000000000001");
     long whole = 16 + 33;
-    Child.until("half is written", Duration.ofSeconds(10), () -> log.toFile().length() > whole);
+    ManagedProcess.until(
+        "half is written", Duration.ofSeconds(10), () -> log.toFile().length() > whole);
     life.killed();
     words("");
-    Life after = new Life();
+    ProcessRun after = new ProcessRun();
     assertEquals(List.of("1 1"), read);
     assertTrue(after.log.found().tornBytes() > 0);
     after.killed();
   }
 
   @Test
-  void aFlippedBitAndAMisdirectedWriteAreDamageOrAToldEnd() throws IOException {
-    Life life = new Life();
+  void flippedBitAndAMisdirectedWriteAreDamageOrAToldEnd() throws IOException {
+    ProcessRun life = new ProcessRun();
     for (int k = 1; k <= 5; k++) {
       life.add(k);
     }
     life.killed();
     words("flip");
-    assertThrows(RecordLog.Damaged.class, Life::new);
+    assertThrows(RecordLog.Damaged.class, ProcessRun::new);
     words("");
-    Life second = new Life();
+    ProcessRun second = new ProcessRun();
     assertEquals(5, read.size());
     words("misdirect");
     second.add(6);
@@ -213,7 +214,7 @@
     assertThrows(
         RecordLog.Damaged.class,
         () -> {
-          Life third = new Life();
+          ProcessRun third = new ProcessRun();
           // What is misdirected from the head on is no log any more; it must not read as an empty
           // one.
           assertEquals(6, read.size(), "read as if nothing were: " + read);
--- a/chaos/src/test/java/weldcross/chaos/MembershipTrialTest.java
+++ b/chaos/src/test/java/weldcross/chaos/MembershipChaosTest.java
@@ -10,21 +10,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import weldcross.chaos.process.Child;
+import weldcross.chaos.process.ManagedProcess;
 import weldcross.chaos.scenario.Fault;
 import weldcross.chaos.scenario.Scenario;
 
 /** What gateways see of each other, as processes under faults. */
 @Timeout(150)
-class MembershipTrialTest {
+class MembershipChaosTest {
 
   private static final Duration LAG = Duration.ofMillis(30);
 
   @TempDir private Path folder;
 
-  private Ground ground(int gateways) throws IOException {
-    Ground ground =
-        new Ground(
+  private ChaosCluster ground(int gateways) throws IOException {
+    ChaosCluster ground =
+        new ChaosCluster(
             new Scenario(
                 "seen",
                 "",
@@ -44,8 +44,8 @@
             3,
             folder);
     ground.start();
-    for (Ground.Gateway a : ground.gateways()) {
-      for (Ground.Gateway b : ground.gateways()) {
+    for (ChaosCluster.Gateway a : ground.gateways()) {
+      for (ChaosCluster.Gateway b : ground.gateways()) {
         if (a != b) {
           tells(a, 0, b.name() + " is HERE");
         }
@@ -58,7 +58,7 @@
     return new Fault(Duration.ZERO, Duration.ZERO, kind, on, "", how);
   }
 
-  private static String log(Ground.Gateway gateway) {
+  private static String log(ChaosCluster.Gateway gateway) {
     try {
       return Files.readString(gateway.log());
     } catch (IOException e) {
@@ -66,8 +66,9 @@
     }
   }
 
-  private static void tells(Ground.Gateway gateway, int from, String words) throws IOException {
-    Child.until(
+  private static void tells(ChaosCluster.Gateway gateway, int from, String words)
+      throws IOException {
+    ManagedProcess.until(
         gateway.name() + " tells: " + words,
         Duration.ofSeconds(40),
         () -> log(gateway).substring(from).contains("membership: " + words));
@@ -79,16 +80,16 @@
    */
   @Test
   void pausedIsSilentAndKilledIsGone() throws IOException {
-    try (Ground ground = ground(4)) {
-      Havoc havoc = new Havoc(ground);
-      Ground.Gateway n0 = ground.gateway("n0");
+    try (ChaosCluster ground = ground(4)) {
+      FaultInjector havoc = new FaultInjector(ground);
+      ChaosCluster.Gateway n0 = ground.gateway("n0");
       Fault pause = fault(Fault.Kind.PAUSE, "n1", "");
       havoc.begin(pause);
       tells(n0, 0, "n1 is SILENT");
       int from = log(n0).length();
       havoc.end(pause, LAG);
       tells(n0, from, "n1 is HERE");
-      for (Ground.Gateway each : ground.gateways()) {
+      for (ChaosCluster.Gateway each : ground.gateways()) {
         assertFalse(log(each).contains("n1 is GONE"), each.name());
       }
       int before = log(n0).length();
@@ -106,9 +107,9 @@
    * Each side holds the other silent, nobody gone; healed, all are here again without an operator.
    */
   @Test
-  void aSplitIsSilenceAndHealsByItself() throws IOException {
-    try (Ground ground = ground(4)) {
-      Havoc havoc = new Havoc(ground);
+  void splitIsSilenceAndHealsByItself() throws IOException {
+    try (ChaosCluster ground = ground(4)) {
+      FaultInjector havoc = new FaultInjector(ground);
       Fault split = fault(Fault.Kind.SPLIT, "", "n0,n1|n2,n3");
       havoc.begin(split);
       tells(ground.gateway("n0"), 0, "n2 is SILENT");
@@ -117,7 +118,7 @@
       havoc.end(split, LAG);
       tells(ground.gateway("n0"), from[0], "n2 is HERE");
       tells(ground.gateway("n3"), from[3], "n1 is HERE");
-      for (Ground.Gateway each : ground.gateways()) {
+      for (ChaosCluster.Gateway each : ground.gateways()) {
         assertFalse(log(each).contains("is GONE"), each.name());
       }
     }
--- a/chaos/src/test/java/weldcross/chaos/ScenarioTest.java
+++ b/chaos/src/test/java/weldcross/chaos/ScenarioTest.java
@@ -19,7 +19,7 @@
 import weldcross.chaos.scenario.Fault;
 import weldcross.chaos.scenario.Nemesis;
 import weldcross.chaos.scenario.Scenario;
-import weldcross.config.FaultyTerm;
+import weldcross.config.InvalidConfigException;
 
 class ScenarioTest {
 
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void theSameSeedDrawsTheSameAndWhatWasDrawnIsPlayedAgain() throws IOException {
+  void sameSeedDrawsTheSameAndWhatWasDrawnIsPlayedAgain() throws IOException {
     Scenario nemesis = Scenario.read("chaos/scenarios/nemesis.toml");
     Set<Fault.Kind> kinds = new HashSet<>();
     for (long seed = 1; seed <= 100; seed++) {
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void theScenariosOfTheRepositoryAreRead() throws IOException {
+  void scenariosOfTheRepositoryAreRead() throws IOException {
     assertEquals(0, Main.run("list"));
     Scenario baseline = Scenario.read("chaos/scenarios/baseline.toml");
     assertEquals(5, baseline.faults().size());
@@ -65,11 +65,11 @@
         "for_ms = 10 | for = 10 | fault.0.for (line 5): found a key that nobody reads",
         "at_ms = 10 | at_ms = 99000 | fault.0.at_ms (line 4): found '99000', allowed is a time within the trial"
       })
-  void aFaultyScenarioIsRefusedWithKeyAndLine(String from, String to, String said) {
+  void faultyScenarioIsRefusedWithKeyAndLine(String from, String to, String said) {
     String text =
         "name = \"x\"\ngateways = 2\n[[fault]]\nat_ms = 10\nfor_ms = 10\nkind = \"kill\"\non = \"n1\"\n";
     String message =
-        assertThrows(FaultyTerm.class, () -> read(text.replace(from, to))).getMessage();
+        assertThrows(InvalidConfigException.class, () -> read(text.replace(from, to))).getMessage();
     assertTrue(message.contains(said), message);
   }
 }
--- a/fakes/src/main/java/weldcross/fakes/Catalog.java
+++ b/fakes/src/main/java/weldcross/fakes/FakeDiscoveryCatalog.java
@@ -8,7 +8,7 @@
 import java.util.function.Function;
 
 /** Discovery's list of servers, numbered by its changes. */
-public final class Catalog {
+public final class FakeDiscoveryCatalog {
 
   /**
    * @param phase active, leaving or left
--- a/fakes/src/main/java/weldcross/fakes/DiscoveryAgent.java
+++ b/fakes/src/main/java/weldcross/fakes/FakeDiscoveryServer.java
@@ -18,12 +18,12 @@
  * Discovery as one gateway sees it: the list and its watch over HTTP/1.1, with addresses of its
  * own.
  */
-public final class DiscoveryAgent implements AutoCloseable {
+public final class FakeDiscoveryServer implements AutoCloseable {
 
   private static final Pattern WATCH =
       Pattern.compile("GET /catalog/members\\?since=(-?\\d+)&timeout_ms=(\\d+) HTTP/1.1");
 
-  private final Catalog catalog;
+  private final FakeDiscoveryCatalog catalog;
   private final Function<String, String> address;
   private final ServerSocket socket;
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
@@ -31,7 +31,8 @@
   /**
    * @param address of each server, host and port, as this gateway reaches it
    */
-  public DiscoveryAgent(Catalog catalog, InetAddress at, Function<String, String> address)
+  public FakeDiscoveryServer(
+      FakeDiscoveryCatalog catalog, InetAddress at, Function<String, String> address)
       throws IOException {
     this.catalog = catalog;
     this.address = address;
--- a/fakes/src/main/java/weldcross/fakes/PgServer.java
+++ b/fakes/src/main/java/weldcross/fakes/FakePostgresServer.java
@@ -24,7 +24,7 @@
  * question what became of an RPC ({@code SELECT outcome FROM rpcs WHERE id = '...'}). Tells its
  * role and position beside its answers. What it is to do wrong is set from outside.
  */
-public final class PgServer implements AutoCloseable {
+public final class FakePostgresServer implements AutoCloseable {
 
   private static final Pattern READ =
       Pattern.compile("SELECT content FROM kv WHERE name = '([^']*)' /\\* (.*) \\*/");
@@ -45,8 +45,8 @@
 
   private final String name;
   private final int group;
-  private final Store store;
-  private final Store.Clock clock;
+  private final ReplicatedStoreModel store;
+  private final ReplicatedStoreModel.Clock clock;
   private final ScheduledExecutorService timer;
   private final InetSocketAddress at;
   private final int workers;
@@ -65,7 +65,7 @@
    * @param service how long a statement takes
    * @param workers statements worked on at a time; twice as many may wait
    */
-  public PgServer(
+  public FakePostgresServer(
       String name,
       int group,
       boolean primary,
@@ -73,8 +73,8 @@
       Duration service,
       int workers,
       InetAddress address,
-      Store store,
-      Store.Clock clock,
+      ReplicatedStoreModel store,
+      ReplicatedStoreModel.Clock clock,
       ScheduledExecutorService timer)
       throws IOException {
     this.name = name;
@@ -162,7 +162,7 @@
   /** Its process dies: connections are reset, new ones refused. */
   public synchronized void kill() {
     if (acceptor != null) {
-      acceptor.getManagedSessions().values().forEach(PgServer::reset);
+      acceptor.getManagedSessions().values().forEach(FakePostgresServer::reset);
       acceptor.unbind();
       acceptor.dispose();
       acceptor = null;
@@ -306,7 +306,7 @@
 
   private void take(IoSession session, Stream stream, String rpc, Work work) {
     if (rpc != null) {
-      store.arrived(new Store.Arrival(clock.nanos(), rpc, name, stream.number));
+      store.arrived(new ReplicatedStoreModel.Arrival(clock.nanos(), rpc, name, stream.number));
     }
     Runnable task =
         () ->
@@ -437,7 +437,7 @@
           'E', ("SERROR\0C" + code + "\0M" + text + "\0\0").getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    Out state(PgServer of) {
+    Out state(FakePostgresServer of) {
       return message(
               'S',
               ("mode\0" + (of.primary ? "read-write" : "read-only") + "\0")
--- a/fakes/src/main/java/weldcross/fakes/Store.java
+++ b/fakes/src/main/java/weldcross/fakes/ReplicatedStoreModel.java
@@ -13,7 +13,7 @@
  * history of commits a group; a replica sees it as it was some time ago. Times are monotonic, in
  * nanoseconds.
  */
-public final class Store {
+public final class ReplicatedStoreModel {
 
   /**
    * A statement that had an effect.
--- a/gateway/src/main/java/weldcross/cli/Cluster.java
+++ b/gateway/src/main/java/weldcross/cli/ClusterCommand.java
@@ -27,7 +27,7 @@
 import picocli.CommandLine.Help.TextTable;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import weldcross.config.NamedValues;
+import weldcross.config.ConfigValues;
 
 /** What an operator asks of a gateway about the others, and tells it; by its control address. */
 @Command(
@@ -36,13 +36,13 @@
     mixinStandardHelpOptions = true,
     synopsisSubcommandLabel = "COMMAND",
     subcommands = {
-      Cluster.Status.class,
-      Cluster.Watch.class,
-      Cluster.Forget.class,
-      Cluster.Leave.class,
-      Cluster.Join.class
+      ClusterCommand.Status.class,
+      ClusterCommand.Watch.class,
+      ClusterCommand.Forget.class,
+      ClusterCommand.Leave.class,
+      ClusterCommand.Join.class
     })
-final class Cluster implements Runnable {
+final class ClusterCommand implements Runnable {
 
   /** The gateway did not answer, or says that it cannot be done. */
   static final int FAILED = 1;
@@ -98,12 +98,12 @@
     }
   }
 
-  private static NamedValues values(String json) {
-    return NamedValues.ofJson(json.getBytes(StandardCharsets.UTF_8));
+  private static ConfigValues values(String json) {
+    return ConfigValues.ofJson(json.getBytes(StandardCharsets.UTF_8));
   }
 
   private static List<String> lines(String json, Ansi ansi) {
-    NamedValues all = values(json);
+    ConfigValues all = values(json);
     List<String> lines = new ArrayList<>();
     long age = all.whole("leader_age_ms", -1, -1);
     lines.add(
@@ -140,7 +140,7 @@
     table.addRowValues(
         "gateway", "seen", "life", "agreed", "zone", "part", "heard", "link", "votes");
     for (int k = 0; k < all.count("gateways"); k++) {
-      NamedValues one = all.under("gateways." + k);
+      ConfigValues one = all.under("gateways." + k);
       long heard = one.whole("heard_ms", -1, -1);
       String agreed = one.text("agreed");
       table.addRowValues(
@@ -173,7 +173,7 @@
       if (body != null) {
         out().println(json ? body : String.join("\n", lines(body, Ansi.OFF)));
       }
-      return body == null ? FAILED : Commands.OK;
+      return body == null ? FAILED : WeldcrossCommand.OK;
     }
   }
 
@@ -211,7 +211,7 @@
           terminal.flush();
         }
       }
-      return Commands.OK;
+      return WeldcrossCommand.OK;
     }
   }
 
@@ -250,7 +250,7 @@
                 case "UNKNOWN" -> name + " is no member";
                 default -> verdict;
               });
-      return verdict.equals("DONE") ? Commands.OK : FAILED;
+      return verdict.equals("DONE") ? WeldcrossCommand.OK : FAILED;
     }
   }
 
@@ -267,7 +267,7 @@
       if (body != null) {
         out().println(values(body).text("phase"));
       }
-      return body == null ? FAILED : Commands.OK;
+      return body == null ? FAILED : WeldcrossCommand.OK;
     }
   }
 
@@ -283,7 +283,7 @@
       if (body != null) {
         out().println(values(body).text("phase"));
       }
-      return body == null ? FAILED : Commands.OK;
+      return body == null ? FAILED : WeldcrossCommand.OK;
     }
   }
 }
--- a/gateway/src/main/java/weldcross/cli/Joining.java
+++ b/gateway/src/main/java/weldcross/cli/ExtensionLoader.java
@@ -6,34 +6,35 @@
 import java.util.List;
 import java.util.ServiceLoader;
 import java.util.function.Supplier;
-import weldcross.config.GatewayTerms;
-import weldcross.config.PartTerms;
-import weldcross.consensus.net.AgreementPart;
-import weldcross.control.ControlPart;
-import weldcross.extension.Part;
-import weldcross.membership.net.SeenPart;
-import weldcross.mesh.net.LinkPart;
+import weldcross.config.ExtensionsConfig;
+import weldcross.config.GatewayConfig;
+import weldcross.consensus.net.ConsensusExtension;
+import weldcross.control.ControlExtension;
+import weldcross.extension.GatewayExtension;
+import weldcross.membership.net.MembershipExtension;
+import weldcross.mesh.net.MeshExtension;
 
 /** Makes the parts that a file of terms names; loaded only where one is told. */
-final class Joining {
+final class ExtensionLoader {
 
-  private Joining() {}
+  private ExtensionLoader() {}
 
-  static List<Part> parts(String file, GatewayTerms gateway) {
-    PartTerms terms = PartTerms.read(file, gateway);
-    List<Part> parts = new ArrayList<>();
+  static List<GatewayExtension> parts(String file, GatewayConfig gateway) {
+    ExtensionsConfig terms = ExtensionsConfig.read(file, gateway);
+    List<GatewayExtension> parts = new ArrayList<>();
     if (terms.link() != null) {
-      LinkPart link = new LinkPart(terms.link(), terms.places(), terms.directory(), gateway.seed());
+      MeshExtension link =
+          new MeshExtension(terms.link(), terms.places(), terms.directory(), gateway.seed());
       parts.add(link);
-      SeenPart seen = null;
+      MembershipExtension seen = null;
       if (terms.seen() != null) {
-        seen = new SeenPart(terms.seen(), link, gateway.seed());
+        seen = new MembershipExtension(terms.seen(), link, gateway.seed());
         parts.add(seen);
       }
-      AgreementPart agreement = null;
+      ConsensusExtension agreement = null;
       if (terms.agreement() != null) {
         agreement =
-            new AgreementPart(
+            new ConsensusExtension(
                 terms.agreement(),
                 link,
                 seen,
@@ -42,7 +43,8 @@
                 gateway.seed());
         parts.add(agreement);
         if (terms.control() != null) {
-          parts.add(new ControlPart(terms.control(), link, seen, agreement, terms.agreement()));
+          parts.add(
+              new ControlExtension(terms.control(), link, seen, agreement, terms.agreement()));
         }
       }
     }
--- a/gateway/src/main/java/weldcross/cli/LogLines.java
+++ b/gateway/src/main/java/weldcross/cli/LogFormatter.java
@@ -12,7 +12,7 @@
 import java.util.logging.Logger;
 
 /** The log: to standard error, one line a record, with a fault's trace below it. */
-final class LogLines extends Formatter {
+final class LogFormatter extends Formatter {
 
   /** Held, as a logger that nothing holds may lose its level. */
   private static final Logger SOCKETS = Logger.getLogger("org.apache.mina");
@@ -24,7 +24,7 @@
     }
     ConsoleHandler handler = new ConsoleHandler();
     handler.setLevel(level);
-    handler.setFormatter(new LogLines());
+    handler.setFormatter(new LogFormatter());
     root.addHandler(handler);
     root.setLevel(level);
     // Every connection that ends is a warning to MINA; here it is the network's ordinary life.
--- a/gateway/src/main/java/weldcross/cli/Commands.java
+++ b/gateway/src/main/java/weldcross/cli/WeldcrossCommand.java
@@ -9,27 +9,27 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.IVersionProvider;
 import picocli.CommandLine.Option;
-import weldcross.config.FaultyTerm;
-import weldcross.config.GatewayTerms;
-import weldcross.config.PartTerms;
-import weldcross.simulator.WireLoop;
+import weldcross.config.ExtensionsConfig;
+import weldcross.config.GatewayConfig;
+import weldcross.config.InvalidConfigException;
+import weldcross.simulator.SimulatorSession;
 
 /** The command line: one sub-command a shape that the program can take. */
 @Command(
     name = "weldcross",
     description = "Routes reads and writes in a replicated store.",
     mixinStandardHelpOptions = true,
-    versionProvider = Commands.FromBuild.class,
+    versionProvider = WeldcrossCommand.FromBuild.class,
     synopsisSubcommandLabel = "COMMAND",
     subcommands = {
-      Commands.Serve.class,
-      Commands.Check.class,
-      Commands.Rehearse.class,
-      Commands.WireHost.class,
-      Cluster.class,
-      Commands.Version.class
+      WeldcrossCommand.Serve.class,
+      WeldcrossCommand.Check.class,
+      WeldcrossCommand.Rehearse.class,
+      WeldcrossCommand.SimulatorActions.class,
+      ClusterCommand.class,
+      WeldcrossCommand.Version.class
     })
-public final class Commands implements Runnable {
+public final class WeldcrossCommand implements Runnable {
 
   /** Ended as asked; the command line cannot be used. */
   static final int OK = 0;
@@ -40,11 +40,12 @@
 
   /** Runs what the arguments name; returns the status to exit with. */
   public static int run(String... args) {
-    return new CommandLine(new Commands())
+    return new CommandLine(new WeldcrossCommand())
         .setExecutionExceptionHandler(
             (fault, line, parsed) -> {
-              if (fault instanceof FaultyTerm || fault instanceof WireLoop.Malformed) {
-                return Serving.faulty(fault);
+              if (fault instanceof InvalidConfigException
+                  || fault instanceof SimulatorSession.ProtocolException) {
+                return ServeCommand.faulty(fault);
               }
               throw fault;
             })
@@ -93,7 +94,7 @@
         throw new CommandLine.ParameterException(
             spec.commandLine(), "--log: no such level: " + level);
       }
-      return with == null ? Serving.run(parsed) : Serving.run(parsed, with);
+      return with == null ? ServeCommand.run(parsed) : ServeCommand.run(parsed, with);
     }
   }
 
@@ -121,12 +122,13 @@
 
     @Override
     public Integer call() {
-      GatewayTerms terms =
-          file == null ? GatewayTerms.read(System.getenv()) : GatewayTerms.read(file);
+      GatewayConfig terms =
+          file == null ? GatewayConfig.read(System.getenv()) : GatewayConfig.read(file);
       spec.commandLine()
           .getOut()
           .println(
-              terms.inWords() + (with == null ? "" : "\n" + PartTerms.read(with, terms).inWords()));
+              terms.inWords()
+                  + (with == null ? "" : "\n" + ExtensionsConfig.read(with, terms).inWords()));
       return OK;
     }
   }
@@ -144,7 +146,7 @@
 
     @Override
     public Integer call() throws IOException {
-      return Serving.rehearse(file);
+      return ServeCommand.rehearse(file);
     }
   }
 
@@ -152,11 +154,11 @@
       name = "wirehost",
       mixinStandardHelpOptions = true,
       description = "Hosts many instances on the bench's wire: standard input and output.")
-  static final class WireHost implements Callable<Integer> {
+  static final class SimulatorActions implements Callable<Integer> {
 
     @Override
     public Integer call() throws IOException {
-      new WireLoop(System.in, System.out).run();
+      new SimulatorSession(System.in, System.out).run();
       return OK;
     }
   }
@@ -183,7 +185,8 @@
 
     static String line() {
       Properties build = new Properties();
-      try (InputStream in = Commands.class.getResourceAsStream("/weldcross/build.properties")) {
+      try (InputStream in =
+          WeldcrossCommand.class.getResourceAsStream("/weldcross/build.properties")) {
         build.load(in);
       } catch (IOException e) {
         throw new IllegalStateException("the jar is not whole", e);
--- a/gateway/src/main/java/weldcross/config/TermsReader.java
+++ b/gateway/src/main/java/weldcross/config/ConfigReader.java
@@ -4,32 +4,32 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import weldcross.routing.MethodRow;
-import weldcross.routing.MethodRow.Effect;
-import weldcross.routing.MethodRow.Need;
-import weldcross.routing.MethodRow.Scope;
-import weldcross.routing.ServiceTerms;
+import weldcross.routing.RequestClass;
+import weldcross.routing.RequestClass.Effect;
+import weldcross.routing.RequestClass.Need;
+import weldcross.routing.RequestClass.Scope;
+import weldcross.routing.RoutingConfig;
 import weldcross.routing.ZoneId;
 
 /**
  * The one place where start values become terms: names, checks and what holds where a key is
  * absent.
  */
-public final class TermsReader {
+public final class ConfigReader {
 
-  private TermsReader() {}
+  private ConfigReader() {}
 
   /**
    * The terms of the service, under the names that the bench's wire and the configuration share.
    */
-  public static ServiceTerms service(NamedValues told) {
+  public static RoutingConfig service(ConfigValues told) {
     List<String> needs = told.list("familyInfo.freshness");
     List<String> bounds = told.list("familyInfo.lagAllowed");
-    List<MethodRow> rows = new ArrayList<>();
+    List<RequestClass> rows = new ArrayList<>();
     for (int k = 0; k < told.count("categories"); k++) {
-      NamedValues method = told.under("categories." + k);
+      ConfigValues method = told.under("categories." + k);
       rows.add(
-          new MethodRow(
+          new RequestClass(
               k < needs.size() ? need(told, needs.get(k)) : Need.ANY,
               k < bounds.size() ? bound(told, bounds.get(k)) : Duration.ZERO,
               effect(method),
@@ -43,7 +43,7 @@
     boolean onRequest = told.word("discovery", "pushed", "on_request").equals("on_request");
     boolean carried = told.word("familyInfo.tokenMode", "remembered", "carried").equals("carried");
     Duration comeBack = told.span("bounds.maxRetryAfter", Duration.ZERO);
-    return new ServiceTerms(
+    return new RoutingConfig(
         List.copyOf(rows),
         (int) told.whole("nInstances", 1, 1),
         new ZoneId((int) told.whole("myZone", 0, 0)),
@@ -64,11 +64,11 @@
   }
 
   /** The clock time in microseconds that positions on the bench's wire are counted from. */
-  public static long originMicros(NamedValues told) {
+  public static long originMicros(ConfigValues told) {
     return told.whole("familyInfo.originTime", 0, Long.MIN_VALUE);
   }
 
-  private static Need need(NamedValues told, String word) {
+  private static Need need(ConfigValues told, String word) {
     return switch (word) {
       case "write" -> Need.WRITE;
       case "fresh" -> Need.FRESH;
@@ -81,7 +81,7 @@
     };
   }
 
-  private static Duration bound(NamedValues told, String micros) {
+  private static Duration bound(ConfigValues told, String micros) {
     try {
       return Duration.ofNanos(micros.isEmpty() ? 0 : new BigDecimal(micros).longValue() * 1000);
     } catch (NumberFormatException e) {
@@ -89,7 +89,7 @@
     }
   }
 
-  private static Effect effect(NamedValues method) {
+  private static Effect effect(ConfigValues method) {
     return switch (method.text("effect", "at_most_once")) {
       case "idempotent" -> Effect.IDEMPOTENT;
       case "deduplicated" -> Effect.TOKENED;
@@ -98,7 +98,7 @@
     };
   }
 
-  private static Scope scope(NamedValues method) {
+  private static Scope scope(ConfigValues method) {
     return switch (method.text("dedupScope", "cell")) {
       case "all" -> Scope.ALL;
       case "zone" -> Scope.ZONE;
--- a/gateway/src/main/java/weldcross/config/NamedValues.java
+++ b/gateway/src/main/java/weldcross/config/ConfigValues.java
@@ -17,7 +17,7 @@
  * that both are read by the same checks: a list of plain values is joined by commas, a list of
  * objects has its length under {@code .count} and its items under {@code .0}, {@code .1} and so on.
  */
-public final class NamedValues {
+public final class ConfigValues {
 
   private static final JsonFactory JSON = new JsonFactory();
 
@@ -27,48 +27,49 @@
   /** Where keys stand in their document; empty where that is not known. */
   private final Map<String, Integer> lines;
 
-  private NamedValues(Map<String, String> pairs, String prefix) {
+  private ConfigValues(Map<String, String> pairs, String prefix) {
     this(pairs, prefix, Map.of());
   }
 
-  private NamedValues(Map<String, String> pairs, String prefix, Map<String, Integer> lines) {
+  private ConfigValues(Map<String, String> pairs, String prefix, Map<String, Integer> lines) {
     this.pairs = pairs;
     this.prefix = prefix;
     this.lines = lines;
   }
 
   /** Values whose lines are known and told in messages. */
-  static NamedValues ofLines(Map<String, String> pairs, Map<String, Integer> lines) {
-    return new NamedValues(pairs, "", lines);
+  static ConfigValues ofLines(Map<String, String> pairs, Map<String, Integer> lines) {
+    return new ConfigValues(pairs, "", lines);
   }
 
   /** Parts of the form key=value, from the given one on. */
-  public static NamedValues ofPairs(String[] parts, int from) {
+  public static ConfigValues ofPairs(String[] parts, int from) {
     Map<String, String> pairs = new HashMap<>();
     for (int k = from; k < parts.length; k++) {
       int eq = parts[k].indexOf('=');
       if (eq <= 0) {
-        throw new FaultyTerm(parts[k], "no '='", "key=value");
+        throw new InvalidConfigException(parts[k], "no '='", "key=value");
       }
       pairs.put(parts[k].substring(0, eq), parts[k].substring(eq + 1));
     }
-    return new NamedValues(pairs, "");
+    return new ConfigValues(pairs, "");
   }
 
-  public static NamedValues ofJson(byte[] text) {
+  public static ConfigValues ofJson(byte[] text) {
     Map<String, String> pairs = new HashMap<>();
     try (JsonParser in = JSON.createParser(text)) {
       if (in.nextToken() != JsonToken.START_OBJECT) {
-        throw new FaultyTerm("not a JSON object");
+        throw new InvalidConfigException("not a JSON object");
       }
       object(in, "", pairs);
       if (in.nextToken() != null) {
-        throw new FaultyTerm("not JSON: more after its end");
+        throw new InvalidConfigException("not JSON: more after its end");
       }
     } catch (IOException e) {
-      throw new FaultyTerm("not JSON: " + String.valueOf(e.getMessage()).split("\n")[0]);
+      throw new InvalidConfigException(
+          "not JSON: " + String.valueOf(e.getMessage()).split("\n")[0]);
     }
-    return new NamedValues(pairs, "");
+    return new ConfigValues(pairs, "");
   }
 
   private static void object(JsonParser in, String path, Map<String, String> into)
@@ -103,15 +104,15 @@
   }
 
   /** These values, and the given ones for keys that are absent. */
-  public NamedValues orElse(Map<String, String> absent) {
+  public ConfigValues orElse(Map<String, String> absent) {
     Map<String, String> all = new HashMap<>(absent);
     all.putAll(pairs);
-    return new NamedValues(all, prefix, lines);
+    return new ConfigValues(all, prefix, lines);
   }
 
   /** The values below a path; messages go on naming keys in full. */
-  public NamedValues under(String path) {
-    return new NamedValues(pairs, prefix + path + ".", lines);
+  public ConfigValues under(String path) {
+    return new ConfigValues(pairs, prefix + path + ".", lines);
   }
 
   public boolean has(String key) {
@@ -185,7 +186,8 @@
                 .thenComparing(Comparator.naturalOrder()))
         .ifPresent(
             key -> {
-              throw new FaultyTerm(named(key), "a key that nobody reads", String.join(", ", keys));
+              throw new InvalidConfigException(
+                  named(key), "a key that nobody reads", String.join(", ", keys));
             });
   }
 
@@ -240,9 +242,9 @@
     throw fault(key, "an address such as 127.0.0.1:6543");
   }
 
-  public FaultyTerm fault(String key, String allowed) {
+  public InvalidConfigException fault(String key, String allowed) {
     String value = pairs.get(prefix + key);
-    return new FaultyTerm(
+    return new InvalidConfigException(
         named(prefix + key), value == null ? "nothing" : "'" + value + "'", allowed);
   }
 
--- a/gateway/src/main/java/weldcross/config/PartTerms.java
+++ b/gateway/src/main/java/weldcross/config/ExtensionsConfig.java
@@ -10,10 +10,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
-import weldcross.consensus.AgreementTerms;
-import weldcross.membership.SeenTerms;
-import weldcross.mesh.LinkPlaces;
-import weldcross.mesh.LinkTerms;
+import weldcross.consensus.ConsensusConfig;
+import weldcross.membership.FailureDetectorConfig;
+import weldcross.mesh.MeshConfig;
+import weldcross.mesh.PeerAddresses;
 import weldcross.mesh.PeerName;
 
 /**
@@ -23,12 +23,12 @@
  * @param directory where parts keep what must survive; each has its own below it
  * @param control where an operator of this machine asks and tells; null where nowhere
  */
-public record PartTerms(
+public record ExtensionsConfig(
     Path directory,
-    LinkTerms link,
-    LinkPlaces places,
-    SeenTerms seen,
-    AgreementTerms agreement,
+    MeshConfig link,
+    PeerAddresses places,
+    FailureDetectorConfig seen,
+    ConsensusConfig agreement,
     InetSocketAddress control) {
 
   /**
@@ -68,13 +68,13 @@
   /**
    * @param file the path of a TOML document
    * @param gateway whose name the link speaks under, unless the file says another
-   * @throws FaultyTerm naming the key and its line
+   * @throws InvalidConfigException naming the key and its line
    */
-  public static PartTerms read(String file, GatewayTerms gateway) {
-    return of(TomlValues.read(file), gateway);
+  public static ExtensionsConfig read(String file, GatewayConfig gateway) {
+    return of(TomlConfigParser.read(file), gateway);
   }
 
-  static PartTerms of(NamedValues told, GatewayTerms gateway) {
+  static ExtensionsConfig of(ConfigValues told, GatewayConfig gateway) {
     told.knowsOnly(KEYS);
     Path directory;
     try {
@@ -89,15 +89,15 @@
       if (told.has("agreement.voters")) {
         throw told.fault("link.cluster", "a link, by which gateways agree");
       }
-      return new PartTerms(directory, null, null, null, null, control(told));
+      return new ExtensionsConfig(directory, null, null, null, null, control(told));
     }
-    NamedValues link = told.under("link");
+    ConfigValues link = told.under("link");
     List<PeerName> names = new ArrayList<>();
     Map<PeerName, InetSocketAddress> calls = new TreeMap<>();
     Map<PeerName, InetSocketAddress> tells = new TreeMap<>();
     PeerName self = new PeerName(link.text("name", gateway.name()));
     for (int k = 0; k < link.count("peers"); k++) {
-      NamedValues peer = link.under("peers." + k);
+      ConfigValues peer = link.under("peers." + k);
       PeerName name = new PeerName(peer.text("name"));
       if (name.equals(self) || names.contains(name)) {
         throw peer.fault("name", "a name that no other gateway has");
@@ -119,10 +119,10 @@
     if (longest.compareTo(shortest) < 0) {
       throw link.fault("longest_rest_ms", "no less than shortest_rest_ms");
     }
-    SeenTerms seen = seen(told.under("membership"), self, names, tells);
-    return new PartTerms(
+    FailureDetectorConfig seen = seen(told.under("membership"), self, names, tells);
+    return new ExtensionsConfig(
         directory,
-        new LinkTerms(
+        new MeshConfig(
             link.text("cluster"),
             self,
             List.copyOf(names),
@@ -133,7 +133,7 @@
             longest,
             (int) link.whole("most_waiting", 4096, 1),
             (int) Math.min(Integer.MAX_VALUE >> 10, link.whole("most_kilobytes", 4096, 1)) << 10),
-        new LinkPlaces(
+        new PeerAddresses(
             link.address("listen"),
             link.has("datagrams") ? link.address("datagrams") : null,
             calls,
@@ -144,7 +144,7 @@
   }
 
   /** On this machine alone: whoever reaches it may do all that an operator may. */
-  private static InetSocketAddress control(NamedValues told) {
+  private static InetSocketAddress control(ConfigValues told) {
     if (!told.has("control.listen")) {
       return null;
     }
@@ -160,8 +160,12 @@
   }
 
   /** Null where the table is absent. */
-  private static AgreementTerms agreement(
-      NamedValues told, String cluster, PeerName self, List<PeerName> peers, SeenTerms seen) {
+  private static ConsensusConfig agreement(
+      ConfigValues told,
+      String cluster,
+      PeerName self,
+      List<PeerName> peers,
+      FailureDetectorConfig seen) {
     if (!told.has("agreement.voters")) {
       return null;
     }
@@ -169,7 +173,7 @@
       throw told.fault(
           "agreement.voters", "only with a [membership], by which proof of ends comes");
     }
-    NamedValues agreement = told.under("agreement");
+    ConfigValues agreement = told.under("agreement");
     List<PeerName> voters = new ArrayList<>();
     for (String each : agreement.list("voters")) {
       PeerName name = new PeerName(each);
@@ -188,7 +192,7 @@
       throw agreement.fault("silence_s", "more than heartbeat_s");
     }
     Collections.sort(voters);
-    return new AgreementTerms(
+    return new ConsensusConfig(
         cluster + "/" + voters.stream().map(PeerName::name).collect(Collectors.joining(",")),
         self,
         seen.zone(),
@@ -202,8 +206,8 @@
   }
 
   /** Null where the table is absent. */
-  private static SeenTerms seen(
-      NamedValues told,
+  private static FailureDetectorConfig seen(
+      ConfigValues told,
       PeerName self,
       List<PeerName> peers,
       Map<PeerName, InetSocketAddress> tells) {
@@ -213,8 +217,8 @@
     if (tells.size() < peers.size()) {
       throw told.fault("part", "only with an address to tell for each of link.peers");
     }
-    SeenTerms usual =
-        SeenTerms.usual(
+    FailureDetectorConfig usual =
+        FailureDetectorConfig.usual(
             self, List.copyOf(peers), told.text("zone", ""), (int) told.whole("part", 1000, 0));
     Duration period = told.millis("period_ms", usual.period(), 50);
     Duration within = told.millis("answer_within_ms", period.multipliedBy(2).dividedBy(5), 10);
@@ -222,7 +226,7 @@
       throw told.fault(
           "answer_within_ms", "less than period_ms, so that others can still be asked to try");
     }
-    return new SeenTerms(
+    return new FailureDetectorConfig(
         self,
         usual.peers(),
         usual.zone(),
--- a/gateway/src/main/java/weldcross/config/GatewayTerms.java
+++ b/gateway/src/main/java/weldcross/config/GatewayConfig.java
@@ -12,8 +12,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Objects;
-import weldcross.routing.MethodRow;
-import weldcross.routing.ServiceTerms;
+import weldcross.routing.RequestClass;
+import weldcross.routing.RoutingConfig;
 
 /**
  * What one gateway is told at its start.
@@ -26,13 +26,13 @@
  * @param reportsByProbe whether a probe is answered with a load report
  * @param known the server list as this gateway last had it
  */
-public record GatewayTerms(
+public record GatewayConfig(
     String name,
     InetSocketAddress listen,
     InetSocketAddress discovery,
     long seed,
     int sockets,
-    ServiceTerms service,
+    RoutingConfig service,
     List<String> methods,
     List<String> tenants,
     List<String> zones,
@@ -42,13 +42,13 @@
     Duration connectTimeout,
     Duration stopSending,
     boolean reportsByProbe,
-    NamedValues known) {
+    ConfigValues known) {
 
   /**
    * Reads the file that the environment names; the environment's own values stand in for absent
    * keys.
    */
-  public static GatewayTerms read(Map<String, String> environment) {
+  public static GatewayConfig read(Map<String, String> environment) {
     return of(
         file(environment.getOrDefault("NODE_CONFIG", ""))
             .orElse(
@@ -58,30 +58,30 @@
                     "discovery", environment.getOrDefault("NODE_DISCOVERY", ""))));
   }
 
-  public static GatewayTerms read(String file) {
+  public static GatewayConfig read(String file) {
     return of(file(file));
   }
 
-  private static NamedValues file(String file) {
+  private static ConfigValues file(String file) {
     try {
       if (!file.isEmpty()) {
-        return NamedValues.ofJson(Files.readAllBytes(Path.of(file)));
+        return ConfigValues.ofJson(Files.readAllBytes(Path.of(file)));
       }
-    } catch (FaultyTerm e) {
-      throw new FaultyTerm(
+    } catch (InvalidConfigException e) {
+      throw new InvalidConfigException(
           "NODE_CONFIG", "'" + file + "' (" + e.getMessage() + ")", "the path of a JSON object");
     } catch (IOException | InvalidPathException e) {
-      throw new FaultyTerm(
+      throw new InvalidConfigException(
           "NODE_CONFIG",
           "'" + file + "' (" + e.getClass().getSimpleName() + ")",
           "the path of a readable file");
     }
-    throw new FaultyTerm("NODE_CONFIG", "nothing", "the path of the configuration");
+    throw new InvalidConfigException("NODE_CONFIG", "nothing", "the path of the configuration");
   }
 
-  public static GatewayTerms of(NamedValues told) {
-    NamedValues settings = told.under("settings");
-    ServiceTerms service = TermsReader.service(settings);
+  public static GatewayConfig of(ConfigValues told) {
+    ConfigValues settings = told.under("settings");
+    RoutingConfig service = ConfigReader.service(settings);
     if (service.methods().isEmpty()) {
       throw settings.fault("categories", "a list of methods");
     }
@@ -96,7 +96,7 @@
     boolean peers = service.tells() && told.has("peer_listen");
     boolean reportsByProbe =
         settings.word("report.source", "none", "probe", "answers").equals("probe");
-    return new GatewayTerms(
+    return new GatewayConfig(
         told.text("name"),
         told.address("listen"),
         told.address("discovery"),
@@ -119,7 +119,7 @@
    * The same on loopback ports that the system picks, with a group of servers and a discovery at
    * those given.
    */
-  public GatewayTerms alone(int discovery, int... servers) {
+  public GatewayConfig alone(int discovery, int... servers) {
     InetAddress here = InetAddress.getLoopbackAddress();
     InetSocketAddress free = new InetSocketAddress(here, 0);
     StringBuilder list =
@@ -137,7 +137,7 @@
           .append(member)
           .append("phase=active");
     }
-    return new GatewayTerms(
+    return new GatewayConfig(
         name,
         free,
         new InetSocketAddress(here, discovery),
@@ -153,14 +153,14 @@
         connectTimeout,
         stopSending,
         reportsByProbe,
-        NamedValues.ofPairs(list.toString().split(" "), 0));
+        ConfigValues.ofPairs(list.toString().split(" "), 0));
   }
 
   /**
    * The keys whose new values only a restart brings into force; seed and known list are a start's
    * own.
    */
-  public List<String> keysThatDiffer(GatewayTerms next) {
+  public List<String> keysThatDiffer(GatewayConfig next) {
     List<String> keys = new ArrayList<>();
     differ(keys, "name", name, next.name);
     differ(keys, "listen", listen, next.listen);
@@ -214,7 +214,7 @@
             .append(service.gateways())
             .append(" gateways");
     for (int k = 0; k < methods.size(); k++) {
-      MethodRow row = service.methods().get(k);
+      RequestClass row = service.methods().get(k);
       words
           .append("\n  ")
           .append(methods.get(k))
@@ -239,7 +239,7 @@
     return address.getHostString() + ":" + address.getPort();
   }
 
-  private static long seed(NamedValues told) {
+  private static long seed(ConfigValues told) {
     try {
       return Long.parseUnsignedLong(told.text("seed"), 16);
     } catch (NumberFormatException e) {
--- a/gateway/src/main/java/weldcross/config/FaultyTerm.java
+++ b/gateway/src/main/java/weldcross/config/InvalidConfigException.java
@@ -1,14 +1,14 @@
 package weldcross.config;
 
 /** A value told at the start that cannot be used; the message names its key as written. */
-public final class FaultyTerm extends RuntimeException {
+public final class InvalidConfigException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
-  public FaultyTerm(String key, String found, String allowed) {
+  public InvalidConfigException(String key, String found, String allowed) {
     super(key + ": found " + found + ", allowed is " + allowed);
   }
 
-  FaultyTerm(String message) {
+  InvalidConfigException(String message) {
     super(message);
   }
 }
--- a/gateway/src/main/java/weldcross/config/TomlValues.java
+++ b/gateway/src/main/java/weldcross/config/TomlConfigParser.java
@@ -13,33 +13,34 @@
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 
-/** TOML documents as {@link NamedValues}, whose messages then name the line beside the key. */
-public final class TomlValues {
+/** TOML documents as {@link ConfigValues}, whose messages then name the line beside the key. */
+public final class TomlConfigParser {
 
   private final Map<String, String> pairs = new HashMap<>();
   private final Map<String, Integer> lines = new HashMap<>();
 
-  private TomlValues() {}
+  private TomlConfigParser() {}
 
   /**
    * @param file its path, as the operator gave it
-   * @throws FaultyTerm where it cannot be read or is no TOML, naming file and line
+   * @throws InvalidConfigException where it cannot be read or is no TOML, naming file and line
    */
-  public static NamedValues read(String file) {
+  public static ConfigValues read(String file) {
     TomlParseResult result;
     try {
       result = Toml.parse(Path.of(file));
     } catch (IOException | InvalidPathException e) {
-      throw new FaultyTerm(file, e.getClass().getSimpleName(), "the path of a readable TOML file");
+      throw new InvalidConfigException(
+          file, e.getClass().getSimpleName(), "the path of a readable TOML file");
     }
     if (result.hasErrors()) {
       TomlParseError first = result.errors().get(0);
-      throw new FaultyTerm(
+      throw new InvalidConfigException(
           file + " (line " + first.position().line() + ")", first.getMessage(), "TOML");
     }
-    TomlValues all = new TomlValues();
+    TomlConfigParser all = new TomlConfigParser();
     all.table(result, "");
-    return NamedValues.ofLines(all.pairs, all.lines);
+    return ConfigValues.ofLines(all.pairs, all.lines);
   }
 
   private void table(TomlTable table, String path) {
--- a/gateway/src/main/java/weldcross/connections/Dials.java
+++ b/gateway/src/main/java/weldcross/connections/CancellableConnector.java
@@ -28,7 +28,7 @@
  * <p>Called by the thread that owns the connections; what comes of a dial is told by threads of
  * MINA's.
  */
-public final class Dials {
+public final class CancellableConnector {
 
   /** One dial, until it is up, has failed or is closed, whichever comes first. */
   private static final class Dial {
@@ -74,7 +74,7 @@
   /**
    * @param connector dials for nobody else, and has no time limit that a dial may reach
    */
-  public Dials(NioSocketConnector connector) {
+  public CancellableConnector(NioSocketConnector connector) {
     this.connector = connector;
   }
 
--- a/gateway/src/main/java/weldcross/connections/Crowd.java
+++ b/gateway/src/main/java/weldcross/connections/ClientEvictionPolicy.java
@@ -8,7 +8,7 @@
  * others would only come back. Called by the owner of the clients with each of them in the order of
  * their coming; pure.
  */
-public final class Crowd<C> {
+public final class ClientEvictionPolicy<C> {
 
   private final Duration now;
   private final Duration dial;
@@ -18,7 +18,7 @@
   /**
    * @param dial how long it takes to come back, so that a rest that was shorter is not worth ending
    */
-  public Crowd(Duration now, Duration dial) {
+  public ClientEvictionPolicy(Duration now, Duration dial) {
     this.now = now;
     this.dial = dial;
   }
--- a/gateway/src/main/java/weldcross/connections/RestRecord.java
+++ b/gateway/src/main/java/weldcross/connections/IdleTimeoutEstimator.java
@@ -5,15 +5,15 @@
 /**
  * Learns how long a kept connection may have rested before it carries the next RPC. Whoever stands
  * between may forget a connection long before either end does; what is asked on it then is lost,
- * and an RPC that must not run twice with it. A pool ({@code weldcross.gateway.ServerLinks}) tells
- * how each use ended and asks before the next; what it has learnt is of all its servers together,
- * as what they share is learnt sooner.
+ * and an RPC that must not run twice with it. A pool ({@code
+ * weldcross.gateway.ServerConnectionPool}) tells how each use ended and asks before the next; what
+ * it has learnt is of all its servers together, as what they share is learnt sooner.
  *
  * <p>Against connections that end unseen while they rest; it catches servers that close early as
  * well. It could harm where each use of any connection fails alike, so that new ones are dialled in
  * vain: uses are therefore compared with those of new connections.
  */
-public final class RestRecord {
+public final class IdleTimeoutEstimator {
 
   /** Each use counts for so much less with the next one: the last twenty say most of it. */
   private static final double FADE = 0.95;
--- a/gateway/src/main/java/weldcross/consensus/AgreementTerms.java
+++ b/gateway/src/main/java/weldcross/consensus/ConsensusConfig.java
@@ -20,7 +20,7 @@
  * @param silence in whole seconds, more than the heartbeat: without a word of the leader for so
  *     long another one is sought
  */
-public record AgreementTerms(
+public record ConsensusConfig(
     String group,
     PeerName self,
     String zone,
--- a/gateway/src/main/java/weldcross/consensus/FleetShare.java
+++ b/gateway/src/main/java/weldcross/consensus/FleetQuota.java
@@ -9,7 +9,7 @@
  * once and grows late, once the view that gives more has been known for some time, and what is not
  * known never widens it. Pure.
  */
-final class FleetShare {
+final class FleetQuota {
 
   private record Known(Duration since, double share) {}
 
@@ -21,7 +21,7 @@
   /**
    * @param told in force until a view has been known for long enough, from the start values
    */
-  FleetShare(double told, Duration growsAfter) {
+  FleetQuota(double told, Duration growsAfter) {
     this.growsAfter = growsAfter;
     shares.add(new Known(Duration.ZERO, told));
   }
--- a/gateway/src/main/java/weldcross/consensus/Views.java
+++ b/gateway/src/main/java/weldcross/consensus/MembershipStateMachine.java
@@ -10,14 +10,14 @@
  * view everywhere, so that agreement on the order is agreement on the view. Used by each voter,
  * which gives it what the consensus has committed. Pure.
  */
-public final class Views {
+public final class MembershipStateMachine {
 
-  private View view = View.NONE;
+  private MembershipView view = MembershipView.NONE;
 
   /** The last life of each name that has ended: no late word makes it a member again. */
   private final TreeMap<PeerName, Long> ended = new TreeMap<>();
 
-  public View view() {
+  public MembershipView view() {
     return view;
   }
 
@@ -26,52 +26,52 @@
   }
 
   /** From a snapshot; what was before is gone. */
-  public void restore(View kept, Map<PeerName, Long> keptEnded) {
+  public void restore(MembershipView kept, Map<PeerName, Long> keptEnded) {
     view = kept;
     ended.clear();
     ended.putAll(keptEnded);
   }
 
-  public Verdict apply(Motion motion) {
+  public ProposalResult apply(Proposal motion) {
     PeerName name = motion.of();
     Member member = view.members().get(name);
     switch (motion.kind()) {
       case JOIN -> {
         Member next = new Member(name, motion.life(), motion.zone(), motion.part());
         if (next.equals(member)) {
-          return Verdict.SAME;
+          return ProposalResult.SAME;
         }
         if (motion.life() <= ended.getOrDefault(name, 0L)
             || (member != null && motion.life() < member.life())) {
-          return Verdict.ENDED;
+          return ProposalResult.ENDED;
         }
         if (member != null && member.life() < motion.life()) {
           ended.put(name, member.life());
         }
         change(name, next);
-        return Verdict.DONE;
+        return ProposalResult.DONE;
       }
       case LEAVE, GONE -> {
         if (member != null && member.life() <= motion.life()) {
           end(member);
-          return Verdict.DONE;
+          return ProposalResult.DONE;
         }
         return member == null && motion.life() <= ended.getOrDefault(name, 0L)
-            ? Verdict.SAME
-            : member == null ? Verdict.UNKNOWN : Verdict.ENDED;
+            ? ProposalResult.SAME
+            : member == null ? ProposalResult.UNKNOWN : ProposalResult.ENDED;
       }
       case FORGET -> {
         if (motion.basis() != view.number()) {
-          return Verdict.CHANGED;
+          return ProposalResult.CHANGED;
         }
         if (member == null) {
-          return Verdict.UNKNOWN;
+          return ProposalResult.UNKNOWN;
         }
         end(member);
-        return Verdict.DONE;
+        return ProposalResult.DONE;
       }
       default -> {
-        return Verdict.SAME;
+        return ProposalResult.SAME;
       }
     }
   }
@@ -88,6 +88,6 @@
     } else {
       members.put(name, next);
     }
-    view = new View(view.number() + 1, members);
+    view = new MembershipView(view.number() + 1, members);
   }
 }
--- a/gateway/src/main/java/weldcross/consensus/View.java
+++ b/gateway/src/main/java/weldcross/consensus/MembershipView.java
@@ -12,11 +12,11 @@
  * @param number zero for the one before any was agreed
  * @param members by name; never changed
  */
-public record View(long number, Map<PeerName, Member> members) {
+public record MembershipView(long number, Map<PeerName, Member> members) {
 
-  public static final View NONE = new View(0, Map.of());
+  public static final MembershipView NONE = new MembershipView(0, Map.of());
 
-  public View {
+  public MembershipView {
     members = Collections.unmodifiableMap(new TreeMap<>(members));
   }
 
--- a/gateway/src/main/java/weldcross/consensus/AgreedHost.java
+++ b/gateway/src/main/java/weldcross/consensus/MembershipViewActions.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 import weldcross.mesh.PeerName;
 
-/** What {@link Agreed} can do to the world; what is sent to a voter may be lost. */
-public interface AgreedHost {
+/** What {@link MembershipViewClient} can do to the world; what is sent to a voter may be lost. */
+public interface MembershipViewActions {
 
   /**
    * Asks for the view if it is later than the one of this number; to this gateway itself where it
@@ -13,10 +13,10 @@
   void ask(PeerName voter, long have);
 
   /** Asks for a change; what became of it is told under the number, or is never told. */
-  void move(PeerName voter, long number, Motion motion);
+  void move(PeerName voter, long number, Proposal motion);
 
   /** From now on this view counts here. */
-  void viewIs(View view);
+  void viewIs(MembershipView view);
 
   /**
    * The fleet's budgets are to be divided so that this gateway has this share, above 0 and at most
@@ -28,7 +28,7 @@
   void ended(long life);
 
   /** What became of a change that an operator asked for. */
-  void operatorTold(Motion motion, Verdict verdict);
+  void operatorTold(Proposal motion, ProposalResult verdict);
 
   /** Whether this gateway has left, so that nothing of it has to be waited for. */
   void left();
@@ -37,8 +37,8 @@
    * Two views of one number: more disks of voters than may be lost have lost what they said was
    * kept.
    */
-  void torn(View held, View other);
+  void torn(MembershipView held, MembershipView other);
 
-  /** Asks for {@link Agreed#due} then; only the time asked for last counts. */
+  /** Asks for {@link MembershipViewClient#due} then; only the time asked for last counts. */
   void wakeAt(Duration when);
 }
--- a/gateway/src/main/java/weldcross/consensus/Agreed.java
+++ b/gateway/src/main/java/weldcross/consensus/MembershipViewClient.java
@@ -17,7 +17,7 @@
  * asks for its own change and hears what became of that. Pure; called by the adapter on the
  * gateway's one thread.
  */
-public final class Agreed {
+public final class MembershipViewClient {
 
   /** From start to end. */
   public enum Phase {
@@ -31,14 +31,14 @@
     LEFT
   }
 
-  private final AgreementTerms terms;
-  private final AgreedHost host;
-  private final FleetShare shares;
-  private final Map<Long, Motion> asked = new TreeMap<>();
+  private final ConsensusConfig terms;
+  private final MembershipViewActions host;
+  private final FleetQuota shares;
+  private final Map<Long, Proposal> asked = new TreeMap<>();
   private final Map<PeerName, Long> proofs = new TreeMap<>();
-  private final List<Motion> operators = new ArrayList<>();
+  private final List<Proposal> operators = new ArrayList<>();
   private Phase phase = Phase.STARTING;
-  private View view = View.NONE;
+  private MembershipView view = MembershipView.NONE;
   private Member self;
   private PeerName leader;
   private Duration leaderAt, nextAsk = Duration.ZERO, leaveUntil;
@@ -51,10 +51,11 @@
    * @param toldShare of the fleet's budgets, from the start values; in force until there is a view
    * @param seed which voter is asked first, so that not all ask the same
    */
-  public Agreed(AgreementTerms terms, AgreedHost host, double toldShare, long seed) {
+  public MembershipViewClient(
+      ConsensusConfig terms, MembershipViewActions host, double toldShare, long seed) {
     this.terms = terms;
     this.host = host;
-    this.shares = new FleetShare(toldShare, terms.shareFor());
+    this.shares = new FleetQuota(toldShare, terms.shareFor());
     this.share = toldShare;
     this.turn = (int) Math.floorMod(seed, (long) terms.voters().size());
   }
@@ -70,8 +71,8 @@
   }
 
   /**
-   * It is to be none from now on; {@link AgreedHost#left} is told then, or when the time for it is
-   * over.
+   * It is to be none from now on; {@link MembershipViewActions#left} is told then, or when the time
+   * for it is over.
    */
   public void leave(Duration now, Duration within) {
     if (phase == Phase.MEMBER || phase == Phase.OUTSIDE) {
@@ -99,7 +100,7 @@
   // ---- What comes
 
   /** A view that the consensus has committed, from this gateway's own voter or by others. */
-  public void heard(Duration now, View next) {
+  public void heard(Duration now, MembershipView next) {
     if (next.number() == view.number() && !next.equals(view)) {
       host.torn(view, next);
     }
@@ -133,8 +134,8 @@
   }
 
   /** What became of a change; the verdict is null where that voter does not lead. */
-  public void moved(Duration now, long number, Verdict verdict, PeerName by) {
-    Motion motion = asked.remove(number);
+  public void moved(Duration now, long number, ProposalResult verdict, PeerName by) {
+    Proposal motion = asked.remove(number);
     if (motion == null) {
       return;
     }
@@ -148,15 +149,15 @@
     if (operators.remove(motion)) {
       host.operatorTold(motion, verdict);
     }
-    if (verdict == Verdict.ENDED
+    if (verdict == ProposalResult.ENDED
         && self != null
-        && motion.kind() == Motion.Kind.JOIN
+        && motion.kind() == Proposal.Kind.JOIN
         && motion.life() == self.life()
         && phase == Phase.OUTSIDE) {
       host.ended(self.life());
-    } else if (motion.kind() == Motion.Kind.LEAVE && phase == Phase.LEAVING) {
+    } else if (motion.kind() == Proposal.Kind.LEAVE && phase == Phase.LEAVING) {
       leftNow();
-    } else if (motion.kind() == Motion.Kind.GONE && verdict != Verdict.DONE) {
+    } else if (motion.kind() == Proposal.Kind.GONE && verdict != ProposalResult.DONE) {
       proofs.remove(motion.of(), motion.life());
     }
     nextAsk = now;
@@ -176,7 +177,7 @@
    * An operator vouches that the one of this name does nothing more; asked for once, and told once.
    */
   public void forget(Duration now, PeerName name) {
-    Motion motion = Motion.forget(name, terms.self(), view.number());
+    Proposal motion = Proposal.forget(name, terms.self(), view.number());
     operators.add(motion);
     move(voter(), motion);
   }
@@ -207,17 +208,17 @@
       asked.values().removeIf(motion -> !operators.contains(motion));
       host.ask(voter(), view.number());
       if (phase == Phase.OUTSIDE) {
-        move(leaderOr(voter()), Motion.join(self));
+        move(leaderOr(voter()), Proposal.join(self));
       } else if (phase == Phase.LEAVING) {
-        move(leaderOr(voter()), Motion.leave(self));
+        move(leaderOr(voter()), Proposal.leave(self));
       }
       proofs.forEach(
-          (name, life) -> move(leaderOr(voter()), Motion.gone(name, life, terms.self())));
+          (name, life) -> move(leaderOr(voter()), Proposal.gone(name, life, terms.self())));
     }
     wake(now);
   }
 
-  private void move(PeerName voter, Motion motion) {
+  private void move(PeerName voter, Proposal motion) {
     asked.put(++numbers, motion);
     host.move(voter, numbers, motion);
   }
@@ -259,7 +260,7 @@
     return phase;
   }
 
-  public View view() {
+  public MembershipView view() {
     return view;
   }
 
--- a/gateway/src/main/java/weldcross/consensus/Motion.java
+++ b/gateway/src/main/java/weldcross/consensus/Proposal.java
@@ -13,7 +13,7 @@
  * @param by who asks; it is only told to readers of the log
  * @param basis of FORGET: the number of the view that the operator saw
  */
-public record Motion(
+public record Proposal(
     Kind kind, PeerName of, long life, String zone, int part, PeerName by, long basis) {
 
   /** What is asked for. */
@@ -30,20 +30,20 @@
     NOTHING
   }
 
-  public static Motion join(Member member) {
-    return new Motion(
+  public static Proposal join(Member member) {
+    return new Proposal(
         Kind.JOIN, member.name(), member.life(), member.zone(), member.part(), member.name(), 0);
   }
 
-  public static Motion leave(Member member) {
-    return new Motion(Kind.LEAVE, member.name(), member.life(), "", 0, member.name(), 0);
+  public static Proposal leave(Member member) {
+    return new Proposal(Kind.LEAVE, member.name(), member.life(), "", 0, member.name(), 0);
   }
 
-  public static Motion gone(PeerName of, long life, PeerName by) {
-    return new Motion(Kind.GONE, of, life, "", 0, by, 0);
+  public static Proposal gone(PeerName of, long life, PeerName by) {
+    return new Proposal(Kind.GONE, of, life, "", 0, by, 0);
   }
 
-  public static Motion forget(PeerName of, PeerName by, long basis) {
-    return new Motion(Kind.FORGET, of, 0, "", 0, by, basis);
+  public static Proposal forget(PeerName of, PeerName by, long basis) {
+    return new Proposal(Kind.FORGET, of, 0, "", 0, by, basis);
   }
 }
--- a/gateway/src/main/java/weldcross/consensus/Verdict.java
+++ b/gateway/src/main/java/weldcross/consensus/ProposalResult.java
@@ -1,7 +1,7 @@
 package weldcross.consensus;
 
 /** What became of a motion. */
-public enum Verdict {
+public enum ProposalResult {
   /** The view has changed by it. */
   DONE,
   /** The view was so already. */
--- a/gateway/src/main/java/weldcross/consensus/Returning.java
+++ b/gateway/src/main/java/weldcross/consensus/VoterRecovery.java
@@ -16,7 +16,7 @@
  * many others already say that theirs are, this one is not. Pure; asked by the voter, which asks
  * the others again until it votes.
  */
-public final class Returning {
+public final class VoterRecovery {
 
   /** What it comes to. */
   public enum Phase {
@@ -79,7 +79,7 @@
    * @param had whether the disk has records that are not used: damaged, or of an identity that
    *     votes no more
    */
-  public Returning(int voters, boolean trusted, Kept kept, boolean had) {
+  public VoterRecovery(int voters, boolean trusted, Kept kept, boolean had) {
     this.voters = voters;
     this.had = had;
     this.kept = kept;
--- a/gateway/src/main/java/weldcross/consensus/net/AgreementPart.java
+++ b/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
@@ -16,32 +16,32 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import java.util.stream.Collectors;
-import weldcross.consensus.AgreementTerms;
-import weldcross.consensus.Motion;
-import weldcross.consensus.Verdict;
-import weldcross.consensus.View;
+import weldcross.consensus.ConsensusConfig;
+import weldcross.consensus.MembershipView;
+import weldcross.consensus.Proposal;
+import weldcross.consensus.ProposalResult;
 import weldcross.consensus.wire.Word;
-import weldcross.extension.Part;
-import weldcross.extension.Seam;
-import weldcross.membership.Finding;
-import weldcross.membership.net.SeenPart;
-import weldcross.mesh.Life;
+import weldcross.extension.ExtensionContext;
+import weldcross.extension.GatewayExtension;
+import weldcross.membership.MemberState;
+import weldcross.membership.net.MembershipExtension;
+import weldcross.mesh.Incarnation;
 import weldcross.mesh.PeerName;
-import weldcross.mesh.net.LinkPart;
-import weldcross.storage.Disk;
-import weldcross.storage.PlainDisk;
+import weldcross.mesh.net.MeshExtension;
+import weldcross.storage.FileStorageDirectory;
+import weldcross.storage.StorageDirectory;
 
 /**
- * What the gateways have agreed on, as a part of one of them: {@link Agreement} decides, the link
- * carries its words, a thread of the voter's own waits for its disk. Proof that a gateway ended
- * comes from who is seen.
+ * What the gateways have agreed on, as a part of one of them: {@link ConsensusService} decides, the
+ * link carries its words, a thread of the voter's own waits for its disk. Proof that a gateway
+ * ended comes from who is seen.
  */
-public final class AgreementPart implements Part, LinkPart.Talker {
+public final class ConsensusExtension implements GatewayExtension, MeshExtension.Talker {
 
   /** Under which the link carries this part's words. */
   public static final int SUBJECT = 3;
 
-  private static final Logger LOG = Logger.getLogger(AgreementPart.class.getName());
+  private static final Logger LOG = Logger.getLogger(ConsensusExtension.class.getName());
 
   /**
    * Of the library, which tells of each message that it refuses; held, as a logger that nobody
@@ -52,18 +52,18 @@
   /** So long a stop waits until this gateway is a member no more. */
   private static final Duration LEAVE_WITHIN = Duration.ofSeconds(2);
 
-  private final LinkPart link;
+  private final MeshExtension link;
   private final Path directory;
   private final ScheduledThreadPoolExecutor thread;
-  private final Agreement agreement;
-  private Seam seam;
+  private final ConsensusService agreement;
+  private ExtensionContext seam;
   private Duration wakeAt;
   private boolean left;
   private OperatorTold operator;
 
   /** Whom to tell what became of a change that an operator asked for. */
   public interface OperatorTold {
-    void told(Motion motion, Verdict verdict);
+    void told(Proposal motion, ProposalResult verdict);
   }
 
   /**
@@ -72,10 +72,10 @@
    * @param toldShare of the fleet's budgets, until a view is known
    * @param seed of chance
    */
-  public AgreementPart(
-      AgreementTerms terms,
-      LinkPart link,
-      SeenPart seen,
+  public ConsensusExtension(
+      ConsensusConfig terms,
+      MeshExtension link,
+      MembershipExtension seen,
       Path directory,
       double toldShare,
       long seed) {
@@ -92,7 +92,7 @@
             });
     thread.setRemoveOnCancelPolicy(true);
     agreement =
-        new Agreement(
+        new ConsensusService(
             terms,
             new OfPart(),
             toldShare,
@@ -103,13 +103,13 @@
     link.talk(SUBJECT, this);
     seen.tell(
         news -> {
-          if (news.finding() == Finding.GONE) {
+          if (news.finding() == MemberState.GONE) {
             agreement.gone(news.of(), news.life());
           }
         });
   }
 
-  public Agreement agreement() {
+  public ConsensusService agreement() {
     return agreement;
   }
 
@@ -126,7 +126,7 @@
   }
 
   @Override
-  public void start(Seam gateway) {
+  public void start(ExtensionContext gateway) {
     seam = gateway;
   }
 
@@ -165,12 +165,12 @@
   // ---- Of the link
 
   @Override
-  public void begun(Life self) {
+  public void begun(Incarnation self) {
     agreement.begun(self.incarnation());
   }
 
   @Override
-  public void heard(PeerName from, Life life, ByteBuffer content) {
+  public void heard(PeerName from, Incarnation life, ByteBuffer content) {
     try {
       agreement.heard(from, Word.parseFrom(content));
     } catch (InvalidProtocolBufferException e) {
@@ -179,7 +179,7 @@
   }
 
   @Override
-  public void up(PeerName peer, Life life) {
+  public void up(PeerName peer, Incarnation life) {
     agreement.up(peer);
   }
 
@@ -190,7 +190,7 @@
 
   // ---- What is decided
 
-  private final class OfPart implements AgreementHost {
+  private final class OfPart implements ConsensusActions {
 
     @Override
     public Duration now() {
@@ -220,12 +220,12 @@
     }
 
     @Override
-    public Disk disk() throws IOException {
-      return PlainDisk.at(directory.resolve("agreement"));
+    public StorageDirectory disk() throws IOException {
+      return FileStorageDirectory.at(directory.resolve("agreement"));
     }
 
     @Override
-    public void viewIs(View view) {
+    public void viewIs(MembershipView view) {
       LOG.info(
           () ->
               "agreement: view "
@@ -254,7 +254,7 @@
     }
 
     @Override
-    public void operatorTold(Motion motion, Verdict verdict) {
+    public void operatorTold(Proposal motion, ProposalResult verdict) {
       LOG.warning(
           () ->
               "agreement: "
--- a/gateway/src/main/java/weldcross/consensus/net/Agreement.java
+++ b/gateway/src/main/java/weldcross/consensus/net/ConsensusService.java
@@ -7,33 +7,33 @@
 import java.util.Random;
 import java.util.function.LongSupplier;
 import java.util.logging.Level;
-import weldcross.consensus.Agreed;
-import weldcross.consensus.AgreedHost;
-import weldcross.consensus.AgreementTerms;
-import weldcross.consensus.Motion;
-import weldcross.consensus.Verdict;
-import weldcross.consensus.View;
-import weldcross.consensus.raft.RaftWords;
-import weldcross.consensus.raft.Voter;
-import weldcross.consensus.raft.VoterHost;
+import weldcross.consensus.ConsensusConfig;
+import weldcross.consensus.MembershipView;
+import weldcross.consensus.MembershipViewActions;
+import weldcross.consensus.MembershipViewClient;
+import weldcross.consensus.Proposal;
+import weldcross.consensus.ProposalResult;
+import weldcross.consensus.raft.RaftMessageCodec;
+import weldcross.consensus.raft.RaftVoter;
+import weldcross.consensus.raft.RaftVoterActions;
 import weldcross.consensus.wire.Move;
 import weldcross.consensus.wire.Moved;
 import weldcross.consensus.wire.Told;
 import weldcross.consensus.wire.Word;
 import weldcross.mesh.PeerName;
-import weldcross.storage.Disk;
+import weldcross.storage.StorageDirectory;
 
 /**
- * One gateway's side of the agreement, words joined to what decides: {@link Agreed} on the
- * gateway's thread, and a {@link Voter} on its own where this gateway is one. Called by the part
- * that carries its words.
+ * One gateway's side of the agreement, words joined to what decides: {@link MembershipViewClient}
+ * on the gateway's thread, and a {@link RaftVoter} on its own where this gateway is one. Called by
+ * the part that carries its words.
  */
-public final class Agreement {
+public final class ConsensusService {
 
-  private final AgreementTerms terms;
-  private final AgreementHost host;
-  private final Agreed agreed;
-  private final Voter voter;
+  private final ConsensusConfig terms;
+  private final ConsensusActions host;
+  private final MembershipViewClient agreed;
+  private final RaftVoter voter;
   private boolean stranger;
 
   /**
@@ -44,9 +44,9 @@
    * @param marks of voters that lost what they had kept: none twice, in whatever life of whatever
    *     process
    */
-  public Agreement(
-      AgreementTerms terms,
-      AgreementHost host,
+  public ConsensusService(
+      ConsensusConfig terms,
+      ConsensusActions host,
       double toldShare,
       RaftNodeExecutor executor,
       Clock clock,
@@ -54,16 +54,16 @@
       LongSupplier marks) {
     this.terms = terms;
     this.host = host;
-    this.agreed = new Agreed(terms, new ForAgreed(), toldShare, seed);
+    this.agreed = new MembershipViewClient(terms, new ForAgreed(), toldShare, seed);
     this.voter =
         terms.isVoter()
-            ? new Voter(terms, executor, clock, new Random(seed), marks, new ForVoter())
+            ? new RaftVoter(terms, executor, clock, new Random(seed), marks, new ForVoter())
             : null;
   }
 
   /** This life begins, or a later one; the voter begins with the first. */
   public void begun(long life) {
-    if (agreed.phase() == Agreed.Phase.STARTING && voter != null) {
+    if (agreed.phase() == MembershipViewClient.Phase.STARTING && voter != null) {
       voter.start();
     }
     agreed.start(host.now(), life);
@@ -77,7 +77,7 @@
     agreed.leave(host.now(), within);
   }
 
-  /** As {@link Agreed#join}. */
+  /** As {@link MembershipViewClient#join}. */
   public void join() {
     agreed.join(host.now());
   }
@@ -116,14 +116,16 @@
       case ASK -> told(from, word.getAsk());
       case TOLD -> {
         if (word.getTold().hasView()) {
-          agreed.heard(host.now(), RaftWords.view(word.getTold().getView()));
+          agreed.heard(host.now(), RaftMessageCodec.view(word.getTold().getView()));
         }
         agreed.told(host.now(), name(word.getTold().getLeader()));
       }
       case MOVE -> {
         if (voter != null) {
           voter.move(
-              from, word.getMove().getNumber(), RaftWords.motion(word.getMove().getMotion()));
+              from,
+              word.getMove().getNumber(),
+              RaftMessageCodec.motion(word.getMove().getMotion()));
         }
       }
       case MOVED ->
@@ -153,7 +155,7 @@
     }
     Told.Builder told = Told.newBuilder();
     if (agreed.view().number() > have) {
-      told.setView(RaftWords.said(agreed.view()));
+      told.setView(RaftMessageCodec.said(agreed.view()));
     }
     PeerName leader = voter.leader();
     host.send(to, word().setTold(told.setLeader(leader == null ? "" : leader.name())).build());
@@ -168,8 +170,8 @@
   }
 
   /** Null where there is none, or one of a later version. */
-  private static Verdict verdict(String text) {
-    for (Verdict each : Verdict.values()) {
+  private static ProposalResult verdict(String text) {
+    for (ProposalResult each : ProposalResult.values()) {
       if (each.name().equals(text)) {
         return each;
       }
@@ -177,16 +179,16 @@
     return null;
   }
 
-  public Agreed agreed() {
+  public MembershipViewClient agreed() {
     return agreed;
   }
 
   /** Null where this gateway is none. */
-  public Voter voter() {
+  public RaftVoter voter() {
     return voter;
   }
 
-  private final class ForAgreed implements AgreedHost {
+  private final class ForAgreed implements MembershipViewActions {
 
     @Override
     public void ask(PeerName to, long have) {
@@ -198,20 +200,21 @@
     }
 
     @Override
-    public void move(PeerName to, long number, Motion motion) {
+    public void move(PeerName to, long number, Proposal motion) {
       if (to.equals(terms.self())) {
         voter.move(to, number, motion);
       } else {
         host.send(
             to,
             word()
-                .setMove(Move.newBuilder().setNumber(number).setMotion(RaftWords.said(motion)))
+                .setMove(
+                    Move.newBuilder().setNumber(number).setMotion(RaftMessageCodec.said(motion)))
                 .build());
       }
     }
 
     @Override
-    public void viewIs(View view) {
+    public void viewIs(MembershipView view) {
       host.viewIs(view);
     }
 
@@ -226,12 +229,12 @@
     }
 
     @Override
-    public void operatorTold(Motion motion, Verdict verdict) {
+    public void operatorTold(Proposal motion, ProposalResult verdict) {
       host.operatorTold(motion, verdict);
     }
 
     @Override
-    public void torn(View held, View other) {
+    public void torn(MembershipView held, MembershipView other) {
       host.say(
           Level.SEVERE,
           "two views are numbered "
@@ -255,10 +258,10 @@
   }
 
   /** Called on the voter's thread. */
-  private final class ForVoter implements VoterHost {
+  private final class ForVoter implements RaftVoterActions {
 
     @Override
-    public Disk disk() throws IOException {
+    public StorageDirectory disk() throws IOException {
       return host.disk();
     }
 
@@ -269,7 +272,7 @@
 
     /** Of who leads all members hear at once; who does not hear it asks. */
     @Override
-    public void viewIs(View view) {
+    public void viewIs(MembershipView view) {
       host.post(
           () -> {
             long before = agreed.view().number();
@@ -283,7 +286,7 @@
     }
 
     @Override
-    public void moved(PeerName asker, long number, Verdict verdict, PeerName leader) {
+    public void moved(PeerName asker, long number, ProposalResult verdict, PeerName leader) {
       host.post(
           () -> {
             if (asker.equals(terms.self())) {
--- a/gateway/src/main/java/weldcross/consensus/raft/Guarded.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/FailStopRaftStore.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 
 /** The same store; tells of the first failure, after which nothing more is taken. */
-final class Guarded implements RaftStore {
+final class FailStopRaftStore implements RaftStore {
 
   private interface Step {
     void run() throws IOException;
@@ -21,7 +21,7 @@
   private final Consumer<IOException> failed;
   private boolean over, ended;
 
-  Guarded(RaftStore store, Consumer<IOException> failed) {
+  FailStopRaftStore(RaftStore store, Consumer<IOException> failed) {
     this.store = store;
     this.failed = failed;
   }
--- a/gateway/src/main/java/weldcross/consensus/raft/RaftKept.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/PersistentRaftStore.java
@@ -15,26 +15,26 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
-import weldcross.consensus.Returning;
+import weldcross.consensus.VoterRecovery;
 import weldcross.consensus.wire.Group;
 import weldcross.consensus.wire.Kept;
 import weldcross.consensus.wire.KeptAll;
 import weldcross.consensus.wire.KeptEndpoint;
 import weldcross.consensus.wire.KeptTerm;
 import weldcross.consensus.wire.LogEntrySaid;
-import weldcross.storage.Disk;
 import weldcross.storage.RecordLog;
+import weldcross.storage.StorageDirectory;
 
 /**
  * What a voter keeps, as records of a log; a copy in memory, which is small, says what they come
  * to. Used on the consensus's own thread, which waits for the disk: nothing is said that is not
  * sure.
  */
-final class RaftKept implements RaftStore {
+final class PersistentRaftStore implements RaftStore {
 
   private static final long SEGMENT = 1 << 20;
 
-  private final Disk disk;
+  private final StorageDirectory disk;
   private final RecordLog log;
   private KeptEndpoint endpoint;
   private Group initial;
@@ -42,7 +42,7 @@
   private final TreeMap<Long, LogEntrySaid> entries = new TreeMap<>();
   private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> chunks = new TreeMap<>();
 
-  private RaftKept(Disk disk, long[] torn) throws IOException {
+  private PersistentRaftStore(StorageDirectory disk, long[] torn) throws IOException {
     this.disk = disk;
     this.log =
         RecordLog.open(
@@ -68,16 +68,16 @@
    * @param torn gets how many bytes were cut from the end of the log
    * @throws RecordLog.Damaged where what was sure cannot be read
    */
-  static RaftKept open(Disk disk, long[] torn) throws IOException {
+  static PersistentRaftStore open(StorageDirectory disk, long[] torn) throws IOException {
     try {
-      return new RaftKept(disk, torn);
+      return new PersistentRaftStore(disk, torn);
     } catch (UncheckedIOException e) {
       throw e.getCause();
     }
   }
 
   /** An empty one: all that was kept is gone, under whose identity nothing is said any more. */
-  static RaftKept anew(Disk disk) throws IOException {
+  static PersistentRaftStore anew(StorageDirectory disk) throws IOException {
     for (String name : List.copyOf(disk.names())) {
       disk.delete(name);
     }
@@ -103,7 +103,7 @@
         entries.put(kept.getEntry().getIndex(), kept.getEntry());
       }
       case CHUNK -> {
-        SnapshotChunk chunk = RaftWords.chunk(kept.getChunk());
+        SnapshotChunk chunk = RaftMessageCodec.chunk(kept.getChunk());
         chunks
             .computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>())
             .put(chunk.getSnapshotChunkIndex(), chunk);
@@ -121,12 +121,12 @@
   // ---- What it comes to
 
   /** What it has said, for the others to compare. */
-  Returning.Kept inShort() {
+  VoterRecovery.Kept inShort() {
     SnapshotEntry snapshot = snapshot();
     LogEntrySaid last = entries.isEmpty() ? null : entries.lastEntry().getValue();
     return endpoint == null || initial == null
-        ? Returning.Kept.NOTHING
-        : new Returning.Kept(
+        ? VoterRecovery.Kept.NOTHING
+        : new VoterRecovery.Kept(
             endpoint.getId(),
             term.getTerm(),
             last != null ? last.getTerm() : snapshot == null ? 0 : snapshot.getTerm(),
@@ -148,7 +148,7 @@
     for (Long index : chunks.descendingKeySet()) {
       List<SnapshotChunk> all = new ArrayList<>(chunks.get(index).values());
       if (all.size() == all.get(0).getSnapshotChunkCount()) {
-        return RaftWords.MODELS
+        return RaftMessageCodec.MODELS
             .createSnapshotEntryBuilder()
             .setIndex(index)
             .setTerm(all.get(0).getTerm())
@@ -166,15 +166,15 @@
     entries
         .tailMap(snapshot == null ? 0 : snapshot.getIndex(), false)
         .values()
-        .forEach(e -> rest.add(RaftWords.entry(e)));
+        .forEach(e -> rest.add(RaftMessageCodec.entry(e)));
     return new RestoredRaftState(
-        RaftWords.MODELS
+        RaftMessageCodec.MODELS
             .createRaftEndpointPersistentStateBuilder()
             .setLocalEndpoint(VoterId.of(endpoint.getId()))
             .setVoting(endpoint.getVoting())
             .build(),
-        RaftWords.group(initial),
-        RaftWords.MODELS
+        RaftMessageCodec.group(initial),
+        RaftMessageCodec.MODELS
             .createRaftTermPersistentStateBuilder()
             .setTerm(term.getTerm())
             .setVotedFor(term.getVotedFor().isEmpty() ? null : VoterId.of(term.getVotedFor()))
@@ -236,7 +236,7 @@
 
   @Override
   public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
-    keepAndFlush(Kept.newBuilder().setInitial(RaftWords.said(members)));
+    keepAndFlush(Kept.newBuilder().setInitial(RaftMessageCodec.said(members)));
   }
 
   @Override
@@ -252,12 +252,12 @@
 
   @Override
   public void persistLogEntries(List<LogEntry> added) {
-    added.forEach(e -> keep(Kept.newBuilder().setEntry(RaftWords.said(e))));
+    added.forEach(e -> keep(Kept.newBuilder().setEntry(RaftMessageCodec.said(e))));
   }
 
   @Override
   public void persistSnapshotChunk(SnapshotChunk chunk) {
-    keep(Kept.newBuilder().setChunk(RaftWords.said(chunk)));
+    keep(Kept.newBuilder().setChunk(RaftMessageCodec.said(chunk)));
   }
 
   @Override
@@ -279,7 +279,8 @@
         .forEach(
             each ->
                 each.values()
-                    .forEach(c -> all.addParts(Kept.newBuilder().setChunk(RaftWords.said(c)))));
+                    .forEach(
+                        c -> all.addParts(Kept.newBuilder().setChunk(RaftMessageCodec.said(c)))));
     entries.values().forEach(e -> all.addParts(Kept.newBuilder().setEntry(e)));
     log.snapshot(log.last(), ByteBuffer.wrap(Kept.newBuilder().setAll(all).build().toByteArray()));
   }
--- a/gateway/src/main/java/weldcross/consensus/raft/RaftWords.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/RaftMessageCodec.java
@@ -27,9 +27,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 import weldcross.consensus.Member;
-import weldcross.consensus.Motion;
-import weldcross.consensus.View;
-import weldcross.consensus.Views;
+import weldcross.consensus.MembershipStateMachine;
+import weldcross.consensus.MembershipView;
+import weldcross.consensus.Proposal;
 import weldcross.consensus.wire.Chunk;
 import weldcross.consensus.wire.Ended;
 import weldcross.consensus.wire.Group;
@@ -42,19 +42,19 @@
 import weldcross.mesh.PeerName;
 
 /** The consensus library's messages and records as Protocol Buffers, and back; decides nothing. */
-public final class RaftWords {
+public final class RaftMessageCodec {
 
   static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
 
-  private RaftWords() {}
+  private RaftMessageCodec() {}
 
   // ---- Ours
 
-  public static ViewSaid said(View view) {
+  public static ViewSaid said(MembershipView view) {
     return said(view, Map.of());
   }
 
-  static ViewSaid said(View view, Map<PeerName, Long> ended) {
+  static ViewSaid said(MembershipView view, Map<PeerName, Long> ended) {
     ViewSaid.Builder said = ViewSaid.newBuilder().setNumber(view.number());
     view.members()
         .values()
@@ -71,22 +71,22 @@
     return said.build();
   }
 
-  public static View view(ViewSaid said) {
+  public static MembershipView view(ViewSaid said) {
     Map<PeerName, Member> members = new TreeMap<>();
     for (MemberSaid m : said.getMembersList()) {
       PeerName name = new PeerName(m.getName());
       members.put(name, new Member(name, m.getLife(), m.getZone(), m.getPart()));
     }
-    return new View(said.getNumber(), members);
+    return new MembershipView(said.getNumber(), members);
   }
 
-  static void restore(Views views, ViewSaid said) {
+  static void restore(MembershipStateMachine views, ViewSaid said) {
     Map<PeerName, Long> ended = new TreeMap<>();
     said.getEndedList().forEach(e -> ended.put(new PeerName(e.getName()), e.getLife()));
     views.restore(view(said), ended);
   }
 
-  public static MotionSaid said(Motion motion) {
+  public static MotionSaid said(Proposal motion) {
     return MotionSaid.newBuilder()
         .setKind(motion.kind().name())
         .setOf(motion.of().name())
@@ -99,12 +99,12 @@
   }
 
   /** A word of a later version changes nothing. */
-  public static Motion motion(MotionSaid said) {
-    Motion.Kind kind = Motion.Kind.NOTHING;
-    for (Motion.Kind each : Motion.Kind.values()) {
+  public static Proposal motion(MotionSaid said) {
+    Proposal.Kind kind = Proposal.Kind.NOTHING;
+    for (Proposal.Kind each : Proposal.Kind.values()) {
       kind = each.name().equals(said.getKind()) ? each : kind;
     }
-    return new Motion(
+    return new Proposal(
         kind,
         new PeerName(said.getOf()),
         said.getLife(),
--- a/gateway/src/main/java/weldcross/consensus/raft/Voter.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/RaftVoter.java
@@ -27,11 +27,11 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.logging.Level;
-import weldcross.consensus.AgreementTerms;
-import weldcross.consensus.Motion;
-import weldcross.consensus.Returning;
-import weldcross.consensus.Verdict;
-import weldcross.consensus.Views;
+import weldcross.consensus.ConsensusConfig;
+import weldcross.consensus.MembershipStateMachine;
+import weldcross.consensus.Proposal;
+import weldcross.consensus.ProposalResult;
+import weldcross.consensus.VoterRecovery;
 import weldcross.consensus.wire.Compare;
 import weldcross.consensus.wire.Compared;
 import weldcross.consensus.wire.MotionSaid;
@@ -39,19 +39,19 @@
 import weldcross.consensus.wire.ViewSaid;
 import weldcross.consensus.wire.Word;
 import weldcross.mesh.PeerName;
-import weldcross.storage.Disk;
 import weldcross.storage.RecordLog;
+import weldcross.storage.StorageDirectory;
 
 /**
  * One voter: the consensus library's node (MicroRaft) with what it keeps and whom it speaks to.
- * Before it says anything under its identity {@link Returning} has compared what its disk has with
- * what the others know; while it may lack something it votes only for who has all of that, and
+ * Before it says anything under its identity {@link VoterRecovery} has compared what its disk has
+ * with what the others know; while it may lack something it votes only for who has all of that, and
  * never stands itself.
  *
  * <p>All of it is used on the executor's one thread; only {@link #leader} and {@link #phase} are
  * asked from others.
  */
-public final class Voter {
+public final class RaftVoter {
 
   /** From start to end. */
   public enum Phase {
@@ -91,20 +91,20 @@
     long ackedIndex;
   }
 
-  private final AgreementTerms terms;
+  private final ConsensusConfig terms;
   private final RaftNodeExecutor executor;
   private final Clock clock;
   private final Random random;
   private final LongSupplier marks;
-  private final VoterHost host;
+  private final RaftVoterActions host;
   private final Map<VoterId, Memory> memories = new HashMap<>();
   private volatile RaftNode node;
   private volatile Phase phase = Phase.OPENING;
-  private Disk disk;
-  private RaftKept kept;
-  private Guarded guarded;
+  private StorageDirectory disk;
+  private PersistentRaftStore kept;
+  private FailStopRaftStore guarded;
   private VoterId self;
-  private Returning returning;
+  private VoterRecovery returning;
   private String trouble;
   private int life, rounds, termHeard;
 
@@ -122,13 +122,13 @@
    * @param random of the library's election times
    * @param marks of new identities: none twice, in whatever life of whatever process
    */
-  public Voter(
-      AgreementTerms terms,
+  public RaftVoter(
+      ConsensusConfig terms,
       RaftNodeExecutor executor,
       Clock clock,
       Random random,
       LongSupplier marks,
-      VoterHost host) {
+      RaftVoterActions host) {
     this.terms = terms;
     this.executor = executor;
     this.clock = clock;
@@ -175,16 +175,16 @@
     if (phase == Phase.ENDED) {
       return;
     }
-    Returning.Kept has = Returning.Kept.NOTHING;
+    VoterRecovery.Kept has = VoterRecovery.Kept.NOTHING;
     boolean damaged = false;
     try {
       disk = host.disk();
       long[] torn = new long[1];
-      kept = RaftKept.open(disk, torn);
+      kept = PersistentRaftStore.open(disk, torn);
       if (torn[0] > 0) {
         host.say(Level.WARNING, torn[0] + " torn bytes cut from the end of its log");
       }
-      has = asAnother ? Returning.Kept.NOTHING : kept.inShort();
+      has = asAnother ? VoterRecovery.Kept.NOTHING : kept.inShort();
     } catch (RecordLog.Damaged e) {
       // Never guessed: what is damaged is fetched from the others, under another identity.
       damaged = true;
@@ -195,7 +195,7 @@
     }
     self = has.identity() == null ? null : VoterId.of(has.identity());
     had = damaged || asAnother;
-    returning = new Returning(terms.voters().size(), terms.trustDisk(), has, had);
+    returning = new VoterRecovery(terms.voters().size(), terms.trustDisk(), has, had);
     phase = Phase.ASKING;
     rounds = 0;
     decided();
@@ -283,7 +283,7 @@
         }
         case IS_NEW -> {
           self = new VoterId(terms.self(), marks.getAsLong());
-          kept = RaftKept.anew(disk);
+          kept = PersistentRaftStore.anew(disk);
           asAnother = false;
           begin(false, 0);
           run(Phase.JOINING);
@@ -304,10 +304,10 @@
   }
 
   private void run(Phase next) {
-    guarded = new Guarded(kept, this::failedLater);
+    guarded = new FailStopRaftStore(kept, this::failedLater);
     boolean loud =
-        returning.phase() == Returning.Phase.IS_NEW
-            || returning.phase() == Returning.Phase.LEARNS_FIRST;
+        returning.phase() == VoterRecovery.Phase.IS_NEW
+            || returning.phase() == VoterRecovery.Phase.LEARNS_FIRST;
     host.say(
         loud ? Level.WARNING : Level.INFO,
         "it is "
@@ -331,10 +331,10 @@
                     .setCommitCountToTakeSnapshot(SNAPSHOT_EACH)
                     .build())
             .setExecutor(executor)
-            .setTransport(new Way(ofLife))
+            .setTransport(new MeshTransport(ofLife))
             .setStateMachine(new Machine(ofLife))
             .setStore(guarded)
-            .setModelFactory(RaftWords.MODELS)
+            .setModelFactory(RaftMessageCodec.MODELS)
             .setRandom(random)
             .setClock(clock)
             .build();
@@ -385,7 +385,8 @@
     boolean joined =
         phase == Phase.JOINING && node.getCommittedMembers().getVotingMembers().contains(self);
     if (joined
-        || (phase == Phase.LEARNING && returning.has(kept.inShort()) == Returning.Phase.GOES_ON)) {
+        || (phase == Phase.LEARNING
+            && returning.has(kept.inShort()) == VoterRecovery.Phase.GOES_ON)) {
       phase = Phase.VOTING;
       host.say(Level.INFO, self + " has learnt what the others have, and votes");
     }
@@ -413,7 +414,7 @@
   }
 
   private void raft(PeerName from, Raft said) {
-    RaftMessage message = node == null ? null : RaftWords.message(said, terms.group());
+    RaftMessage message = node == null ? null : RaftMessageCodec.message(said, terms.group());
     if (message == null || !((VoterId) message.getSender()).name().equals(from)) {
       return;
     }
@@ -441,14 +442,14 @@
 
   /** Whether a candidate may lack what this voter, as it was before, helped to commit. */
   private boolean lacks(int term, long index) {
-    return Returning.isBefore(term, index, returning.targetTerm(), returning.targetIndex());
+    return VoterRecovery.isBefore(term, index, returning.targetTerm(), returning.targetIndex());
   }
 
   private void remember(RaftMessage message) {
     Memory memory = memories.computeIfAbsent((VoterId) message.getSender(), id -> new Memory());
     if (message instanceof AppendEntriesSuccessResponse m) {
       int term = kept.termAt(m.getLastLogIndex());
-      if (Returning.isBefore(memory.ackedTerm, memory.ackedIndex, term, m.getLastLogIndex())) {
+      if (VoterRecovery.isBefore(memory.ackedTerm, memory.ackedIndex, term, m.getLastLogIndex())) {
         memory.ackedTerm = term;
         memory.ackedIndex = m.getLastLogIndex();
       }
@@ -461,7 +462,7 @@
     if (phase == Phase.OPENING) {
       return;
     }
-    Returning.Kept has = kept == null ? Returning.Kept.NOTHING : kept.inShort();
+    VoterRecovery.Kept has = kept == null ? VoterRecovery.Kept.NOTHING : kept.inShort();
     boolean joins = phase == Phase.JOINING;
     Memory memory =
         identity.isEmpty()
@@ -511,7 +512,7 @@
       }
       returning.answered(
           from,
-          new Returning.Answer(
+          new VoterRecovery.Answer(
               said.getHas(),
               said.getFounding(),
               said.getStranger(),
@@ -529,7 +530,7 @@
         }
       } else if (phase == Phase.ASKING) {
         decided();
-      } else if (returning.phase() == Returning.Phase.IS_NEW) {
+      } else if (returning.phase() == VoterRecovery.Phase.IS_NEW) {
         reopen();
       } else {
         caughtUp();
@@ -561,21 +562,21 @@
   }
 
   /**
-   * From any thread: a change is asked for; {@link VoterHost#moved} is told what became of it, or
-   * never.
+   * From any thread: a change is asked for; {@link RaftVoterActions#moved} is told what became of
+   * it, or never.
    */
-  public void move(PeerName asker, long number, Motion motion) {
+  public void move(PeerName asker, long number, Proposal motion) {
     executor.execute(
         () -> {
           if (node == null || !leads()) {
             host.moved(asker, number, null, leader());
             return;
           }
-          node.<Object>replicate(RaftWords.said(motion))
+          node.<Object>replicate(RaftMessageCodec.said(motion))
               .whenComplete(
                   (done, fault) -> {
                     if (fault == null) {
-                      host.moved(asker, number, (Verdict) done.getResult(), leader());
+                      host.moved(asker, number, (ProposalResult) done.getResult(), leader());
                     }
                     // Else it may have been taken or not; whoever asked asks again.
                   });
@@ -612,10 +613,10 @@
 
   // ---- Of the library
 
-  private final class Way implements Transport {
+  private final class MeshTransport implements Transport {
     private final int ofLife;
 
-    Way(int ofLife) {
+    MeshTransport(int ofLife) {
       this.ofLife = ofLife;
     }
 
@@ -623,7 +624,7 @@
     public void send(RaftEndpoint to, RaftMessage message) {
       boolean stands = message instanceof VoteRequest || message instanceof PreVoteRequest;
       if (ofLife == life && !(stands && phase != Phase.VOTING)) {
-        host.send(((VoterId) to).name(), word().setRaft(RaftWords.said(message)).build());
+        host.send(((VoterId) to).name(), word().setRaft(RaftMessageCodec.said(message)).build());
       }
     }
 
@@ -635,7 +636,7 @@
 
   private final class Machine implements StateMachine {
     private final int ofLife;
-    private final Views views = new Views();
+    private final MembershipStateMachine views = new MembershipStateMachine();
 
     Machine(int ofLife) {
       this.ofLife = ofLife;
@@ -649,8 +650,8 @@
 
     @Override
     public Object runOperation(long index, Object operation) {
-      Verdict verdict = views.apply(RaftWords.motion((MotionSaid) operation));
-      if (verdict == Verdict.DONE) {
+      ProposalResult verdict = views.apply(RaftMessageCodec.motion((MotionSaid) operation));
+      if (verdict == ProposalResult.DONE) {
         tell();
       }
       return verdict;
@@ -658,19 +659,19 @@
 
     @Override
     public void takeSnapshot(long index, Consumer<Object> to) {
-      to.accept(RaftWords.said(views.view(), views.ended()));
+      to.accept(RaftMessageCodec.said(views.view(), views.ended()));
     }
 
     @Override
     public void installSnapshot(long index, List<Object> content) {
-      RaftWords.restore(views, (ViewSaid) content.get(0));
+      RaftMessageCodec.restore(views, (ViewSaid) content.get(0));
       tell();
     }
 
     @Override
     public Object getNewTermOperation() {
-      return RaftWords.said(
-          new Motion(Motion.Kind.NOTHING, terms.self(), 0, "", 0, terms.self(), 0));
+      return RaftMessageCodec.said(
+          new Proposal(Proposal.Kind.NOTHING, terms.self(), 0, "", 0, terms.self(), 0));
     }
   }
 }
