--- a/gateway/src/main/java/weldcross/control/ControlPart.java
+++ b/gateway/src/main/java/weldcross/control/ControlExtension.java
@@ -21,41 +21,41 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.logging.Logger;
-import weldcross.consensus.Agreed;
-import weldcross.consensus.AgreementTerms;
+import weldcross.consensus.ConsensusConfig;
 import weldcross.consensus.Member;
-import weldcross.consensus.Motion;
-import weldcross.consensus.Verdict;
-import weldcross.consensus.View;
-import weldcross.consensus.net.AgreementPart;
-import weldcross.extension.Part;
-import weldcross.extension.Seam;
-import weldcross.membership.News;
-import weldcross.membership.net.SeenPart;
-import weldcross.mesh.Links;
+import weldcross.consensus.MembershipView;
+import weldcross.consensus.MembershipViewClient;
+import weldcross.consensus.Proposal;
+import weldcross.consensus.ProposalResult;
+import weldcross.consensus.net.ConsensusExtension;
+import weldcross.extension.ExtensionContext;
+import weldcross.extension.GatewayExtension;
+import weldcross.membership.MembershipUpdate;
+import weldcross.membership.net.MembershipExtension;
+import weldcross.mesh.PeerConnectionManager;
 import weldcross.mesh.PeerName;
-import weldcross.mesh.net.LinkPart;
+import weldcross.mesh.net.MeshExtension;
 
 /**
  * Where an operator of this machine asks what the gateway knows of the others, and tells it what
  * only a person may decide. HTTP and JSON on the loopback; what is asked is looked up on the
  * gateway's thread, and waited for on another. {@code weldcross cluster} is its client.
  */
-public final class ControlPart implements Part {
+public final class ControlExtension implements GatewayExtension {
 
-  private static final Logger LOG = Logger.getLogger(ControlPart.class.getName());
+  private static final Logger LOG = Logger.getLogger(ControlExtension.class.getName());
   private static final Duration ANSWER_WITHIN = Duration.ofSeconds(5);
   private static final JsonFactory JSON = new JsonFactory();
   private static final int OK = 200, WRONG = 400, NOT_HERE = 404, TOO_LATE = 504;
 
   private final InetSocketAddress at;
-  private final LinkPart link;
-  private final SeenPart seen;
-  private final AgreementPart agreement;
-  private final AgreementTerms terms;
+  private final MeshExtension link;
+  private final MembershipExtension seen;
+  private final ConsensusExtension agreement;
+  private final ConsensusConfig terms;
 
   /** Changes that an operator waits for, by whom they are about. */
-  private final Map<PeerName, CompletableFuture<Verdict>> waiting = new TreeMap<>();
+  private final Map<PeerName, CompletableFuture<ProposalResult>> waiting = new TreeMap<>();
 
   private final ExecutorService threads =
       Executors.newFixedThreadPool(
@@ -65,18 +65,18 @@
             made.setDaemon(true);
             return made;
           });
-  private Seam seam;
+  private ExtensionContext seam;
   private HttpServer server;
 
   /**
    * @param terms of the agreement; with it, as the parts are, never null
    */
-  public ControlPart(
+  public ControlExtension(
       InetSocketAddress at,
-      LinkPart link,
-      SeenPart seen,
-      AgreementPart agreement,
-      AgreementTerms terms) {
+      MeshExtension link,
+      MembershipExtension seen,
+      ConsensusExtension agreement,
+      ConsensusConfig terms) {
     this.at = at;
     this.link = link;
     this.seen = seen;
@@ -93,7 +93,7 @@
   }
 
   @Override
-  public void start(Seam gateway) {
+  public void start(ExtensionContext gateway) {
     seam = gateway;
     try {
       server = HttpServer.create(at, 0);
@@ -213,12 +213,12 @@
    * mixed.
    */
   private void cluster(PeerName about, CompletableFuture<String> done) {
-    Agreed agreed = agreement.agreement().agreed();
-    View view = agreed.view();
-    Links links = link.links();
+    MembershipViewClient agreed = agreement.agreement().agreed();
+    MembershipView view = agreed.view();
+    PeerConnectionManager links = link.links();
     Duration now = seam.now();
     TreeSet<PeerName> names = new TreeSet<>(view.members().keySet());
-    Map<PeerName, News> held = new TreeMap<>();
+    Map<PeerName, MembershipUpdate> held = new TreeMap<>();
     seen.seen().held().forEach(n -> held.put(n.of(), n));
     names.addAll(held.keySet());
     names.addAll(links.peers());
@@ -251,10 +251,15 @@
   }
 
   private void gateway(
-      JsonGenerator j, PeerName name, Member member, News news, Duration heardAt, Duration now)
+      JsonGenerator j,
+      PeerName name,
+      Member member,
+      MembershipUpdate news,
+      Duration heardAt,
+      Duration now)
       throws IOException {
     boolean self = name.equals(terms.self());
-    News known = self ? seen.seen().self() : news;
+    MembershipUpdate known = self ? seen.seen().self() : news;
     j.writeStartObject();
     text(j, "name", name.name());
     text(j, "seen", self ? "SELF" : seen.seen().findingOf(name).name());
@@ -274,14 +279,14 @@
           new IllegalArgumentException("forget wants the name of another gateway"));
       return;
     }
-    CompletableFuture<Verdict> verdict =
+    CompletableFuture<ProposalResult> verdict =
         waiting.computeIfAbsent(about, n -> new CompletableFuture<>());
     verdict.thenAccept(v -> done.complete(json(j -> text(j, "verdict", v.name()))));
     agreement.agreement().forget(about);
   }
 
-  private void told(Motion motion, Verdict verdict) {
-    CompletableFuture<Verdict> one = waiting.remove(motion.of());
+  private void told(Proposal motion, ProposalResult verdict) {
+    CompletableFuture<ProposalResult> one = waiting.remove(motion.of());
     if (one != null) {
       one.complete(verdict);
     }
--- a/gateway/src/main/java/weldcross/discovery/ListedMember.java
+++ b/gateway/src/main/java/weldcross/discovery/DiscoveredEndpoint.java
@@ -3,8 +3,8 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import weldcross.config.NamedValues;
-import weldcross.routing.Condition;
+import weldcross.config.ConfigValues;
+import weldcross.routing.EndpointStatus;
 
 /**
  * One server as the list has it.
@@ -13,30 +13,30 @@
  * @param upSinceMillis Unix time of its last start; 0 for long ago
  * @param head whether the list takes it for its group's primary
  */
-public record ListedMember(
+public record DiscoveredEndpoint(
     String id,
     InetSocketAddress address,
     int zone,
     int group,
-    Condition condition,
+    EndpointStatus condition,
     long upSinceMillis,
     boolean head) {
 
   /** All entries, checked before any is used: half a list is worse than the one held. */
-  public static List<ListedMember> read(NamedValues list, List<String> zones) {
-    List<ListedMember> members = new ArrayList<>();
+  public static List<DiscoveredEndpoint> read(ConfigValues list, List<String> zones) {
+    List<DiscoveredEndpoint> members = new ArrayList<>();
     for (int k = 0; k < list.count("members"); k++) {
-      NamedValues entry = list.under("members." + k);
-      Condition condition =
+      ConfigValues entry = list.under("members." + k);
+      EndpointStatus condition =
           switch (entry.text("phase")) {
-            case "active" -> Condition.ON;
-            case "leaving" -> Condition.DRAINING;
-            case "left" -> Condition.GONE;
+            case "active" -> EndpointStatus.ON;
+            case "leaving" -> EndpointStatus.DRAINING;
+            case "left" -> EndpointStatus.GONE;
             default -> throw entry.fault("phase", "active, leaving or left");
           };
-      boolean gone = condition == Condition.GONE;
+      boolean gone = condition == EndpointStatus.GONE;
       members.add(
-          new ListedMember(
+          new DiscoveredEndpoint(
               entry.text("id"),
               gone ? null : entry.address("host_port"),
               zones.indexOf(entry.text("locality", "")),
--- a/gateway/src/main/java/weldcross/discovery/ListTerm.java
+++ b/gateway/src/main/java/weldcross/discovery/EndpointListLease.java
@@ -8,13 +8,13 @@
  * after the call that should have brought it, and at once where no call is open and an agent beside
  * the gateway has it. So long, and for the time in which sends must end, the list held is sure to
  * hold all that binds; then no server is known to want anything. Decides only; {@code
- * weldcross.gateway.ListWatch} calls it.
+ * weldcross.gateway.DiscoveryWatcher} calls it.
  *
  * <p>A list on request comes from one service that all gateways share, at which calls wait in line
  * and are refused where the line is long: a call given up early, or asked for at once again, is
  * work for it that serves nobody.
  */
-public final class ListTerm {
+public final class EndpointListLease {
 
   /**
    * What discovery has, and could be asked for, counts as told after this time, whatever became of
@@ -62,7 +62,7 @@
    *     negative
    * @param onRequest whether discovery is one service for all, of which the list has to be asked
    */
-  public ListTerm(Duration stopSending, boolean onRequest) {
+  public EndpointListLease(Duration stopSending, boolean onRequest) {
     this.stopSending = stopSending;
     this.onRequest = onRequest;
   }
--- a/gateway/src/main/java/weldcross/discovery/HttpReader.java
+++ b/gateway/src/main/java/weldcross/discovery/HttpResponseDecoder.java
@@ -9,7 +9,7 @@
  * Responses of HTTP/1.1, however the stream is split: by length, in chunks, or up to the end of the
  * connection.
  */
-public final class HttpReader {
+public final class HttpResponseDecoder {
 
   private static final int LONGEST_LINE = 8_192;
   private static final int LONGEST_BODY = 4 << 20;
@@ -20,15 +20,15 @@
   }
 
   /** Bytes that are no response; the connection cannot be read on. */
-  public static final class Malformed extends Exception {
+  public static final class ProtocolException extends Exception {
     private static final long serialVersionUID = 1;
 
-    Malformed(String message) {
+    ProtocolException(String message) {
       super(message, null, false, false);
     }
   }
 
-  private enum Part {
+  private enum State {
     STATUS,
     HEADERS,
     BODY,
@@ -42,32 +42,32 @@
   private final Sink sink;
   private final ByteArrayOutputStream line = new ByteArrayOutputStream();
   private ByteArrayOutputStream body = new ByteArrayOutputStream();
-  private Part part = Part.STATUS;
+  private State part = State.STATUS;
   private int status;
   private int left;
   private boolean chunked, sized;
 
-  public HttpReader(Sink sink) {
+  public HttpResponseDecoder(Sink sink) {
     this.sink = sink;
   }
 
-  public void feed(ByteBuffer in) throws Malformed {
+  public void feed(ByteBuffer in) throws ProtocolException {
     while (in.hasRemaining()) {
-      if (part == Part.BODY || part == Part.CHUNK) {
+      if (part == State.BODY || part == State.CHUNK) {
         byte[] some = new byte[Math.min(left, in.remaining())];
         in.get(some);
         body.writeBytes(some);
         left -= some.length;
-        if (left == 0 && part == Part.BODY) {
+        if (left == 0 && part == State.BODY) {
           done();
         } else if (left == 0) {
-          part = Part.CHUNK_END;
+          part = State.CHUNK_END;
         }
         continue;
       }
-      if (part == Part.BODY_TO_END) {
+      if (part == State.BODY_TO_END) {
         if (in.remaining() > LONGEST_BODY - body.size()) {
-          throw new Malformed("a body without an end");
+          throw new ProtocolException("a body without an end");
         }
         byte[] rest = new byte[in.remaining()];
         in.get(rest);
@@ -78,7 +78,7 @@
       if (b != '\n') {
         line.write(b);
         if (line.size() > LONGEST_LINE) {
-          throw new Malformed("a line without an end");
+          throw new ProtocolException("a line without an end");
         }
         continue;
       }
@@ -93,28 +93,28 @@
    * nothing is whole.
    */
   public void ended() {
-    if (part == Part.BODY_TO_END) {
+    if (part == State.BODY_TO_END) {
       done();
     }
   }
 
   /** Whether a response has begun and is not whole. */
   public boolean isWithin() {
-    return part != Part.STATUS || line.size() > 0;
+    return part != State.STATUS || line.size() > 0;
   }
 
-  private void line(String text) throws Malformed {
+  private void line(String text) throws ProtocolException {
     switch (part) {
       case STATUS -> {
         String[] words = text.split(" ", 3);
         if (words.length < 2 || !words[0].startsWith("HTTP/1.")) {
-          throw new Malformed("no status line: " + text);
+          throw new ProtocolException("no status line: " + text);
         }
         status = number(words[1], 10, 999);
         left = 0;
         chunked = false;
         sized = false;
-        part = Part.HEADERS;
+        part = State.HEADERS;
       }
       case HEADERS -> {
         if (text.isEmpty()) {
@@ -133,9 +133,9 @@
       }
       case CHUNK_SIZE -> {
         left = number(text.split(";")[0].strip(), 16, LONGEST_BODY - body.size());
-        part = left == 0 ? Part.TRAILERS : Part.CHUNK;
+        part = left == 0 ? State.TRAILERS : State.CHUNK;
       }
-      case CHUNK_END -> part = Part.CHUNK_SIZE;
+      case CHUNK_END -> part = State.CHUNK_SIZE;
       case TRAILERS -> {
         if (text.isEmpty()) {
           done();
@@ -147,8 +147,8 @@
 
   private void afterHeaders() {
     boolean without = status < 200 || status == 204 || status == 304;
-    part = chunked ? Part.CHUNK_SIZE : sized || without ? Part.BODY : Part.BODY_TO_END;
-    if (part == Part.BODY && left == 0) {
+    part = chunked ? State.CHUNK_SIZE : sized || without ? State.BODY : State.BODY_TO_END;
+    if (part == State.BODY && left == 0) {
       done();
     }
   }
@@ -156,14 +156,14 @@
   private void done() {
     byte[] whole = body.toByteArray();
     body = new ByteArrayOutputStream();
-    part = Part.STATUS;
+    part = State.STATUS;
     // 100 Continue and the like come before the response that counts.
     if (status >= 200) {
       sink.response(status, whole);
     }
   }
 
-  private static int number(String text, int radix, int most) throws Malformed {
+  private static int number(String text, int radix, int most) throws ProtocolException {
     try {
       int value = Integer.parseInt(text, radix);
       if (value >= 0 && value <= most) {
@@ -172,6 +172,6 @@
     } catch (NumberFormatException e) {
       // Told below like all else that is no such number.
     }
-    throw new Malformed("no usable number: " + text);
+    throw new ProtocolException("no usable number: " + text);
   }
 }
--- a/gateway/src/main/java/weldcross/extension/Seam.java
+++ b/gateway/src/main/java/weldcross/extension/ExtensionContext.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /**
- * What a {@link Part} may ask of its gateway. All but {@link #post} is called on the gateway's
- * thread.
+ * What a {@link GatewayExtension} may ask of its gateway. All but {@link #post} is called on the
+ * gateway's thread.
  */
-public interface Seam {
+public interface ExtensionContext {
 
   /** Time since the gateway's start, as the change under way has it; never goes back. */
   Duration now();
--- a/gateway/src/main/java/weldcross/extension/Part.java
+++ b/gateway/src/main/java/weldcross/extension/GatewayExtension.java
@@ -4,10 +4,10 @@
  * A subsystem that joins a gateway: an adapter that turns what its own pure module decides into
  * effects. All is called on the one thread that owns the gateway's state, never waits, and is
  * called by the gateway alone; what happens elsewhere (a socket, a disk) comes back by {@link
- * Seam#post}. Parts are started in the order told and ended in the reverse one. See
+ * ExtensionContext#post}. Parts are started in the order told and ended in the reverse one. See
  * docs/architecture.md for how to add one.
  */
-public interface Part {
+public interface GatewayExtension {
 
   /** A word for the log, also the name of its table in the file of terms. */
   String name();
@@ -18,7 +18,7 @@
    * @param seam what it may ask of the gateway, for as long as it lives
    * @throws IllegalStateException where it cannot work at all; the gateway then ends with a fault
    */
-  void start(Seam seam);
+  void start(ExtensionContext seam);
 
   /** Whether the gateway may call itself ready for all that this part knows. */
   boolean isReady();
--- a/gateway/src/main/java/weldcross/gateway/ClientStream.java
+++ b/gateway/src/main/java/weldcross/gateway/ClientStream.java
@@ -4,7 +4,7 @@
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.function.Supplier;
-import weldcross.pgwire.ClientReader;
+import weldcross.pgwire.ClientMessageDecoder;
 
 /**
  * A client's stream. While it is not listened to it is read all the same, up to a bound, so that
@@ -26,14 +26,15 @@
   private static final int LEFT = 1 << 18;
 
   private final long number;
-  private final Round round;
-  private final GatheringProcessor processor;
-  private final ClientReader reader;
+  private final ReadBatch round;
+  private final GatheringIoProcessor processor;
+  private final ClientMessageDecoder reader;
   private final ArrayDeque<ByteBuffer> kept = new ArrayDeque<>();
   private int keptBytes, leftBytes;
   private volatile boolean waits, over;
 
-  ClientStream(long number, Round round, GatheringProcessor processor, Supplier<Duration> clock) {
+  ClientStream(
+      long number, ReadBatch round, GatheringIoProcessor processor, Supplier<Duration> clock) {
     this.number = number;
     this.round = round;
     this.processor = processor;
--- a/gateway/src/main/java/weldcross/gateway/GatheredBuffer.java
+++ b/gateway/src/main/java/weldcross/gateway/CompositeBuffer.java
@@ -7,14 +7,14 @@
 import org.apache.mina.core.buffer.IoBufferWrapper;
 
 /**
- * Several buffers that MINA takes for one, and {@link GatheringProcessor} writes by one call,
+ * Several buffers that MINA takes for one, and {@link GatheringIoProcessor} writes by one call,
  * uncopied.
  */
-class GatheredBuffer extends IoBufferWrapper {
+class CompositeBuffer extends IoBufferWrapper {
 
   private final ByteBuffer[] parts;
 
-  GatheredBuffer(ByteBuffer... parts) {
+  CompositeBuffer(ByteBuffer... parts) {
     super(IoBuffer.wrap(parts[0]));
     this.parts = parts;
   }
--- a/gateway/src/main/java/weldcross/gateway/CappedAcceptor.java
+++ b/gateway/src/main/java/weldcross/gateway/ConnectionLimitAcceptor.java
@@ -16,7 +16,7 @@
  * first request would be taken for its answer, and what they sent meanwhile takes it back on its
  * way.
  */
-final class CappedAcceptor extends NioSocketAcceptor {
+final class ConnectionLimitAcceptor extends NioSocketAcceptor {
 
   private final AtomicInteger open = new AtomicInteger();
   private final int most;
@@ -25,7 +25,7 @@
   /**
    * @param others how many connections that were not accepted here are open
    */
-  CappedAcceptor(
+  ConnectionLimitAcceptor(
       Executor executor, IoProcessor<NioSession> processor, int most, IntSupplier others) {
     super(executor, processor);
     this.most = most;
--- a/gateway/src/main/java/weldcross/gateway/ListWatch.java
+++ b/gateway/src/main/java/weldcross/gateway/DiscoveryWatcher.java
@@ -7,21 +7,21 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.logging.Logger;
-import weldcross.config.FaultyTerm;
-import weldcross.config.GatewayTerms;
-import weldcross.config.NamedValues;
-import weldcross.discovery.ListTerm;
-import weldcross.discovery.ListedMember;
-import weldcross.routing.Condition;
+import weldcross.config.ConfigValues;
+import weldcross.config.GatewayConfig;
+import weldcross.config.InvalidConfigException;
+import weldcross.discovery.DiscoveredEndpoint;
+import weldcross.discovery.EndpointListLease;
+import weldcross.routing.EndpointStatus;
 
 /**
  * The reducer's talk with discovery: the list as last had, the whole list, then one watch after the
  * other. Where discovery moves, the new address is asked for the whole list while the old one is
  * still heard; the old talk ends with the new one's first list, or by itself.
  */
-final class ListWatch {
+final class DiscoveryWatcher {
 
-  private static final Logger LOG = Logger.getLogger(ListWatch.class.getName());
+  private static final Logger LOG = Logger.getLogger(DiscoveryWatcher.class.getName());
 
   /**
    * The least that a call may wait for news, as none at all may mean no wait or one that was not
@@ -30,13 +30,13 @@
   private static final Duration AT_ONCE = Duration.ofMillis(1);
 
   private final Gateway gateway;
-  private final Effects effects;
-  private final GatewayTerms terms;
+  private final Transport effects;
+  private final GatewayConfig terms;
 
   /** How long a watch waits, how long an answer may take beyond what it waits for, and a dial. */
   private final Duration watch, patience, grace;
 
-  private final ListTerm term;
+  private final EndpointListLease term;
 
   /**
    * Whether discovery is one service for all gateways: what they know already is not asked for
@@ -60,15 +60,15 @@
    */
   private Talk current, next;
 
-  ListWatch(Gateway gateway, Effects effects, GatewayTerms terms) {
+  DiscoveryWatcher(Gateway gateway, Transport effects, GatewayConfig terms) {
     this.gateway = gateway;
     this.effects = effects;
     this.terms = terms;
     this.grace = terms.connectTimeout().multipliedBy(4);
     this.onRequest = terms.service().listOnRequest();
-    this.watch = ListTerm.watch(terms.service().askWithin(), onRequest);
-    this.patience = ListTerm.patience(grace, onRequest);
-    this.term = new ListTerm(terms.stopSending(), onRequest);
+    this.watch = EndpointListLease.watch(terms.service().askWithin(), onRequest);
+    this.patience = EndpointListLease.patience(grace, onRequest);
+    this.term = new EndpointListLease(terms.stopSending(), onRequest);
     this.dice = new SplittableRandom(~terms.seed());
   }
 
@@ -148,7 +148,7 @@
       effects.drop(number);
     } else {
       talk.up = true;
-      if (talk.lostAt != null && ListTerm.isNewWatch(gateway.now().minus(talk.lostAt))) {
+      if (talk.lostAt != null && EndpointListLease.isNewWatch(gateway.now().minus(talk.lostAt))) {
         // Asked for all of it, it speaks at once.
         unheard(talk.lostAt);
         talk.missed();
@@ -198,9 +198,9 @@
       return;
     }
     try {
-      NamedValues told = NamedValues.ofJson(text);
+      ConfigValues told = ConfigValues.ofJson(text);
       talk.since = isBehind(talk, told) ? takeDrains(told) : take(told);
-    } catch (FaultyTerm e) {
+    } catch (InvalidConfigException e) {
       talk.since = -1;
       talk.fail(e.getMessage());
       return;
@@ -230,7 +230,7 @@
    * until it has come as far. It would harm where discovery begins to count anew, so what is still
    * behind when a list must have been had counts as the newer count.
    */
-  private boolean isBehind(Talk talk, NamedValues told) {
+  private boolean isBehind(Talk talk, ConfigValues told) {
     boolean older = told.whole("revision", Long.MAX_VALUE, 0) < revision;
     if (!older) {
       talk.behindSince = null;
@@ -252,11 +252,11 @@
    * Of what is behind only drains count: should it count anew, they are news; else they are known
    * or over.
    */
-  private long takeDrains(NamedValues told) {
+  private long takeDrains(ConfigValues told) {
     gateway.listed(
         false,
-        ListedMember.read(told, terms.zones()).stream()
-            .filter(m -> m.condition() != Condition.ON)
+        DiscoveredEndpoint.read(told, terms.zones()).stream()
+            .filter(m -> m.condition() != EndpointStatus.ON)
             .toList());
     return told.whole("revision", -1, 0);
   }
@@ -268,12 +268,12 @@
   }
 
   /** Returns its revision. */
-  private long take(NamedValues told) {
+  private long take(ConfigValues told) {
     // What lacks these is no list, and taken for an empty one it would end all service.
     told.text("revision");
     told.text("complete");
     told.text("members.count");
-    List<ListedMember> members = ListedMember.read(told, terms.zones());
+    List<DiscoveredEndpoint> members = DiscoveredEndpoint.read(told, terms.zones());
     long said = told.whole("revision", -1, 0);
     boolean whole = told.flag("complete", false);
     if (said != revision && !(members.isEmpty() && !whole)) {
--- a/gateway/src/main/java/weldcross/gateway/Loop.java
+++ b/gateway/src/main/java/weldcross/gateway/EventLoop.java
@@ -12,7 +12,7 @@
 /**
  * The one thread that makes a gateway's changes: what was posted, in its order, and what is due.
  */
-final class Loop {
+final class EventLoop {
 
   /** A turn that lasts longer is told while it lasts: until it ends nobody is answered. */
   private static final Duration LONG_TURN = Duration.ofSeconds(2);
@@ -20,7 +20,7 @@
   /** Of the place where it stands, so many calls are told. */
   private static final int PLACE = 8;
 
-  private static final Logger LOG = Logger.getLogger(Loop.class.getName());
+  private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
 
   private final LinkedBlockingQueue<Gateway.Event> posted = new LinkedBlockingQueue<>();
   private final Supplier<Duration> clock;
@@ -30,7 +30,7 @@
 
   private Duration told;
 
-  Loop(Supplier<Duration> clock) {
+  EventLoop(Supplier<Duration> clock) {
     this.clock = clock;
   }
 
--- a/gateway/src/main/java/weldcross/gateway/Gateway.java
+++ b/gateway/src/main/java/weldcross/gateway/Gateway.java
@@ -16,34 +16,34 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import java.util.stream.Collectors;
-import weldcross.config.GatewayTerms;
+import weldcross.config.GatewayConfig;
 import weldcross.config.LoadReport;
-import weldcross.connections.Crowd;
-import weldcross.discovery.ListedMember;
-import weldcross.extension.Part;
-import weldcross.extension.Seam;
-import weldcross.gossip.PeerWord;
-import weldcross.pgwire.Replies;
-import weldcross.pgwire.ServerAnswer;
+import weldcross.connections.ClientEvictionPolicy;
+import weldcross.discovery.DiscoveredEndpoint;
+import weldcross.extension.ExtensionContext;
+import weldcross.extension.GatewayExtension;
+import weldcross.gossip.GossipMessage;
+import weldcross.pgwire.MessageEncoder;
+import weldcross.pgwire.ServerResponse;
 import weldcross.pgwire.Statement;
-import weldcross.routing.Condition;
+import weldcross.routing.AttemptOutcome;
+import weldcross.routing.EndpointStatus;
 import weldcross.routing.GroupId;
-import weldcross.routing.Host;
-import weldcross.routing.MethodRow.Need;
-import weldcross.routing.Outcome;
+import weldcross.routing.RequestClass.Need;
+import weldcross.routing.RequestId;
 import weldcross.routing.Router;
-import weldcross.routing.RpcId;
+import weldcross.routing.RouterActions;
 import weldcross.routing.ServerId;
 import weldcross.routing.SessionId;
 import weldcross.routing.ZoneId;
 
 /**
  * The one owner of a gateway's state. Every change of it is an event that goes through {@link
- * #reduce}, on one thread; the events call the router, which acts through this as its {@link Host},
- * and all that reaches the world is asked of {@link Effects}. What the router decides is carried
- * out as it says; nothing is decided here.
+ * #reduce}, on one thread; the events call the router, which acts through this as its {@link
+ * RouterActions}, and all that reaches the world is asked of {@link Transport}. What the router
+ * decides is carried out as it says; nothing is decided here.
  */
-public final class Gateway implements Host {
+public final class Gateway implements RouterActions {
 
   /** From start to exit. */
   public enum Phase {
@@ -80,8 +80,9 @@
   private static final Duration JUST_NOW = Duration.ofNanos(1);
 
   private static final ByteBuffer CANCELLED =
-      Replies.error("57014", "cancelled by its client", null);
-  private static final ByteBuffer FAILED = Replies.error("58000", "failed, and may have run", null);
+      MessageEncoder.error("57014", "cancelled by its client", null);
+  private static final ByteBuffer FAILED =
+      MessageEncoder.error("58000", "failed, and may have run", null);
   private static final Duration STATE_APART = Duration.ofSeconds(1);
   private static final BigDecimal MOST_NANOS = BigDecimal.valueOf(Long.MAX_VALUE);
 
@@ -95,9 +96,9 @@
     final int secret;
 
     /** What it asked that is not begun, and what is begun and has not gone out. */
-    final ArrayDeque<Consumer<Turn>> waiting = new ArrayDeque<>(2);
+    final ArrayDeque<Consumer<PipelinedRequest>> waiting = new ArrayDeque<>(2);
 
-    final ArrayDeque<Turn> turns = new ArrayDeque<>(2);
+    final ArrayDeque<PipelinedRequest> turns = new ArrayDeque<>(2);
     boolean writing, ending, parting, unread;
     int asks;
 
@@ -118,27 +119,27 @@
   }
 
   /** One thing that a client asked, until its answer goes out. */
-  private static final class Turn {
+  private static final class PipelinedRequest {
     final Client client;
     Rpc rpc;
     ByteBuffer[] answer;
 
-    Turn(Client client) {
+    PipelinedRequest(Client client) {
       this.client = client;
     }
   }
 
   /** An RPC that is not answered, or whose call-outs are still out. */
   private static final class Rpc {
-    final RpcId id;
-    final Turn turn;
+    final RequestId id;
+    final PipelinedRequest turn;
     final Statement statement;
     final Duration deadline;
-    final List<CallOut> callOuts = new ArrayList<>(1);
+    final List<Attempt> callOuts = new ArrayList<>(1);
     int out;
     boolean answered;
 
-    Rpc(RpcId id, Turn turn, Statement statement, Duration deadline) {
+    Rpc(RequestId id, PipelinedRequest turn, Statement statement, Duration deadline) {
       this.id = id;
       this.turn = turn;
       turn.rpc = this;
@@ -147,14 +148,14 @@
     }
   }
 
-  private final class CallOut extends Question {
+  private final class Attempt extends ServerRequest {
     final Rpc rpc;
     final int number;
     final ServerId server;
     final Duration sent = now;
     final Duration until;
 
-    CallOut(Rpc rpc, ServerId server, Duration until) {
+    Attempt(Rpc rpc, ServerId server, Duration until) {
       this.rpc = rpc;
       this.number = rpc.callOuts.size();
       this.server = server;
@@ -185,7 +186,7 @@
     }
 
     @Override
-    void ended(Outcome outcome, ServerAnswer answer) {
+    void ended(AttemptOutcome outcome, ServerResponse answer) {
       rpc.out--;
       LOG.fine(
           () ->
@@ -199,7 +200,7 @@
                   + now.minus(sent).toMillis()
                   + " ms"
                   + (rpc.answered ? ", answered before" : ""));
-      if (outcome == Outcome.OK && !rpc.answered) {
+      if (outcome == AttemptOutcome.OK && !rpc.answered) {
         served++;
         answer(rpc, answer.forClient());
       }
@@ -227,7 +228,7 @@
     }
   }
 
-  private final class Probe extends Question {
+  private final class Probe extends ServerRequest {
     final ServerId server;
 
     Probe(ServerId server) {
@@ -236,7 +237,9 @@
 
     @Override
     ByteBuffer[] message() {
-      return new ByteBuffer[] {Replies.query(terms.reportsByProbe() ? "SHOW stats" : "SELECT 1")};
+      return new ByteBuffer[] {
+        MessageEncoder.query(terms.reportsByProbe() ? "SHOW stats" : "SELECT 1")
+      };
     }
 
     @Override
@@ -255,36 +258,36 @@
     }
 
     @Override
-    void ended(Outcome outcome, ServerAnswer answer) {
+    void ended(AttemptOutcome outcome, ServerResponse answer) {
       router.probeEnded(now, server, outcome, aliveSince);
-      if (outcome == Outcome.OK) {
+      if (outcome == AttemptOutcome.OK) {
         report(server, terms.reportsByProbe() ? answer.rowText() : answer.stats());
       }
     }
   }
 
-  private final GatewayTerms terms;
-  private final Effects effects;
+  private final GatewayConfig terms;
+  private final Transport effects;
   private final Duration unixAtStart;
-  private final ServerLinks links;
-  private final ListWatch list;
+  private final ServerConnectionPool links;
+  private final DiscoveryWatcher list;
 
   /** In the order of their start. */
-  private final List<Part> parts = new ArrayList<>();
+  private final List<GatewayExtension> parts = new ArrayList<>();
 
-  private final DueTimes dues = new DueTimes();
+  private final TimerQueue dues = new TimerQueue();
   private final ArrayDeque<Runnable> soon = new ArrayDeque<>();
   private final SplittableRandom secrets;
   private final Map<Long, Client> clients = new LinkedHashMap<>();
-  private final Map<RpcId, Rpc> rpcs = new LinkedHashMap<>();
+  private final Map<RequestId, Rpc> rpcs = new LinkedHashMap<>();
   private final Map<ServerId, GroupId> groups = new LinkedHashMap<>();
 
   /** All that were ever listed: a group whose members are all gone for a moment is not unknown. */
   private final Set<GroupId> groupNumbers = new HashSet<>();
 
   private final Map<GroupId, ServerId> primaries = new LinkedHashMap<>();
-  private final RareLog complaints = new RareLog(LOG);
-  private final RareLog claims = new RareLog(LOG);
+  private final RateLimitedLogger complaints = new RateLimitedLogger(LOG);
+  private final RateLimitedLogger claims = new RateLimitedLogger(LOG);
   private final int mostClients;
 
   /** A client that is silent for so long, with nothing open here, may lose its connection. */
@@ -309,7 +312,7 @@
    * @param unixAtStart what the wall clock showed, as time since 1970, when the time given to
    *     events was zero
    */
-  Gateway(GatewayTerms terms, Effects effects, Duration unixAtStart) {
+  Gateway(GatewayConfig terms, Transport effects, Duration unixAtStart) {
     this.terms = terms;
     this.effects = effects;
     this.unixAtStart = unixAtStart;
@@ -320,9 +323,9 @@
     this.mostClients = terms.sockets() * 3 / 8;
     this.silence = terms.connectTimeout().multipliedBy(8);
     this.links =
-        new ServerLinks(
+        new ServerConnectionPool(
             this, effects, terms.connectTimeout(), terms.idleClose(), terms.sockets() * 3 / 8);
-    this.list = new ListWatch(this, effects, terms);
+    this.list = new DiscoveryWatcher(this, effects, terms);
   }
 
   // ---- The one way in
@@ -395,13 +398,13 @@
   // ---- Parts
 
   /** Called before the start, in the order in which they are to start. */
-  void join(Part part) {
+  void join(GatewayExtension part) {
     parts.add(part);
   }
 
   /** What a part may ask of this gateway; its events come by the same queue as all others. */
-  Seam seam(Consumer<Event> post) {
-    return new Seam() {
+  ExtensionContext seam(Consumer<Event> post) {
+    return new ExtensionContext() {
       @Override
       public Duration now() {
         return now;
@@ -449,7 +452,7 @@
   /**
    * @param seam what parts may ask; not looked at where there are none
    */
-  void start(Seam seam) {
+  void start(ExtensionContext seam) {
     parts.forEach(part -> part.start(seam));
     start();
   }
@@ -482,7 +485,7 @@
     }
     enter(Phase.DRAINING);
     stoppingAt = now;
-    parts.forEach(Part::drain);
+    parts.forEach(GatewayExtension::drain);
     at(
         now.plus(STILL_COMING),
         () -> {
@@ -496,7 +499,7 @@
    * What is told anew while it runs: discovery's address holds at once, other keys from the next
    * start on.
    */
-  void reload(GatewayTerms next) {
+  void reload(GatewayConfig next) {
     List<String> later = terms.keysThatDiffer(next);
     LOG.info(
         () ->
@@ -505,7 +508,7 @@
                     ? ""
                     : "; changed, but not before a " + "restart: " + String.join(", ", later)));
     list.moveTo(next.discovery());
-    parts.forEach(Part::reloaded);
+    parts.forEach(GatewayExtension::reloaded);
   }
 
   /** The terms in force stay. */
@@ -606,7 +609,7 @@
     }
     boolean waited = answeredAt != null && now.minus(answeredAt).compareTo(STILL_COMING) >= 0;
     if (((clients.isEmpty() && leaving.isEmpty()) || waited)
-        && parts.stream().allMatch(Part::isDone)) {
+        && parts.stream().allMatch(GatewayExtension::isDone)) {
       for (int k = parts.size() - 1; k >= 0; k--) {
         parts.get(k).stop();
       }
@@ -632,7 +635,8 @@
         + router.inWords(now)
         + (parts.isEmpty()
             ? ""
-            : "; " + parts.stream().map(Part::inWords).collect(Collectors.joining("; ")));
+            : "; "
+                + parts.stream().map(GatewayExtension::inWords).collect(Collectors.joining("; ")));
   }
 
   private String counts() {
@@ -653,7 +657,7 @@
   void accepted(long number) {
     Client client = new Client(number, secrets.nextInt(), now);
     if (clients.size() - parting >= mostClients && !makeRoom()) {
-      effects.write(number, Replies.fatal("53300", "too many clients"));
+      effects.write(number, MessageEncoder.fatal("53300", "too many clients"));
       farewell(client);
       return;
     }
@@ -676,7 +680,7 @@
 
   /** False where nobody goes for a newcomer. */
   private boolean makeRoom() {
-    Crowd<Client> crowd = new Crowd<>(now, terms.connectTimeout());
+    ClientEvictionPolicy<Client> crowd = new ClientEvictionPolicy<>(now, terms.connectTimeout());
     clients.values().stream()
         .filter(c -> !c.parting)
         .forEach(c -> crowd.one(c, c.asks, c.isIdle() ? c.idleSince : null));
@@ -694,11 +698,11 @@
   private void turnAway(Client client, String state, String text) {
     complain("a client is turned away: " + text);
     List<ByteBuffer> parts = new ArrayList<>();
-    for (Turn turn : client.turns) {
+    for (PipelinedRequest turn : client.turns) {
       parts.addAll(turn.answer != null ? List.of(turn.answer) : List.of(FAILED.duplicate()));
     }
-    client.waiting.forEach(w -> parts.add(Replies.error("53300", "not begun", null)));
-    parts.add(Replies.fatal(state, text));
+    client.waiting.forEach(w -> parts.add(MessageEncoder.error("53300", "not begun", null)));
+    parts.add(MessageEncoder.fatal(state, text));
     effects.write(client.number, parts.toArray(new ByteBuffer[0]));
     farewell(client);
     leave(client);
@@ -716,7 +720,7 @@
   }
 
   private void leave(Client client) {
-    for (Turn turn = client.turns.poll(); turn != null; turn = client.turns.poll()) {
+    for (PipelinedRequest turn = client.turns.poll(); turn != null; turn = client.turns.poll()) {
       Rpc rpc = turn.rpc;
       if (rpc != null && !rpc.answered) {
         left++;
@@ -734,11 +738,11 @@
   }
 
   void encryptionAsked(long number) {
-    inTurn(number, turn -> answer(turn, Replies.noEncryption()));
+    inTurn(number, turn -> answer(turn, MessageEncoder.noEncryption()));
   }
 
   void clientStarted(long number) {
-    inTurn(number, turn -> answer(turn, Replies.welcome((int) number, turn.client.secret)));
+    inTurn(number, turn -> answer(turn, MessageEncoder.welcome((int) number, turn.client.secret)));
   }
 
   /**
@@ -774,14 +778,14 @@
             answer(
                 turn,
                 phase == Phase.SERVING
-                    ? Replies.emptyQuery()
-                    : Replies.error("57P03", "not ready", null)));
+                    ? MessageEncoder.emptyQuery()
+                    : MessageEncoder.error("57P03", "not ready", null)));
   }
 
   void askedWrongly(long number, String state, String text) {
     hasAsked(number);
     complain("a client's statement is turned away: " + text);
-    inTurn(number, turn -> answer(turn, Replies.error(state, text, null)));
+    inTurn(number, turn -> answer(turn, MessageEncoder.error(state, text, null)));
   }
 
   void clientBroke(long number, String state, String text) {
@@ -837,7 +841,7 @@
     }
   }
 
-  private void inTurn(long number, Consumer<Turn> step) {
+  private void inTurn(long number, Consumer<PipelinedRequest> step) {
     Client client = clients.get(number);
     if (client == null) {
       return;
@@ -846,7 +850,8 @@
     client.waiting.add(
         client.waiting.size() < MOST_WAITING
             ? step
-            : turn -> answer(turn, Replies.error("54000", "too many statements at once", null)));
+            : turn ->
+                answer(turn, MessageEncoder.error("54000", "too many statements at once", null)));
     next(client);
     if (!client.waiting.isEmpty() && !client.unread && !client.ending) {
       client.unread = true;
@@ -856,7 +861,7 @@
 
   private void next(Client client) {
     while (client.turns.size() < SIDE_BY_SIDE && !client.ending && !client.waiting.isEmpty()) {
-      Turn turn = new Turn(client);
+      PipelinedRequest turn = new PipelinedRequest(client);
       client.turns.add(turn);
       client.waiting.poll().accept(turn);
     }
@@ -872,12 +877,12 @@
    * pile up.
    */
   private void writeOn(Client client) {
-    Turn first = client.turns.peek();
+    PipelinedRequest first = client.turns.peek();
     if (client.writing || client.ending || first == null || first.answer == null) {
       return;
     }
     List<ByteBuffer> parts = new ArrayList<>();
-    for (Turn t = first; t != null && t.answer != null; t = client.turns.peek()) {
+    for (PipelinedRequest t = first; t != null && t.answer != null; t = client.turns.peek()) {
       parts.addAll(List.of(t.answer));
       client.turns.poll();
     }
@@ -887,20 +892,20 @@
     }
   }
 
-  private void answer(Turn turn, ByteBuffer... parts) {
+  private void answer(PipelinedRequest turn, ByteBuffer... parts) {
     turn.answer = parts;
     writeOn(turn.client);
   }
 
-  private void begin(Turn turn, Statement statement, Duration arrived) {
+  private void begin(PipelinedRequest turn, Statement statement, Duration arrived) {
     if (isClosing(arrived)) {
       // Its connection should have ended; begun now it might be open still when the process is
       // killed.
-      answer(turn, Replies.error("57P03", "stopping", null));
+      answer(turn, MessageEncoder.error("57P03", "stopping", null));
       return;
     }
     int method = terms.methods().indexOf(statement.method());
-    RpcId id = new RpcId(statement.id());
+    RequestId id = new RequestId(statement.id());
     GroupId group = new GroupId(statement.group());
     String fault = null;
     if (method < 0) {
@@ -913,7 +918,7 @@
         && !terms.tenants().contains(statement.tenant())) {
       fault = "unknown tenant";
     } else if (!groupNumbers.contains(group) && !list.stands()) {
-      answer(turn, Replies.error("57P03", "not ready", null));
+      answer(turn, MessageEncoder.error("57P03", "not ready", null));
       return;
     } else if (!groupNumbers.contains(group)) {
       fault = "unknown cluster";
@@ -922,7 +927,7 @@
     }
     if (fault != null) {
       complain("a client's statement is turned away: " + fault);
-      answer(turn, Replies.error("22023", fault, null));
+      answer(turn, MessageEncoder.error("22023", fault, null));
       return;
     }
     Duration patience = arrived.plusMillis(statement.waitMillis()).minus(now);
@@ -930,7 +935,12 @@
   }
 
   private void take(
-      Turn turn, Statement statement, RpcId id, int method, GroupId group, Duration patience) {
+      PipelinedRequest turn,
+      Statement statement,
+      RequestId id,
+      int method,
+      GroupId group,
+      Duration patience) {
     Rpc rpc = new Rpc(id, turn, statement, now.plus(patience));
     taken++;
     rpcs.put(id, rpc);
@@ -979,16 +989,16 @@
     complaints.say(now, Level.WARNING, what);
   }
 
-  ServerLinks links() {
+  ServerConnectionPool links() {
     return links;
   }
 
-  ListWatch list() {
+  DiscoveryWatcher list() {
     return list;
   }
 
   /**
-   * What came in on all connections by the time that {@link Effects#hear} was asked for is told.
+   * What came in on all connections by the time that {@link Transport#hear} was asked for is told.
    */
   void heard(long connection) {
     if (!list.heard(connection)) {
@@ -1046,15 +1056,15 @@
 
   // ---- The list, and other gateways
 
-  void listed(boolean whole, List<ListedMember> members) {
+  void listed(boolean whole, List<DiscoveredEndpoint> members) {
     router.listBegins(now, whole);
-    for (ListedMember m : members) {
+    for (DiscoveredEndpoint m : members) {
       ServerId server = new ServerId(m.id());
       if (m.address() != null) {
         links.listed(server, m.address());
       }
       GroupId group = new GroupId(m.group());
-      if (m.condition() != Condition.GONE || groups.containsKey(server)) {
+      if (m.condition() != EndpointStatus.GONE || groups.containsKey(server)) {
         groups.put(server, group);
         groupNumbers.add(group);
       }
@@ -1093,7 +1103,7 @@
         && warm
         && !groups.isEmpty()
         && list.stands()
-        && parts.stream().allMatch(Part::isReady)) {
+        && parts.stream().allMatch(GatewayExtension::isReady)) {
       enter(Phase.SERVING);
     }
   }
@@ -1105,13 +1115,13 @@
   // ---- What the router asks for
 
   @Override
-  public void callOut(RpcId id, ServerId server, Duration until) {
+  public void callOut(RequestId id, ServerId server, Duration until) {
     Rpc rpc = rpcs.get(id);
-    CallOut callOut =
-        new CallOut(rpc, server, until.compareTo(rpc.deadline) < 0 ? until : rpc.deadline);
+    Attempt callOut =
+        new Attempt(rpc, server, until.compareTo(rpc.deadline) < 0 ? until : rpc.deadline);
     LOG.fine(() -> "rpc " + id.name() + ": call-out " + callOut.number + " to " + server.name());
     if (callOut.until.compareTo(now) <= 0) {
-      links.drop(callOut, Outcome.NOT_SENT);
+      links.drop(callOut, AttemptOutcome.NOT_SENT);
       return;
     }
     links.ask(server, callOut);
@@ -1119,36 +1129,37 @@
         callOut.until,
         () -> {
           if (!callOut.over) {
-            links.drop(callOut, Outcome.TIMED_OUT);
+            links.drop(callOut, AttemptOutcome.TIMED_OUT);
           }
         });
   }
 
   @Override
-  public void cancel(RpcId id, int number) {
+  public void cancel(RequestId id, int number) {
     Rpc rpc = rpcs.get(id);
     if (rpc != null && !rpc.callOuts.get(number).over) {
-      links.drop(rpc.callOuts.get(number), Outcome.CANCELLED);
+      links.drop(rpc.callOuts.get(number), AttemptOutcome.CANCELLED);
     }
   }
 
   @Override
-  public void pushBack(RpcId id, Duration comeBackAfter) {
+  public void pushBack(RequestId id, Duration comeBackAfter) {
     long millis = comeBackAfter.toMillis();
-    if (giveUp(id, Replies.error("53300", "not now", millis > 0 ? Long.toString(millis) : null))) {
+    if (giveUp(
+        id, MessageEncoder.error("53300", "not now", millis > 0 ? Long.toString(millis) : null))) {
       pushedBack++;
     }
   }
 
   @Override
-  public void abort(RpcId id) {
+  public void abort(RequestId id) {
     if (giveUp(id, FAILED.duplicate())) {
       aborted++;
     }
   }
 
   /** False where the RPC has had its answer. */
-  private boolean giveUp(RpcId id, ByteBuffer words) {
+  private boolean giveUp(RequestId id, ByteBuffer words) {
     Rpc rpc = rpcs.get(id);
     if (rpc == null || rpc.answered) {
       return false;
@@ -1175,8 +1186,8 @@
 
   @Override
   public void tellPeers(ServerId server) {
-    byte[] message = PeerWord.write(server);
-    if (terms.peersAll() != null && message.length <= PeerWord.LONGEST) {
+    byte[] message = GossipMessage.write(server);
+    if (terms.peersAll() != null && message.length <= GossipMessage.LONGEST) {
       effects.tellPeers(terms.peersAll(), message);
     }
   }
--- a/gateway/src/main/java/weldcross/gateway/Service.java
+++ b/gateway/src/main/java/weldcross/gateway/GatewayProcess.java
@@ -14,16 +14,16 @@
 import java.util.logging.Logger;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
-import weldcross.config.FaultyTerm;
-import weldcross.config.GatewayTerms;
-import weldcross.extension.Part;
-import weldcross.extension.Seam;
+import weldcross.config.GatewayConfig;
+import weldcross.config.InvalidConfigException;
+import weldcross.extension.ExtensionContext;
+import weldcross.extension.GatewayExtension;
 
 /**
  * One gateway as a process: its clock, its thread, and the signals that end it or have it read its
  * terms.
  */
-public final class Service {
+public final class GatewayProcess {
 
   /**
    * The status of a process that broke, apart from those of a faulty command line or configuration.
@@ -36,35 +36,35 @@
   /** In milliseconds. */
   private static final long LOOK_APART = 1000;
 
-  private static final Logger LOG = Logger.getLogger(Service.class.getName());
+  private static final Logger LOG = Logger.getLogger(GatewayProcess.class.getName());
 
-  private final Loop loop;
-  private final MinaEffects effects;
+  private final EventLoop loop;
+  private final MinaTransport effects;
   private final Gateway gateway;
 
-  Service(GatewayTerms terms) {
+  GatewayProcess(GatewayConfig terms) {
     this(terms, List.of(), Instant::now);
   }
 
   /**
    * @param readWall the wall clock, read once
    */
-  Service(GatewayTerms terms, List<Part> parts, Supplier<Instant> readWall) {
+  GatewayProcess(GatewayConfig terms, List<GatewayExtension> parts, Supplier<Instant> readWall) {
     // First the zero, then the wall: what passes between the two makes all data look older than it
     // is.
     // The other way round it would look fresher, and reads past their bound would go out (rule 5).
     long zero = System.nanoTime();
     Instant wall = readWall.get();
     Supplier<Duration> clock = () -> Duration.ofNanos(System.nanoTime() - zero);
-    loop = new Loop(clock);
-    effects = new MinaEffects(loop, clock, terms.sockets() * 3 / 4);
+    loop = new EventLoop(clock);
+    effects = new MinaTransport(loop, clock, terms.sockets() * 3 / 4);
     gateway =
         new Gateway(terms, effects, Duration.ofSeconds(wall.getEpochSecond(), wall.getNano()));
     if (parts.isEmpty()) {
       loop.post(Gateway::start);
     } else {
       parts.forEach(gateway::join);
-      Seam seam = gateway.seam(loop::post);
+      ExtensionContext seam = gateway.seam(loop::post);
       loop.post(g -> g.start(seam));
     }
   }
@@ -75,7 +75,7 @@
    * @param reader reads the terms, now and whenever the process is told to read them again
    * @param begun is handed the service before it serves
    */
-  public static int run(Supplier<GatewayTerms> reader, Consumer<Service> begun) {
+  public static int run(Supplier<GatewayConfig> reader, Consumer<GatewayProcess> begun) {
     return run(reader, terms -> List.of(), Instant::now, begun);
   }
 
@@ -86,14 +86,14 @@
    * @param readWall the wall clock, read once
    */
   public static int run(
-      Supplier<GatewayTerms> reader,
-      Function<GatewayTerms, List<Part>> parts,
+      Supplier<GatewayConfig> reader,
+      Function<GatewayConfig, List<GatewayExtension>> parts,
       Supplier<Instant> readWall,
-      Consumer<Service> begun) {
-    GatewayTerms terms = reader.get();
-    List<Part> joining = parts.apply(terms);
-    WarmUp.play(terms, WARM_UP);
-    Service service = new Service(terms, joining, readWall);
+      Consumer<GatewayProcess> begun) {
+    GatewayConfig terms = reader.get();
+    List<GatewayExtension> joining = parts.apply(terms);
+    JitWarmUp.play(terms, WARM_UP);
+    GatewayProcess service = new GatewayProcess(terms, joining, readWall);
     // Each signal has a thread of its own.
     if (Signal.handle(new Signal("HUP"), signal -> service.reload(reader))
         == SignalHandler.SIG_IGN) {
@@ -135,11 +135,11 @@
   }
 
   /** One after the other: what is posted last was read last. */
-  synchronized void reload(Supplier<GatewayTerms> reader) {
+  synchronized void reload(Supplier<GatewayConfig> reader) {
     try {
-      GatewayTerms next = reader.get();
+      GatewayConfig next = reader.get();
       loop.post(g -> g.reload(next));
-    } catch (FaultyTerm e) {
+    } catch (InvalidConfigException e) {
       loop.post(g -> g.reloadFailed(e.getMessage()));
     }
   }
--- a/gateway/src/main/java/weldcross/gateway/GatheringProcessor.java
+++ b/gateway/src/main/java/weldcross/gateway/GatheringIoProcessor.java
@@ -19,9 +19,9 @@
  * MINA writes one buffer at a time; this is the least that makes it gather, and tell how far it has
  * read. The channel behind a session is not to be had from it, but the selector's key knows both.
  */
-final class GatheringProcessor extends NioProcessor {
+final class GatheringIoProcessor extends NioProcessor {
 
-  private static final Logger LOG = Logger.getLogger(GatheringProcessor.class.getName());
+  private static final Logger LOG = Logger.getLogger(GatheringIoProcessor.class.getName());
   private static final String CHANNEL = "channel";
 
   private final Runnable roundEnds;
@@ -33,7 +33,7 @@
   /**
    * @param roundEnds called, on its own thread, when all that one round found ready has been read
    */
-  GatheringProcessor(Executor executor, Runnable roundEnds) {
+  GatheringIoProcessor(Executor executor, Runnable roundEnds) {
     super(executor);
     this.roundEnds = roundEnds;
   }
@@ -113,7 +113,7 @@
 
   @Override
   protected int write(NioSession session, IoBuffer buffer, int length) throws IOException {
-    return buffer instanceof GatheredBuffer gathered
+    return buffer instanceof CompositeBuffer gathered
         ? (int) gathered.writeTo((SocketChannel) session.getAttribute(CHANNEL))
         : super.write(session, buffer, length);
   }
--- a/gateway/src/main/java/weldcross/gateway/WarmUp.java
+++ b/gateway/src/main/java/weldcross/gateway/JitWarmUp.java
@@ -9,17 +9,17 @@
 import java.util.Map;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import weldcross.config.GatewayTerms;
-import weldcross.pgwire.ClientReader;
-import weldcross.pgwire.Replies;
-import weldcross.pgwire.ServerReader;
+import weldcross.config.GatewayConfig;
+import weldcross.pgwire.ClientMessageDecoder;
+import weldcross.pgwire.MessageEncoder;
+import weldcross.pgwire.ServerMessageDecoder;
 
 /**
  * Plays RPCs to a gateway of its own in memory, without sockets and on a clock moved by hand,
  * before the real one is ready: the JVM compiles what is called often, and until it has, each RPC
  * costs many times as much.
  */
-final class WarmUp implements Effects {
+final class JitWarmUp implements Transport {
 
   private static final Duration APART = Duration.ofMillis(3);
   private static final long ONLY_CLIENT = 1;
@@ -29,21 +29,21 @@
   /** Held, as a logger that nothing holds may lose its level. */
   private final Logger log = Logger.getLogger(Gateway.class.getPackageName());
 
-  private final Loop loop = new Loop(() -> this.now);
-  private final Map<Long, ServerReader> servers = new HashMap<>();
-  private final ClientReader client =
+  private final EventLoop loop = new EventLoop(() -> this.now);
+  private final Map<Long, ServerMessageDecoder> servers = new HashMap<>();
+  private final ClientMessageDecoder client =
       Streams.client(loop::post, loop::post, () -> this.now, ONLY_CLIENT);
   private final Gateway gateway;
   private Duration now = Duration.ZERO;
   private int served;
 
-  private WarmUp(GatewayTerms terms) {
+  private JitWarmUp(GatewayConfig terms) {
     gateway = new Gateway(terms, this, Duration.ZERO);
   }
 
   /** Returns how many were served. */
-  static int play(GatewayTerms terms, int rpcs) {
-    WarmUp warmUp = new WarmUp(terms.alone(1, 2, 3, 4));
+  static int play(GatewayConfig terms, int rpcs) {
+    JitWarmUp warmUp = new JitWarmUp(terms.alone(1, 2, 3, 4));
     Level level = warmUp.log.getLevel();
     warmUp.log.setLevel(Level.OFF);
     try {
@@ -57,14 +57,15 @@
   private void play(List<String> methods, int rpcs) {
     loop.post(Gateway::start);
     loop.post(g -> g.accepted(ONLY_CLIENT));
-    client.feed(Replies.startup());
+    client.feed(MessageEncoder.startup());
     for (int k = 0; k < rpcs; k++) {
       String comment =
           " /* id=" + k + ",c=" + methods.get(k % methods.size()) + ",d=900,cluster=0 */";
       // One of the two is turned away, as it does not go with the method.
-      client.feed(Replies.query("SELECT content FROM kv WHERE name = 'k" + k + "'" + comment));
       client.feed(
-          Replies.query(
+          MessageEncoder.query("SELECT content FROM kv WHERE name = 'k" + k + "'" + comment));
+      client.feed(
+          MessageEncoder.query(
               "INSERT INTO kv (name, content) VALUES ('k"
                   + k
                   + "', '\\x00') "
@@ -86,7 +87,7 @@
       served += parts[0].get(0) == 'T' ? 1 : 0;
       return true;
     }
-    ServerReader server = servers.get(connection);
+    ServerMessageDecoder server = servers.get(connection);
     if (server == null) {
       return true;
     }
@@ -97,10 +98,12 @@
     server.feed(
         ByteBuffer.wrap(
             parts[0].get(0) != 'Q'
-                ? Replies.welcome().array()
+                ? MessageEncoder.welcome().array()
                 : text.get(1) == 'H'
-                    ? Replies.row("x0=" + unix / 1000 + "." + unix % 1000 + ",x1=1", "SHOW", unix)
-                    : Replies.row("v", text.get(0) == 'I' ? "INSERT 0 1" : "SELECT 1", unix)));
+                    ? MessageEncoder.row(
+                        "x0=" + unix / 1000 + "." + unix % 1000 + ",x1=1", "SHOW", unix)
+                    : MessageEncoder.row(
+                        "v", text.get(0) == 'I' ? "INSERT 0 1" : "SELECT 1", unix)));
     return true;
   }
 
--- a/gateway/src/main/java/weldcross/gateway/MinaEffects.java
+++ b/gateway/src/main/java/weldcross/gateway/MinaTransport.java
@@ -20,17 +20,17 @@
 import org.apache.mina.transport.socket.SocketSessionConfig;
 import org.apache.mina.transport.socket.nio.NioDatagramAcceptor;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
-import weldcross.connections.Dials;
-import weldcross.discovery.HttpReader;
-import weldcross.gossip.PeerWord;
-import weldcross.pgwire.Replies;
-import weldcross.pgwire.ServerReader;
+import weldcross.connections.CancellableConnector;
+import weldcross.discovery.HttpResponseDecoder;
+import weldcross.gossip.GossipMessage;
+import weldcross.pgwire.MessageEncoder;
+import weldcross.pgwire.ServerMessageDecoder;
 import weldcross.routing.ServerId;
 
 /** Performs the effects on Apache MINA; its threads only parse what comes and post it. */
-final class MinaEffects implements Effects {
+final class MinaTransport implements Transport {
 
-  private static final Logger LOG = Logger.getLogger(MinaEffects.class.getName());
+  private static final Logger LOG = Logger.getLogger(MinaTransport.class.getName());
   private static final String STREAM = "stream";
   private static final String NUMBER = "number";
   private static final int BACKLOG = 512;
@@ -40,22 +40,22 @@
 
   private static final int GREETINGS = 10;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Supplier<Duration> clock;
-  private final Round round;
+  private final ReadBatch round;
   private final Map<Long, IoSession> sessions = new ConcurrentHashMap<>();
 
   /** Seen in this package so that tests can wait for a round of it. */
-  final GatheringProcessor processor;
+  final GatheringIoProcessor processor;
 
-  private final CappedAcceptor acceptor;
+  private final ConnectionLimitAcceptor acceptor;
   private final NioSocketConnector connector;
-  private final Dials dials;
+  private final CancellableConnector dials;
   private final CompletableFuture<InetSocketAddress> listening = new CompletableFuture<>();
   private NioDatagramAcceptor peers;
   private InetSocketAddress peersFrom;
 
-  MinaEffects(Loop loop, Supplier<Duration> clock, int mostOpen) {
+  MinaTransport(EventLoop loop, Supplier<Duration> clock, int mostOpen) {
     this.loop = loop;
     this.clock = clock;
     ExecutorService threads =
@@ -73,13 +73,13 @@
                           }));
               return thread;
             });
-    round = new Round(loop::post);
-    processor = new GatheringProcessor(threads, round::end);
+    round = new ReadBatch(loop::post);
+    processor = new GatheringIoProcessor(threads, round::end);
     connector = new NioSocketConnector(threads, processor);
-    dials = new Dials(connector);
+    dials = new CancellableConnector(connector);
     // A dial that is under way holds a descriptor as well.
     acceptor =
-        new CappedAcceptor(
+        new ConnectionLimitAcceptor(
             threads,
             processor,
             mostOpen,
@@ -148,13 +148,13 @@
 
             @Override
             void opened() {
-              write(number, Replies.startup());
+              write(number, MessageEncoder.startup());
             }
 
             @Override
             void read(ByteBuffer in) {
               if (--left > 0) {
-                write(number, Replies.query(""));
+                write(number, MessageEncoder.query(""));
               } else {
                 drop(number);
               }
@@ -187,7 +187,7 @@
             IoBuffer in = (IoBuffer) message;
             byte[] bytes = new byte[in.remaining()];
             in.get(bytes);
-            ServerId server = PeerWord.read(bytes);
+            ServerId server = GossipMessage.read(bytes);
             if (server != null) {
               loop.post(g -> g.peerTold(server));
             }
@@ -260,11 +260,11 @@
     Stream stream = (Stream) session.getAttribute(STREAM);
     stream.writing();
     // Where nothing else waits to go out no other thread has to be woken for it.
-    if (stream.unwritten.get() == 0 && GatheringProcessor.writeNow(session, parts)) {
+    if (stream.unwritten.get() == 0 && GatheringIoProcessor.writeNow(session, parts)) {
       return true;
     }
     stream.unwritten.incrementAndGet();
-    session.write(new GatheredBuffer(parts));
+    session.write(new CompositeBuffer(parts));
     return false;
   }
 
@@ -291,7 +291,7 @@
           boolean quiet = stream == null || stream.isQuiet(messages);
           if (stream != null && quiet) {
             stream.endListening();
-            GatheringProcessor.endSending(session);
+            GatheringIoProcessor.endSending(session);
           }
           round.tell(g -> g.parted(connection, quiet));
         });
@@ -304,7 +304,7 @@
     if (session != null) {
       // A second call-out must not overtake the end of the first; clients have nothing that could.
       if (connection < 0) {
-        GatheringProcessor.endSending(session);
+        GatheringIoProcessor.endSending(session);
       }
       session.closeNow();
     }
@@ -327,12 +327,12 @@
    */
   private static void endIfOut(IoSession session, Stream stream) {
     if (stream.last && stream.unwritten.get() == 0) {
-      GatheringProcessor.endSending(session);
+      GatheringIoProcessor.endSending(session);
     }
   }
 
   private Stream server(long number) {
-    ServerReader reader = Streams.server(round::heard, number);
+    ServerMessageDecoder reader = Streams.server(round::heard, number);
     return new Stream() {
       @Override
       void opened() {
@@ -372,8 +372,9 @@
   }
 
   private Stream discovery(long number) {
-    HttpReader reader =
-        new HttpReader((status, body) -> loop.post(g -> g.list().answered(number, status, body)));
+    HttpResponseDecoder reader =
+        new HttpResponseDecoder(
+            (status, body) -> loop.post(g -> g.list().answered(number, status, body)));
     return new Stream() {
       @Override
       void opened() {
@@ -381,7 +382,7 @@
       }
 
       @Override
-      void read(ByteBuffer in) throws HttpReader.Malformed {
+      void read(ByteBuffer in) throws HttpResponseDecoder.ProtocolException {
         reader.feed(in);
         if (reader.isWithin()) {
           loop.post(g -> g.list().begun(number));
--- a/gateway/src/main/java/weldcross/gateway/RareLog.java
+++ b/gateway/src/main/java/weldcross/gateway/RateLimitedLogger.java
@@ -8,7 +8,7 @@
  * Lines about what may happen with every RPC: the first at once, then one a second with a count of
  * the rest.
  */
-final class RareLog {
+final class RateLimitedLogger {
 
   private static final Duration APART = Duration.ofSeconds(1);
 
@@ -16,7 +16,7 @@
   private Duration next = Duration.ZERO;
   private int unsaid;
 
-  RareLog(Logger log) {
+  RateLimitedLogger(Logger log) {
     this.log = log;
   }
 
--- a/gateway/src/main/java/weldcross/gateway/Round.java
+++ b/gateway/src/main/java/weldcross/gateway/ReadBatch.java
@@ -16,7 +16,7 @@
  *
  * <p>Called by the processor's thread; synchronized for the rare end that another thread finds.
  */
-final class Round {
+final class ReadBatch {
 
   private record Told(long client, Gateway.Event event) {}
 
@@ -28,7 +28,7 @@
   /**
    * @param post takes the events, from any thread
    */
-  Round(Consumer<Gateway.Event> post) {
+  ReadBatch(Consumer<Gateway.Event> post) {
     this.post = post;
   }
 
--- a/gateway/src/main/java/weldcross/gateway/Rehearsal.java
+++ b/gateway/src/main/java/weldcross/gateway/SelfTest.java
@@ -10,8 +10,8 @@
 import java.net.SocketException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import weldcross.config.GatewayTerms;
-import weldcross.pgwire.Replies;
+import weldcross.config.GatewayConfig;
+import weldcross.pgwire.MessageEncoder;
 
 /**
  * One short life of a gateway on loopback ports of its own, with a stand-in for a server and one
@@ -19,43 +19,46 @@
  * archives the classes that it loads, as a gateway restarted in mid-day serves nobody while they
  * load; by hand it shows that a configuration starts.
  */
-public final class Rehearsal {
+public final class SelfTest {
 
   private static final int ROUNDS = 8;
 
   /** What a stand-in does with one connection. */
-  private interface Part {
+  private interface Step {
     void play(DataInputStream in, OutputStream out) throws IOException;
   }
 
-  private Rehearsal() {}
+  private SelfTest() {}
 
   /** Returns the status with which the gateway ended. */
-  public static int run(GatewayTerms terms) throws IOException {
-    try (ServerSocket server = standIn(Rehearsal::serve);
+  public static int run(GatewayConfig terms) throws IOException {
+    try (ServerSocket server = standIn(SelfTest::serve);
         ServerSocket discovery = standIn((in, out) -> list(in, out, server.getLocalPort()))) {
-      GatewayTerms alone = terms.alone(discovery.getLocalPort(), server.getLocalPort());
-      return Service.run(
+      GatewayConfig alone = terms.alone(discovery.getLocalPort(), server.getLocalPort());
+      return GatewayProcess.run(
           () -> alone, service -> new Thread(() -> rehearse(service, alone)).start());
     }
   }
 
-  private static void rehearse(Service service, GatewayTerms terms) {
+  private static void rehearse(GatewayProcess service, GatewayConfig terms) {
     InetSocketAddress at = service.listening().join();
     for (int round = 0; round < ROUNDS; round++) {
       try (Socket client = new Socket(at.getAddress(), at.getPort())) {
         DataInputStream in = new DataInputStream(client.getInputStream());
-        ask(client, in, Replies.startup());
-        while (ask(client, in, Replies.query("")) != 'I') {
+        ask(client, in, MessageEncoder.startup());
+        while (ask(client, in, MessageEncoder.query("")) != 'I') {
           Thread.onSpinWait();
         }
         for (String method : terms.methods()) {
           String comment = " /* id=" + method + ",c=" + method + ",d=900,cluster=0 */";
-          ask(client, in, Replies.query("SELECT content FROM kv WHERE name = 'k'" + comment));
           ask(
               client,
               in,
-              Replies.query(
+              MessageEncoder.query("SELECT content FROM kv WHERE name = 'k'" + comment));
+          ask(
+              client,
+              in,
+              MessageEncoder.query(
                   "INSERT INTO kv (name, content) VALUES ('k', '\\x00') "
                       + "RETURNING content"
                       + comment));
@@ -81,7 +84,7 @@
     return first;
   }
 
-  private static ServerSocket standIn(Part part) throws IOException {
+  private static ServerSocket standIn(Step part) throws IOException {
     ServerSocket socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     thread(
         () -> {
@@ -120,7 +123,7 @@
   /** A primary whose every value is one byte. */
   private static void serve(DataInputStream in, OutputStream out) throws IOException {
     in.readFully(new byte[in.readInt() - Integer.BYTES]);
-    out.write(Replies.welcome().array());
+    out.write(MessageEncoder.welcome().array());
     while (true) {
       in.readByte();
       byte[] text = new byte[in.readInt() - Integer.BYTES];
@@ -129,8 +132,8 @@
       String report = "x0=" + now / 1000 + "." + now % 1000 + ",x1=1";
       out.write(
           text[1] == 'H'
-              ? Replies.row(report, "SHOW", now)
-              : Replies.row("v", text[0] == 'I' ? "INSERT 0 1" : "SELECT 1", now));
+              ? MessageEncoder.row(report, "SHOW", now)
+              : MessageEncoder.row("v", text[0] == 'I' ? "INSERT 0 1" : "SELECT 1", now));
     }
   }
 
--- a/gateway/src/main/java/weldcross/gateway/ServerLinks.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerConnectionPool.java
@@ -9,24 +9,24 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import weldcross.connections.RestRecord;
-import weldcross.pgwire.Replies;
-import weldcross.pgwire.ServerAnswer;
-import weldcross.routing.Outcome;
+import weldcross.connections.IdleTimeoutEstimator;
+import weldcross.pgwire.MessageEncoder;
+import weldcross.pgwire.ServerResponse;
+import weldcross.routing.AttemptOutcome;
 import weldcross.routing.ServerId;
 
 /**
  * The reducer's connections to servers: each carries one question at a time, then waits for the
  * next.
  */
-final class ServerLinks {
+final class ServerConnectionPool {
 
   /** One connection. */
   static final class Link {
     final long number;
     final ServerId server;
     final InetSocketAddress address;
-    Question question;
+    ServerRequest question;
     boolean reached, up, begun;
 
     /** Messages of which not every byte is known to be out. */
@@ -51,7 +51,7 @@
   private static final ArrayDeque<Link> NONE = new ArrayDeque<>();
 
   private final Gateway gateway;
-  private final Effects effects;
+  private final Transport effects;
   private final Duration connectTimeout;
   private final Duration idleFor;
   private final int most;
@@ -59,7 +59,7 @@
   /** A connection is quiet for so long before it carries the next question. */
   private final Duration settle;
 
-  private final RestRecord rests = new RestRecord();
+  private final IdleTimeoutEstimator rests = new IdleTimeoutEstimator();
   private final Map<ServerId, InetSocketAddress> addresses = new HashMap<>();
   private final Map<ServerId, ArrayDeque<Link>> idle = new HashMap<>();
   private final Map<Long, Link> links = new HashMap<>();
@@ -72,8 +72,8 @@
   /**
    * @param idleClose after which a server closes; a connection is given up here before that
    */
-  ServerLinks(
-      Gateway gateway, Effects effects, Duration connectTimeout, Duration idleClose, int most) {
+  ServerConnectionPool(
+      Gateway gateway, Transport effects, Duration connectTimeout, Duration idleClose, int most) {
     this.gateway = gateway;
     this.effects = effects;
     this.connectTimeout = connectTimeout;
@@ -98,7 +98,7 @@
     }
   }
 
-  void ask(ServerId server, Question question) {
+  void ask(ServerId server, ServerRequest question) {
     ArrayDeque<Link> unused = idle.getOrDefault(server, NONE);
     Link link = unused.peekFirst();
     if (link != null && gateway.now().minus(link.idleSince).compareTo(settle) < 0) {
@@ -109,7 +109,7 @@
     Duration rested = link == null ? null : gateway.now().minus(link.idleSince);
     if (link != null && rested.compareTo(settle) >= 0) {
       if (!question.mayGo()) {
-        gateway.soon(() -> end(question, Outcome.NOT_SENT, null));
+        gateway.soon(() -> end(question, AttemptOutcome.NOT_SENT, null));
         return;
       }
       // What may be asked again tries whatever there is, so that it is learnt when all is well
@@ -129,7 +129,7 @@
     InetSocketAddress address = addresses.get(server);
     if (links.size() >= most || address == null) {
       gateway.complain("no descriptor left for a connection to " + server.name());
-      gateway.soon(() -> end(question, Outcome.NO_ROUTE, null));
+      gateway.soon(() -> end(question, AttemptOutcome.NO_ROUTE, null));
       return;
     }
     Link dialled = new Link(gateway.nextNumber(), server, address);
@@ -157,7 +157,7 @@
     gateway.at(gateway.now().plus(connectTimeout.multipliedBy(2)), () -> silent(link, step));
   }
 
-  /** All that came in until {@link Effects#hear} was asked for has been read. */
+  /** All that came in until {@link Transport#hear} was asked for has been read. */
   void heard(long number) {
     Link link = links.get(number);
     if (link != null) {
@@ -176,12 +176,12 @@
     } else if (link.begun) {
       spoilt(link.number, "an answer that does not end");
     } else if (link.question != null) {
-      drop(link.question, Outcome.TIMED_OUT);
+      drop(link.question, AttemptOutcome.TIMED_OUT);
     }
   }
 
   /** Stops waiting: the connection ends with it, so that nothing of it comes back. */
-  void drop(Question question, Outcome outcome) {
+  void drop(ServerRequest question, AttemptOutcome outcome) {
     if (question.link != null) {
       remove(question.link);
     }
@@ -193,7 +193,7 @@
     if (link != null) {
       link.step++;
       link.reached = true;
-      write(link, Replies.startup());
+      write(link, MessageEncoder.startup());
     } else {
       // Given up as it came up: nobody would ever end it.
       effects.drop(number);
@@ -207,7 +207,7 @@
       link.step++;
       link.up = true;
       link.upSince = gateway.now();
-      Question question = link.question;
+      ServerRequest question = link.question;
       if (question.mayGo()) {
         write(link, question.message());
         return;
@@ -215,7 +215,7 @@
       link.question = null;
       question.link = null;
       rest(link);
-      end(question, Outcome.NOT_SENT, null);
+      end(question, AttemptOutcome.NOT_SENT, null);
     }
   }
 
@@ -236,12 +236,12 @@
    * @param more whether bytes came behind it: the answer counts, its connection is of no further
    *     use
    */
-  void answered(long number, ServerAnswer answer, boolean more) {
+  void answered(long number, ServerResponse answer, boolean more) {
     Link link = links.get(number);
     if (link == null || link.question == null) {
       return;
     }
-    Question question = link.question;
+    ServerRequest question = link.question;
     link.step++;
     link.begun = false;
     if (answer.state() == null && !answer.isServed(question.tag())) {
@@ -277,15 +277,15 @@
       return;
     }
     gateway.complain("spoilt by " + link.server.name() + ": " + why);
-    Question question = link.question;
+    ServerRequest question = link.question;
     boolean asked = link.up;
     remove(link);
     if (question != null) {
-      end(question, asked ? Outcome.CUT : Outcome.NO_ROUTE, null);
+      end(question, asked ? AttemptOutcome.CUT : AttemptOutcome.NO_ROUTE, null);
     }
   }
 
-  void gone(long number, ServerAnswer rest) {
+  void gone(long number, ServerResponse rest) {
     Link link = links.remove(number);
     if (link == null) {
       return;
@@ -294,16 +294,16 @@
     if (!link.up) {
       gateway.complain("no connection to " + link.server.name() + " at " + link.address);
     }
-    Question question = link.question;
+    ServerRequest question = link.question;
     if (question == null) {
       return;
     }
     question.link = null;
-    Outcome told =
+    AttemptOutcome told =
         rest != null && (rest.isServed(question.tag()) || rest.state() != null)
             ? outcome(rest)
             : null;
-    if (told != null && (link.up || told == Outcome.NO_ROOM)) {
+    if (told != null && (link.up || told == AttemptOutcome.NO_ROOM)) {
       end(question, told, rest);
     } else {
       end(question, lost(link), null);
@@ -311,16 +311,16 @@
   }
 
   /** What it means that a connection ended under its question. */
-  private Outcome lost(Link link) {
+  private AttemptOutcome lost(Link link) {
     boolean kept = link.rested != null && !link.begun;
     if (link.up && !link.begun) {
       rests.lost(link.rested);
     }
     if (link.up && link.unwritten == 0) {
-      return kept ? Outcome.KEPT_CUT : Outcome.CUT;
+      return kept ? AttemptOutcome.KEPT_CUT : AttemptOutcome.CUT;
     }
     // Taken up and ended before its welcome, or while it rested: whoever did so may well live.
-    return kept || (link.reached && !link.up) ? Outcome.NOT_TAKEN : Outcome.NO_ROUTE;
+    return kept || (link.reached && !link.up) ? AttemptOutcome.NOT_TAKEN : AttemptOutcome.NO_ROUTE;
   }
 
   /**
@@ -334,25 +334,25 @@
     }
   }
 
-  private static Outcome outcome(ServerAnswer answer) {
+  private static AttemptOutcome outcome(ServerResponse answer) {
     if (answer.state() == null) {
-      return Outcome.OK;
+      return AttemptOutcome.OK;
     }
     return switch (answer.state()) {
-      case "25006", "72000" -> Outcome.MISS;
-      case "53300" -> Outcome.NO_ROOM;
-      default -> Outcome.ERROR;
+      case "25006", "72000" -> AttemptOutcome.MISS;
+      case "53300" -> AttemptOutcome.NO_ROOM;
+      default -> AttemptOutcome.ERROR;
     };
   }
 
-  private void end(Question question, Outcome outcome, ServerAnswer answer) {
+  private void end(ServerRequest question, AttemptOutcome outcome, ServerResponse answer) {
     if (!question.over) {
       question.over = true;
       question.ended(outcome, answer);
     }
   }
 
-  private void carry(Link link, Question question) {
+  private void carry(Link link, ServerRequest question) {
     link.question = question;
     question.link = link;
   }
--- a/gateway/src/main/java/weldcross/gateway/Question.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerRequest.java
@@ -2,14 +2,14 @@
 
 import java.nio.ByteBuffer;
 import java.time.Duration;
-import weldcross.pgwire.ServerAnswer;
-import weldcross.routing.Outcome;
+import weldcross.pgwire.ServerResponse;
+import weldcross.routing.AttemptOutcome;
 
 /** What a connection to a server carries, one at a time: an RPC's call-out or a probe. */
-abstract class Question {
+abstract class ServerRequest {
 
   /** The connection that carries it; null before and after. */
-  ServerLinks.Link link;
+  ServerConnectionPool.Link link;
 
   boolean over;
 
@@ -34,5 +34,5 @@
   abstract String tag();
 
   /** Called once, however it ends. */
-  abstract void ended(Outcome outcome, ServerAnswer answer);
+  abstract void ended(AttemptOutcome outcome, ServerResponse answer);
 }
--- a/gateway/src/main/java/weldcross/gateway/Stream.java
+++ b/gateway/src/main/java/weldcross/gateway/Stream.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.apache.mina.core.session.IoSession;
-import weldcross.discovery.HttpReader;
+import weldcross.discovery.HttpResponseDecoder;
 
 /** What reads one connection's stream, on the processor's thread. */
 abstract class Stream {
@@ -23,7 +23,7 @@
 
   abstract void opened();
 
-  abstract void read(ByteBuffer in) throws HttpReader.Malformed;
+  abstract void read(ByteBuffer in) throws HttpResponseDecoder.ProtocolException;
 
   /** Called by the thread that asks, before its words are written. */
   void writing() {}
--- a/gateway/src/main/java/weldcross/gateway/Streams.java
+++ b/gateway/src/main/java/weldcross/gateway/Streams.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import weldcross.pgwire.ClientReader;
-import weldcross.pgwire.ServerAnswer;
-import weldcross.pgwire.ServerReader;
+import weldcross.pgwire.ClientMessageDecoder;
+import weldcross.pgwire.ServerMessageDecoder;
+import weldcross.pgwire.ServerResponse;
 import weldcross.pgwire.Statement;
 
 /** What the streams of clients and servers say, as events of the reducer. */
@@ -17,13 +17,13 @@
    * @param tell takes what concerns this client alone
    * @param always takes what concerns others, and counts though this one goes
    */
-  static ClientReader client(
+  static ClientMessageDecoder client(
       Consumer<Gateway.Event> tell,
       Consumer<Gateway.Event> always,
       Supplier<Duration> clock,
       long number) {
-    return new ClientReader(
-        new ClientReader.Sink() {
+    return new ClientMessageDecoder(
+        new ClientMessageDecoder.Sink() {
           @Override
           public void encryptionAsked() {
             tell.accept(g -> g.encryptionAsked(number));
@@ -72,16 +72,16 @@
         });
   }
 
-  static ServerReader server(Consumer<Gateway.Event> tell, long number) {
-    return new ServerReader(
-        new ServerReader.Sink() {
+  static ServerMessageDecoder server(Consumer<Gateway.Event> tell, long number) {
+    return new ServerMessageDecoder(
+        new ServerMessageDecoder.Sink() {
           @Override
           public void ready() {
             tell.accept(g -> g.links().ready(number));
           }
 
           @Override
-          public void answered(ServerAnswer answer, boolean more) {
+          public void answered(ServerResponse answer, boolean more) {
             tell.accept(g -> g.links().answered(number, answer, more));
           }
 
--- a/gateway/src/main/java/weldcross/gateway/DueTimes.java
+++ b/gateway/src/main/java/weldcross/gateway/TimerQueue.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 
 /** All that is due later, in the order of its time and, at one time, in the order asked for. */
-final class DueTimes {
+final class TimerQueue {
 
   private final TreeMap<Duration, List<Runnable>> dues = new TreeMap<>();
 
--- a/gateway/src/main/java/weldcross/gateway/Effects.java
+++ b/gateway/src/main/java/weldcross/gateway/Transport.java
@@ -8,7 +8,7 @@
  * What the reducer asks of the world. Each is begun at once and never waits; what comes of it comes
  * back as an event. A connection is known by the number that its accepting or its dialling gave it.
  */
-interface Effects {
+interface Transport {
 
   /**
    * The clock as it stands; within a turn of the reducer its own time does not move, however long
--- a/gateway/src/main/java/weldcross/gossip/PeerWord.java
+++ b/gateway/src/main/java/weldcross/gossip/GossipMessage.java
@@ -9,12 +9,12 @@
  * The one thing that gateways tell each other, as the bytes of a message: the server that was not
  * found.
  */
-public final class PeerWord {
+public final class GossipMessage {
 
   /** Longer messages are not carried. */
   public static final int LONGEST = 256;
 
-  private PeerWord() {}
+  private GossipMessage() {}
 
   public static byte[] write(ServerId notFound) {
     return notFound.name().getBytes(StandardCharsets.UTF_8);
--- a/gateway/src/main/java/weldcross/membership/Seen.java
+++ b/gateway/src/main/java/weldcross/membership/FailureDetector.java
@@ -26,7 +26,7 @@
  * proof, and only a later life ends it. Called by the adapter that carries its messages; pure,
  * chance from a told seed.
  */
-public final class Seen {
+public final class FailureDetector {
 
   /** Of the own health: each step gives others one period more. */
   private static final int WORST = 8;
@@ -42,9 +42,9 @@
     int helpers, noAnswers;
 
     /** What it was told by it, if it lives. */
-    final List<News> carried;
+    final List<MembershipUpdate> carried;
 
-    Probe(PeerName target, Duration helpAt, Duration until, List<News> carried) {
+    Probe(PeerName target, Duration helpAt, Duration until, List<MembershipUpdate> carried) {
       this.target = target;
       this.helpAt = helpAt;
       this.until = until;
@@ -68,18 +68,18 @@
 
   /** News that is still to be passed on. */
   private static final class Rumour {
-    final News news;
+    final MembershipUpdate news;
     int told;
 
-    Rumour(News news) {
+    Rumour(MembershipUpdate news) {
       this.news = news;
     }
   }
 
-  private final SeenTerms terms;
-  private final SeenHost host;
+  private final FailureDetectorConfig terms;
+  private final FailureDetectorActions host;
   private final SplittableRandom chance;
-  private final Map<PeerName, News> held = new TreeMap<>();
+  private final Map<PeerName, MembershipUpdate> held = new TreeMap<>();
   private final Set<PeerName> unheard = new HashSet<>();
   private final Map<PeerName, Doubt> doubts = new TreeMap<>();
   private final Map<PeerName, Rumour> rumours = new LinkedHashMap<>();
@@ -90,7 +90,7 @@
   private final List<PeerName> round = new ArrayList<>(), silentRound = new ArrayList<>();
 
   private int probesSent;
-  private News self;
+  private MembershipUpdate self;
   private long numbers;
   private int health;
   private Duration nextProbe = Duration.ZERO;
@@ -99,7 +99,7 @@
   /**
    * @param seed of the order of probes and the choice of helpers
    */
-  public Seen(SeenTerms terms, SeenHost host, long seed) {
+  public FailureDetector(FailureDetectorConfig terms, FailureDetectorActions host, long seed) {
     this.terms = terms;
     this.host = host;
     this.chance = new SplittableRandom(seed);
@@ -108,7 +108,9 @@
 
   /** Begins, or begins anew under a higher incarnation. */
   public void start(Duration now, long life) {
-    self = new News(terms.self(), life, 0, Finding.HERE, terms.zone(), terms.part(), terms.self());
+    self =
+        new MembershipUpdate(
+            terms.self(), life, 0, MemberState.HERE, terms.zone(), terms.part(), terms.self());
     nextProbe = now.plusNanos((long) (terms.period().toNanos() * chance.nextDouble()));
     host.wakeAt(nextProbe);
   }
@@ -116,7 +118,7 @@
   /** Tells all that can be told soon that this gateway goes; it is called no more after it. */
   public void leave() {
     leaving = true;
-    News gone = self.with(Finding.GONE, terms.self());
+    MembershipUpdate gone = self.with(MemberState.GONE, terms.self());
     List<PeerName> some = living();
     for (int k = 0; k < Math.max(terms.helpers(), spread()) && !some.isEmpty(); k++) {
       host.answer(some.remove(chance.nextInt(some.size())), 0, List.of(gone));
@@ -126,17 +128,17 @@
   // ---- What comes
 
   /** Somebody asks whether this gateway is here. */
-  public void probed(Duration now, PeerName from, long number, List<News> news) {
+  public void probed(Duration now, PeerName from, long number, List<MembershipUpdate> news) {
     if (!leaving) {
       hear(now, news);
-      List<News> carried = newsFor(from);
+      List<MembershipUpdate> carried = newsFor(from);
       told(carried);
       host.answer(from, number, carried);
     }
   }
 
   public void helpAsked(
-      Duration now, PeerName from, PeerName target, long number, List<News> news) {
+      Duration now, PeerName from, PeerName target, long number, List<MembershipUpdate> news) {
     if (leaving) {
       return;
     }
@@ -147,11 +149,11 @@
     wake(now);
   }
 
-  public void answered(Duration now, PeerName from, long number, List<News> news) {
+  public void answered(Duration now, PeerName from, long number, List<MembershipUpdate> news) {
     hear(now, news);
     Favour favour = favours.remove(number);
     if (favour != null) {
-      List<News> carried = newsFor(favour.asker());
+      List<MembershipUpdate> carried = newsFor(favour.asker());
       told(carried);
       host.answer(favour.asker(), favour.number(), carried);
     }
@@ -179,14 +181,14 @@
    *     refused before says nothing
    */
   public void refusedBy(Duration now, PeerName name, long life) {
-    News before = held.get(name);
+    MembershipUpdate before = held.get(name);
     if (before != null && before.life() == life) {
-      believe(now, before.with(Finding.GONE, terms.self()));
+      believe(now, before.with(MemberState.GONE, terms.self()));
     }
   }
 
-  private void hear(Duration now, List<News> news) {
-    for (News each : news) {
+  private void hear(Duration now, List<MembershipUpdate> news) {
+    for (MembershipUpdate each : news) {
       if (each.of().equals(terms.self())) {
         answerToSelf(each);
       } else {
@@ -196,19 +198,19 @@
   }
 
   /** Only this gateway raises its version, and only above what is said of it. */
-  private void answerToSelf(News said) {
+  private void answerToSelf(MembershipUpdate said) {
     if (said.life() > self.life()
-        || (said.life() == self.life() && said.finding() == Finding.GONE)) {
+        || (said.life() == self.life() && said.finding() == MemberState.GONE)) {
       host.takenForGone(said.life());
     } else if (said.life() == self.life()
-        && said.finding() != Finding.HERE
+        && said.finding() != MemberState.HERE
         && said.version() >= self.version()) {
       self =
-          new News(
+          new MembershipUpdate(
               self.of(),
               self.life(),
               said.version() + 1,
-              Finding.HERE,
+              MemberState.HERE,
               terms.zone(),
               terms.part(),
               terms.self());
@@ -217,11 +219,11 @@
     }
   }
 
-  private void believe(Duration now, News news) {
-    News before = held.get(news.of());
-    if (news.finding() == Finding.SUSPECT
+  private void believe(Duration now, MembershipUpdate news) {
+    MembershipUpdate before = held.get(news.of());
+    if (news.finding() == MemberState.SUSPECT
         && before != null
-        && before.finding() == Finding.SUSPECT
+        && before.finding() == MemberState.SUSPECT
         && before.life() == news.life()
         && before.version() == news.version()) {
       Doubt doubt = doubts.get(news.of());
@@ -237,7 +239,7 @@
     held.put(news.of(), news);
     unheard.remove(news.of());
     doubts.remove(news.of());
-    if (news.finding() == Finding.SUSPECT) {
+    if (news.finding() == MemberState.SUSPECT) {
       Doubt doubt = new Doubt(now);
       doubt.by.add(news.by());
       doubts.put(news.of(), doubt);
@@ -269,7 +271,7 @@
             });
     for (Map.Entry<PeerName, Doubt> each : List.copyOf(doubts.entrySet())) {
       if (doubtUntil(each.getValue()).compareTo(now) <= 0) {
-        believe(now, held.get(each.getKey()).with(Finding.SILENT, terms.self()));
+        believe(now, held.get(each.getKey()).with(MemberState.SILENT, terms.self()));
       }
     }
     if (nextProbe.compareTo(now) <= 0) {
@@ -293,10 +295,10 @@
           Math.min(
               WORST,
               health + (probe.helpers == 0 ? 1 : Math.max(0, probe.helpers - probe.noAnswers)));
-      News before = held.get(probe.target);
+      MembershipUpdate before = held.get(probe.target);
       if (before != null
-          && (before.finding() == Finding.HERE || before.finding() == Finding.SUSPECT)) {
-        believe(now, before.with(Finding.SUSPECT, terms.self()));
+          && (before.finding() == MemberState.HERE || before.finding() == MemberState.SUSPECT)) {
+        believe(now, before.with(MemberState.SUSPECT, terms.self()));
       }
     } else if (probe.helpAt != null && probe.helpAt.compareTo(now) <= 0) {
       probe.helpAt = null;
@@ -321,7 +323,7 @@
     next = next == null ? nextOf(silentRound, false) : next;
     if (next != null) {
       long number = ++numbers;
-      List<News> carried = newsFor(next);
+      List<MembershipUpdate> carried = newsFor(next);
       probes.put(
           number,
           new Probe(
@@ -353,10 +355,10 @@
   }
 
   private boolean isProbed(PeerName name, boolean here) {
-    Finding finding = findingOf(name);
+    MemberState finding = findingOf(name);
     return here
-        ? finding == Finding.HERE || finding == Finding.SUSPECT
-        : finding == Finding.SILENT || finding == Finding.UNHEARD;
+        ? finding == MemberState.HERE || finding == MemberState.SUSPECT
+        : finding == MemberState.SILENT || finding == MemberState.UNHEARD;
   }
 
   private Duration patience(Duration usual) {
@@ -403,11 +405,11 @@
    * The least told first; who is suspected is always told of it, so that it can answer; and always
    * who this gateway is, which costs one entry and lets a restarted one be known by its first word.
    */
-  private List<News> newsFor(PeerName to) {
-    List<News> news = new ArrayList<>();
+  private List<MembershipUpdate> newsFor(PeerName to) {
+    List<MembershipUpdate> news = new ArrayList<>();
     news.add(self);
-    News ofTo = held.get(to);
-    if (ofTo != null && ofTo.finding() != Finding.HERE) {
+    MembershipUpdate ofTo = held.get(to);
+    if (ofTo != null && ofTo.finding() != MemberState.HERE) {
       news.add(ofTo);
     }
     List<Rumour> all = new ArrayList<>(rumours.values());
@@ -426,8 +428,8 @@
   /**
    * Somebody who lives has these: what the dead are told spreads no further, and does not count.
    */
-  private void told(List<News> carried) {
-    for (News each : carried) {
+  private void told(List<MembershipUpdate> carried) {
+    for (MembershipUpdate each : carried) {
       Rumour rumour = rumours.get(each.of());
       if (rumour != null && rumour.news.equals(each) && ++rumour.told >= spread()) {
         rumours.remove(each.of());
@@ -438,7 +440,7 @@
   private List<PeerName> living() {
     List<PeerName> all = new ArrayList<>();
     held.values().stream()
-        .filter(n -> n.finding() == Finding.HERE || n.finding() == Finding.SUSPECT)
+        .filter(n -> n.finding() == MemberState.HERE || n.finding() == MemberState.SUSPECT)
         .forEach(n -> all.add(n.of()));
     return all;
   }
@@ -446,15 +448,15 @@
   // ---- What is known
 
   /** Of all gateways that were ever heard of, by name. */
-  public Collection<News> held() {
+  public Collection<MembershipUpdate> held() {
     return List.copyOf(held.values());
   }
 
-  public Finding findingOf(PeerName name) {
-    return held.containsKey(name) ? held.get(name).finding() : Finding.UNHEARD;
+  public MemberState findingOf(PeerName name) {
+    return held.containsKey(name) ? held.get(name).finding() : MemberState.UNHEARD;
   }
 
-  public News self() {
+  public MembershipUpdate self() {
     return self;
   }
 
@@ -465,7 +467,7 @@
 
   /** One line without an end. */
   public String inWords() {
-    Map<Finding, Integer> counts = new TreeMap<>();
+    Map<MemberState, Integer> counts = new TreeMap<>();
     held.values().forEach(n -> counts.merge(n.finding(), 1, Integer::sum));
     return "seen "
         + counts
--- a/gateway/src/main/java/weldcross/membership/SeenTerms.java
+++ b/gateway/src/main/java/weldcross/membership/FailureDetectorConfig.java
@@ -17,7 +17,7 @@
  * @param mostNews that one message carries
  * @param spread each news is passed on so many times the logarithm of the number of gateways
  */
-public record SeenTerms(
+public record FailureDetectorConfig(
     PeerName self,
     List<PeerName> peers,
     String zone,
@@ -31,8 +31,9 @@
     int spread) {
 
   /** As the papers have them, with a period of a second. */
-  public static SeenTerms usual(PeerName self, List<PeerName> peers, String zone, int part) {
-    return new SeenTerms(
+  public static FailureDetectorConfig usual(
+      PeerName self, List<PeerName> peers, String zone, int part) {
+    return new FailureDetectorConfig(
         self, peers, zone, part, Duration.ofSeconds(1), Duration.ofMillis(400), 3, 4, 6, 12, 3);
   }
 }
--- a/gateway/src/main/java/weldcross/membership/Finding.java
+++ b/gateway/src/main/java/weldcross/membership/MemberState.java
@@ -4,7 +4,7 @@
  * What one gateway holds true of another; three things that are never mixed, and what comes before
  * them.
  */
-public enum Finding {
+public enum MemberState {
   /** Told of at the start, and never heard of. */
   UNHEARD,
   /** It answers, or others say so. */
--- a/gateway/src/main/java/weldcross/membership/News.java
+++ b/gateway/src/main/java/weldcross/membership/MembershipUpdate.java
@@ -13,29 +13,29 @@
  * @param part of the traffic, in thousandths
  * @param by who found it, so that one gateway's doubt counts once however many pass it on
  */
-public record News(
-    PeerName of, long life, long version, Finding finding, String zone, int part, PeerName by) {
+public record MembershipUpdate(
+    PeerName of, long life, long version, MemberState finding, String zone, int part, PeerName by) {
 
   /**
    * Whether this, heard after the other, is to be believed in its place. Of one life and version
    * the worse counts; GONE counts for its whole life, so that no late word brings it back.
    */
-  boolean overrides(News before) {
+  boolean overrides(MembershipUpdate before) {
     if (before == null) {
       return true;
     }
     if (life != before.life) {
       return life > before.life;
     }
-    if (finding == Finding.GONE || before.finding == Finding.GONE) {
-      return before.finding != Finding.GONE;
+    if (finding == MemberState.GONE || before.finding == MemberState.GONE) {
+      return before.finding != MemberState.GONE;
     }
     return version != before.version
         ? version > before.version
         : finding.compareTo(before.finding) > 0;
   }
 
-  News with(Finding next, PeerName finder) {
-    return new News(of, life, version, next, zone, part, finder);
+  MembershipUpdate with(MemberState next, PeerName finder) {
+    return new MembershipUpdate(of, life, version, next, zone, part, finder);
   }
 }
--- a/gateway/src/main/java/weldcross/membership/net/SeenPart.java
+++ b/gateway/src/main/java/weldcross/membership/net/MembershipExtension.java
@@ -8,49 +8,52 @@
 import java.util.function.Consumer;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import weldcross.extension.Part;
-import weldcross.extension.Seam;
-import weldcross.membership.Finding;
-import weldcross.membership.News;
-import weldcross.membership.Seen;
-import weldcross.membership.SeenHost;
-import weldcross.membership.SeenTerms;
+import weldcross.extension.ExtensionContext;
+import weldcross.extension.GatewayExtension;
+import weldcross.membership.FailureDetector;
+import weldcross.membership.FailureDetectorActions;
+import weldcross.membership.FailureDetectorConfig;
+import weldcross.membership.MemberState;
+import weldcross.membership.MembershipUpdate;
 import weldcross.membership.wire.Entry;
 import weldcross.membership.wire.Word;
-import weldcross.mesh.Life;
+import weldcross.mesh.Incarnation;
 import weldcross.mesh.PeerName;
-import weldcross.mesh.net.LinkPart;
+import weldcross.mesh.net.MeshExtension;
 
-/** Who is here, as a part of a gateway: {@link Seen} decides, the link carries its words. */
-public final class SeenPart implements Part, SeenHost, LinkPart.Talker {
+/**
+ * Who is here, as a part of a gateway: {@link FailureDetector} decides, the link carries its words.
+ */
+public final class MembershipExtension
+    implements GatewayExtension, FailureDetectorActions, MeshExtension.Talker {
 
   /** Under which the link carries this part's words. */
   public static final int SUBJECT = 2;
 
-  private static final Logger LOG = Logger.getLogger(SeenPart.class.getName());
+  private static final Logger LOG = Logger.getLogger(MembershipExtension.class.getName());
 
-  private final LinkPart link;
-  private final Seen seen;
-  private final List<Consumer<News>> listeners = new ArrayList<>();
-  private Seam seam;
+  private final MeshExtension link;
+  private final FailureDetector seen;
+  private final List<Consumer<MembershipUpdate>> listeners = new ArrayList<>();
+  private ExtensionContext seam;
   private Duration wakeAt;
 
   /**
    * @param seed of the order of probes
    */
-  public SeenPart(SeenTerms terms, LinkPart link, long seed) {
+  public MembershipExtension(FailureDetectorConfig terms, MeshExtension link, long seed) {
     this.link = link;
-    this.seen = new Seen(terms, this, seed);
+    this.seen = new FailureDetector(terms, this, seed);
     link.talk(SUBJECT, this);
   }
 
   /** Called before the part is started: whoever is to hear of each finding that changes. */
-  public void tell(Consumer<News> listener) {
+  public void tell(Consumer<MembershipUpdate> listener) {
     listeners.add(listener);
   }
 
   /** What is held of another gateway. */
-  public Seen seen() {
+  public FailureDetector seen() {
     return seen;
   }
 
@@ -62,7 +65,7 @@
   }
 
   @Override
-  public void start(Seam gateway) {
+  public void start(ExtensionContext gateway) {
     seam = gateway;
   }
 
@@ -101,12 +104,12 @@
   // ---- Of the link
 
   @Override
-  public void begun(Life self) {
+  public void begun(Incarnation self) {
     seen.start(seam.now(), self.incarnation());
   }
 
   @Override
-  public void heard(PeerName from, Life life, ByteBuffer content) {
+  public void heard(PeerName from, Incarnation life, ByteBuffer content) {
     if (seen.self() == null) {
       return;
     }
@@ -117,12 +120,12 @@
       LOG.fine(() -> "membership: a word of " + from + " that is none");
       return;
     }
-    List<News> news = new ArrayList<>();
+    List<MembershipUpdate> news = new ArrayList<>();
     for (Entry each : word.getNewsList()) {
-      Finding finding = finding(each.getFinding());
+      MemberState finding = finding(each.getFinding());
       if (finding != null) {
         news.add(
-            new News(
+            new MembershipUpdate(
                 new PeerName(each.getOf()),
                 each.getLife(),
                 each.getVersion(),
@@ -144,9 +147,9 @@
     }
   }
 
-  private static Finding finding(String word) {
-    for (Finding each : Finding.values()) {
-      if (each != Finding.UNHEARD && each.name().equals(word)) {
+  private static MemberState finding(String word) {
+    for (MemberState each : MemberState.values()) {
+      if (each != MemberState.UNHEARD && each.name().equals(word)) {
         return each;
       }
     }
@@ -154,7 +157,7 @@
   }
 
   @Override
-  public void up(PeerName peer, Life life) {
+  public void up(PeerName peer, Incarnation life) {
     // Probes tell more: that a connection is up says nothing of its other side's thread.
   }
 
@@ -164,7 +167,7 @@
   }
 
   @Override
-  public void refusedBy(PeerName peer, Life before) {
+  public void refusedBy(PeerName peer, Incarnation before) {
     if (before != null && seen.self() != null) {
       seen.refusedBy(seam.now(), peer, before.incarnation());
     }
@@ -173,17 +176,17 @@
   // ---- What is decided
 
   @Override
-  public void probe(PeerName to, long number, List<News> news) {
+  public void probe(PeerName to, long number, List<MembershipUpdate> news) {
     say(to, Word.newBuilder().setProbe(number), news);
   }
 
   @Override
-  public void help(PeerName helper, PeerName target, long number, List<News> news) {
+  public void help(PeerName helper, PeerName target, long number, List<MembershipUpdate> news) {
     say(helper, Word.newBuilder().setHelp(number).setTarget(target.name()), news);
   }
 
   @Override
-  public void answer(PeerName to, long number, List<News> news) {
+  public void answer(PeerName to, long number, List<MembershipUpdate> news) {
     say(to, Word.newBuilder().setAnswer(number), news);
   }
 
@@ -192,8 +195,8 @@
     say(to, Word.newBuilder().setNoAnswer(number), List.of());
   }
 
-  private void say(PeerName to, Word.Builder word, List<News> news) {
-    for (News each : news) {
+  private void say(PeerName to, Word.Builder word, List<MembershipUpdate> news) {
+    for (MembershipUpdate each : news) {
       word.addNews(
           Entry.newBuilder()
               .setOf(each.of().name())
@@ -208,9 +211,9 @@
   }
 
   @Override
-  public void found(News now) {
+  public void found(MembershipUpdate now) {
     LOG.log(
-        now.finding() == Finding.SUSPECT ? Level.FINE : Level.INFO,
+        now.finding() == MemberState.SUSPECT ? Level.FINE : Level.INFO,
         () ->
             "membership: "
                 + now.of()
--- a/gateway/src/main/java/weldcross/mesh/Refusal.java
+++ b/gateway/src/main/java/weldcross/mesh/HandshakeRejection.java
@@ -1,7 +1,7 @@
 package weldcross.mesh;
 
 /** Why a gateway does not speak with who called it. */
-public enum Refusal {
+public enum HandshakeRejection {
   /** It belongs to another cluster. */
   CLUSTER,
   /** Its name is not among those told. */
--- a/gateway/src/main/java/weldcross/mesh/Life.java
+++ b/gateway/src/main/java/weldcross/mesh/Incarnation.java
@@ -7,4 +7,4 @@
  * @param mark drawn anew by each life, so that two lives under one incarnation are told apart: the
  *     later one lost what it had kept
  */
-public record Life(long incarnation, long mark) {}
+public record Incarnation(long incarnation, long mark) {}
--- a/gateway/src/main/java/weldcross/mesh/LinkTerms.java
+++ b/gateway/src/main/java/weldcross/mesh/MeshConfig.java
@@ -17,7 +17,7 @@
  * @param mostWaiting messages that may wait for one peer
  * @param mostBytes bytes that may wait for one peer, or be written and not yet taken by it
  */
-public record LinkTerms(
+public record MeshConfig(
     String cluster,
     PeerName self,
     List<PeerName> peers,
--- a/gateway/src/main/java/weldcross/mesh/LinkPlaces.java
+++ b/gateway/src/main/java/weldcross/mesh/PeerAddresses.java
@@ -11,7 +11,7 @@
  * @param calls where each peer is called
  * @param tells where datagrams reach each peer; without those that hear none
  */
-public record LinkPlaces(
+public record PeerAddresses(
     InetSocketAddress listen,
     InetSocketAddress datagrams,
     Map<PeerName, InetSocketAddress> calls,
--- a/gateway/src/main/java/weldcross/mesh/Links.java
+++ b/gateway/src/main/java/weldcross/mesh/PeerConnectionManager.java
@@ -14,14 +14,14 @@
  * Decides all about the connections between gateways: when to dial and how long to rest, whom to
  * speak with, when an open connection counts as stalled, how much may wait for a slow peer and what
  * is dropped then, and which life of a peer is listened to. Called by the adapter that owns the
- * sockets; calls {@link LinkHost}. Pure: no I/O, no clock, chance from a told seed.
+ * sockets; calls {@link PeerConnectionActions}. Pure: no I/O, no clock, chance from a told seed.
  *
  * <p>A gateway speaks to each peer on a connection that it dialled itself and hears it on one that
  * the peer dialled, so that the two directions stand and fall apart, as networks do. Order is kept
  * within one connection; nothing is repeated on the next. Safety rests on none of the times here:
  * they only say when to give up and try again.
  */
-public final class Links {
+public final class PeerConnectionManager {
 
   /** Of the connection that this gateway dials. */
   private enum Phase {
@@ -40,7 +40,7 @@
     long link;
     Duration until = Duration.ZERO;
     int failures;
-    Life spokenTo, heard, knownAtDial;
+    Incarnation spokenTo, heard, knownAtDial;
     long heardLink;
 
     /** Sent and not echoed: the time of the last sign of life, and of the next beat. */
@@ -64,7 +64,7 @@
   private static final class Caller {
     final long link;
     Peer peer;
-    Life life;
+    Incarnation life;
     Duration aliveAt;
 
     Caller(long link, Duration now) {
@@ -73,13 +73,13 @@
     }
   }
 
-  private final LinkTerms terms;
-  private final LinkHost host;
+  private final MeshConfig terms;
+  private final PeerConnectionActions host;
   private final SplittableRandom chance;
   private final Map<PeerName, Peer> peers = new TreeMap<>();
   private final Map<Long, Peer> dialled = new HashMap<>();
   private final Map<Long, Caller> callers = new TreeMap<>();
-  private Life self;
+  private Incarnation self;
   private long numbers;
   private boolean leaving;
   private Duration wakeAt;
@@ -87,7 +87,7 @@
   /**
    * @param seed decides how long rests are drawn out
    */
-  public Links(LinkTerms terms, LinkHost host, long seed) {
+  public PeerConnectionManager(MeshConfig terms, PeerConnectionActions host, long seed) {
     this.terms = terms;
     this.host = host;
     this.chance = new SplittableRandom(seed);
@@ -100,7 +100,7 @@
    * Begins; called once this life's incarnation is sure, or again where a higher one had to be
    * taken.
    */
-  public void start(Duration now, Life life) {
+  public void start(Duration now, Incarnation life) {
     boolean again = self != null;
     self = life;
     for (Peer peer : peers.values()) {
@@ -135,14 +135,14 @@
    *
    * @param mayBeLost whether it makes room for later ones: where too much waits, the oldest of
    *     these go first; else a full queue ends the connection, so that what is lost is told by
-   *     {@link LinkHost#down}
+   *     {@link PeerConnectionActions#down}
    * @return false where it was not taken: the peer is not told of, or too much waits for it
    */
   public boolean send(
       Duration now, PeerName to, int subject, ByteBuffer content, boolean mayBeLost) {
     Peer peer = peers.get(to);
     int size = content.remaining();
-    if (peer == null || leaving || size > LinkTerms.LONGEST) {
+    if (peer == null || leaving || size > MeshConfig.LONGEST) {
       return false;
     }
     if (peer.phase == Phase.UP
@@ -226,7 +226,7 @@
     Peer peer = dialled.get(link);
     if (peer != null) {
       PeerName name = peer.name;
-      Life before = peer.knownAtDial;
+      Incarnation before = peer.knownAtDial;
       lose(now, peer, null);
       rest(now, peer);
       if (refused) {
@@ -236,7 +236,7 @@
   }
 
   /** The peer took the call. */
-  public void welcomed(Duration now, long link, Life life) {
+  public void welcomed(Duration now, long link, Incarnation life) {
     Peer peer = dialled.get(link);
     if (peer == null || peer.phase != Phase.GREETING) {
       broke(now, link, "a welcome that nobody waits for");
@@ -260,14 +260,14 @@
   }
 
   /** The peer does not speak with this gateway; it is asked again ever more rarely. */
-  public void refused(Duration now, long link, Refusal why, long knownIncarnation) {
+  public void refused(Duration now, long link, HandshakeRejection why, long knownIncarnation) {
     Peer peer = dialled.get(link);
     if (peer == null) {
       return;
     }
     lose(now, peer, "it refuses: " + why);
     rest(now, peer);
-    if (why == Refusal.OLD && knownIncarnation >= self.incarnation()) {
+    if (why == HandshakeRejection.OLD && knownIncarnation >= self.incarnation()) {
       host.outlived(knownIncarnation);
     }
   }
@@ -303,30 +303,36 @@
 
   /** The caller says who it is, and whom it wants. */
   public void greeted(
-      Duration now, long link, String cluster, PeerName from, PeerName to, Life life, int version) {
+      Duration now,
+      long link,
+      String cluster,
+      PeerName from,
+      PeerName to,
+      Incarnation life,
+      int version) {
     Caller caller = callers.get(link);
     if (caller == null || caller.peer != null) {
       broke(now, link, "a greeting out of its place");
       return;
     }
     Peer peer = peers.get(from);
-    Refusal why =
+    HandshakeRejection why =
         !cluster.equals(terms.cluster())
-            ? Refusal.CLUSTER
+            ? HandshakeRejection.CLUSTER
             : peer == null
-                ? Refusal.NAME
+                ? HandshakeRejection.NAME
                 : !to.equals(terms.self())
-                    ? Refusal.NOT_ME
-                    : version < LinkTerms.OLDEST || version > LinkTerms.VERSION
-                        ? Refusal.VERSION
-                        : isOld(peer, life) ? Refusal.OLD : null;
+                    ? HandshakeRejection.NOT_ME
+                    : version < MeshConfig.OLDEST || version > MeshConfig.VERSION
+                        ? HandshakeRejection.VERSION
+                        : isOld(peer, life) ? HandshakeRejection.OLD : null;
     if (why != null || self == null || leaving) {
       callers.remove(link);
       if (why == null) {
         host.drop(link);
         return;
       }
-      host.refuse(link, why, why == Refusal.OLD ? peer.heard.incarnation() : 0);
+      host.refuse(link, why, why == HandshakeRejection.OLD ? peer.heard.incarnation() : 0);
       host.finish(link);
       return;
     }
@@ -376,15 +382,15 @@
       Duration now,
       String cluster,
       PeerName from,
-      Life life,
+      Incarnation life,
       int version,
       int subject,
       ByteBuffer content) {
     Peer peer = peers.get(from);
     if (peer != null
         && cluster.equals(terms.cluster())
-        && version >= LinkTerms.OLDEST
-        && version <= LinkTerms.VERSION
+        && version >= MeshConfig.OLDEST
+        && version <= MeshConfig.VERSION
         && !isOld(peer, life)) {
       learn(now, peer, life);
       host.heard(from, life, subject, content);
@@ -465,7 +471,7 @@
   }
 
   /** Whether a later life of the peer is known, or another one under the same incarnation. */
-  private static boolean isOld(Peer peer, Life life) {
+  private static boolean isOld(Peer peer, Incarnation life) {
     return peer.heard != null
         && (life.incarnation() < peer.heard.incarnation()
             || (life.incarnation() == peer.heard.incarnation()
@@ -476,7 +482,7 @@
    * A later life ends all that is open to or from the one before: nothing of that is listened to
    * any more.
    */
-  private void learn(Duration now, Peer peer, Life life) {
+  private void learn(Duration now, Peer peer, Incarnation life) {
     if (life.equals(peer.heard)) {
       return;
     }
@@ -592,7 +598,7 @@
   }
 
   /** The latest life of the peer that was heard of; null where none was. */
-  public Life lifeOf(PeerName name) {
+  public Incarnation lifeOf(PeerName name) {
     Peer peer = peers.get(name);
     return peer == null ? null : peer.heard;
   }
--- a/gateway/src/main/java/weldcross/mesh/net/FrameCodec.java
+++ b/gateway/src/main/java/weldcross/mesh/net/FrameCodec.java
@@ -9,7 +9,7 @@
 import org.apache.mina.filter.codec.ProtocolDecoderOutput;
 import org.apache.mina.filter.codec.ProtocolEncoderAdapter;
 import org.apache.mina.filter.codec.ProtocolEncoderOutput;
-import weldcross.mesh.LinkTerms;
+import weldcross.mesh.MeshConfig;
 import weldcross.mesh.wire.Frame;
 
 /**
@@ -21,7 +21,7 @@
   /** Beyond a message's content, what a frame may take. */
   private static final int AROUND = 1 << 10;
 
-  static final int LONGEST = LinkTerms.LONGEST + AROUND;
+  static final int LONGEST = MeshConfig.LONGEST + AROUND;
 
   private FrameCodec() {}
 
--- a/gateway/src/main/java/weldcross/mesh/net/LinkPart.java
+++ b/gateway/src/main/java/weldcross/mesh/net/MeshExtension.java
@@ -9,55 +9,55 @@
 import java.util.List;
 import java.util.Map;
 import java.util.logging.Logger;
-import weldcross.extension.Part;
-import weldcross.extension.Seam;
-import weldcross.mesh.Life;
-import weldcross.mesh.LinkHost;
-import weldcross.mesh.LinkPlaces;
-import weldcross.mesh.LinkTerms;
-import weldcross.mesh.Links;
+import weldcross.extension.ExtensionContext;
+import weldcross.extension.GatewayExtension;
+import weldcross.mesh.HandshakeRejection;
+import weldcross.mesh.Incarnation;
+import weldcross.mesh.MeshConfig;
+import weldcross.mesh.PeerAddresses;
+import weldcross.mesh.PeerConnectionActions;
+import weldcross.mesh.PeerConnectionManager;
 import weldcross.mesh.PeerName;
-import weldcross.mesh.Refusal;
-import weldcross.storage.LogKeeper;
+import weldcross.storage.AsyncRecordLog;
 import weldcross.storage.RecordLog;
 
 /**
- * The link between gateways as a part of one of them: {@link Links} decides, {@link MinaLinks} has
- * the sockets, and a log keeps the incarnation, which is sure before anybody is called. Other parts
- * speak through it by a subject of their own.
+ * The link between gateways as a part of one of them: {@link PeerConnectionManager} decides, {@link
+ * MinaMeshTransport} has the sockets, and a log keeps the incarnation, which is sure before anybody
+ * is called. Other parts speak through it by a subject of their own.
  */
-public final class LinkPart implements Part, LinkHost {
+public final class MeshExtension implements GatewayExtension, PeerConnectionActions {
 
   /** A subsystem that speaks and listens under its subject. */
   public interface Talker {
 
-    void heard(PeerName from, Life life, ByteBuffer content);
+    void heard(PeerName from, Incarnation life, ByteBuffer content);
 
     /** This gateway speaks under this life from now on. */
-    default void begun(Life self) {}
+    default void begun(Incarnation self) {}
 
-    /** As {@link LinkHost#refusedBy}. */
-    default void refusedBy(PeerName peer, Life before) {}
+    /** As {@link PeerConnectionActions#refusedBy}. */
+    default void refusedBy(PeerName peer, Incarnation before) {}
 
-    void up(PeerName peer, Life life);
+    void up(PeerName peer, Incarnation life);
 
     void down(PeerName peer, String why);
   }
 
-  private static final Logger LOG = Logger.getLogger(LinkPart.class.getName());
+  private static final Logger LOG = Logger.getLogger(MeshExtension.class.getName());
   private static final Duration DISK_AGAIN = Duration.ofSeconds(1);
   private static final long SEGMENT = 64 << 10;
   private static final int MOST_WAITING = 16;
 
-  private final LinkTerms terms;
-  private final LinkPlaces places;
+  private final MeshConfig terms;
+  private final PeerAddresses places;
   private final Path directory;
-  private final Links links;
+  private final PeerConnectionManager links;
   private final Map<Integer, Talker> talkers = new HashMap<>();
   private final long mark = new SecureRandom().nextLong();
-  private Seam seam;
-  private MinaLinks sockets;
-  private LogKeeper kept;
+  private ExtensionContext seam;
+  private MinaMeshTransport sockets;
+  private AsyncRecordLog kept;
   private long incarnation;
   private String trouble;
   private Duration wakeAt;
@@ -65,11 +65,11 @@
   /**
    * @param seed decides how long rests between dials are drawn out
    */
-  public LinkPart(LinkTerms terms, LinkPlaces places, Path directory, long seed) {
+  public MeshExtension(MeshConfig terms, PeerAddresses places, Path directory, long seed) {
     this.terms = terms;
     this.places = places;
     this.directory = directory;
-    this.links = new Links(terms, this, seed);
+    this.links = new PeerConnectionManager(terms, this, seed);
   }
 
   /** Called before the part is started. */
@@ -77,17 +77,17 @@
     talkers.put(subject, talker);
   }
 
-  /** As {@link Links#send}. */
+  /** As {@link PeerConnectionManager#send}. */
   public boolean send(PeerName to, int subject, ByteBuffer content, boolean mayBeLost) {
     return links.send(seam.now(), to, subject, content, mayBeLost);
   }
 
-  /** As {@link Links#tell}. */
+  /** As {@link PeerConnectionManager#tell}. */
   public boolean tell(PeerName to, int subject, ByteBuffer content) {
     return links.tell(to, subject, content);
   }
 
-  public Links links() {
+  public PeerConnectionManager links() {
     return links;
   }
 
@@ -104,18 +104,18 @@
   }
 
   @Override
-  public void start(Seam gateway) {
+  public void start(ExtensionContext gateway) {
     seam = gateway;
-    sockets = new MinaLinks(terms, places, links, seam);
+    sockets = new MinaMeshTransport(terms, places, links, seam);
     sockets.listen();
-    kept = new LogKeeper(directory.resolve("link"), SEGMENT, MOST_WAITING, seam::post);
+    kept = new AsyncRecordLog(directory.resolve("link"), SEGMENT, MOST_WAITING, seam::post);
     open();
   }
 
   /** The incarnation of the life before, and one more before anybody is called. */
   private void open() {
     kept.open(
-        new LogKeeper.Opened() {
+        new AsyncRecordLog.Opened() {
           private long last;
 
           @Override
@@ -149,18 +149,18 @@
     boolean taken =
         kept.append(
             content,
-            new LogKeeper.Told() {
+            new AsyncRecordLog.Told() {
               @Override
               public void sure(long number) {
                 incarnation = next;
                 trouble = null;
                 LOG.info(() -> "link: incarnation " + next);
-                links.start(seam.now(), new Life(next, mark));
-                List.copyOf(talkers.values()).forEach(t -> t.begun(new Life(next, mark)));
+                links.start(seam.now(), new Incarnation(next, mark));
+                List.copyOf(talkers.values()).forEach(t -> t.begun(new Incarnation(next, mark)));
                 kept.snapshot(
                     number,
                     ByteBuffer.allocate(Long.BYTES).putLong(next).flip(),
-                    new LogKeeper.Told() {
+                    new AsyncRecordLog.Told() {
                       @Override
                       public void sure(long upTo) {
                         // The records before it are gone, which is all that it was for.
@@ -244,17 +244,17 @@
   }
 
   @Override
-  public void greet(long link, PeerName to, Life self) {
+  public void greet(long link, PeerName to, Incarnation self) {
     sockets.greet(link, to, self);
   }
 
   @Override
-  public void welcome(long link, Life self) {
+  public void welcome(long link, Incarnation self) {
     sockets.welcome(link, self);
   }
 
   @Override
-  public void refuse(long link, Refusal why, long knownIncarnation) {
+  public void refuse(long link, HandshakeRejection why, long knownIncarnation) {
     sockets.refuse(link, why, knownIncarnation);
   }
 
@@ -290,7 +290,7 @@
 
   @Override
   public void datagram(PeerName to, int subject, ByteBuffer content) {
-    sockets.datagram(to, new Life(incarnation, mark), subject, content);
+    sockets.datagram(to, new Incarnation(incarnation, mark), subject, content);
   }
 
   @Override
@@ -306,7 +306,7 @@
   }
 
   @Override
-  public void heard(PeerName from, Life life, int subject, ByteBuffer content) {
+  public void heard(PeerName from, Incarnation life, int subject, ByteBuffer content) {
     Talker talker = talkers.get(subject);
     if (talker != null) {
       talker.heard(from, life, content);
@@ -314,7 +314,7 @@
   }
 
   @Override
-  public void up(PeerName peer, Life life) {
+  public void up(PeerName peer, Incarnation life) {
     LOG.info(() -> "link: " + peer + " is up, incarnation " + life.incarnation());
     List.copyOf(talkers.values()).forEach(t -> t.up(peer, life));
   }
@@ -326,7 +326,7 @@
   }
 
   @Override
-  public void refusedBy(PeerName peer, Life before) {
+  public void refusedBy(PeerName peer, Incarnation before) {
     LOG.fine(() -> "link: nobody listens where " + peer + " should");
     List.copyOf(talkers.values()).forEach(t -> t.refusedBy(peer, before));
   }
--- a/gateway/src/main/java/weldcross/mesh/net/MinaLinks.java
+++ b/gateway/src/main/java/weldcross/mesh/net/MinaMeshTransport.java
@@ -31,25 +31,25 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
-import weldcross.connections.Dials;
-import weldcross.extension.Seam;
-import weldcross.mesh.LinkPlaces;
-import weldcross.mesh.LinkTerms;
-import weldcross.mesh.Links;
+import weldcross.connections.CancellableConnector;
+import weldcross.extension.ExtensionContext;
+import weldcross.mesh.HandshakeRejection;
+import weldcross.mesh.MeshConfig;
+import weldcross.mesh.PeerAddresses;
+import weldcross.mesh.PeerConnectionManager;
 import weldcross.mesh.PeerName;
-import weldcross.mesh.Refusal;
 import weldcross.mesh.wire.Datagram;
 import weldcross.mesh.wire.Frame;
 import weldcross.mesh.wire.Greeting;
-import weldcross.mesh.wire.Life;
+import weldcross.mesh.wire.Incarnation;
 import weldcross.mesh.wire.Message;
 import weldcross.mesh.wire.Refused;
 import weldcross.mesh.wire.Welcome;
 
 /** The sockets of the link, on Apache MINA; its threads only read what comes and post it. */
-final class MinaLinks {
+final class MinaMeshTransport {
 
-  private static final Logger LOG = Logger.getLogger(MinaLinks.class.getName());
+  private static final Logger LOG = Logger.getLogger(MinaMeshTransport.class.getName());
   private static final String NUMBER = "number";
   private static final String IN_HAND = "in hand";
 
@@ -59,15 +59,15 @@
   /** A datagram goes whole or not at all. */
   private static final int LONGEST_DATAGRAM = 1200;
 
-  private final LinkTerms terms;
-  private final LinkPlaces places;
-  private final Links links;
-  private final Seam seam;
+  private final MeshConfig terms;
+  private final PeerAddresses places;
+  private final PeerConnectionManager links;
+  private final ExtensionContext seam;
   private final SimpleIoProcessorPool<NioSession> processor;
   private final ExecutorService threads;
   private final NioSocketAcceptor acceptor;
   private final NioSocketConnector connector;
-  private final Dials dials;
+  private final CancellableConnector dials;
   private final Map<Long, IoSession> sessions = new ConcurrentHashMap<>();
 
   /** On which peers are called: nobody else calls here. */
@@ -79,7 +79,8 @@
   /** Numbers of connections accepted here, above zero. */
   private long accepted;
 
-  MinaLinks(LinkTerms terms, LinkPlaces places, Links links, Seam seam) {
+  MinaMeshTransport(
+      MeshConfig terms, PeerAddresses places, PeerConnectionManager links, ExtensionContext seam) {
     this.terms = terms;
     this.places = places;
     this.links = links;
@@ -95,7 +96,7 @@
     processor = new SimpleIoProcessorPool<>(NioProcessor.class, threads, 1, null);
     acceptor = new NioSocketAcceptor(threads, processor);
     connector = new NioSocketConnector(threads, processor);
-    dials = new Dials(connector);
+    dials = new CancellableConnector(connector);
     set(acceptor.getSessionConfig());
     set(connector.getSessionConfig());
     acceptor.setReuseAddress(true);
@@ -200,27 +201,27 @@
         });
   }
 
-  void greet(long number, PeerName to, weldcross.mesh.Life self) {
+  void greet(long number, PeerName to, weldcross.mesh.Incarnation self) {
     write(
         number,
         Frame.newBuilder()
             .setGreeting(
                 Greeting.newBuilder()
-                    .setVersion(LinkTerms.VERSION)
+                    .setVersion(MeshConfig.VERSION)
                     .setCluster(terms.cluster())
                     .setFrom(terms.self().name())
                     .setTo(to.name())
                     .setLife(wire(self))));
   }
 
-  void welcome(long number, weldcross.mesh.Life self) {
+  void welcome(long number, weldcross.mesh.Incarnation self) {
     write(
         number,
         Frame.newBuilder()
-            .setWelcome(Welcome.newBuilder().setVersion(LinkTerms.VERSION).setLife(wire(self))));
+            .setWelcome(Welcome.newBuilder().setVersion(MeshConfig.VERSION).setLife(wire(self))));
   }
 
-  void refuse(long number, Refusal why, long knownIncarnation) {
+  void refuse(long number, HandshakeRejection why, long knownIncarnation) {
     LOG.info(() -> "link: a caller is refused: " + why);
     write(
         number,
@@ -229,7 +230,7 @@
                 Refused.newBuilder()
                     .setWhy(why.name())
                     .setKnownIncarnation(knownIncarnation)
-                    .setNewestVersion(LinkTerms.VERSION)));
+                    .setNewestVersion(MeshConfig.VERSION)));
   }
 
   void beat(long number, long count) {
@@ -277,14 +278,14 @@
     }
   }
 
-  void datagram(PeerName to, weldcross.mesh.Life self, int subject, ByteBuffer content) {
+  void datagram(PeerName to, weldcross.mesh.Incarnation self, int subject, ByteBuffer content) {
     InetSocketAddress place = places.tells().get(to);
     if (datagrams == null || place == null) {
       return;
     }
     byte[] bytes =
         Datagram.newBuilder()
-            .setVersion(LinkTerms.VERSION)
+            .setVersion(MeshConfig.VERSION)
             .setCluster(terms.cluster())
             .setFrom(terms.self().name())
             .setLife(wire(self))
@@ -302,12 +303,12 @@
     return session == null ? null : session.write(frame.build());
   }
 
-  private static Life wire(weldcross.mesh.Life life) {
-    return Life.newBuilder().setIncarnation(life.incarnation()).setMark(life.mark()).build();
+  private static Incarnation wire(weldcross.mesh.Incarnation life) {
+    return Incarnation.newBuilder().setIncarnation(life.incarnation()).setMark(life.mark()).build();
   }
 
-  private static weldcross.mesh.Life plain(Life life) {
-    return new weldcross.mesh.Life(life.getIncarnation(), life.getMark());
+  private static weldcross.mesh.Incarnation plain(Incarnation life) {
+    return new weldcross.mesh.Incarnation(life.getIncarnation(), life.getMark());
   }
 
   // ---- What comes
@@ -400,13 +401,13 @@
       }
     }
 
-    private static Refusal refusal(String word) {
-      for (Refusal each : Refusal.values()) {
+    private static HandshakeRejection refusal(String word) {
+      for (HandshakeRejection each : HandshakeRejection.values()) {
         if (each.name().equals(word)) {
           return each;
         }
       }
-      return Refusal.NAME;
+      return HandshakeRejection.NAME;
     }
 
     @Override
--- a/gateway/src/main/java/weldcross/pgwire/ClientReader.java
+++ b/gateway/src/main/java/weldcross/pgwire/ClientMessageDecoder.java
@@ -6,7 +6,7 @@
  * The stream from a client: the start of the session, then queries, each told to the sink in its
  * order.
  */
-public final class ClientReader {
+public final class ClientMessageDecoder {
 
   /** What a client can say. */
   public interface Sink {
@@ -38,12 +38,12 @@
   private static final int CANCEL = 80877102;
   private static final int CANCEL_LENGTH = 16;
 
-  private final FrameReader frames = new FrameReader(true);
+  private final FrameDecoder frames = new FrameDecoder(true);
   private final Sink sink;
   private boolean over, begun;
   private int told;
 
-  public ClientReader(Sink sink) {
+  public ClientMessageDecoder(Sink sink) {
     this.sink = sink;
   }
 
@@ -56,7 +56,7 @@
         begun = true;
         sink.begun();
       }
-    } catch (Malformed e) {
+    } catch (ProtocolException e) {
       // What comes behind its last word is not looked at.
       if (!over) {
         over = true;
@@ -75,25 +75,25 @@
     return !over && frames.isWithin();
   }
 
-  private void message(byte type, ByteBuffer whole) throws Malformed {
+  private void message(byte type, ByteBuffer whole) throws ProtocolException {
     begun = false;
     if (over) {
       return;
     }
     told++;
     switch (type) {
-      case FrameReader.UNTYPED -> opening(whole);
+      case FrameDecoder.UNTYPED -> opening(whole);
       case 'Q' -> query(whole);
       case 'X' -> end();
       case 'P', 'B', 'D', 'E', 'C', 'H', 'S', 'F', 'd', 'c', 'f' ->
-          throw new Malformed("0A000", "only simple queries are served");
-      default -> throw new Malformed("08P01", "message of unknown type " + type);
+          throw new ProtocolException("0A000", "only simple queries are served");
+      default -> throw new ProtocolException("08P01", "message of unknown type " + type);
     }
   }
 
-  private void opening(ByteBuffer whole) throws Malformed {
+  private void opening(ByteBuffer whole) throws ProtocolException {
     switch (whole.getInt(4)) {
-      case FrameReader.VERSION_3 -> sink.started();
+      case FrameDecoder.VERSION_3 -> sink.started();
       case SSL, GSS -> sink.encryptionAsked();
       case CANCEL -> {
         if (whole.limit() == CANCEL_LENGTH) {
@@ -103,7 +103,7 @@
           end();
         }
       }
-      default -> throw new Malformed("0A000", "only version 3.0 of the protocol is served");
+      default -> throw new ProtocolException("0A000", "only version 3.0 of the protocol is served");
     }
   }
 
@@ -114,7 +114,7 @@
     }
     try {
       sink.asked(Statement.read(whole));
-    } catch (Malformed e) {
+    } catch (ProtocolException e) {
       sink.askedWrongly(e.state(), e.getMessage());
     }
   }
--- a/gateway/src/main/java/weldcross/pgwire/FrameReader.java
+++ b/gateway/src/main/java/weldcross/pgwire/FrameDecoder.java
@@ -7,7 +7,7 @@
  * handed on as a slice of it, in place; only one that is split is gathered, once, in a buffer of
  * its own size.
  */
-public final class FrameReader {
+public final class FrameDecoder {
 
   /** The largest value is 64 KiB, in hex twice that, with a head. */
   public static final int LONGEST = 2 * 65_536 + 8_192;
@@ -22,13 +22,13 @@
 
   /** Takes each message whole, head included; the body starts at {@link #body}. */
   public interface Sink {
-    void message(byte type, ByteBuffer whole) throws Malformed;
+    void message(byte type, ByteBuffer whole) throws ProtocolException;
 
     /** Called first, when no more than its type and length are known. */
-    default void head(byte type, int length) throws Malformed {}
+    default void head(byte type, int length) throws ProtocolException {}
 
     /** What there is of a message that is split, up to the buffer's position. */
-    default void part(ByteBuffer soFar) throws Malformed {}
+    default void part(ByteBuffer soFar) throws ProtocolException {}
   }
 
   private boolean untyped;
@@ -38,7 +38,7 @@
   /**
    * @param untyped whether the stream begins with a message without a type, as a client's does
    */
-  public FrameReader(boolean untyped) {
+  public FrameDecoder(boolean untyped) {
     this.untyped = untyped;
   }
 
@@ -46,7 +46,7 @@
     return type == UNTYPED ? HEAD - 1 : HEAD;
   }
 
-  public void feed(ByteBuffer in, Sink sink) throws Malformed {
+  public void feed(ByteBuffer in, Sink sink) throws ProtocolException {
     while (in.hasRemaining()) {
       if (split == null && head.position() == 0 && in.remaining() >= headSize()) {
         int size = size(in, in.position(), sink);
@@ -82,7 +82,7 @@
     return split != null || head.position() > 0;
   }
 
-  private void hand(ByteBuffer whole, Sink sink) throws Malformed {
+  private void hand(ByteBuffer whole, Sink sink) throws ProtocolException {
     byte type = untyped ? UNTYPED : whole.get(0);
     // Requests for encryption are turned down, after which the session starts like any other.
     untyped = untyped && whole.getInt(HEAD - 1) != VERSION_3;
@@ -93,10 +93,10 @@
     return untyped ? HEAD - 1 : HEAD;
   }
 
-  private int size(ByteBuffer from, int at, Sink sink) throws Malformed {
+  private int size(ByteBuffer from, int at, Sink sink) throws ProtocolException {
     int length = from.getInt(at + headSize() - 4);
     if (length < (untyped ? 8 : 4) || length > (untyped ? LONGEST_START : LONGEST)) {
-      throw new Malformed("08P01", "message of length " + length);
+      throw new ProtocolException("08P01", "message of length " + length);
     }
     sink.head(untyped ? UNTYPED : from.get(at), length);
     return length + headSize() - 4;
--- a/gateway/src/main/java/weldcross/pgwire/Replies.java
+++ b/gateway/src/main/java/weldcross/pgwire/MessageEncoder.java
@@ -5,11 +5,11 @@
 import java.nio.charset.StandardCharsets;
 
 /** The few messages that a gateway words itself, to clients and to servers. */
-public final class Replies {
+public final class MessageEncoder {
 
   private static final byte[] READY = message('Z', "I");
 
-  private Replies() {}
+  private MessageEncoder() {}
 
   /**
    * Authentication passed, what drivers want to be told, and ready; to be cancelled with no key.
@@ -82,7 +82,7 @@
     byte[] body = "user\0backend\0database\0store\0\0".getBytes(StandardCharsets.US_ASCII);
     return ByteBuffer.allocate(8 + body.length)
         .putInt(8 + body.length)
-        .putInt(FrameReader.VERSION_3)
+        .putInt(FrameDecoder.VERSION_3)
         .put(body)
         .flip();
   }
--- a/gateway/src/main/java/weldcross/pgwire/ServerReader.java
+++ b/gateway/src/main/java/weldcross/pgwire/ServerMessageDecoder.java
@@ -7,7 +7,7 @@
  * What does not belong to an answer, before, within or behind it, spoils the stream for good, as
  * nobody can tell any more what the next bytes answer.
  */
-public final class ServerReader implements FrameReader.Sink {
+public final class ServerMessageDecoder implements FrameDecoder.Sink {
 
   /** What a server's stream tells. */
   public interface Sink {
@@ -17,7 +17,7 @@
     /**
      * @param more whether there are bytes behind it, so that the stream is of no further use
      */
-    void answered(ServerAnswer answer, boolean more);
+    void answered(ServerResponse answer, boolean more);
 
     /** An answer has begun to arrive, and the rest of it is still to come. */
     void begun();
@@ -26,16 +26,16 @@
     void spoilt(String why);
   }
 
-  private final FrameReader frames = new FrameReader(false);
+  private final FrameDecoder frames = new FrameDecoder(false);
   private final Sink sink;
-  private ServerAnswer answer = new ServerAnswer();
+  private ServerResponse answer = new ServerResponse();
   private boolean started, spoilt, begun, welcomed;
-  private ServerAnswer whole;
+  private ServerResponse whole;
 
   /** Set by the thread that asks, taken back by the one that reads. */
   private volatile boolean asked;
 
-  public ServerReader(Sink sink) {
+  public ServerMessageDecoder(Sink sink) {
     this.sink = sink;
   }
 
@@ -50,10 +50,10 @@
     }
     try {
       if (!asked) {
-        throw new Malformed("08P01", "bytes that nobody asked for");
+        throw new ProtocolException("08P01", "bytes that nobody asked for");
       }
       frames.feed(in, this);
-    } catch (Malformed e) {
+    } catch (ProtocolException e) {
       spoilt = true;
       // A good answer stays good, whatever comes behind it.
       if (whole == null) {
@@ -67,7 +67,7 @@
   /** Told last, as it may be asked again in the same moment. */
   private void tell() {
     if (whole != null) {
-      ServerAnswer done = whole;
+      ServerResponse done = whole;
       whole = null;
       begun = false;
       sink.answered(done, spoilt);
@@ -83,27 +83,27 @@
   }
 
   /** What there is of an answer when the stream ends. */
-  public ServerAnswer rest() {
-    return spoilt || frames.isWithin() ? new ServerAnswer() : answer;
+  public ServerResponse rest() {
+    return spoilt || frames.isWithin() ? new ServerResponse() : answer;
   }
 
   @Override
-  public void head(byte type, int length) throws Malformed {
+  public void head(byte type, int length) throws ProtocolException {
     if (!asked) {
-      throw new Malformed("08P01", "bytes behind an answer");
+      throw new ProtocolException("08P01", "bytes behind an answer");
     }
-    ServerAnswer.checkHead(type, length);
+    ServerResponse.checkHead(type, length);
   }
 
   @Override
-  public void part(ByteBuffer soFar) throws Malformed {
-    if (soFar.get(0) == 'D' && soFar.position() >= ServerAnswer.ROW_HEAD) {
-      ServerAnswer.checkRow(soFar, soFar.limit());
+  public void part(ByteBuffer soFar) throws ProtocolException {
+    if (soFar.get(0) == 'D' && soFar.position() >= ServerResponse.ROW_HEAD) {
+      ServerResponse.checkRow(soFar, soFar.limit());
     }
   }
 
   @Override
-  public void message(byte type, ByteBuffer message) throws Malformed {
+  public void message(byte type, ByteBuffer message) throws ProtocolException {
     if (!started && (type == 'R' || type == 'K' || type == 'S' || type == 'N')) {
       return;
     }
@@ -114,7 +114,7 @@
     } else if (answer.take(type, message)) {
       asked = false;
       whole = answer;
-      answer = new ServerAnswer();
+      answer = new ServerResponse();
     }
   }
 }
--- a/gateway/src/main/java/weldcross/pgwire/ServerAnswer.java
+++ b/gateway/src/main/java/weldcross/pgwire/ServerResponse.java
@@ -7,7 +7,7 @@
  * What a server has said to one query so far; the messages that make up its row stay as they were
  * read.
  */
-public final class ServerAnswer {
+public final class ServerResponse {
 
   private ByteBuffer columns;
   private ByteBuffer row;
@@ -30,7 +30,7 @@
   /**
    * Tells early what can be no answer: a length that does not fit would swallow all that follows.
    */
-  static void checkHead(byte type, int length) throws Malformed {
+  static void checkHead(byte type, int length) throws ProtocolException {
     boolean fits =
         switch (type) {
           case 'D' -> length >= ROW_HEAD - 1;
@@ -39,15 +39,15 @@
           default -> false;
         };
     if (!fits) {
-      throw new Malformed(
+      throw new ProtocolException(
           "08P01", "message of type " + type + " and length " + length + " from a server");
     }
   }
 
   /** One column, and its value fills the message. */
-  static void checkRow(ByteBuffer message, int size) throws Malformed {
+  static void checkRow(ByteBuffer message, int size) throws ProtocolException {
     if (message.getShort(5) != 1 || message.getInt(7) != size - ROW_HEAD) {
-      throw new Malformed(
+      throw new ProtocolException(
           "08P01",
           "row of "
               + message.getShort(5)
@@ -59,7 +59,7 @@
   }
 
   /** Takes one message; true once the answer is whole, that is with ReadyForQuery. */
-  boolean take(byte type, ByteBuffer whole) throws Malformed {
+  boolean take(byte type, ByteBuffer whole) throws ProtocolException {
     switch (type) {
       case 'T' -> {
         inOrder(columns == null && state == null);
@@ -87,22 +87,23 @@
         inOrder(whole.get(5) == 'I' && (state != null || complete != null));
         return true;
       }
-      default -> throw new Malformed("08P01", "message of type " + (char) type + " from a server");
+      default ->
+          throw new ProtocolException("08P01", "message of type " + (char) type + " from a server");
     }
     return false;
   }
 
-  private static void inOrder(boolean is) throws Malformed {
+  private static void inOrder(boolean is) throws ProtocolException {
     if (!is) {
-      throw new Malformed("08P01", "message out of its order from a server");
+      throw new ProtocolException("08P01", "message out of its order from a server");
     }
   }
 
-  private static void checkColumns(ByteBuffer whole) throws Malformed {
+  private static void checkColumns(ByteBuffer whole) throws ProtocolException {
     if (whole.limit() < 7
         || whole.getShort(5) != 1
         || end(whole, 7) + 1 + COLUMN_TAIL != whole.limit()) {
-      throw new Malformed("08P01", "no description of one column from a server");
+      throw new ProtocolException("08P01", "no description of one column from a server");
     }
   }
 
@@ -117,7 +118,7 @@
 
   /** The row as its client gets it: untouched, then ready. */
   public ByteBuffer[] forClient() {
-    return new ByteBuffer[] {columns, row, complete, Replies.ready()};
+    return new ByteBuffer[] {columns, row, complete, MessageEncoder.ready()};
   }
 
   /** The SQLSTATE of an error; null where there was none. */
@@ -148,7 +149,7 @@
 
   /** One that cannot be read says nothing, and spoils nothing: the answer beside it may be good. */
   private void parameter(ByteBuffer whole) {
-    String[] words = text(whole, FrameReader.body((byte) 'S'), whole.limit()).split("\0", -1);
+    String[] words = text(whole, FrameDecoder.body((byte) 'S'), whole.limit()).split("\0", -1);
     if (words.length != 3 || !words[2].isEmpty()) {
       return;
     }
@@ -172,8 +173,8 @@
         && text.chars().allMatch(c -> c >= '0' && c <= '9');
   }
 
-  private static String field(ByteBuffer whole, char wanted) throws Malformed {
-    int at = FrameReader.body((byte) 'E');
+  private static String field(ByteBuffer whole, char wanted) throws ProtocolException {
+    int at = FrameDecoder.body((byte) 'E');
     String found = "";
     while (at < whole.limit() && whole.get(at) != 0) {
       int end = end(whole, at + 1);
@@ -181,18 +182,18 @@
       at = end + 1;
     }
     if (found.length() != 5 || at != whole.limit() - 1) {
-      throw new Malformed("08P01", "no error with a code from a server");
+      throw new ProtocolException("08P01", "no error with a code from a server");
     }
     return found;
   }
 
-  private static int end(ByteBuffer whole, int from) throws Malformed {
+  private static int end(ByteBuffer whole, int from) throws ProtocolException {
     for (int at = from; at < whole.limit(); at++) {
       if (whole.get(at) == 0) {
         return at;
       }
     }
-    throw new Malformed("08P01", "text without an end from a server");
+    throw new ProtocolException("08P01", "text without an end from a server");
   }
 
   private static String text(ByteBuffer whole, int from, int to) {
--- a/gateway/src/main/java/weldcross/pgwire/Statement.java
+++ b/gateway/src/main/java/weldcross/pgwire/Statement.java
@@ -40,17 +40,17 @@
    * ready.
    */
   public static boolean isEmpty(ByteBuffer query) {
-    return query.limit() == FrameReader.body((byte) 'Q') + 1;
+    return query.limit() == FrameDecoder.body((byte) 'Q') + 1;
   }
 
   /**
    * @param query the whole message, whose body starts at {@link FrameReader#body}
    */
-  public static Statement read(ByteBuffer query) throws Malformed {
-    Statement s = new Statement(query, FrameReader.body((byte) 'Q'));
+  public static Statement read(ByteBuffer query) throws ProtocolException {
+    Statement s = new Statement(query, FrameDecoder.body((byte) 'Q'));
     s.write = !s.skip(READ);
     if (s.write && !s.skip(WRITE)) {
-      throw new Malformed("42601", "neither of the two statements served here");
+      throw new ProtocolException("42601", "neither of the two statements served here");
     }
     s.key = s.upTo('\'');
     if (s.write) {
@@ -63,7 +63,7 @@
     s.comment();
     s.expect(END);
     if (s.at != query.limit()) {
-      throw new Malformed("42601", "text after the statement");
+      throw new ProtocolException("42601", "text after the statement");
     }
     return s;
   }
@@ -125,7 +125,7 @@
     };
   }
 
-  private void comment() throws Malformed {
+  private void comment() throws ProtocolException {
     String cluster = null;
     String wait = null;
     String after = null;
@@ -158,21 +158,21 @@
       at++;
     }
     if (id == null || id.isEmpty() || method == null) {
-      throw new Malformed("22023", "the comment must name id and c");
+      throw new ProtocolException("22023", "the comment must name id and c");
     }
     group = (int) number("cluster", cluster, Integer.MAX_VALUE);
     waitMillis = number("d", wait, Integer.MAX_VALUE);
     afterMillis = after == null || after.isEmpty() ? 0 : number("after", after, Long.MAX_VALUE);
   }
 
-  private static String once(String name, String before, String value) throws Malformed {
+  private static String once(String name, String before, String value) throws ProtocolException {
     if (before != null) {
-      throw new Malformed("22023", name + " stands twice in the comment");
+      throw new ProtocolException("22023", name + " stands twice in the comment");
     }
     return value;
   }
 
-  private static long number(String name, String digits, long most) throws Malformed {
+  private static long number(String name, String digits, long most) throws ProtocolException {
     try {
       long value = digits == null ? -1 : Long.parseLong(digits);
       if (value >= 0 && value <= most) {
@@ -181,26 +181,26 @@
     } catch (NumberFormatException e) {
       // Told below like all else that is no such number.
     }
-    throw new Malformed("22023", name + " must be a whole number");
+    throw new ProtocolException("22023", name + " must be a whole number");
   }
 
-  private void hex() throws Malformed {
+  private void hex() throws ProtocolException {
     int from = at;
     while (at < whole.limit() && Character.digit(whole.get(at), 16) >= 0) {
       at++;
     }
     if ((at - from) % 2 != 0) {
-      throw new Malformed("22023", "the value must be whole bytes in hex");
+      throw new ProtocolException("22023", "the value must be whole bytes in hex");
     }
   }
 
-  private String upTo(char end) throws Malformed {
+  private String upTo(char end) throws ProtocolException {
     int from = at;
     while (at < whole.limit() && isPlain(whole.get(at)) && whole.get(at) != end) {
       at++;
     }
     if (at == from || at >= whole.limit() || whole.get(at) != end) {
-      throw new Malformed("42601", "a name ended by " + end + " was expected");
+      throw new ProtocolException("42601", "a name ended by " + end + " was expected");
     }
     String text = text(from, at);
     at += end == '=' ? 1 : 0;
@@ -218,9 +218,9 @@
     return new String(bytes, StandardCharsets.US_ASCII);
   }
 
-  private void expect(byte[] literal) throws Malformed {
+  private void expect(byte[] literal) throws ProtocolException {
     if (!skip(literal)) {
-      throw new Malformed("42601", "not a statement served here");
+      throw new ProtocolException("42601", "not a statement served here");
     }
   }
 
--- a/gateway/src/main/java/weldcross/routing/Outcome.java
+++ b/gateway/src/main/java/weldcross/routing/AttemptOutcome.java
@@ -1,7 +1,7 @@
 package weldcross.routing;
 
 /** How a call-out or a probe ended. */
-public enum Outcome {
+public enum AttemptOutcome {
   OK(false),
   ERROR(false),
   NO_ROOM(true),
@@ -21,7 +21,7 @@
   /** Whether it proves that nothing ran. */
   public final boolean neverRan;
 
-  Outcome(boolean neverRan) {
+  AttemptOutcome(boolean neverRan) {
     this.neverRan = neverRan;
   }
 }
--- a/gateway/src/main/java/weldcross/routing/Condition.java
+++ b/gateway/src/main/java/weldcross/routing/EndpointStatus.java
@@ -1,7 +1,7 @@
 package weldcross.routing;
 
 /** What the server list says of a server. */
-public enum Condition {
+public enum EndpointStatus {
   ON,
   DRAINING,
   GONE
--- a/gateway/src/main/java/weldcross/routing/MethodRow.java
+++ b/gateway/src/main/java/weldcross/routing/RequestClass.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /** What differs by method, as far as the router reads it. */
-public record MethodRow(
+public record RequestClass(
     Need need,
     Duration bound,
     Effect effect,
--- a/gateway/src/main/java/weldcross/routing/RpcId.java
+++ b/gateway/src/main/java/weldcross/routing/RequestId.java
@@ -6,11 +6,11 @@
  * <p>What a record compares itself by is made when the program runs, at each start; here it is
  * written out.
  */
-public record RpcId(String name) {
+public record RequestId(String name) {
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof RpcId id && id.name.equals(name);
+    return other instanceof RequestId id && id.name.equals(name);
   }
 
   @Override
--- a/gateway/src/main/java/weldcross/routing/Router.java
+++ b/gateway/src/main/java/weldcross/routing/Router.java
@@ -11,17 +11,17 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import weldcross.routing.MethodRow.Effect;
-import weldcross.routing.MethodRow.Need;
+import weldcross.routing.RequestClass.Effect;
+import weldcross.routing.RequestClass.Need;
 
 /**
  * Decides where each RPC goes: the fast causal reads of Readwritesplit, from one gateway's own
  * knowledge.
  *
  * <p>A gateway ({@code weldcross.gateway.Gateway}, on the bench {@code
- * weldcross.simulator.WireLoop}) calls one public method for each thing that happens, with the time
- * since this router started; it acts by calling {@link Host}, its interface outwards. The ordinary
- * path is {@link #choose}; docs/design.md has the rest.
+ * weldcross.simulator.SimulatorSession}) calls one public method for each thing that happens, with
+ * the time since this router started; it acts by calling {@link RouterActions}, its interface
+ * outwards. The ordinary path is {@link #choose}; docs/design.md has the rest.
  */
 public final class Router {
 
@@ -116,7 +116,7 @@
   private static final Duration TOKEN_KEPT = Duration.ofSeconds(60);
 
   /** A server as this router knows it, by the answers, reports and lists it has had. */
-  private final class Seat {
+  private final class EndpointState {
     final ServerId id;
     final Group group;
     final ZoneId zone;
@@ -133,7 +133,7 @@
      */
     double order;
 
-    final LinkedHashSet<CallOut> out = new LinkedHashSet<>();
+    final LinkedHashSet<Attempt> out = new LinkedHashSet<>();
     Duration lastWord = Duration.ZERO,
         seekGap = SHORT_WAIT,
         askGap = SHORT_WAIT,
@@ -142,7 +142,7 @@
     Duration coldNext = Duration.ZERO, restUntil = Duration.ZERO, windowAt = Duration.ZERO;
     Duration answeredSent = Duration.ZERO;
 
-    Seat(ServerId id, Group group, ZoneId zone) {
+    EndpointState(ServerId id, Group group, ZoneId zone) {
       this.id = id;
       this.group = group;
       this.zone = zone;
@@ -159,9 +159,9 @@
    * A primary and its replicas, with the RPCs of theirs that wait in this gateway, oldest first.
    */
   private static final class Group {
-    final List<Seat> seats = new ArrayList<>();
+    final List<EndpointState> seats = new ArrayList<>();
     final LinkedHashSet<Rpc> held = new LinkedHashSet<>();
-    Seat primary;
+    EndpointState primary;
     boolean heard, looking;
     int turn;
     Duration nextRound = Duration.ZERO;
@@ -170,8 +170,8 @@
   /**
    * @param paced whether it was counted against what its server may get while cold
    */
-  private record CallOut(
-      Rpc rpc, Seat seat, int number, Duration sent, double work, boolean paced) {
+  private record Attempt(
+      Rpc rpc, EndpointState seat, int number, Duration sent, double work, boolean paced) {
     @Override
     public int hashCode() {
       return rpc.id.hashCode();
@@ -179,14 +179,14 @@
   }
 
   private final class Rpc {
-    final RpcId id;
+    final RequestId id;
     final int method;
-    final MethodRow row;
+    final RequestClass row;
     final Group group;
     final Duration arrived, giveUpAt, lastSend, unsentUntil;
     final double luck = dice.nextDouble();
-    final List<CallOut> callOuts = new ArrayList<>();
-    final LinkedHashSet<Seat> tried = new LinkedHashSet<>();
+    final List<Attempt> callOuts = new ArrayList<>();
+    final LinkedHashSet<EndpointState> tried = new LinkedHashSet<>();
     SessionId session;
 
     /** The token that came with it; null where it has none. */
@@ -196,7 +196,7 @@
     int out;
     boolean mayHaveRun, answered, abandoned;
 
-    Rpc(RpcId id, int method, Group group, Duration now, Duration deadline) {
+    Rpc(RequestId id, int method, Group group, Duration now, Duration deadline) {
       this.id = id;
       this.method = method;
       this.row = terms.methods().get(method);
@@ -213,23 +213,23 @@
     }
   }
 
-  private final Host host;
-  private final ServiceTerms terms;
+  private final RouterActions host;
+  private final RoutingConfig terms;
   private final SplittableRandom dice;
   private final Duration probeAfter;
-  private final Map<ServerId, Seat> seats = new LinkedHashMap<>();
+  private final Map<ServerId, EndpointState> seats = new LinkedHashMap<>();
   private final Map<GroupId, Group> groups = new LinkedHashMap<>();
-  private final Map<RpcId, Rpc> open = new LinkedHashMap<>();
+  private final Map<RequestId, Rpc> open = new LinkedHashMap<>();
   private final TreeMap<Duration, List<Consumer<Duration>>> dues = new TreeMap<>();
   private final LinkedHashMap<SessionId, Duration> tokens = new LinkedHashMap<>();
   private final double[] usual, served;
   private final int[] answers;
   private Duration floor, wakeAt, askAt, askWait;
   private boolean listStands = true;
-  private LinkedHashSet<Seat> unseen;
+  private LinkedHashSet<EndpointState> unseen;
   private double workDone, warmRate, extra = 1, fleet;
 
-  public Router(Host host, ServiceTerms terms, long seed) {
+  public Router(RouterActions host, RoutingConfig terms, long seed) {
     this.host = host;
     this.terms = terms;
     this.dice = new SplittableRandom(seed);
@@ -272,13 +272,13 @@
       ServerId id,
       ZoneId zone,
       GroupId groupId,
-      Condition condition,
+      EndpointStatus condition,
       Duration start,
       boolean head) {
     Group group = groups.computeIfAbsent(groupId, g -> new Group());
-    Seat seat = seats.computeIfAbsent(id, s -> new Seat(s, group, zone));
+    EndpointState seat = seats.computeIfAbsent(id, s -> new EndpointState(s, group, zone));
     unseen.remove(seat);
-    if (condition == Condition.GONE) {
+    if (condition == EndpointStatus.GONE) {
       seat.listed &= !terms.goneBinds();
       return;
     }
@@ -286,7 +286,7 @@
     seat.goneAt = null;
     // Where only draining binds, a list that is wrong for a while does not take it back.
     boolean same = !terms.goneBinds() && (start == null || start.equals(seat.start));
-    seat.draining = condition == Condition.DRAINING || (seat.draining && same);
+    seat.draining = condition == EndpointStatus.DRAINING || (seat.draining && same);
     // A start not seen before is a cold server, whatever this router thought of it.
     if (start != null && !start.equals(seat.start)) {
       seat.start = start;
@@ -330,7 +330,7 @@
 
   public void rpcArrived(
       Duration now,
-      RpcId id,
+      RequestId id,
       int method,
       GroupId groupId,
       SessionId session,
@@ -354,10 +354,10 @@
    * that is none any more, a drain, a list that lapsed, repeats that are dropped no longer, a
    * server that turned cold. What must not goes on as never sent.
    */
-  public boolean mayStillGo(Duration now, RpcId id, int number) {
+  public boolean mayStillGo(Duration now, RequestId id, int number) {
     Rpc rpc = open.get(id);
-    CallOut callOut = rpc.callOuts.get(number);
-    Seat seat = callOut.seat;
+    Attempt callOut = rpc.callOuts.get(number);
+    EndpointState seat = callOut.seat;
     boolean repeatKnown =
         rpc.row.effect() != Effect.TOKENED
             || (rpc.out == 1 && !rpc.mayHaveRun)
@@ -373,10 +373,10 @@
 
   public void callOutEnded(
       Duration now,
-      RpcId id,
+      RequestId id,
       int number,
       ServerId server,
-      Outcome outcome,
+      AttemptOutcome outcome,
       Duration took,
       Duration aliveSince,
       Boolean primary,
@@ -386,8 +386,8 @@
     if (rpc == null) {
       return;
     }
-    CallOut callOut = rpc.callOuts.get(number);
-    Seat seat = callOut.seat;
+    Attempt callOut = rpc.callOuts.get(number);
+    EndpointState seat = callOut.seat;
     rpc.out--;
     seat.out.remove(callOut);
     boolean write = rpc.row.need() == Need.WRITE;
@@ -396,7 +396,7 @@
     if (write && !outcome.neverRan && rpc.session != null && !terms.tokensCarried()) {
       // Given up as its answer was on its way it may have been done, and its session is owed the
       // sight of it.
-      Duration done = outcome == Outcome.OK ? now : now.plus(BRIEF_HOLD);
+      Duration done = outcome == AttemptOutcome.OK ? now : now.plus(BRIEF_HOLD);
       tokens.put(rpc.session, later(tokens.remove(rpc.session), pos == null ? done : pos));
     }
     if (primary != null) {
@@ -406,7 +406,7 @@
     judge(now, seat, callOut, outcome, took);
     seenAlive(now, seat, aliveSince);
     if (ended && !rpc.answered) {
-      close(rpc, outcome == Outcome.OK);
+      close(rpc, outcome == AttemptOutcome.OK);
     }
     if (!rpc.answered && rpc.out == 0) {
       furtherCallOut(now, rpc, outcome);
@@ -417,7 +417,7 @@
     release(now, seat.group);
   }
 
-  public void clientLeft(Duration now, RpcId id) {
+  public void clientLeft(Duration now, RequestId id) {
     Rpc rpc = open.get(id);
     if (rpc != null && !rpc.answered) {
       rpc.abandoned = true;
@@ -431,17 +431,18 @@
    * Where a probe was answered no more may be concluded than that the server lives and can be
    * reached.
    */
-  public void probeEnded(Duration now, ServerId server, Outcome outcome, Duration aliveSince) {
-    Seat seat = seats.get(server);
+  public void probeEnded(
+      Duration now, ServerId server, AttemptOutcome outcome, Duration aliveSince) {
+    EndpointState seat = seats.get(server);
     seat.probing = false;
     seenAlive(now, seat, aliveSince);
-    if (outcome == Outcome.OK) {
+    if (outcome == AttemptOutcome.OK) {
       seat.doubted &= seat.deaf == 0;
       seat.deaf = 0;
-    } else if (outcome == Outcome.KEPT_CUT) {
+    } else if (outcome == AttemptOutcome.KEPT_CUT) {
       // It never got there, and what it was for is still wanted.
       probe(now, seat, Duration.ZERO);
-    } else if (outcome != Outcome.NOT_TAKEN && (++seat.deaf > 1 || unheard(now, seat) > 0)) {
+    } else if (outcome != AttemptOutcome.NOT_TAKEN && (++seat.deaf > 1 || unheard(now, seat) > 0)) {
       doubt(now, seat);
     }
   }
@@ -456,18 +457,19 @@
    * off.
    */
   public void peerTold(Duration now, ServerId server) {
-    Seat seat = seats.get(server);
+    EndpointState seat = seats.get(server);
     if (seat != null) {
       seat.start = seat.toldAt = now;
       mayHaveRestarted(now, seat);
     }
   }
 
-  private void learn(Duration now, Seat seat, Duration pos, Boolean primary, boolean answer) {
+  private void learn(
+      Duration now, EndpointState seat, Duration pos, Boolean primary, boolean answer) {
     Group group = seat.group;
     boolean first = !group.heard;
     group.heard = true;
-    Seat before = group.primary;
+    EndpointState before = group.primary;
     // Against a claim that comes in behind a newer word, as reports do: reads would go to a
     // replica.
     boolean claim =
@@ -521,7 +523,7 @@
     seats.values().removeIf(s -> !s.listed && s.out.isEmpty() && !s.probing && forget(now, s));
   }
 
-  private boolean forget(Duration now, Seat seat) {
+  private boolean forget(Duration now, EndpointState seat) {
     if (seat.goneAt == null) {
       seat.goneAt = now;
       host.forget(seat.id);
@@ -585,11 +587,11 @@
    * Against all that keeps an answer away: a gateway that sees little has no samples, but it can
    * ask.
    */
-  private void overdue(Duration now, CallOut c) {
+  private void overdue(Duration now, Attempt c) {
     if (!c.seat.out.contains(c)) {
       return;
     }
-    Seat seat = c.seat;
+    EndpointState seat = c.seat;
     int unheard = unheard(now, seat);
     if (unheard >= OVERDUE_ANSWERS && !seat.doubted) {
       doubt(now, seat);
@@ -608,8 +610,8 @@
    * Where nothing is known, and while RPCs wait for a primary; ever rarer, as many askers are a
    * load.
    */
-  private void probeIfUnknown(Duration now, Seat seat) {
-    Seat primary = seat.group.primary;
+  private void probeIfUnknown(Duration now, EndpointState seat) {
+    EndpointState primary = seat.group.primary;
     boolean sought = seat.pos == null || primary == null || primary.doubted;
     boolean needed = seat.probedAt == null || (sought && !seat.group.held.isEmpty());
     if (needed && seat.listed && !seat.draining && probe(now, seat, seat.seekGap)) {
@@ -624,7 +626,7 @@
   private boolean refreshed(Duration now, Rpc rpc) {
     Need need = rpc.row.need();
     boolean byPosition = need == Need.BOUNDED || (need == Need.SESSION && token(rpc) != null);
-    Seat next = byPosition && terms.probes() ? leastBusy(now, rpc, false) : null;
+    EndpointState next = byPosition && terms.probes() ? leastBusy(now, rpc, false) : null;
     boolean old =
         next != null && (next.pos == null || now.minus(next.pos).compareTo(probeAfter) > 0);
     if (old && (need == Need.BOUNDED || !holds(now, rpc, next))) {
@@ -633,7 +635,7 @@
     return next != null && next.probing && now.minus(rpc.arrived).compareTo(BRIEF_HOLD) < 0;
   }
 
-  private boolean probe(Duration now, Seat seat, Duration gap) {
+  private boolean probe(Duration now, EndpointState seat, Duration gap) {
     if (!terms.probes()
         || seat.probing
         || (seat.probedAt != null && now.minus(seat.probedAt).compareTo(gap) < 0)) {
@@ -647,7 +649,7 @@
 
   // ---- The design's ordinary path
 
-  private Seat choose(Duration now, Rpc rpc) {
+  private EndpointState choose(Duration now, Rpc rpc) {
     Group group = rpc.group;
     if (rpc.row.need() == Need.WRITE) {
       return group.primary != null ? ready(now, rpc, group.primary) : nextInTurn(now, rpc);
@@ -655,14 +657,14 @@
     if (!group.heard) {
       return null;
     }
-    Seat best = leastBusy(now, rpc, true);
+    EndpointState best = leastBusy(now, rpc, true);
     boolean soon = refreshed(now, rpc);
     return best != null || soon || group.primary == null ? best : ready(now, rpc, group.primary);
   }
 
-  private Seat leastBusy(Duration now, Rpc rpc, boolean holding) {
-    Seat best = null;
-    for (Seat seat : rpc.group.seats) {
+  private EndpointState leastBusy(Duration now, Rpc rpc, boolean holding) {
+    EndpointState best = null;
+    for (EndpointState seat : rpc.group.seats) {
       if (seat != rpc.group.primary
           && (!holding || holds(now, rpc, seat))
           && ready(now, rpc, seat) != null
@@ -673,7 +675,7 @@
     return best;
   }
 
-  private boolean holds(Duration now, Rpc rpc, Seat seat) {
+  private boolean holds(Duration now, Rpc rpc, EndpointState seat) {
     Duration pos = seat.pos;
     return switch (rpc.row.need()) {
       case ANY -> true;
@@ -690,7 +692,7 @@
   }
 
   /** Of equals in reads the one that comes first in this gateway's own order. */
-  private static boolean lessBusy(Seat a, Seat b) {
+  private static boolean lessBusy(EndpointState a, EndpointState b) {
     boolean even = (int) a.order == (int) b.order && a.pos != null && b.pos != null;
     boolean before = even ? a.pos.compareTo(b.pos) > 0 : a.order < b.order;
     return a.reads == b.reads ? before : a.reads < b.reads;
@@ -699,14 +701,14 @@
   /**
    * No primary is known: the members in turn, and after a round a short wait, one write at a time.
    */
-  private Seat nextInTurn(Duration now, Rpc rpc) {
+  private EndpointState nextInTurn(Duration now, Rpc rpc) {
     Group group = rpc.group;
     // The last call-out is kept for a primary that is known.
     if (now.compareTo(group.nextRound) < 0 || rpc.callOuts.size() + 1 >= terms.callOutLimit()) {
       return null;
     }
     for (int k = 0; k < group.seats.size(); k++) {
-      Seat seat = group.seats.get(group.turn++ % group.seats.size());
+      EndpointState seat = group.seats.get(group.turn++ % group.seats.size());
       if (ready(now, rpc, seat) != null) {
         return seat;
       }
@@ -725,7 +727,7 @@
       }
       return;
     }
-    Seat seat = choose(now, rpc);
+    EndpointState seat = choose(now, rpc);
     if (seat == null) {
       if (rpc.out == 0) {
         // Only the primary may be able to take it: turned away once, it waits for that one again.
@@ -736,7 +738,7 @@
     }
     rpc.group.held.remove(rpc);
     boolean paced = cold(now, seat);
-    CallOut callOut = new CallOut(rpc, seat, rpc.callOuts.size(), now, work(rpc.method), paced);
+    Attempt callOut = new Attempt(rpc, seat, rpc.callOuts.size(), now, work(rpc.method), paced);
     rpc.callOuts.add(callOut);
     rpc.out++;
     rpc.tried.add(seat);
@@ -790,8 +792,8 @@
   }
 
   /** What failed before its time is tried elsewhere, after all members only with the next look. */
-  private void furtherCallOut(Duration now, Rpc rpc, Outcome outcome) {
-    boolean missed = outcome == Outcome.MISS && rpc.row.need() == Need.WRITE;
+  private void furtherCallOut(Duration now, Rpc rpc, AttemptOutcome outcome) {
+    boolean missed = outcome == AttemptOutcome.MISS && rpc.row.need() == Need.WRITE;
     if (now.compareTo(rpc.lastSend) >= 0 || !mayGoOut(now, rpc)) {
       giveUp(rpc);
     } else if (missed
@@ -813,7 +815,7 @@
     boolean clean = rpc.out == 0 && !rpc.mayHaveRun;
     if (rpc.row.effect() == Effect.IDEMPOTENT
         || clean
-        || (rpc.row.effect() == Effect.TOKENED && rpc.row.scope() == MethodRow.Scope.ALL)) {
+        || (rpc.row.effect() == Effect.TOKENED && rpc.row.scope() == RequestClass.Scope.ALL)) {
       host.pushBack(rpc.id, terms.longestComeBack());
     } else {
       host.abort(rpc.id);
@@ -840,7 +842,7 @@
   /**
    * The seat itself if the RPC may go there now: listed, warm enough, trusted, and no effect twice.
    */
-  private Seat ready(Duration now, Rpc rpc, Seat seat) {
+  private EndpointState ready(Duration now, Rpc rpc, EndpointState seat) {
     return listStands
             && seat.listed
             && !seat.draining
@@ -853,7 +855,7 @@
         : null;
   }
 
-  private boolean roomy(Duration now, Seat seat) {
+  private boolean roomy(Duration now, EndpointState seat) {
     long inWork = seat.out.stream().filter(c -> !lost(c)).count();
     return inWork < Math.max(1, (int) seat.window) && now.compareTo(seat.restUntil) >= 0;
   }
@@ -862,7 +864,7 @@
    * Much younger call-outs have been answered; lost answers would fill a window until their
    * deadlines.
    */
-  private boolean lost(CallOut c) {
+  private boolean lost(Attempt c) {
     return seconds(c.seat.answeredSent.minus(c.sent)) > LOST_TIMES * work(c.rpc.method);
   }
 
@@ -888,9 +890,9 @@
   /**
    * A repeat of a tokened RPC is known in its group, which all sends stay in, or only in its zone.
    */
-  private boolean knowsRepeats(Rpc rpc, Seat seat) {
+  private boolean knowsRepeats(Rpc rpc, EndpointState seat) {
     return rpc.row.effect() != Effect.TOKENED
-        || rpc.row.scope() != MethodRow.Scope.ZONE
+        || rpc.row.scope() != RequestClass.Scope.ZONE
         || rpc.callOuts.isEmpty()
         || rpc.callOuts.get(0).seat.zone.equals(seat.zone);
   }
@@ -899,7 +901,7 @@
    * Who could not be reached is asked before an RPC is risked; else RPCs that may run again are
    * trials.
    */
-  private boolean trusted(Duration now, Rpc rpc, Seat seat) {
+  private boolean trusted(Duration now, Rpc rpc, EndpointState seat) {
     boolean due = !seat.doubted || now.compareTo(seat.trialAt) >= 0;
     if (due && seat.doubted && seat.deaf > 0 && terms.probes()) {
       probe(now, seat, SHORT_WAIT);
@@ -911,7 +913,7 @@
             || now.compareTo(seat.trialAt.plus(seat.doubt)) >= 0);
   }
 
-  private boolean cold(Duration now, Seat seat) {
+  private boolean cold(Duration now, EndpointState seat) {
     return seat.coldSince != null && now.minus(seat.coldSince).compareTo(terms.coldFor()) < 0;
   }
 
@@ -919,7 +921,7 @@
    * What was held may come all at once and is spaced out; what comes one by one is thinned by
    * chance.
    */
-  private boolean coldRoom(Duration now, Rpc rpc, Seat seat) {
+  private boolean coldRoom(Duration now, Rpc rpc, EndpointState seat) {
     if (!cold(now, seat) || now.compareTo(seat.coldNext) >= 0) {
       return true;
     }
@@ -930,7 +932,7 @@
     }
     boolean owed =
         now.plus(coldGap(now, seat, rpc.method).multipliedBy(2)).compareTo(seat.coldNext) < 0;
-    List<Seat> members = seat.group.seats;
+    List<EndpointState> members = seat.group.seats;
     // Where it is the least busy it is picked by all, not by one in as many as there are members.
     double equals =
         rpc.row.need() == Need.WRITE
@@ -950,17 +952,17 @@
             < COLD_MARGIN * terms.fallMultiple() * coldShare(now, seat) * equals / members.size();
   }
 
-  private double coldShare(Duration now, Seat seat) {
+  private double coldShare(Duration now, EndpointState seat) {
     double age = Math.max(0, seconds(now.minus(seat.coldSince)) / seconds(terms.coldFor()));
     return terms.coldShare() + (1 - terms.coldShare()) * Math.min(1, age);
   }
 
   /** Who learns of a start starts at a moment of its own: many gateways learn of it at once. */
-  private void chill(Duration now, Seat seat, Duration since) {
+  private void chill(Duration now, EndpointState seat, Duration since) {
     seat.coldSince = since;
     // A place among its equals drawn anew: after those who have been slow it would be first
     // everywhere.
-    List<Seat> equals = seat.group.seats;
+    List<EndpointState> equals = seat.group.seats;
     seat.order = equals.get(dice.nextInt(equals.size())).order + dice.nextDouble() - 0.5;
     seat.coldNext = now.plus(span(dice.nextDouble() * seconds(coldGap(now, seat, 0))));
   }
@@ -970,7 +972,7 @@
    * part it has of its capacity, adds up over all gateways to what it can take. So far apart lie
    * the call-outs there; who has done nothing yet takes its part of one a fall window.
    */
-  private Duration coldGap(Duration now, Seat seat, int method) {
+  private Duration coldGap(Duration now, EndpointState seat, int method) {
     double rate = COLD_MARGIN * terms.fallMultiple() * coldShare(now, seat) * warmRate;
     double work = work(method);
     double least = work / (seconds(terms.fallWindow()) * fleet);
@@ -982,7 +984,7 @@
   }
 
   /** How many call-outs there are overdue, of those sent since the server last answered one. */
-  private int unheard(Duration now, Seat seat) {
+  private int unheard(Duration now, EndpointState seat) {
     return (int)
         seat.out.stream()
             .filter(
@@ -992,14 +994,16 @@
             .count();
   }
 
-  private void judge(Duration now, Seat seat, CallOut callOut, Outcome outcome, Duration took) {
+  private void judge(
+      Duration now, EndpointState seat, Attempt callOut, AttemptOutcome outcome, Duration took) {
     widen(now, seat, callOut, outcome, took);
     int m = callOut.rpc.method;
     // Whoever disappoints goes behind an equal: one answer proves nothing, but moving costs
     // nothing.
-    boolean slow = seconds(took) > SLOW_TIMES * usual[m] && outcome == Outcome.OK;
-    seat.order += slow || outcome == Outcome.ERROR || outcome == Outcome.NO_ROUTE ? 1 : 0;
-    if (outcome == Outcome.OK) {
+    boolean slow = seconds(took) > SLOW_TIMES * usual[m] && outcome == AttemptOutcome.OK;
+    seat.order +=
+        slow || outcome == AttemptOutcome.ERROR || outcome == AttemptOutcome.NO_ROUTE ? 1 : 0;
+    if (outcome == AttemptOutcome.OK) {
       // Settles at the median: with a mean, one jammed server would make every RPC look hopeless.
       // The first
       // answers move it far, or a gateway that sees little goes by its very first for half a
@@ -1037,16 +1041,17 @@
    * {@link #EASE} of their soft deadline. Against queues; harmful if soft deadlines are far from
    * what the work takes.
    */
-  private void widen(Duration now, Seat seat, CallOut callOut, Outcome outcome, Duration took) {
-    if ((outcome.neverRan && outcome != Outcome.NO_ROOM)
-        || outcome == Outcome.KEPT_CUT
+  private void widen(
+      Duration now, EndpointState seat, Attempt callOut, AttemptOutcome outcome, Duration took) {
+    if ((outcome.neverRan && outcome != AttemptOutcome.NO_ROOM)
+        || outcome == AttemptOutcome.KEPT_CUT
         || lost(callOut)) {
       return;
     }
     double soft = seconds(callOut.rpc.row.softDeadline());
     // Cancelled as its client left: whatever patience clients have, the answer took longer.
-    boolean left = outcome == Outcome.CANCELLED && callOut.rpc.abandoned;
-    double strain = outcome == Outcome.NO_ROOM || left ? 1 : seconds(took) / soft;
+    boolean left = outcome == AttemptOutcome.CANCELLED && callOut.rpc.abandoned;
+    double strain = outcome == AttemptOutcome.NO_ROOM || left ? 1 : seconds(took) / soft;
     // A gateway that sees little must learn as fast by the clock as one that sees much.
     double gain =
         Math.max(WINDOW_GAIN, BOLDEST_GAIN * Math.min(1, seconds(now.minus(seat.windowAt))));
@@ -1063,7 +1068,7 @@
     }
   }
 
-  private void trust(Duration now, Seat seat, CallOut answered) {
+  private void trust(Duration now, EndpointState seat, Attempt answered) {
     seat.deaf = seat.strikes = 0;
     seat.askGap = SHORT_WAIT;
     seat.answeredSent = later(seat.answeredSent, answered.sent);
@@ -1072,7 +1077,7 @@
     seat.doubt = FIRST_DOUBT;
   }
 
-  private void doubt(Duration now, Seat seat) {
+  private void doubt(Duration now, EndpointState seat) {
     seat.trialAt = now.plus(seat.doubt);
     seat.doubt = sooner(seat.doubt.multipliedBy(2), LONGEST_DOUBT);
     seat.doubted = true;
@@ -1082,7 +1087,7 @@
     }
   }
 
-  private void mayHaveRestarted(Duration now, Seat seat) {
+  private void mayHaveRestarted(Duration now, EndpointState seat) {
     if (seat.chilledAt == null || !cold(now, seat)) {
       seat.coldBefore = seat.coldSince;
       seat.chilledAt = now;
@@ -1094,7 +1099,7 @@
    * Who answers on what was open before it was thought to be gone is the process that it was, and
    * no colder.
    */
-  private void seenAlive(Duration now, Seat seat, Duration since) {
+  private void seenAlive(Duration now, EndpointState seat, Duration since) {
     if (since != null
         && seat.chilledAt != null
         && since.compareTo(seat.coldSince) < 0
@@ -1109,7 +1114,7 @@
   /**
    * Against hangs and lost answers; the budget keeps further call-outs from feeding an overload.
    */
-  private void rescue(Duration now, CallOut callOut) {
+  private void rescue(Duration now, Attempt callOut) {
     Rpc rpc = callOut.rpc;
     if (rpc.answered || rpc.row.effect() != Effect.IDEMPOTENT || rpc.out > 1 || extra < 1) {
       return;
--- a/gateway/src/main/java/weldcross/routing/Host.java
+++ b/gateway/src/main/java/weldcross/routing/RouterActions.java
@@ -6,25 +6,25 @@
  * What a {@link Router} can do to the world; calls take effect at the moment of the event under
  * way.
  */
-public interface Host {
+public interface RouterActions {
 
   /**
    * Sends the RPC to the server; it is dropped at {@code until}, or when the client gives up if
    * sooner.
    */
-  void callOut(RpcId rpc, ServerId server, Duration until);
+  void callOut(RequestId rpc, ServerId server, Duration until);
 
   /** Stops waiting for one call-out; whether the server stops working on it is its own matter. */
-  void cancel(RpcId rpc, int callOut);
+  void cancel(RequestId rpc, int callOut);
 
   /**
    * Final answer: nothing ran that matters, trying again is harmless; zero gives no time to come
    * back.
    */
-  void pushBack(RpcId rpc, Duration comeBackAfter);
+  void pushBack(RequestId rpc, Duration comeBackAfter);
 
   /** Final answer: failed, with no promise about its effect. */
-  void abort(RpcId rpc);
+  void abort(RequestId rpc);
 
   void probe(ServerId server);
 
--- a/gateway/src/main/java/weldcross/routing/ServiceTerms.java
+++ b/gateway/src/main/java/weldcross/routing/RoutingConfig.java
@@ -22,8 +22,8 @@
  * @param fallMultiple a cold server falls over when sent more than this multiple of what it can do
  * @param fallWindow for this long
  */
-public record ServiceTerms(
-    List<MethodRow> methods,
+public record RoutingConfig(
+    List<RequestClass> methods,
     int gateways,
     ZoneId zone,
     boolean parallelCallOuts,
--- a/gateway/src/main/java/weldcross/simulator/WireHost.java
+++ b/gateway/src/main/java/weldcross/simulator/SimulatorActions.java
@@ -2,13 +2,13 @@
 
 import java.time.Duration;
 import java.util.HexFormat;
-import weldcross.gossip.PeerWord;
-import weldcross.routing.Host;
-import weldcross.routing.RpcId;
+import weldcross.gossip.GossipMessage;
+import weldcross.routing.RequestId;
+import weldcross.routing.RouterActions;
 import weldcross.routing.ServerId;
 
 /** Writes one instance's calls as lines of the bench's wire. */
-final class WireHost implements Host {
+final class SimulatorActions implements RouterActions {
 
   static final String TIMER = "timer";
   static final String DUE = "due";
@@ -17,14 +17,14 @@
   private final int instance;
   private final long startMicros;
 
-  WireHost(StringBuilder reply, int instance, long startMicros) {
+  SimulatorActions(StringBuilder reply, int instance, long startMicros) {
     this.reply = reply;
     this.instance = instance;
     this.startMicros = startMicros;
   }
 
   @Override
-  public void callOut(RpcId rpc, ServerId server, Duration until) {
+  public void callOut(RequestId rpc, ServerId server, Duration until) {
     begin("CALL_OUT")
         .append(rpc.name())
         .append(' ')
@@ -35,12 +35,12 @@
   }
 
   @Override
-  public void cancel(RpcId rpc, int callOut) {
+  public void cancel(RequestId rpc, int callOut) {
     begin("ABORT_ATTEMPT").append(rpc.name()).append(' ').append(callOut).append('\n');
   }
 
   @Override
-  public void pushBack(RpcId rpc, Duration comeBackAfter) {
+  public void pushBack(RequestId rpc, Duration comeBackAfter) {
     begin("SHED")
         .append(rpc.name())
         .append(' ')
@@ -49,7 +49,7 @@
   }
 
   @Override
-  public void abort(RpcId rpc) {
+  public void abort(RequestId rpc) {
     begin("END_FAILED").append(rpc.name()).append('\n');
   }
 
@@ -62,7 +62,7 @@
   public void tellPeers(ServerId server) {
     begin("TELL")
         .append("all ")
-        .append(HexFormat.of().formatHex(PeerWord.write(server)))
+        .append(HexFormat.of().formatHex(GossipMessage.write(server)))
         .append('\n');
   }
 
--- a/gateway/src/main/java/weldcross/simulator/WireLoop.java
+++ b/gateway/src/main/java/weldcross/simulator/SimulatorSession.java
@@ -12,27 +12,27 @@
 import java.util.HashMap;
 import java.util.HexFormat;
 import java.util.Map;
+import weldcross.config.ConfigReader;
+import weldcross.config.ConfigValues;
 import weldcross.config.LoadReport;
-import weldcross.config.NamedValues;
-import weldcross.config.TermsReader;
-import weldcross.gossip.PeerWord;
-import weldcross.routing.Condition;
+import weldcross.gossip.GossipMessage;
+import weldcross.routing.AttemptOutcome;
+import weldcross.routing.EndpointStatus;
 import weldcross.routing.GroupId;
-import weldcross.routing.Outcome;
+import weldcross.routing.RequestId;
 import weldcross.routing.Router;
-import weldcross.routing.RpcId;
 import weldcross.routing.ServerId;
 import weldcross.routing.SessionId;
 import weldcross.routing.ZoneId;
 
 /** Reads the bench's batches, calls the instances' routers, and writes one reply a batch. */
-public final class WireLoop {
+public final class SimulatorSession {
 
   /** A line that is not of the wire. */
-  public static final class Malformed extends RuntimeException {
+  public static final class ProtocolException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    Malformed(String message) {
+    ProtocolException(String message) {
       super(message);
     }
   }
@@ -52,7 +52,7 @@
   private final Map<Integer, String[][]> pages = new HashMap<>();
   private long clock;
 
-  public WireLoop(InputStream in, OutputStream out) {
+  public SimulatorSession(InputStream in, OutputStream out) {
     this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
     this.out = out;
   }
@@ -69,7 +69,7 @@
           clock = Long.parseLong(parts[1]);
           open = true;
         } else if (!open) {
-          throw new Malformed("outside a batch: " + line);
+          throw new ProtocolException("outside a batch: " + line);
         } else if (parts[0].equals("YOUR_TURN")) {
           reply.append("YIELD\n");
           out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
@@ -82,11 +82,11 @@
           event(parts, line);
         }
       } catch (NumberFormatException | ArrayIndexOutOfBoundsException e) {
-        throw new Malformed("malformed line: " + line);
+        throw new ProtocolException("malformed line: " + line);
       }
     }
     if (open) {
-      throw new Malformed("input ended inside a batch");
+      throw new ProtocolException("input ended inside a batch");
     }
   }
 
@@ -95,7 +95,7 @@
     for (int k = 0; k < rows.length; k++) {
       String line = in.readLine();
       if (line == null || !line.startsWith("ROW ")) {
-        throw new Malformed("a ROW was expected: " + line);
+        throw new ProtocolException("a ROW was expected: " + line);
       }
       rows[k] = split(line);
     }
@@ -133,12 +133,12 @@
     Duration now = since(to, clock);
     switch (p[0]) {
       case "INIT":
-        NamedValues told = NamedValues.ofPairs(p, 3);
+        ConfigValues told = ConfigValues.ofPairs(p, 3);
         to.startMicros = clock;
-        to.originMicros = TermsReader.originMicros(told);
+        to.originMicros = ConfigReader.originMicros(told);
         long seed = Long.parseUnsignedLong(p[2]);
-        WireHost host = new WireHost(reply, number, clock);
-        return () -> to.router = new Router(host, TermsReader.service(told), seed);
+        SimulatorActions host = new SimulatorActions(reply, number, clock);
+        return () -> to.router = new Router(host, ConfigReader.service(told), seed);
       case "STOP":
         return () -> instances.remove(number);
       case "DIRECTORY_UPDATE":
@@ -147,7 +147,7 @@
         }
         String[][] rows = pages.get(Integer.parseInt(p[4]));
         if (rows == null) {
-          throw new Malformed("no such list page: " + line);
+          throw new ProtocolException("no such list page: " + line);
         }
         boolean whole = !p[2].equals("delta");
         return () -> list(to, now, whole, rows);
@@ -161,7 +161,7 @@
         return () ->
             to.router.rpcArrived(
                 now,
-                new RpcId(p[2]),
+                new RequestId(p[2]),
                 method,
                 group,
                 session,
@@ -172,14 +172,14 @@
         long note = absent(p[5]) ? 0 : Long.parseLong(p[5]);
         Boolean primary = (note & 3) == 0 ? null : Boolean.valueOf((note & 3) == 1);
         Duration pos = note >> 2 == 0 ? null : since(to, to.originMicros + (note >> 2) * 1000);
-        Outcome outcome = outcome(p[6]);
+        AttemptOutcome outcome = outcome(p[6]);
         int callOut = Integer.parseInt(p[7]);
         boolean ended = p[8].equals("1");
         Duration took = micros(p[4], 1, RoundingMode.FLOOR);
         return () -> {
           to.router.callOutEnded(
               now,
-              new RpcId(p[2]),
+              new RequestId(p[2]),
               callOut,
               new ServerId(p[3]),
               outcome,
@@ -193,13 +193,16 @@
       case "ECHO":
         return () -> {
           to.router.probeEnded(
-              now, new ServerId(p[4]), p[3].equals("pass") ? Outcome.OK : Outcome.TIMED_OUT, null);
+              now,
+              new ServerId(p[4]),
+              p[3].equals("pass") ? AttemptOutcome.OK : AttemptOutcome.TIMED_OUT,
+              null);
           report(to, now, new ServerId(p[4]), p[5]);
         };
       case "CLIENT_LEFT":
-        return () -> to.router.clientLeft(now, new RpcId(p[2]));
+        return () -> to.router.clientLeft(now, new RequestId(p[2]));
       case "ALARM":
-        return p[2].equals(WireHost.TIMER)
+        return p[2].equals(SimulatorActions.TIMER)
             ? () -> to.router.timerRang(now)
             : () -> to.router.dueReached(now);
       case "INBOX":
@@ -208,19 +211,19 @@
       case "UNDER_WAY":
         return () -> {};
       default:
-        throw new Malformed("unknown message: " + line);
+        throw new ProtocolException("unknown message: " + line);
     }
   }
 
   private void list(Instance to, Duration now, boolean whole, String[][] rows) {
     to.router.listBegins(now, whole);
     for (String[] r : rows) {
-      Condition condition =
+      EndpointStatus condition =
           switch (r[5]) {
-            case "on" -> Condition.ON;
-            case "fading" -> Condition.DRAINING;
-            case "off" -> Condition.GONE;
-            default -> throw new Malformed("unknown condition: " + r[5]);
+            case "on" -> EndpointStatus.ON;
+            case "fading" -> EndpointStatus.DRAINING;
+            case "off" -> EndpointStatus.GONE;
+            default -> throw new ProtocolException("unknown condition: " + r[5]);
           };
       long ready = absent(r[7]) ? 0 : Long.parseLong(r[7]);
       to.router.memberListed(
@@ -250,22 +253,22 @@
    * Who answers has lived since it was asked; errors come for writes of a process that has died as
    * well.
    */
-  private static boolean answered(Outcome outcome) {
-    return outcome == Outcome.OK || outcome == Outcome.MISS;
+  private static boolean answered(AttemptOutcome outcome) {
+    return outcome == AttemptOutcome.OK || outcome == AttemptOutcome.MISS;
   }
 
-  private static Outcome outcome(String code) {
+  private static AttemptOutcome outcome(String code) {
     return switch (code) {
-      case "pass" -> Outcome.OK;
-      case "fault" -> Outcome.ERROR;
-      case "no_room" -> Outcome.NO_ROOM;
-      case "too_slow" -> Outcome.TIMED_OUT;
-      case "no_route" -> Outcome.NO_ROUTE;
-      case "cut" -> Outcome.CUT;
-      case "undone" -> Outcome.CANCELLED;
-      case "stale_send" -> Outcome.NOT_SENT;
-      case "none_here" -> Outcome.MISS;
-      default -> throw new Malformed("unknown outcome: " + code);
+      case "pass" -> AttemptOutcome.OK;
+      case "fault" -> AttemptOutcome.ERROR;
+      case "no_room" -> AttemptOutcome.NO_ROOM;
+      case "too_slow" -> AttemptOutcome.TIMED_OUT;
+      case "no_route" -> AttemptOutcome.NO_ROUTE;
+      case "cut" -> AttemptOutcome.CUT;
+      case "undone" -> AttemptOutcome.CANCELLED;
+      case "stale_send" -> AttemptOutcome.NOT_SENT;
+      case "none_here" -> AttemptOutcome.MISS;
+      default -> throw new ProtocolException("unknown outcome: " + code);
     };
   }
 
@@ -284,7 +287,7 @@
 
   private static ServerId peerWord(String hex) {
     try {
-      return PeerWord.read(HexFormat.of().parseHex(hex));
+      return GossipMessage.read(HexFormat.of().parseHex(hex));
     } catch (IllegalArgumentException e) {
       return null;
     }
--- a/gateway/src/main/java/weldcross/storage/LogKeeper.java
+++ b/gateway/src/main/java/weldcross/storage/AsyncRecordLog.java
@@ -15,7 +15,7 @@
  * goes to it as one commit. A disk that is stuck holds up this log alone; {@link #waiting} tells
  * how much waits for it.
  */
-public final class LogKeeper implements AutoCloseable {
+public final class AsyncRecordLog implements AutoCloseable {
 
   /** What was kept, told once a log was opened, as one event. */
   public interface Opened {
@@ -58,14 +58,15 @@
   private final LinkedBlockingQueue<Waiting> asked = new LinkedBlockingQueue<>();
   private final AtomicInteger waiting = new AtomicInteger();
   private final Thread thread;
-  private Disk disk;
+  private StorageDirectory disk;
   private RecordLog log;
 
   /**
    * @param mostWaiting records and snapshots that may wait; more are not taken
    * @param post hands what is to be told to the thread that asked
    */
-  public LogKeeper(Path directory, long segmentBytes, int mostWaiting, Consumer<Runnable> post) {
+  public AsyncRecordLog(
+      Path directory, long segmentBytes, int mostWaiting, Consumer<Runnable> post) {
     this.directory = directory;
     this.segmentBytes = segmentBytes;
     this.mostWaiting = mostWaiting;
@@ -82,7 +83,7 @@
           List<Runnable> found = new ArrayList<>();
           try {
             end();
-            disk = PlainDisk.at(directory);
+            disk = FileStorageDirectory.at(directory);
             log =
                 RecordLog.open(
                     disk,
@@ -222,7 +223,7 @@
 
   private void end() throws IOException {
     RecordLog before = log;
-    Disk place = disk;
+    StorageDirectory place = disk;
     log = null;
     disk = null;
     if (before != null) {
--- a/gateway/src/main/java/weldcross/storage/PlainDisk.java
+++ b/gateway/src/main/java/weldcross/storage/FileStorageDirectory.java
@@ -16,7 +16,7 @@
 import java.util.stream.Stream;
 
 /** A directory of the file system as it is. */
-public final class PlainDisk implements Disk {
+public final class FileStorageDirectory implements StorageDirectory {
 
   private static final String LOCK = "lock";
 
@@ -24,7 +24,7 @@
   private final FileChannel lockFile;
   private final FileLock lock;
 
-  private PlainDisk(Path directory) throws IOException {
+  private FileStorageDirectory(Path directory) throws IOException {
     this.directory = directory;
     Files.createDirectories(directory);
     lockFile =
@@ -46,16 +46,16 @@
   }
 
   /** The disk for a directory: the one of the highest rank that the class path has. */
-  public static Disk at(Path directory) throws IOException {
-    return ServiceLoader.load(Maker.class).stream()
+  public static StorageDirectory at(Path directory) throws IOException {
+    return ServiceLoader.load(Factory.class).stream()
         .map(ServiceLoader.Provider::get)
-        .max(Comparator.comparingInt(Maker::rank))
+        .max(Comparator.comparingInt(Factory::rank))
         .orElseGet(Plain::new)
         .open(directory);
   }
 
   /** Opens directories as they are. */
-  public static final class Plain implements Maker {
+  public static final class Plain implements Factory {
 
     @Override
     public int rank() {
@@ -63,8 +63,8 @@
     }
 
     @Override
-    public Disk open(Path directory) throws IOException {
-      return new PlainDisk(directory);
+    public StorageDirectory open(Path directory) throws IOException {
+      return new FileStorageDirectory(directory);
     }
   }
 
--- a/gateway/src/main/java/weldcross/storage/RecordLog.java
+++ b/gateway/src/main/java/weldcross/storage/RecordLog.java
@@ -86,7 +86,7 @@
   private static final String SNAPSHOT = "snapshot-";
   private static final String HALF = ".half";
 
-  private final Disk disk;
+  private final StorageDirectory disk;
   private final long segmentBytes;
 
   /** First records of the segments, the last of which is written to. */
@@ -95,11 +95,11 @@
   private final List<ByteBuffer> pending = new ArrayList<>();
   private int pendingBytes;
   private State state = State.OPEN;
-  private Disk.File file;
+  private StorageDirectory.File file;
   private long fileBytes, frame, last, snapshotUpTo;
   private Found found;
 
-  private RecordLog(Disk disk, long segmentBytes) {
+  private RecordLog(StorageDirectory disk, long segmentBytes) {
     this.disk = disk;
     this.segmentBytes = segmentBytes;
   }
@@ -111,7 +111,8 @@
    * @param segmentBytes a segment is closed once it is longer
    * @throws Damaged where what was sure cannot be read; nothing is changed then
    */
-  public static RecordLog open(Disk disk, long segmentBytes, Reader reader) throws IOException {
+  public static RecordLog open(StorageDirectory disk, long segmentBytes, Reader reader)
+      throws IOException {
     RecordLog log = new RecordLog(disk, segmentBytes);
     log.recover(reader);
     return log;
@@ -196,7 +197,7 @@
     }
   }
 
-  private void force(Disk.File what) throws IOException {
+  private void force(StorageDirectory.File what) throws IOException {
     try {
       what.force();
     } catch (IOException e) {
@@ -208,7 +209,7 @@
   /** A new segment; the one before it is whole and forced by then. */
   private void begin(long first) throws IOException {
     String name = name(SEGMENT, first);
-    Disk.File next = disk.open(name);
+    StorageDirectory.File next = disk.open(name);
     try {
       next.truncate(0);
       next.write(0, segmentHead(first));
@@ -247,7 +248,7 @@
             .flip();
     String before = name(SNAPSHOT, snapshotUpTo);
     String name = name(SNAPSHOT, upTo);
-    try (Disk.File half = disk.open(name + HALF)) {
+    try (StorageDirectory.File half = disk.open(name + HALF)) {
       half.truncate(0);
       half.write(0, ByteBuffer.allocate(4).putInt(crc(body)).flip());
       half.write(4, body);
@@ -421,7 +422,7 @@
   /** The last segment is written and forced anew before anything is added to it. */
   private void rewrite(long first, ByteBuffer whole) throws IOException {
     String name = name(SEGMENT, first);
-    Disk.File half = disk.open(name + HALF);
+    StorageDirectory.File half = disk.open(name + HALF);
     half.truncate(0);
     half.write(0, whole.remaining() < SEGMENT_HEAD ? segmentHead(first) : whole);
     half.force();
@@ -432,7 +433,7 @@
   }
 
   private ByteBuffer readAll(String name) throws IOException {
-    try (Disk.File in = disk.open(name)) {
+    try (StorageDirectory.File in = disk.open(name)) {
       if (in.size() > Integer.MAX_VALUE - 8) {
         throw new Damaged(name, 0, "longer than any that is written");
       }
--- a/gateway/src/main/java/weldcross/storage/Disk.java
+++ b/gateway/src/main/java/weldcross/storage/StorageDirectory.java
@@ -7,13 +7,14 @@
 
 /**
  * All that is asked of files, in one directory that nobody else uses while this is open. Found by
- * {@link java.util.ServiceLoader} through {@link Maker}, so that a disk that lies can be put on the
- * class path; the product holds {@link PlainDisk} alone. Used by one thread at a time.
+ * {@link java.util.ServiceLoader} through {@link Factory}, so that a disk that lies can be put on
+ * the class path; the product holds {@link FileStorageDirectory} alone. Used by one thread at a
+ * time.
  */
-public interface Disk extends Closeable {
+public interface StorageDirectory extends Closeable {
 
   /** Opens disks for directories. */
-  interface Maker {
+  interface Factory {
 
     /** Which of several is taken: the highest; the plain one has zero. */
     int rank();
@@ -23,7 +24,7 @@
      * @throws DirectoryInUse where another process or this one has it open
      * @throws IOException where it cannot be made, read or written
      */
-    Disk open(java.nio.file.Path directory) throws IOException;
+    StorageDirectory open(java.nio.file.Path directory) throws IOException;
   }
 
   /** Names of all files, in their order. */
