--- a/gateway/src/test/java/weldcross/cli/CommandsTest.java
+++ b/gateway/src/test/java/weldcross/cli/WeldcrossCommandTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class CommandsTest {
+class WeldcrossCommandTest {
 
   private final PrintStream out = System.out;
   private final PrintStream err = System.err;
@@ -44,7 +44,7 @@
 
   @Test
   void checkSaysWhatWouldBeServed() {
-    assertEquals(Commands.OK, Commands.run("check", "deploy/example.json"));
+    assertEquals(WeldcrossCommand.OK, WeldcrossCommand.run("check", "deploy/example.json"));
     String text = said.toString(StandardCharsets.UTF_8);
     assertTrue(
         text.contains("n0") && text.contains("127.0.0.1:6543") && text.contains("entry-write"),
@@ -58,7 +58,7 @@
         file,
         Files.readString(Path.of("deploy/example.json"))
             .replace("\"tryLimit\": 10", "\"tryLimit\": 0"));
-    assertEquals(Serving.FAULTY, Commands.run("check", file.toString()));
+    assertEquals(ServeCommand.FAULTY, WeldcrossCommand.run("check", file.toString()));
     assertEquals(
         "weldcross: settings.bounds.tryLimit: found '0', allowed is a number from 1 on\n",
         complained.toString(StandardCharsets.UTF_8));
@@ -66,27 +66,27 @@
 
   @Test
   void serveWithoutAConfigurationEndsBeforeItListens() {
-    assertEquals(Serving.FAULTY, Commands.run("serve"));
+    assertEquals(ServeCommand.FAULTY, WeldcrossCommand.run("serve"));
     assertTrue(complained.toString(StandardCharsets.UTF_8).contains("NODE_CONFIG: found nothing"));
   }
 
   @Test
-  void aRehearsalStartsAnswersAndStops() {
-    assertEquals(Commands.OK, Commands.run("rehearse", "deploy/example.json"));
+  void rehearsalStartsAnswersAndStops() {
+    assertEquals(WeldcrossCommand.OK, WeldcrossCommand.run("rehearse", "deploy/example.json"));
   }
 
   @Test
   void wirehostAnswersTheBench() {
     System.setIn(new ByteArrayInputStream("BATCH 1\nYOUR_TURN\n".getBytes(StandardCharsets.UTF_8)));
-    assertEquals(Commands.OK, Commands.run("wirehost"));
+    assertEquals(WeldcrossCommand.OK, WeldcrossCommand.run("wirehost"));
     assertEquals("YIELD\n", said.toString(StandardCharsets.UTF_8));
     System.setIn(new ByteArrayInputStream("HELLO\n".getBytes(StandardCharsets.UTF_8)));
-    assertEquals(Serving.FAULTY, Commands.run("wirehost"));
+    assertEquals(ServeCommand.FAULTY, WeldcrossCommand.run("wirehost"));
   }
 
   @Test
-  void theVersionIsTheBuilds() {
-    assertEquals(Commands.OK, Commands.run("version"));
+  void versionIsTheBuilds() {
+    assertEquals(WeldcrossCommand.OK, WeldcrossCommand.run("version"));
     assertTrue(
         said.toString(StandardCharsets.UTF_8).matches("weldcross \\d+\\.\\d+\\.\\d+(-\\w+)?\\R"),
         said.toString(UTF_8));
@@ -107,7 +107,9 @@
         "cluster forget n1 --at 127.0.0.1:1"
       })
   void wrongArgumentsGetUsageAndTwo(String line) {
-    assertEquals(Commands.USAGE, Commands.run(line.isEmpty() ? new String[0] : line.split(" ")));
+    assertEquals(
+        WeldcrossCommand.USAGE,
+        WeldcrossCommand.run(line.isEmpty() ? new String[0] : line.split(" ")));
     assertTrue(complained.toString(StandardCharsets.UTF_8).contains("Usage: weldcross"));
     assertTrue(said.toString(StandardCharsets.UTF_8).isEmpty());
   }
@@ -124,17 +126,17 @@
         "cluster forget --help"
       })
   void helpIsUsageAndNoFault(String line) {
-    assertEquals(Commands.OK, Commands.run(line.split(" ")));
+    assertEquals(WeldcrossCommand.OK, WeldcrossCommand.run(line.split(" ")));
     assertTrue(said.toString(StandardCharsets.UTF_8).startsWith("Usage: weldcross"));
   }
 
   @Test
-  void aRecordIsOneLine() {
+  void recordIsOneLine() {
     LogRecord record = new LogRecord(Level.WARNING, "list {0}");
-    record.setLoggerName("weldcross.gateway.ListWatch");
+    record.setLoggerName("weldcross.gateway.DiscoveryWatcher");
     record.setParameters(new Object[] {7});
-    String line = new LogLines().format(record);
-    assertTrue(line.endsWith("Z WARNING ListWatch: list 7\n"), line);
+    String line = new LogFormatter().format(record);
+    assertTrue(line.endsWith("Z WARNING DiscoveryWatcher: list 7\n"), line);
     assertFalse(line.strip().contains("\n"));
   }
 }
--- a/gateway/src/test/java/weldcross/config/TermsTest.java
+++ b/gateway/src/test/java/weldcross/config/ConfigReaderTest.java
@@ -16,18 +16,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import weldcross.routing.MethodRow.Effect;
-import weldcross.routing.MethodRow.Need;
-import weldcross.routing.ServiceTerms;
+import weldcross.routing.RequestClass.Effect;
+import weldcross.routing.RequestClass.Need;
+import weldcross.routing.RoutingConfig;
 
-class TermsTest {
+class ConfigReaderTest {
 
   @TempDir private Path folder;
 
   @Test
   void jsonAndTheWiresKeysGiveTheSameTerms() throws IOException {
-    ServiceTerms fromJson =
-        GatewayTerms.of(NamedValues.ofJson(example().getBytes(StandardCharsets.UTF_8))).service();
+    RoutingConfig fromJson =
+        GatewayConfig.of(ConfigValues.ofJson(example().getBytes(StandardCharsets.UTF_8))).service();
     String wire =
         "INIT 3 17 nInstances=1 myZone=0 discovery=pushed categories.count=2 "
             + "categories.0.effect=idempotent "
@@ -38,7 +38,7 @@
             + "bounds.parallelTries=true bounds.retryAfter=true bounds.maxRetryAfter=500000 "
             + "invariants.mustAskIn=10000000 invariants.coldFrom=0.3 invariants.cold=17000000 "
             + "invariants.fallMultiple=2 invariants.fall=1000000";
-    assertEquals(fromJson, TermsReader.service(NamedValues.ofPairs(wire.split(" "), 3)));
+    assertEquals(fromJson, ConfigReader.service(ConfigValues.ofPairs(wire.split(" "), 3)));
     assertEquals(
         List.of(Need.SESSION, Need.WRITE), fromJson.methods().stream().map(m -> m.need()).toList());
     assertEquals(Effect.NON_IDEMPOTENT, fromJson.methods().get(1).effect());
@@ -72,34 +72,37 @@
         "\"pushed\"|\"shouted\"|settings.discovery: found 'shouted'",
         "{\"name\": \"acme\"}|{\"label\": \"acme\"}|settings.tenants.0.name: found nothing"
       })
-  void aFaultyKeyIsNamedAsWritten(String part, String instead, String message) throws IOException {
+  void faultyKeyIsNamedAsWritten(String part, String instead, String message) throws IOException {
     String text = example();
     assertTrue(text.contains(part), "no such part: " + part);
     byte[] faulty =
         text.replace(part, instead == null ? "" : instead).getBytes(StandardCharsets.UTF_8);
-    FaultyTerm fault =
-        assertThrows(FaultyTerm.class, () -> GatewayTerms.of(NamedValues.ofJson(faulty)));
+    InvalidConfigException fault =
+        assertThrows(
+            InvalidConfigException.class, () -> GatewayConfig.of(ConfigValues.ofJson(faulty)));
     assertTrue(fault.getMessage().startsWith(message), fault.getMessage());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "[]", "{\"a\":", "{} {}", "{'a': 1}", "nonsense"})
   void whatIsNoJsonObjectIsToldSo(String text) {
-    FaultyTerm fault =
+    InvalidConfigException fault =
         assertThrows(
-            FaultyTerm.class, () -> NamedValues.ofJson(text.getBytes(StandardCharsets.UTF_8)));
+            InvalidConfigException.class,
+            () -> ConfigValues.ofJson(text.getBytes(StandardCharsets.UTF_8)));
     assertTrue(fault.getMessage().startsWith("not "), fault.getMessage());
   }
 
   @Test
-  void theFileComesFromTheEnvironmentWhichStandsInForAbsentKeys() throws IOException {
+  void fileComesFromTheEnvironmentWhichStandsInForAbsentKeys() throws IOException {
     Path file = folder.resolve("config.json");
     Files.writeString(file, example().replace("\"name\": \"n0\",", ""));
     assertEquals(
-        "n7", GatewayTerms.read(Map.of("NODE_CONFIG", file.toString(), "NODE_NAME", "n7")).name());
+        "n7", GatewayConfig.read(Map.of("NODE_CONFIG", file.toString(), "NODE_NAME", "n7")).name());
     for (String path : List.of("", folder.resolve("absent").toString(), folder.toString())) {
-      FaultyTerm fault =
-          assertThrows(FaultyTerm.class, () -> GatewayTerms.read(Map.of("NODE_CONFIG", path)));
+      InvalidConfigException fault =
+          assertThrows(
+              InvalidConfigException.class, () -> GatewayConfig.read(Map.of("NODE_CONFIG", path)));
       assertTrue(fault.getMessage().startsWith("NODE_CONFIG: found "), fault.getMessage());
     }
   }
@@ -112,7 +115,7 @@
                 "\"nInstances\"", "\"colour\": {\"of\": [1, null, {\"x\": []}]}, \"nInstances\"");
     assertEquals(
         2,
-        GatewayTerms.of(NamedValues.ofJson(more.getBytes(StandardCharsets.UTF_8)))
+        GatewayConfig.of(ConfigValues.ofJson(more.getBytes(StandardCharsets.UTF_8)))
             .methods()
             .size());
   }
--- a/gateway/src/test/java/weldcross/config/PartTermsTest.java
+++ b/gateway/src/test/java/weldcross/config/ExtensionsConfigTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import weldcross.mesh.PeerName;
 
-class PartTermsTest {
+class ExtensionsConfigTest {
 
   private static final String TEXT =
       """
@@ -35,15 +35,15 @@
 
   @TempDir private Path folder;
 
-  private PartTerms read(String text) throws IOException {
+  private ExtensionsConfig read(String text) throws IOException {
     Path file = folder.resolve("parts.toml");
     Files.writeString(file, text);
-    return PartTerms.read(file.toString(), GatewayTerms.read("deploy/example.json"));
+    return ExtensionsConfig.read(file.toString(), GatewayConfig.read("deploy/example.json"));
   }
 
   @Test
   void readsALinkWithItsPeersInTheirOrder() throws IOException {
-    PartTerms terms = read(TEXT);
+    ExtensionsConfig terms = read(TEXT);
     assertEquals(new PeerName("n0"), terms.link().self());
     assertEquals("[n1, n2]", terms.link().peers().toString());
     assertEquals(7002, terms.places().calls().get(new PeerName("n2")).getPort());
@@ -67,9 +67,9 @@
         "directory = | directory | (line 1)",
         "beat_ms = 100 | stalled_after_ms = 100 | link.stalled_after_ms (line 6): found '100', allowed is at least"
       })
-  void aFaultNamesItsKeyAndLine(String from, String to, String said) {
+  void faultNamesItsKeyAndLine(String from, String to, String said) {
     String message =
-        assertThrows(FaultyTerm.class, () -> read(TEXT.replace(from, to))).getMessage();
+        assertThrows(InvalidConfigException.class, () -> read(TEXT.replace(from, to))).getMessage();
     assertEquals(true, message.contains(said), message);
   }
 
@@ -91,7 +91,7 @@
 
   @Test
   void readsWhoVotesInOneOrderEverywhere() throws IOException {
-    PartTerms terms = read(AGREED);
+    ExtensionsConfig terms = read(AGREED);
     assertEquals("here/n0,n1,n2", terms.agreement().group());
     assertEquals(true, terms.agreement().isVoter());
     assertEquals(300, terms.agreement().part());
@@ -110,9 +110,11 @@
         "part = 300 | | agreement.voters (line 22): found 'n2,n0,n1', allowed is only with a [membership]",
         "127.0.0.1:7100 | 10.0.0.1:7100 | control.listen (line 26): found '10.0.0.1:7100', allowed is an address of the"
       })
-  void aFaultOfTheAgreementNamesItsKey(String from, String to, String said) {
+  void faultOfTheAgreementNamesItsKey(String from, String to, String said) {
     String message =
-        assertThrows(FaultyTerm.class, () -> read(AGREED.replace(from, to == null ? "" : to)))
+        assertThrows(
+                InvalidConfigException.class,
+                () -> read(AGREED.replace(from, to == null ? "" : to)))
             .getMessage();
     assertEquals(true, message.contains(said), message);
   }
--- a/gateway/src/test/java/weldcross/connections/DialsTest.java
+++ b/gateway/src/test/java/weldcross/connections/CancellableConnectorTest.java
@@ -28,10 +28,10 @@
  * ones.
  */
 @Timeout(60)
-class DialsTest {
+class CancellableConnectorTest {
 
   private final NioSocketConnector connector = new NioSocketConnector(1);
-  private final Dials dials = new Dials(connector);
+  private final CancellableConnector dials = new CancellableConnector(connector);
   private final LinkedBlockingQueue<IoSession> up = new LinkedBlockingQueue<>();
   private final LinkedBlockingQueue<Throwable> failed = new LinkedBlockingQueue<>();
   private ServerSocket server;
@@ -79,7 +79,7 @@
    * thread.
    */
   @Test
-  void aDialGivenUpAsItComesUpLeavesNoOtherBehind() throws InterruptedException {
+  void dialGivenUpAsItComesUpLeavesNoOtherBehind() throws InterruptedException {
     for (long k = 1; k <= 20; k++) {
       long number = k;
       dials.dial(
@@ -114,7 +114,7 @@
 
   /** What no server takes up stays under way until it is given up; others come up meanwhile. */
   @Test
-  void aDialThatHangsHoldsUpNoOther() throws Exception {
+  void dialThatHangsHoldsUpNoOther() throws Exception {
     List<Socket> queued = new ArrayList<>();
     try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       InetSocketAddress there = new InetSocketAddress(deaf.getInetAddress(), deaf.getLocalPort());
@@ -144,7 +144,7 @@
   }
 
   @Test
-  void aRefusedDialIsToldAndCannotBeGivenUp() throws Exception {
+  void refusedDialIsToldAndCannotBeGivenUp() throws Exception {
     server.close();
     dials.dial(1, at, up::add, failed::add);
     assertNotNull(failed.poll(20, TimeUnit.SECONDS));
--- a/gateway/src/test/java/weldcross/connections/CrowdTest.java
+++ b/gateway/src/test/java/weldcross/connections/ClientEvictionPolicyTest.java
@@ -6,13 +6,13 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-class CrowdTest {
+class ClientEvictionPolicyTest {
 
   private static Duration at(int millis) {
     return Duration.ofMillis(millis);
   }
 
-  private final Crowd<String> crowd = new Crowd<>(at(1000), at(250));
+  private final ClientEvictionPolicy<String> crowd = new ClientEvictionPolicy<>(at(1000), at(250));
 
   @Test
   void whoHasAskedNothingGoesFirstThenWhoAskedOnceThenWhoRestedLong() {
--- a/gateway/src/test/java/weldcross/connections/RestRecordTest.java
+++ b/gateway/src/test/java/weldcross/connections/IdleTimeoutEstimatorTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class RestRecordTest {
+class IdleTimeoutEstimatorTest {
 
-  private final RestRecord rests = new RestRecord();
+  private final IdleTimeoutEstimator rests = new IdleTimeoutEstimator();
 
   private static Duration ms(long n) {
     return Duration.ofMillis(n);
--- a/gateway/src/test/java/weldcross/consensus/DecisionsTest.java
+++ b/gateway/src/test/java/weldcross/consensus/MembershipStateMachineTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import weldcross.consensus.Returning.Answer;
-import weldcross.consensus.Returning.Kept;
-import weldcross.consensus.Returning.Phase;
+import weldcross.consensus.VoterRecovery.Answer;
+import weldcross.consensus.VoterRecovery.Kept;
+import weldcross.consensus.VoterRecovery.Phase;
 import weldcross.mesh.PeerName;
 
 /** The pure modules of the agreement: views, who may vote, what share a gateway has. */
-class DecisionsTest {
+class MembershipStateMachineTest {
 
   private static final PeerName A = new PeerName("a"), B = new PeerName("b"), C = new PeerName("c");
 
@@ -30,32 +30,34 @@
   // ---- Views
 
   @Test
-  void aLifeThatHasEndedIsNeverAMemberAgain() {
-    Views views = new Views();
-    assertEquals(Verdict.DONE, views.apply(Motion.join(member(A, 3))));
-    assertEquals(Verdict.SAME, views.apply(Motion.join(member(A, 3))));
-    assertEquals(Verdict.DONE, views.apply(Motion.gone(A, 3, B)));
-    assertEquals(Verdict.ENDED, views.apply(Motion.join(member(A, 3))));
-    assertEquals(Verdict.SAME, views.apply(Motion.gone(A, 3, C)));
-    assertEquals(Verdict.DONE, views.apply(Motion.join(member(A, 4))));
+  void lifeThatHasEndedIsNeverAMemberAgain() {
+    MembershipStateMachine views = new MembershipStateMachine();
+    assertEquals(ProposalResult.DONE, views.apply(Proposal.join(member(A, 3))));
+    assertEquals(ProposalResult.SAME, views.apply(Proposal.join(member(A, 3))));
+    assertEquals(ProposalResult.DONE, views.apply(Proposal.gone(A, 3, B)));
+    assertEquals(ProposalResult.ENDED, views.apply(Proposal.join(member(A, 3))));
+    assertEquals(ProposalResult.SAME, views.apply(Proposal.gone(A, 3, C)));
+    assertEquals(ProposalResult.DONE, views.apply(Proposal.join(member(A, 4))));
     assertEquals(
-        Verdict.ENDED, views.apply(Motion.leave(member(A, 3))), "a late word of the life before");
+        ProposalResult.ENDED,
+        views.apply(Proposal.leave(member(A, 3))),
+        "a late word of the life before");
     assertTrue(views.view().has(A, 4));
     assertEquals(3, views.view().number());
     // A later life that takes the place of one ends it.
-    assertEquals(Verdict.DONE, views.apply(Motion.join(member(A, 6))));
-    assertEquals(Verdict.ENDED, views.apply(Motion.join(member(A, 5))));
+    assertEquals(ProposalResult.DONE, views.apply(Proposal.join(member(A, 6))));
+    assertEquals(ProposalResult.ENDED, views.apply(Proposal.join(member(A, 5))));
   }
 
   /** An operator forgets what he saw, and nothing that came after. */
   @Test
   void forgettingIsBoundToTheViewThatWasSeen() {
-    Views views = new Views();
-    views.apply(Motion.join(member(A, 1)));
-    views.apply(Motion.join(member(B, 1)));
-    assertEquals(Verdict.CHANGED, views.apply(Motion.forget(A, B, 1)));
-    assertEquals(Verdict.DONE, views.apply(Motion.forget(A, B, 2)));
-    assertEquals(Verdict.UNKNOWN, views.apply(Motion.forget(A, B, 3)));
+    MembershipStateMachine views = new MembershipStateMachine();
+    views.apply(Proposal.join(member(A, 1)));
+    views.apply(Proposal.join(member(B, 1)));
+    assertEquals(ProposalResult.CHANGED, views.apply(Proposal.forget(A, B, 1)));
+    assertEquals(ProposalResult.DONE, views.apply(Proposal.forget(A, B, 2)));
+    assertEquals(ProposalResult.UNKNOWN, views.apply(Proposal.forget(A, B, 3)));
   }
 
   /**
@@ -66,24 +68,25 @@
   @ValueSource(longs = {1, 2, 3, 4, 5})
   void anyMotionsKeepTheRules(long seed) {
     SplittableRandom dice = new SplittableRandom(seed);
-    Views views = new Views();
-    Views copy = new Views();
+    MembershipStateMachine views = new MembershipStateMachine();
+    MembershipStateMachine copy = new MembershipStateMachine();
     Map<PeerName, Long> highestEnded = new TreeMap<>();
     for (int step = 0; step < 5000; step++) {
       PeerName name = List.of(A, B, C).get(dice.nextInt(3));
       long life = 1L + dice.nextInt(40);
-      Motion motion =
+      Proposal motion =
           switch (dice.nextInt(4)) {
-            case 0 -> Motion.gone(name, life, B);
-            case 1 -> Motion.leave(member(name, life));
-            case 2 -> Motion.forget(name, B, views.view().number() - dice.nextInt(2));
-            default -> Motion.join(member(name, life));
+            case 0 -> Proposal.gone(name, life, B);
+            case 1 -> Proposal.leave(member(name, life));
+            case 2 -> Proposal.forget(name, B, views.view().number() - dice.nextInt(2));
+            default -> Proposal.join(member(name, life));
           };
-      View before = views.view();
-      Verdict verdict = views.apply(motion);
+      MembershipView before = views.view();
+      ProposalResult verdict = views.apply(motion);
       assertEquals(verdict, copy.apply(motion));
       assertEquals(views.view(), copy.view());
-      assertEquals(before.number() + (verdict == Verdict.DONE ? 1 : 0), views.view().number());
+      assertEquals(
+          before.number() + (verdict == ProposalResult.DONE ? 1 : 0), views.view().number());
       before
           .members()
           .values()
@@ -109,7 +112,7 @@
             owner == null || (!owner.equals(lost) && views.view().members().containsKey(owner)));
       }
       if (step % 500 == 0) {
-        Views restored = new Views();
+        MembershipStateMachine restored = new MembershipStateMachine();
         restored.restore(copy.view(), Map.copyOf(copy.ended()));
         copy.restore(restored.view(), restored.ended());
       }
@@ -126,25 +129,25 @@
 
   @Test
   void foundingWantsAllOfThemAndNoRecordsAnywhere() {
-    Returning one = new Returning(3, false, Kept.NOTHING, false);
+    VoterRecovery one = new VoterRecovery(3, false, Kept.NOTHING, false);
     assertEquals(Phase.ASKING, one.answered(B, EMPTY));
     assertEquals(Phase.ASKING, one.answered(B, EMPTY), "the same one twice is one");
     assertEquals(Phase.FOUNDS, one.answered(C, EMPTY));
-    Returning late = new Returning(3, false, Kept.NOTHING, false);
+    VoterRecovery late = new VoterRecovery(3, false, Kept.NOTHING, false);
     late.answered(B, has(0, 0, 0));
     assertEquals(
         Phase.FOUNDS, late.answered(C, EMPTY), "another has founded and nothing was said yet");
-    Returning lost = new Returning(3, false, Kept.NOTHING, false);
+    VoterRecovery lost = new VoterRecovery(3, false, Kept.NOTHING, false);
     assertEquals(Phase.IS_NEW, lost.answered(C, has(1, 1, 1)), "others have records");
   }
 
   /** Two lost theirs, one cannot read its own: whoever asks whom, nothing begins anew. */
   @Test
   void whoHadRecordsFoundsNothing() {
-    Returning damaged = new Returning(3, false, Kept.NOTHING, true);
+    VoterRecovery damaged = new VoterRecovery(3, false, Kept.NOTHING, true);
     damaged.answered(B, EMPTY);
     assertEquals(Phase.ASKING, damaged.answered(C, EMPTY));
-    Returning empty = new Returning(3, false, Kept.NOTHING, false);
+    VoterRecovery empty = new VoterRecovery(3, false, Kept.NOTHING, false);
     empty.answered(B, EMPTY);
     assertEquals(
         Phase.IS_NEW, empty.answered(C, new Answer(false, false, false, 0, 0, 0, 0, 0, 0)));
@@ -155,8 +158,8 @@
    * spent.
    */
   @Test
-  void aFounderThatVotedBeforeDoesNotVoteInThatTermAgain() {
-    Returning one = new Returning(3, false, Kept.NOTHING, false);
+  void founderThatVotedBeforeDoesNotVoteInThatTermAgain() {
+    VoterRecovery one = new VoterRecovery(3, false, Kept.NOTHING, false);
     one.answered(B, has(4, 0, 0));
     assertEquals(Phase.FOUNDS, one.answered(C, has(2, 0, 0)));
     assertEquals(4, one.term());
@@ -167,20 +170,20 @@
     Kept kept = new Kept("a#0", 3, 2, 90);
     assertEquals(
         Phase.IS_NEW,
-        new Returning(3, false, kept, false)
+        new VoterRecovery(3, false, kept, false)
             .answered(B, new Answer(true, true, false, 3, 2, 100, 2, 91, 0)));
     assertEquals(
         Phase.IS_NEW,
-        new Returning(3, false, kept, false)
+        new VoterRecovery(3, false, kept, false)
             .answered(B, new Answer(true, true, false, 3, 2, 90, 2, 90, 4)));
-    Returning well = new Returning(3, false, kept, false);
+    VoterRecovery well = new VoterRecovery(3, false, kept, false);
     assertEquals(Phase.ASKING, well.answered(B, new Answer(true, true, false, 3, 2, 90, 2, 90, 3)));
     assertEquals(Phase.GOES_ON, well.answered(C, new Answer(true, true, false, 3, 2, 88, 0, 0, 0)));
   }
 
   @Test
   void whoIsBehindLearnsBeforeItVotes() {
-    Returning one = new Returning(5, false, new Kept("a#0", 3, 2, 90), false);
+    VoterRecovery one = new VoterRecovery(5, false, new Kept("a#0", 3, 2, 90), false);
     one.answered(B, has(3, 2, 90));
     one.answered(C, EMPTY);
     assertEquals(
@@ -201,7 +204,7 @@
   void enoughAreAskedThatNoMajorityIsMissed() {
     for (int voters : new int[] {3, 5, 7}) {
       int wanted = 0;
-      Returning one = new Returning(voters, false, new Kept("v0#0", 1, 1, 1), false);
+      VoterRecovery one = new VoterRecovery(voters, false, new Kept("v0#0", 1, 1, 1), false);
       while (one.phase() == Phase.ASKING) {
         wanted++;
         one.answered(new PeerName("v" + wanted), has(1, 1, 1));
@@ -214,8 +217,8 @@
   // ---- The share
 
   @Test
-  void aShareShrinksAtOnceAndGrowsLate() {
-    FleetShare share = new FleetShare(0.2, Duration.ofSeconds(30));
+  void shareShrinksAtOnceAndGrowsLate() {
+    FleetQuota share = new FleetQuota(0.2, Duration.ofSeconds(30));
     share.known(Duration.ofSeconds(1), 0.5);
     assertEquals(0.2, share.share(Duration.ofSeconds(30)));
     assertEquals(Duration.ofSeconds(31), share.growsAt());
@@ -235,7 +238,7 @@
   @ValueSource(longs = {1, 2, 3})
   void noShareIsEverWiderThanTheLeastThatWasKnownWithinTheTime(long seed) {
     SplittableRandom dice = new SplittableRandom(seed);
-    FleetShare share = new FleetShare(0.1, Duration.ofSeconds(30));
+    FleetQuota share = new FleetQuota(0.1, Duration.ofSeconds(30));
     List<Double> shares = new ArrayList<>(List.of(0.1));
     List<Duration> since = new ArrayList<>(List.of(Duration.ofSeconds(-100)));
     Duration now = Duration.ZERO;
--- a/gateway/src/test/java/weldcross/consensus/net/AgreementWorld.java
+++ b/gateway/src/test/java/weldcross/consensus/net/ConsensusSimulation.java
@@ -21,21 +21,21 @@
 import java.util.function.BooleanSupplier;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import weldcross.consensus.Agreed;
-import weldcross.consensus.AgreementTerms;
-import weldcross.consensus.Motion;
-import weldcross.consensus.Verdict;
-import weldcross.consensus.View;
+import weldcross.consensus.ConsensusConfig;
+import weldcross.consensus.MembershipView;
+import weldcross.consensus.MembershipViewClient;
+import weldcross.consensus.Proposal;
+import weldcross.consensus.ProposalResult;
 import weldcross.consensus.wire.Word;
 import weldcross.mesh.PeerName;
-import weldcross.storage.Disk;
-import weldcross.storage.FaultyDisk;
+import weldcross.storage.FaultyStorageDirectory;
+import weldcross.storage.StorageDirectory;
 
 /**
  * Gateways that agree, over a network, disks and a clock in memory. Looked at in each step: views
  * of one number are one, and in one life of a gateway their numbers never go back.
  */
-final class AgreementWorld {
+final class ConsensusSimulation {
 
   /** The library tells of each message that it refuses. */
   private static final Logger LIBRARY = Logger.getLogger("io.microraft");
@@ -49,8 +49,8 @@
   /** One gateway, through its lives; two threads of it run in the order of the world's events. */
   final class Node {
     final PeerName name;
-    final FaultyDisk disk;
-    Agreement agreement;
+    final FaultyStorageDirectory disk;
+    ConsensusService agreement;
     long life, number;
     boolean lives, paused, left;
     int side, direction;
@@ -58,11 +58,11 @@
     private long wakes;
     private int process;
     final List<String> said = new ArrayList<>();
-    final List<Verdict> told = new ArrayList<>();
+    final List<ProposalResult> told = new ArrayList<>();
 
     Node(int k) {
       name = new PeerName("n" + k);
-      disk = new FaultyDisk(1000 + k);
+      disk = new FaultyStorageDirectory(1000 + k);
     }
 
     private void later(Duration time, Runnable run) {
@@ -87,8 +87,8 @@
       life++;
       number = 0;
       agreement =
-          new Agreement(
-              new AgreementTerms(
+          new ConsensusService(
+              new ConsensusConfig(
                   group,
                   name,
                   "",
@@ -122,11 +122,11 @@
       }
     }
 
-    View view() {
+    MembershipView view() {
       return agreement.agreed().view();
     }
 
-    private final class Hosting implements AgreementHost {
+    private final class Hosting implements ConsensusActions {
       private final int of = process;
 
       @Override
@@ -172,12 +172,12 @@
       }
 
       @Override
-      public Disk disk() {
+      public StorageDirectory disk() {
         return disk;
       }
 
       @Override
-      public void viewIs(View view) {
+      public void viewIs(MembershipView view) {
         assertTrue(
             view.number() > number, name + " goes back from " + number + " to " + view.number());
         number = view.number();
@@ -199,7 +199,7 @@
       }
 
       @Override
-      public void operatorTold(Motion motion, Verdict verdict) {
+      public void operatorTold(Proposal motion, ProposalResult verdict) {
         told.add(verdict);
       }
 
@@ -259,7 +259,7 @@
   final List<PeerName> voters;
 
   /** By number, as the first that learnt of it had it. */
-  final TreeMap<Long, View> agreedOn = new TreeMap<>();
+  final TreeMap<Long, MembershipView> agreedOn = new TreeMap<>();
 
   final SplittableRandom dice;
   private final PriorityQueue<Event> events =
@@ -277,7 +277,7 @@
   /** Whether the first hears the second not. */
   final List<List<Node>> deaf = new ArrayList<>();
 
-  AgreementWorld(int count, int voting, long seed, boolean trustDisks) {
+  ConsensusSimulation(int count, int voting, long seed, boolean trustDisks) {
     dice = new SplittableRandom(seed);
     this.trustDisks = trustDisks;
     for (int k = 0; k < count; k++) {
@@ -325,13 +325,13 @@
   /** Whether all that live have one view, of all that live in this life and nobody else. */
   boolean agree() {
     List<Node> living = all.stream().filter(n -> n.lives && !n.paused).toList();
-    View one = living.get(0).view();
+    MembershipView one = living.get(0).view();
     return living.stream()
         .allMatch(
             n ->
                 n.view().equals(one)
                     && one.has(n.name, n.life)
-                    && n.agreement.agreed().phase() == Agreed.Phase.MEMBER);
+                    && n.agreement.agreed().phase() == MembershipViewClient.Phase.MEMBER);
   }
 
   void heal() {
--- a/gateway/src/test/java/weldcross/consensus/net/AgreementSweep.java
+++ b/gateway/src/test/java/weldcross/consensus/net/ConsensusSweep.java
@@ -6,14 +6,14 @@
 import java.util.List;
 
 /**
- * Random troubles of {@link AgreementTest} over many seeds, run by hand: prints each seed that
+ * Random troubles of {@link ConsensusTest} over many seeds, run by hand: prints each seed that
  * breaks a rule, and how long gateways took to agree once all was healed. Ends with 1 at a breach.
  */
-final class AgreementSweep {
+final class ConsensusSweep {
 
   private static final Duration MOST = Duration.ofMinutes(5);
 
-  private AgreementSweep() {}
+  private ConsensusSweep() {}
 
   /**
    * Arguments: the first seed, the last, steps each; and "trusted" to have disks trusted that lie.
@@ -24,7 +24,8 @@
     int broken = 0;
     for (long seed = Long.parseLong(args[0]); seed <= Long.parseLong(args[1]); seed++) {
       try {
-        AgreementWorld w = AgreementTest.random(seed, args.length > 3, Integer.parseInt(args[2]));
+        ConsensusSimulation w =
+            ConsensusTest.random(seed, args.length > 3, Integer.parseInt(args[2]));
         w.heal();
         Duration agreed = w.until(MOST, w::agree);
         if (agreed == null) {
--- a/gateway/src/test/java/weldcross/consensus/net/AgreementTest.java
+++ b/gateway/src/test/java/weldcross/consensus/net/ConsensusTest.java
@@ -11,26 +11,26 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import weldcross.consensus.Agreed;
-import weldcross.consensus.Verdict;
-import weldcross.consensus.raft.Voter;
+import weldcross.consensus.MembershipViewClient;
+import weldcross.consensus.ProposalResult;
+import weldcross.consensus.raft.RaftVoter;
 
 /**
  * The agreement of several gateways in memory; a row of docs/consensus.md's table each, then all at
  * random.
  */
 @Timeout(60)
-class AgreementTest {
+class ConsensusTest {
 
   private static final Duration MINUTE = Duration.ofMinutes(1), HEALS = Duration.ofSeconds(15);
 
-  private static AgreementWorld up(int count, int voters, long seed) {
-    AgreementWorld w = new AgreementWorld(count, voters, seed, false);
+  private static ConsensusSimulation up(int count, int voters, long seed) {
+    ConsensusSimulation w = new ConsensusSimulation(count, voters, seed, false);
     assertNotNull(w.until(MINUTE, w::agree), "all agree on all");
     return w;
   }
 
-  private static void heals(AgreementWorld w) {
+  private static void heals(ConsensusSimulation w) {
     w.heal();
     assertNotNull(
         w.until(MINUTE, w::agree),
@@ -50,13 +50,13 @@
 
   @Test
   void allBecomeMembersOfOneViewAndEachIsOutOnceItLeaves() {
-    AgreementWorld w = up(5, 3, 1);
+    ConsensusSimulation w = up(5, 3, 1);
     assertEquals(5, w.all.get(4).view().members().size());
-    AgreementWorld.Node goes = w.all.get(4);
+    ConsensusSimulation.Node goes = w.all.get(4);
     goes.agreement.leave(Duration.ofSeconds(2));
     assertNotNull(w.until(Duration.ofSeconds(2), () -> goes.left));
     assertNotNull(w.until(HEALS, () -> !w.all.get(3).view().has(goes.name, goes.life)));
-    assertEquals(Agreed.Phase.LEFT, goes.agreement.agreed().phase());
+    assertEquals(MembershipViewClient.Phase.LEFT, goes.agreement.agreed().phase());
   }
 
   /**
@@ -65,8 +65,8 @@
    */
   @Test
   void proofEndsALifeAndTheNextOneJoins() {
-    AgreementWorld w = up(5, 3, 2);
-    AgreementWorld.Node dies = w.all.get(3);
+    ConsensusSimulation w = up(5, 3, 2);
+    ConsensusSimulation.Node dies = w.all.get(3);
     dies.kill();
     w.run(Duration.ofSeconds(20));
     assertTrue(w.all.get(0).view().has(dies.name, 1), "silence alone ends nobody");
@@ -83,8 +83,8 @@
    * Cut off with the minority, or alone: nothing is agreed there, and nothing is taken back after.
    */
   @Test
-  void aMinorityAgreesOnNothing() {
-    AgreementWorld w = up(5, 3, 3);
+  void minorityAgreesOnNothing() {
+    ConsensusSimulation w = up(5, 3, 3);
     w.all.get(0).side = 1;
     w.all.get(3).side = 1;
     w.all.get(4).kill();
@@ -104,7 +104,7 @@
   /** One direction only, and two that hear a third and not each other: whoever leads, one view. */
   @Test
   void oneDirectionAndAThirdBetweenTwoStillAgree() {
-    AgreementWorld w = up(4, 3, 4);
+    ConsensusSimulation w = up(4, 3, 4);
     w.deaf.add(List.of(w.all.get(0), w.all.get(1)));
     w.run(Duration.ofSeconds(20));
     w.deaf.add(List.of(w.all.get(1), w.all.get(0)));
@@ -120,7 +120,7 @@
    */
   @Test
   void votersThatAreDownHoldUpAgreementAndNothingElse() {
-    AgreementWorld w = up(5, 3, 5);
+    ConsensusSimulation w = up(5, 3, 5);
     w.all.get(0).kill();
     w.all.get(3).kill();
     w.all.get(4).agreement.gone(w.all.get(3).name, 1);
@@ -140,11 +140,11 @@
 
   /** A process that stood still believes old things, and acts on none of them. */
   @Test
-  void aPausedLeaderWakesToALaterView() {
-    AgreementWorld w = up(5, 3, 6);
-    AgreementWorld.Node leader = w.nodes.get(w.all.get(4).agreement.agreed().leader());
+  void pausedLeaderWakesToALaterView() {
+    ConsensusSimulation w = up(5, 3, 6);
+    ConsensusSimulation.Node leader = w.nodes.get(w.all.get(4).agreement.agreed().leader());
     leader.paused = true;
-    AgreementWorld.Node dies = w.all.get(3);
+    ConsensusSimulation.Node dies = w.all.get(3);
     dies.kill();
     w.all.get(4).agreement.gone(dies.name, 1);
     assertNotNull(w.until(MINUTE, () -> !w.all.get(4).view().has(dies.name, 1)), "another leads");
@@ -157,7 +157,7 @@
   /** Two clusters that grew apart by a wrong configuration, and meet. */
   @Test
   void anotherGroupIsToldAndNotHeard() {
-    AgreementWorld w = up(3, 3, 7);
+    ConsensusSimulation w = up(3, 3, 7);
     long before = w.all.get(0).view().number();
     w.all
         .get(0)
@@ -180,22 +180,24 @@
   }
 
   @Test
-  void anOperatorForgetsASilentOneFromTheViewThatWasSeen() {
-    AgreementWorld w = up(4, 3, 8);
+  void operatorForgetsASilentOneFromTheViewThatWasSeen() {
+    ConsensusSimulation w = up(4, 3, 8);
     w.all.get(3).kill();
     w.all.get(0).agreement.forget(w.all.get(3).name);
-    assertNotNull(w.until(HEALS, () -> w.all.get(0).told.equals(List.of(Verdict.DONE))));
+    assertNotNull(w.until(HEALS, () -> w.all.get(0).told.equals(List.of(ProposalResult.DONE))));
     assertNotNull(w.until(HEALS, () -> !w.all.get(2).view().has(w.all.get(3).name, 1)));
     w.all.get(0).agreement.forget(w.all.get(3).name);
     assertNotNull(
-        w.until(HEALS, () -> w.all.get(0).told.equals(List.of(Verdict.DONE, Verdict.UNKNOWN))));
+        w.until(
+            HEALS,
+            () -> w.all.get(0).told.equals(List.of(ProposalResult.DONE, ProposalResult.UNKNOWN))));
   }
 
   /** One lying disk: what it lost is told by the others, and it comes back as another voter. */
   @Test
-  void aVoterWhoseDiskLiedIsReplacedByItself() {
-    AgreementWorld w = up(4, 3, 9);
-    AgreementWorld.Node liar = w.all.get(1);
+  void voterWhoseDiskLiedIsReplacedByItself() {
+    ConsensusSimulation w = up(4, 3, 9);
+    ConsensusSimulation.Node liar = w.all.get(1);
     liar.disk.forceLies = true;
     w.all.get(3).kill();
     w.all.get(3).start();
@@ -203,7 +205,7 @@
     liar.kill();
     liar.disk.forceLies = false;
     liar.start();
-    assertNotNull(w.until(MINUTE, () -> liar.agreement.voter().phase() == Voter.Phase.VOTING));
+    assertNotNull(w.until(MINUTE, () -> liar.agreement.voter().phase() == RaftVoter.Phase.VOTING));
     assertTrue(
         liar.said.stream().anyMatch(s -> s.startsWith("it is n1#") && s.contains("IS_NEW")),
         liar.said.toString());
@@ -212,13 +214,13 @@
 
   /** A wrong byte in what was sure is found, and fetched from the others. */
   @Test
-  void aDamagedLogIsNotUsed() {
-    AgreementWorld w = up(3, 3, 10);
-    AgreementWorld.Node hurt = w.all.get(2);
+  void damagedLogIsNotUsed() {
+    ConsensusSimulation w = up(3, 3, 10);
+    ConsensusSimulation.Node hurt = w.all.get(2);
     hurt.kill();
     damage(hurt);
     hurt.start();
-    assertNotNull(w.until(MINUTE, () -> hurt.agreement.voter().phase() == Voter.Phase.VOTING));
+    assertNotNull(w.until(MINUTE, () -> hurt.agreement.voter().phase() == RaftVoter.Phase.VOTING));
     assertTrue(hurt.said.stream().anyMatch(s -> s.contains("damaged")), hurt.said.toString());
     heals(w);
   }
@@ -228,8 +230,8 @@
    * decides.
    */
   @Test
-  void aMajorityWithoutItsDisksSaysSoAndDoesNotBeginAnew() {
-    AgreementWorld w = up(4, 3, 11);
+  void majorityWithoutItsDisksSaysSoAndDoesNotBeginAnew() {
+    ConsensusSimulation w = up(4, 3, 11);
     for (int k = 0; k < 2; k++) {
       w.all.get(k).kill();
       w.all.get(k).disk.wipe();
@@ -238,7 +240,7 @@
     long before = w.agreedOn.lastKey();
     w.run(MINUTE.multipliedBy(2));
     assertEquals(before, w.agreedOn.lastKey());
-    assertNotEquals(Voter.Phase.VOTING, w.all.get(0).agreement.voter().phase());
+    assertNotEquals(RaftVoter.Phase.VOTING, w.all.get(0).agreement.voter().phase());
     assertTrue(
         w.all.get(0).said.stream().anyMatch(s -> s.contains("IS_NEW")),
         w.all.get(0).said.toString());
@@ -249,8 +251,8 @@
    * start.
    */
   @Test
-  void aMajorityWithoutItsDisksAndADamagedOneDoNotBeginAnewEither() {
-    AgreementWorld w = up(4, 3, 14);
+  void majorityWithoutItsDisksAndADamagedOneDoNotBeginAnewEither() {
+    ConsensusSimulation w = up(4, 3, 14);
     for (int k = 0; k < 3; k++) {
       w.all.get(k).kill();
     }
@@ -264,11 +266,11 @@
     w.run(MINUTE.multipliedBy(2));
     assertEquals(before, w.agreedOn.lastKey());
     for (int k = 0; k < 3; k++) {
-      assertNotEquals(Voter.Phase.VOTING, w.all.get(k).agreement.voter().phase());
+      assertNotEquals(RaftVoter.Phase.VOTING, w.all.get(k).agreement.voter().phase());
     }
   }
 
-  private static void damage(AgreementWorld.Node node) {
+  private static void damage(ConsensusSimulation.Node node) {
     String log = node.disk.names().stream().filter(n -> n.startsWith("log-")).findFirst().get();
     byte[] bytes = node.disk.bytes(log).clone();
     bytes[bytes.length / 3] ^= 4;
@@ -276,11 +278,11 @@
   }
 
   @Test
-  void aDiskThatFailsIsLeftAloneUntilItWorks() {
-    AgreementWorld w = up(3, 3, 12);
-    AgreementWorld.Node hurt = w.all.get(1);
+  void diskThatFailsIsLeftAloneUntilItWorks() {
+    ConsensusSimulation w = up(3, 3, 12);
+    ConsensusSimulation.Node hurt = w.all.get(1);
     hurt.disk.forceFails = true;
-    AgreementWorld.Node dies = w.all.get(0);
+    ConsensusSimulation.Node dies = w.all.get(0);
     dies.kill();
     w.run(Duration.ofSeconds(10));
     dies.start();
@@ -293,15 +295,17 @@
   /** A log that is long is cut by snapshots, and who was away long is brought up to them. */
   @Test
   void manyChangesAreCutBySnapshots() {
-    AgreementWorld w = up(4, 3, 13);
+    ConsensusSimulation w = up(4, 3, 13);
     w.all.get(2).kill();
-    AgreementWorld.Node goes = w.all.get(3);
+    ConsensusSimulation.Node goes = w.all.get(3);
     for (int k = 0; k < 150; k++) {
       goes.agreement.leave(Duration.ofSeconds(2));
       assertNotNull(w.until(HEALS, () -> goes.left));
       goes.left = false;
       goes.agreement.join();
-      assertNotNull(w.until(HEALS, () -> goes.agreement.agreed().phase() == Agreed.Phase.MEMBER));
+      assertNotNull(
+          w.until(
+              HEALS, () -> goes.agreement.agreed().phase() == MembershipViewClient.Phase.MEMBER));
     }
     assertTrue(w.agreedOn.lastKey() > 290);
     assertTrue(
@@ -316,14 +320,14 @@
    * Plays troubles of all kinds; the world looks at views in each step, and at the end all have to
    * agree.
    */
-  static AgreementWorld random(long seed, boolean trusted, int steps) {
-    AgreementWorld w =
-        new AgreementWorld(5 + (int) (seed % 3), seed % 2 == 0 ? 3 : 5, seed, trusted);
+  static ConsensusSimulation random(long seed, boolean trusted, int steps) {
+    ConsensusSimulation w =
+        new ConsensusSimulation(5 + (int) (seed % 3), seed % 2 == 0 ? 3 : 5, seed, trusted);
     assertNotNull(w.until(MINUTE, w::agree));
-    AgreementWorld.Node liar = w.all.get(w.dice.nextInt(w.voters.size()));
+    ConsensusSimulation.Node liar = w.all.get(w.dice.nextInt(w.voters.size()));
     for (int step = 0; step < steps; step++) {
-      AgreementWorld.Node node = w.all.get(w.dice.nextInt(w.all.size()));
-      AgreementWorld.Node other = w.all.get(w.dice.nextInt(w.all.size()));
+      ConsensusSimulation.Node node = w.all.get(w.dice.nextInt(w.all.size()));
+      ConsensusSimulation.Node other = w.all.get(w.dice.nextInt(w.all.size()));
       switch (w.dice.nextInt(14)) {
         case 0, 1 -> {
           if (node.lives) {
@@ -364,7 +368,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void oneViewANumberThroughAnyTroubles(long seed) {
-    AgreementWorld w = random(seed, false, 150);
+    ConsensusSimulation w = random(seed, false, 150);
     heals(w);
     assertEquals(w.agreedOn.lastKey(), w.all.get(0).view().number(), "nothing agreed on was lost");
   }
@@ -378,7 +382,7 @@
     int found = 0;
     for (long seed = 1; seed <= 60 && found == 0; seed++) {
       try {
-        AgreementWorld w = random(seed, true, 150);
+        ConsensusSimulation w = random(seed, true, 150);
         w.heal();
         w.until(MINUTE, w::agree);
         found += w.agreedOn.lastKey() > w.all.get(0).view().number() ? 1 : 0;
--- a/gateway/src/test/java/weldcross/discovery/DiscoveryTest.java
+++ b/gateway/src/test/java/weldcross/discovery/DiscoveryTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import weldcross.config.FaultyTerm;
-import weldcross.config.NamedValues;
-import weldcross.routing.Condition;
+import weldcross.config.ConfigValues;
+import weldcross.config.InvalidConfigException;
+import weldcross.routing.EndpointStatus;
 
 class DiscoveryTest {
 
@@ -24,7 +24,7 @@
           + "\"flavor\":\"m2\",\"cell\":3,\"phase\":\"leaving\",\"size\":1.0,\"up_since_ms\":17}";
 
   @Test
-  void responsesReadTheSameInPiecesOfAnySize() throws HttpReader.Malformed {
+  void responsesReadTheSameInPiecesOfAnySize() throws HttpResponseDecoder.ProtocolException {
     String stream =
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nServer: x\r\n\r\nhello"
             + "HTTP/1.1 100 Continue\r\n\r\n"
@@ -48,19 +48,19 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
       })
   void whatIsNoResponseIsToldSo(String stream) {
-    assertThrows(HttpReader.Malformed.class, () -> read(stream, null));
+    assertThrows(HttpResponseDecoder.ProtocolException.class, () -> read(stream, null));
   }
 
   @Test
-  void aLineWithoutAnEndIsNotKept() {
-    assertThrows(HttpReader.Malformed.class, () -> read("H".repeat(10_000), null));
+  void lineWithoutAnEndIsNotKept() {
+    assertThrows(HttpResponseDecoder.ProtocolException.class, () -> read("H".repeat(10_000), null));
   }
 
   @Test
   void entriesAreReadWithTheirZonesPlace() {
-    ListedMember m = members(ENTRY).get(0);
+    DiscoveredEndpoint m = members(ENTRY).get(0);
     assertEquals(
-        List.of("s-1", 1, 3, Condition.DRAINING, 17L),
+        List.of("s-1", 1, 3, EndpointStatus.DRAINING, 17L),
         List.of(m.id(), m.zone(), m.group(), m.condition(), m.upSinceMillis()));
     assertEquals(6543, m.address().getPort());
     assertTrue(members().isEmpty());
@@ -79,25 +79,26 @@
       })
   void oneFaultyEntrySpoilsTheList(String part, String instead, String key) {
     String faulty = ENTRY.replace(part, instead == null ? "" : instead);
-    FaultyTerm fault = assertThrows(FaultyTerm.class, () -> members(ENTRY, faulty));
+    InvalidConfigException fault =
+        assertThrows(InvalidConfigException.class, () -> members(ENTRY, faulty));
     assertTrue(fault.getMessage().startsWith(key + ": found "), fault.getMessage());
   }
 
-  private static List<ListedMember> members(String... entries) {
+  private static List<DiscoveredEndpoint> members(String... entries) {
     String text =
         "{\"revision\":41,\"complete\":true,\"members\":[" + String.join(",", entries) + "]}";
-    return ListedMember.read(
-        NamedValues.ofJson(text.getBytes(StandardCharsets.UTF_8)), List.of("a", "b"));
+    return DiscoveredEndpoint.read(
+        ConfigValues.ofJson(text.getBytes(StandardCharsets.UTF_8)), List.of("a", "b"));
   }
 
   /**
    * An answer without a length is whole when its connection ends in order, and never after a reset.
    */
   @Test
-  void anAnswerWithoutALengthEndsWithItsConnection() throws HttpReader.Malformed {
+  void answerWithoutALengthEndsWithItsConnection() throws HttpResponseDecoder.ProtocolException {
     List<String> got = new ArrayList<>();
-    HttpReader reader =
-        new HttpReader(
+    HttpResponseDecoder reader =
+        new HttpResponseDecoder(
             (status, body) -> got.add(status + " " + new String(body, StandardCharsets.UTF_8)));
     for (String part :
         List.of("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n{\"rev", "ision\":4}")) {
@@ -108,10 +109,10 @@
     assertEquals(List.of("200 {\"revision\":4}"), got);
     reader.ended();
     assertEquals(1, got.size());
-    HttpReader endless = new HttpReader((status, body) -> got.add("endless"));
+    HttpResponseDecoder endless = new HttpResponseDecoder((status, body) -> got.add("endless"));
     endless.feed(ByteBuffer.wrap("HTTP/1.1 200 OK\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1)));
     assertThrows(
-        HttpReader.Malformed.class,
+        HttpResponseDecoder.ProtocolException.class,
         () -> {
           for (int k = 0; k < 5; k++) {
             endless.feed(ByteBuffer.allocate(1 << 20));
@@ -120,10 +121,10 @@
   }
 
   private static List<String> read(String stream, SplittableRandom dice)
-      throws HttpReader.Malformed {
+      throws HttpResponseDecoder.ProtocolException {
     List<String> got = new ArrayList<>();
-    HttpReader reader =
-        new HttpReader(
+    HttpResponseDecoder reader =
+        new HttpResponseDecoder(
             (status, body) -> got.add(status + " " + new String(body, StandardCharsets.UTF_8)));
     byte[] bytes = stream.getBytes(StandardCharsets.ISO_8859_1);
     for (int from = 0; from < bytes.length; ) {
--- a/gateway/src/test/java/weldcross/discovery/ListTermTest.java
+++ b/gateway/src/test/java/weldcross/discovery/EndpointListLeaseTest.java
@@ -7,7 +7,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-class ListTermTest {
+class EndpointListLeaseTest {
 
   private static Duration ms(long n) {
     return Duration.ofMillis(n);
@@ -17,8 +17,8 @@
    * Rule 3: what came right behind the last word counts as told 6 s later, whoever notices what.
    */
   @Test
-  void aListStandsSixSecondsAndTheDrainsTimeAfterTheLastWord() {
-    ListTerm term = new ListTerm(ms(500), false);
+  void listStandsSixSecondsAndTheDrainsTimeAfterTheLastWord() {
+    EndpointListLease term = new EndpointListLease(ms(500), false);
     assertFalse(term.stands(Duration.ZERO), "nothing was said yet");
     term.spoke(ms(1_000), ms(4_000));
     assertTrue(term.stands(ms(7_499)));
@@ -27,8 +27,8 @@
 
   /** Without a call open on which it could be told, what discovery has counts at once. */
   @Test
-  void aListStandsTheDrainsTimeAfterTheLossOfDiscovery() {
-    ListTerm term = new ListTerm(ms(2_000), false);
+  void listStandsTheDrainsTimeAfterTheLossOfDiscovery() {
+    EndpointListLease term = new EndpointListLease(ms(2_000), false);
     term.spoke(ms(1_000), ms(4_000));
     term.unheard(ms(3_000));
     assertTrue(term.stands(ms(4_999)));
@@ -41,10 +41,12 @@
    * One that fell silent is found, and the list asked for anew, well before what it missed counts.
    */
   @Test
-  void aWatchLeavesTimeToAskAnew() {
-    assertEquals(ms(1_500), ListTerm.watch(ms(10_000), false));
-    assertEquals(ms(1_000), ListTerm.watch(ms(2_000), false), "no longer than the service allows");
-    assertEquals(ms(10_000), ListTerm.watch(ms(10_000), true), "each is a call on what all share");
+  void watchLeavesTimeToAskAnew() {
+    assertEquals(ms(1_500), EndpointListLease.watch(ms(10_000), false));
+    assertEquals(
+        ms(1_000), EndpointListLease.watch(ms(2_000), false), "no longer than the service allows");
+    assertEquals(
+        ms(10_000), EndpointListLease.watch(ms(10_000), true), "each is a call on what all share");
   }
 
   /**
@@ -52,8 +54,8 @@
    * before.
    */
   @Test
-  void aDiscoveryThatIsDownLeavesTheListInForceUntilWhatASilentWatchMissedCounts() {
-    ListTerm term = new ListTerm(ms(500), false);
+  void discoveryThatIsDownLeavesTheListInForceUntilWhatASilentWatchMissedCounts() {
+    EndpointListLease term = new EndpointListLease(ms(500), false);
     term.spoke(ms(1_000), ms(1_500));
     term.unheard(ms(3_500));
     assertEquals(ms(4_000), term.end());
@@ -70,7 +72,7 @@
   /** Rule 3: what has begun to come is had by discovery, and binds though the rest never comes. */
   @Test
   void halfAnAnswerEndsWhatSilenceAllows() {
-    ListTerm term = new ListTerm(ms(500), false);
+    EndpointListLease term = new EndpointListLease(ms(500), false);
     term.spoke(ms(1_000), ms(1_500));
     term.begun(ms(2_000));
     assertEquals(ms(7_500), term.end(), "the call is open, and the rest may come");
@@ -86,8 +88,8 @@
 
   /** Rule 3: the old address may go on to speak, and knows nothing of what the new one has. */
   @Test
-  void aListStandsUntilWhatANewAddressHasCountsUnlessItSpeaks() {
-    ListTerm term = new ListTerm(ms(2_000), false);
+  void listStandsUntilWhatANewAddressHasCountsUnlessItSpeaks() {
+    EndpointListLease term = new EndpointListLease(ms(2_000), false);
     term.spoke(ms(1_000), ms(4_000));
     term.moved(ms(2_000));
     term.spoke(ms(5_000), ms(4_000));
@@ -100,7 +102,7 @@
   /** Rule 3: what a call missed that was silent before it failed counts from the last word on. */
   @Test
   void onRequestAListStandsSixSecondsFromTheLastWordWhateverBecomesOfTheCalls() {
-    ListTerm term = new ListTerm(ms(2_000), true);
+    EndpointListLease term = new EndpointListLease(ms(2_000), true);
     term.spoke(ms(1_000), ms(10_000));
     assertEquals(
         ms(15_000),
--- a/gateway/src/test/java/weldcross/gateway/ConnectionEndsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
@@ -21,9 +21,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import weldcross.config.GatewayTerms;
-import weldcross.config.NamedValues;
-import weldcross.pgwire.Replies;
+import weldcross.config.ConfigValues;
+import weldcross.config.GatewayConfig;
+import weldcross.pgwire.MessageEncoder;
 
 /**
  * Ends of connections on loopback sockets that cross what is still on its way. The reducer turns
@@ -31,7 +31,7 @@
  * of bytes and events.
  */
 @Timeout(60)
-class ConnectionEndsTest {
+class ConnectionCloseTest {
 
   private static final long BOUND_NANOS = 20_000_000_000L;
 
@@ -45,8 +45,8 @@
   private volatile CountDownLatch reading = new CountDownLatch(0);
 
   private volatile boolean waits;
-  private final Loop loop = new Loop(this::clock);
-  private MinaEffects effects;
+  private final EventLoop loop = new EventLoop(this::clock);
+  private MinaTransport effects;
   private Gateway gateway;
 
   /**
@@ -80,8 +80,8 @@
     byte[] config =
         GatewayTest.config(
             "\"sockets\":1024", "\"sockets\":" + sockets, "\"mayTell\":true", "\"mayTell\":false");
-    GatewayTerms terms = GatewayTerms.of(NamedValues.ofJson(config));
-    effects = new MinaEffects(loop, this::clock, sockets * 3 / 4);
+    GatewayConfig terms = GatewayConfig.of(ConfigValues.ofJson(config));
+    effects = new MinaTransport(loop, this::clock, sockets * 3 / 4);
     gateway = new Gateway(terms, effects, Duration.ofHours(500_000));
     gateway.reduce(now, Gateway::start);
     at = effects.listening().get(20, TimeUnit.SECONDS);
@@ -138,7 +138,7 @@
     int before = clients();
     socket.connect(at);
     socket.setSoTimeout(20_000);
-    send(socket, Replies.startup());
+    send(socket, MessageEncoder.startup());
     until(() -> clients() > before && available(socket) > 5);
     DataInputStream in = new DataInputStream(socket.getInputStream());
     while (in.readByte() != 'Z') {
@@ -161,7 +161,7 @@
   }
 
   private ByteBuffer read() {
-    return Replies.query(
+    return MessageEncoder.query(
         "SELECT content FROM kv WHERE name = 'k' /* id=a"
             + named++
             + ",c=look,d=60000,cluster=0 */");
@@ -182,7 +182,7 @@
    * as silent.
    */
   @Test
-  void aStatementOfWhichHalfIsReadKeepsItsConnection() throws Exception {
+  void statementOfWhichHalfIsReadKeepsItsConnection() throws Exception {
     Socket client = connect();
     byte[] statement = read().array();
     moveClock(1_000);
@@ -237,7 +237,7 @@
    * ended.
    */
   @Test
-  void theEndOfAClientThatIsNotListenedToIsSeen() throws Exception {
+  void endOfAClientThatIsNotListenedToIsSeen() throws Exception {
     Socket client = connect();
     asks(client, 40);
     until(() -> taken() == 16);
@@ -283,7 +283,7 @@
 
   /** Its statement and its end are read in one go, as after a stall: nothing is begun for it. */
   @Test
-  void aStatementReadWithItsClientsEndIsNotTaken() throws Exception {
+  void statementReadWithItsClientsEndIsNotTaken() throws Exception {
     Socket first = connect();
     Socket leaves = connect();
     reading = new CountDownLatch(1);
@@ -298,7 +298,7 @@
 
   /** Rule 1: it came out of every round from then on, and nothing was read any more, of nobody. */
   @Test
-  void aFaultInATaskOfTheProcessorIsNotTheEndOfAllReading() throws Exception {
+  void faultInATaskOfTheProcessorIsNotTheEndOfAllReading() throws Exception {
     Socket first = connect();
     effects.processor.afterReading(
         () -> {
@@ -311,7 +311,7 @@
 
   /** Rule 1: without its reading thread a gateway only seems alive; it comes to its end instead. */
   @Test
-  void theEndOfTheReadingThreadIsTheEndOfTheGateway() throws Exception {
+  void endOfTheReadingThreadIsTheEndOfTheGateway() throws Exception {
     connect();
     broke = true;
     effects.processor.afterReading(
--- a/gateway/src/test/java/weldcross/gateway/ListWatchTest.java
+++ b/gateway/src/test/java/weldcross/gateway/DiscoveryWatcherTest.java
@@ -25,7 +25,7 @@
  * Rule 3 against a model of two addresses of discovery, late, silent, mute, behind, cut off or
  * moved away from.
  */
-class ListWatchTest {
+class DiscoveryWatcherTest {
 
   private static final Duration DRAIN = Duration.ofMillis(2050);
   private static final Duration AFTER_RELOAD = Duration.ofSeconds(4);
@@ -377,7 +377,7 @@
    * What it had before the refusal counts as told 6 s after the last word, and drains 2 s later.
    */
   @Test
-  void aDiscoveryThatRefusesLeavesTheListInForceForAWhile() {
+  void discoveryThatRefusesLeavesTheListInForceForAWhile() {
     World w = World.serving(ON_REQUEST);
     w.talking = false;
     w.wait(1_000);
@@ -417,7 +417,7 @@
 
   /** Given up and asked for anew, a call loses its place in the line and is worked on in vain. */
   @Test
-  void aCallThatWaitsInLineIsNotGivenUp() {
+  void callThatWaitsInLineIsNotGivenUp() {
     World w = new World(ON_REQUEST);
     long link = w.discovery;
     w.tell(g -> g.list().up(link));
--- a/gateway/src/test/java/weldcross/gateway/ServiceTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayProcessTest.java
@@ -33,18 +33,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import weldcross.config.GatewayTerms;
-import weldcross.config.NamedValues;
-import weldcross.extension.Part;
-import weldcross.extension.Seam;
-import weldcross.pgwire.Replies;
+import weldcross.config.ConfigValues;
+import weldcross.config.GatewayConfig;
+import weldcross.extension.ExtensionContext;
+import weldcross.extension.GatewayExtension;
+import weldcross.pgwire.MessageEncoder;
 
 /**
  * A short run over loopback, with a server and a discovery of this project's own in the place of
  * the real ones.
  */
 @Timeout(60)
-class ServiceTest {
+class GatewayProcessTest {
 
   /** Accepts until it is closed; each connection on a thread of its own. */
   private abstract static class StandIn implements AutoCloseable {
@@ -159,7 +159,7 @@
     Client(InetSocketAddress at) throws IOException {
       socket.connect(at);
       in = new DataInputStream(socket.getInputStream());
-      send(Replies.startup());
+      send(MessageEncoder.startup());
       answer();
     }
 
@@ -177,7 +177,7 @@
     }
 
     List<String> ask(String text) throws IOException {
-      send(Replies.query(text));
+      send(MessageEncoder.query(text));
       return answer();
     }
 
@@ -205,7 +205,7 @@
   void servesOverLoopbackStopsAndStartsAgain() throws Exception {
     Discovery discovery = discovery(new Primary());
     for (int life = 0; life < 2; life++) {
-      Service service = new Service(terms(discovery));
+      GatewayProcess service = new GatewayProcess(terms(discovery));
       CompletableFuture<Integer> status = CompletableFuture.supplyAsync(service::serve);
       InetSocketAddress at = service.listening().get(20, TimeUnit.SECONDS);
       try (Client client = new Client(at)) {
@@ -230,7 +230,7 @@
   /** The error reaches a client that goes on sending, and its end comes soon after. */
   @Test
   void whatCannotBeReadIsToldBeforeTheEndEvenIfMoreKeepsComing() throws Exception {
-    Service service = new Service(terms(discovery(new Primary())));
+    GatewayProcess service = new GatewayProcess(terms(discovery(new Primary())));
     CompletableFuture.supplyAsync(service::serve);
     InetSocketAddress at = service.listening().get(20, TimeUnit.SECONDS);
     try (Client client = new Client(at)) {
@@ -253,10 +253,10 @@
   @Test
   void surplusConnectionsAreTurnedAwayWhereTheyAreAccepted() throws Exception {
     Primary primary = new Primary();
-    Service service =
-        new Service(
-            GatewayTerms.of(
-                NamedValues.ofJson(
+    GatewayProcess service =
+        new GatewayProcess(
+            GatewayConfig.of(
+                ConfigValues.ofJson(
                     text(discovery(primary))
                         .replace("1024", "64")
                         .getBytes(StandardCharsets.UTF_8))));
@@ -319,10 +319,10 @@
   @Test
   void whoIsClosedAtAcceptingIsToldNothing() throws Exception {
     Primary primary = new Primary();
-    Service service =
-        new Service(
-            GatewayTerms.of(
-                NamedValues.ofJson(
+    GatewayProcess service =
+        new GatewayProcess(
+            GatewayConfig.of(
+                ConfigValues.ofJson(
                     text(discovery(primary))
                         .replace("1024", "64")
                         .getBytes(StandardCharsets.UTF_8))));
@@ -341,7 +341,7 @@
         // Whoever has asked something keeps its place.
         client.ask("");
         client.send(
-            Replies.query(
+            MessageEncoder.query(
                 "INSERT INTO kv (name, content) VALUES ('k', '\\x0f') RETURNING content"
                     + " /* id=b"
                     + k
@@ -358,7 +358,7 @@
       for (Socket each : surplus) {
         each.setSoTimeout(5000);
         try {
-          each.getOutputStream().write(Replies.startup().array());
+          each.getOutputStream().write(MessageEncoder.startup().array());
           untold += each.getInputStream().read() < 0 ? 1 : 0;
         } catch (IOException e) {
           untold++;
@@ -386,7 +386,7 @@
    * SIGTERM.
    */
   @Test
-  void aProcessReadsItsTermsAgainAndExitsWithZeroWhenAskedToEnd(@TempDir Path folder)
+  void processReadsItsTermsAgainAndExitsWithZeroWhenAskedToEnd(@TempDir Path folder)
       throws Exception {
     Path config = folder.resolve("config.json");
     Process process = process(config);
@@ -415,7 +415,7 @@
 
   /** Found as plays under nohup in which discovery moved without its gateways: nothing said why. */
   @Test
-  void aProcessThatCannotHearOfANewConfigurationSaysSo(@TempDir Path folder) throws Exception {
+  void processThatCannotHearOfANewConfigurationSaysSo(@TempDir Path folder) throws Exception {
     Process process =
         process(folder.resolve("config.json"), "sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
     try (BufferedReader log = process.inputReader()) {
@@ -456,16 +456,16 @@
   }
 
   @Test
-  void anAddressInUseEndsTheStart() throws Exception {
+  void addressInUseEndsTheStart() throws Exception {
     Primary primary = new Primary();
     Discovery discovery = discovery(primary);
-    GatewayTerms taken =
-        GatewayTerms.of(
-            NamedValues.ofJson(
+    GatewayConfig taken =
+        GatewayConfig.of(
+            ConfigValues.ofJson(
                 text(discovery)
                     .replace("127.0.0.1:0", "127.0.0.1:" + primary.socket.getLocalPort())
                     .getBytes(StandardCharsets.UTF_8)));
-    Service service = new Service(taken);
+    GatewayProcess service = new GatewayProcess(taken);
     assertFalse(service.serve() == 0);
     assertTrue(service.listening().isCompletedExceptionally(), "nobody may wait for it in vain");
   }
@@ -484,10 +484,10 @@
   }
 
   /** A part that notes what it is called for, and is ready and done when it is told. */
-  private static final class NotingPart implements Part {
+  private static final class NotingPart implements GatewayExtension {
     final String name;
     final List<String> notes;
-    Seam seam;
+    ExtensionContext seam;
     volatile boolean ready, done;
 
     NotingPart(String name, List<String> notes) {
@@ -501,7 +501,7 @@
     }
 
     @Override
-    public void start(Seam given) {
+    public void start(ExtensionContext given) {
       seam = given;
       notes.add(name + " starts");
     }
@@ -549,7 +549,7 @@
     NotingPart b = new NotingPart("b", notes);
     b.ready = true;
     a.done = true;
-    Service service = new Service(terms(discovery), List.of(a, b), Instant::now);
+    GatewayProcess service = new GatewayProcess(terms(discovery), List.of(a, b), Instant::now);
     CompletableFuture<Integer> status = CompletableFuture.supplyAsync(service::serve);
     InetSocketAddress at = service.listening().get(20, TimeUnit.SECONDS);
     assertEquals(List.of("a starts", "b starts"), notes);
@@ -569,7 +569,7 @@
       while (!client.ask("").get(0).startsWith("I")) {
         Thread.onSpinWait();
       }
-      GatewayTerms again = terms(discovery);
+      GatewayConfig again = terms(discovery);
       service.reload(() -> again);
       service.stop();
       CountDownLatch waited = new CountDownLatch(1);
@@ -604,8 +604,8 @@
             .filter(
                 l ->
                     l.matches(
-                        ".*\\b(weldcross\\.(link|membership|storage|shared|trials)\\.|com\\.google\\.protobuf|org\\.tomlj|org\\.antlr"
-                            + "|weldcross\\.cli\\.Joining|weldcross\\.terms\\.(PartTerms|TomlValues)).*"))
+                        ".*\\b(weldcross\\.(mesh|membership|consensus|control|storage|chaos)\\.|com\\.google\\.protobuf|org\\.tomlj|org\\.antlr"
+                            + "|weldcross\\.cli\\.ExtensionLoader|weldcross\\.config\\.(ExtensionsConfig|TomlConfigParser)).*"))
             .toList();
     assertEquals(List.of(), parts);
     Path with = folder.resolve("parts.toml");
@@ -617,7 +617,7 @@
             + "listen = \"127.0.0.1:0\"\n");
     assertTrue(
         loaded(folder, "serve", "--with", with.toString()).stream()
-            .anyMatch(l -> l.contains("weldcross.mesh.Links ")),
+            .anyMatch(l -> l.contains("weldcross.mesh.PeerConnectionManager ")),
         "with one they are");
   }
 
@@ -676,8 +676,8 @@
             + ",c=entry-read,d=20000,cluster=0 */");
   }
 
-  private static GatewayTerms terms(Discovery discovery) throws IOException {
-    return GatewayTerms.of(NamedValues.ofJson(text(discovery).getBytes(StandardCharsets.UTF_8)));
+  private static GatewayConfig terms(Discovery discovery) throws IOException {
+    return GatewayConfig.of(ConfigValues.ofJson(text(discovery).getBytes(StandardCharsets.UTF_8)));
   }
 
   private static String text(Discovery discovery) throws IOException {
--- a/gateway/src/test/java/weldcross/gateway/GatewayTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayTest.java
@@ -30,11 +30,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import weldcross.config.GatewayTerms;
-import weldcross.config.NamedValues;
-import weldcross.pgwire.ClientReader;
-import weldcross.pgwire.Replies;
-import weldcross.pgwire.ServerReader;
+import weldcross.config.ConfigValues;
+import weldcross.config.GatewayConfig;
+import weldcross.pgwire.ClientMessageDecoder;
+import weldcross.pgwire.MessageEncoder;
+import weldcross.pgwire.ServerMessageDecoder;
 
 /**
  * The reducer under recorded effects and a clock moved by hand; what it asks for is checked at
@@ -62,9 +62,9 @@
 
     boolean open, dropped;
     String statement;
-    ServerReader reader;
+    ServerMessageDecoder reader;
     Duration answeredAt;
-    ClientReader fromClient;
+    ClientMessageDecoder fromClient;
 
     String take() {
       String all = received.toString();
@@ -74,7 +74,7 @@
   }
 
   /** The world as effects: three servers of one group, s-0 the primary, and clients that ask. */
-  static final class World implements Effects {
+  static final class World implements Transport {
     final Map<Long, Wire> wires = new LinkedHashMap<>();
     final List<String> told = new ArrayList<>();
     final Map<String, Duration> deadlines = new HashMap<>();
@@ -87,7 +87,7 @@
     /** How long a connection had rested before it carried what it carries. */
     final Map<Long, Duration> rested = new HashMap<>();
 
-    final Loop loop = new Loop(() -> this.now);
+    final EventLoop loop = new EventLoop(() -> this.now);
     Gateway gateway;
     Duration now = Duration.ZERO;
     long lastClient, discovery;
@@ -109,11 +109,11 @@
     World(byte[] config) {
       gateway =
           new Gateway(
-              GatewayTerms.of(NamedValues.ofJson(config)), this, Duration.ofMillis(UNIX_MILLIS));
+              GatewayConfig.of(ConfigValues.ofJson(config)), this, Duration.ofMillis(UNIX_MILLIS));
       tell(Gateway::start);
     }
 
-    ListWatch list() {
+    DiscoveryWatcher list() {
       return gateway.list();
     }
 
@@ -186,7 +186,7 @@
 
     long connect() {
       long number = accept();
-      say(number, Replies.startup());
+      say(number, MessageEncoder.startup());
       wires.get(number).take();
       return number;
     }
@@ -249,7 +249,7 @@
               + " */";
       say(
           client,
-          Replies.query(
+          MessageEncoder.query(
               write
                   ? "INSERT INTO kv (name, content) VALUES ('k', '\\x00') RETURNING content"
                       + comment
@@ -327,7 +327,7 @@
     void reload(int port) {
       byte[] terms =
           config("\"discovery\":\"127.0.0.1:1\"", "\"discovery\":\"127.0.0.1:" + port + "\"");
-      tell(g -> g.reload(GatewayTerms.of(NamedValues.ofJson(terms))));
+      tell(g -> g.reload(GatewayConfig.of(ConfigValues.ofJson(terms))));
     }
 
     void end(long link) {
@@ -666,13 +666,13 @@
   void isReadyOnlyOnceAListIsHeld() {
     World w = new World("\"members\":[{\"id\"", "\"members\":[],\"x\":[{\"id\"");
     long client = w.connect();
-    w.say(client, Replies.query(""));
+    w.say(client, MessageEncoder.query(""));
     assertTrue(w.wires.get(client).take().contains("C57P03"));
     assertEquals(Gateway.Phase.LISTENING, w.gateway.phase());
     w.tell(g -> g.list().up(w.discovery));
     assertTrue(w.wires.get(w.discovery).take().startsWith("GET /catalog/members HTTP/1.1\r\n"));
     list(w, 41, true, "active");
-    w.say(client, Replies.query(""));
+    w.say(client, MessageEncoder.query(""));
     assertTrue(w.wires.get(client).take().startsWith("I"));
     assertTrue(
         w.wires
@@ -682,7 +682,7 @@
   }
 
   @Test
-  void theListHeldStaysInForceWhileDiscoveryIsSilentOrTalksNonsense() {
+  void listHeldStaysInForceWhileDiscoveryIsSilentOrTalksNonsense() {
     World w = World.serving();
     w.talking = false;
     long first = w.discovery;
@@ -707,7 +707,7 @@
   }
 
   @Test
-  void aDiscoveryThatClosesAfterEachAnswerIsWatchedOnFromWhereItWas() {
+  void discoveryThatClosesAfterEachAnswerIsWatchedOnFromWhereItWas() {
     World w = World.serving();
     w.tell(g -> g.list().up(w.discovery));
     list(w, 41, true, "active");
@@ -719,7 +719,7 @@
   }
 
   @Test
-  void aNewAddressOfDiscoveryTakesOverWithItsFirstList() {
+  void newAddressOfDiscoveryTakesOverWithItsFirstList() {
     World w = World.serving();
     long old = w.discovery;
     w.tell(g -> g.list().up(old));
@@ -745,7 +745,7 @@
   }
 
   @Test
-  void anAddressOfDiscoveryThatClosesBeforeTheNewOneTellsIsLeft() {
+  void addressOfDiscoveryThatClosesBeforeTheNewOneTellsIsLeft() {
     World w = World.serving();
     long old = w.discovery;
     w.tell(g -> g.list().up(old));
@@ -783,7 +783,7 @@
     }
     assertTrue(w.outOn.isEmpty(), "sent by a list that may be old");
     long client = w.connect();
-    w.say(client, Replies.query(""));
+    w.say(client, MessageEncoder.query(""));
     assertTrue(w.wires.get(client).take().contains("C57P03"), "it is not ready");
     w.wait(100);
     w.tell(g -> g.list().up(w.discovery));
@@ -864,7 +864,7 @@
 
   /** Rule 3: slow itself it has not read what was said, and must not take that for silence. */
   @Test
-  void aGatewayBehindWithItsReadingDoesNotTakeThatForADiscoveryThatIsDown() {
+  void gatewayBehindWithItsReadingDoesNotTakeThatForADiscoveryThatIsDown() {
     World w = World.serving();
     w.talking = false;
     w.silently(2_600);
@@ -877,7 +877,7 @@
    * Rule 5: decided within its bound and sent past it, as its connection took so long to come up.
    */
   @Test
-  void aReadWhoseBoundPassesWhileItsConnectionComesUpIsDecidedAnew() {
+  void readWhoseBoundPassesWhileItsConnectionComesUpIsDecidedAnew() {
     World w = World.serving();
     List.copyOf(w.wires.keySet()).stream()
         .filter(n -> n < 0 && w.wires.get(n).port == 0 && w.wires.get(n).open)
@@ -911,7 +911,7 @@
 
   /** Rule 5: a turn that lasts, or a process that stood still, sends later than it decided. */
   @Test
-  void aReadDecidedInATurnThatLastsGoesByTheClock() {
+  void readDecidedInATurnThatLastsGoesByTheClock() {
     World w = World.serving();
     w.wait(700);
     w.turn = Duration.ofMillis(150);
@@ -928,7 +928,7 @@
    * enough.
    */
   @Test
-  void aReadInTheMillisecondOfItsSessionsWriteSeesIt() {
+  void readInTheMillisecondOfItsSessionsWriteSeesIt() {
     World w =
         World.serving(
             "[\"bounded\",\"write\"]", "[\"session\",\"write\"]", "remembered", "carried");
@@ -942,7 +942,7 @@
    * one.
    */
   @Test
-  void aReplicaWithinTheMillisecondOfACommitDoesNotHoldIt() {
+  void replicaWithinTheMillisecondOfACommitDoesNotHoldIt() {
     World w = World.serving("[\"bounded\",\"write\"]", "[\"session\",\"write\"]");
     long client = w.connect();
     String write = w.ask(client, true, 1000);
@@ -975,7 +975,7 @@
 
   /** Rule 3: taken back to a list from before the drain, it sent to the drained server again. */
   @Test
-  void anAddressOfDiscoveryThatIsBehindTakesNothingBack() {
+  void addressOfDiscoveryThatIsBehindTakesNothingBack() {
     World w = World.serving();
     w.tell(g -> g.list().up(w.discovery));
     list(w, 42, true, "leaving");
@@ -1013,7 +1013,7 @@
 
   /** Rule 3: an address that counts otherwise looks behind, and what it says of drains is news. */
   @Test
-  void aDrainToldByAnAddressThatLooksBehindCounts() {
+  void drainToldByAnAddressThatLooksBehindCounts() {
     World w = World.serving();
     list(w, 42, true, "active");
     w.reload(2);
@@ -1047,8 +1047,8 @@
               w.tell(
                   g ->
                       g.reload(
-                          GatewayTerms.of(
-                              NamedValues.ofJson(
+                          GatewayConfig.of(
+                              ConfigValues.ofJson(
                                   config(
                                       "\"sockets\":1024",
                                       "\"sockets\":512",
@@ -1068,7 +1068,7 @@
   }
 
   @Test
-  void anAnswerThatCannotBeOneIsAFailedCallOutThatMayHaveRun() {
+  void answerThatCannotBeOneIsAFailedCallOutThatMayHaveRun() {
     World w = World.serving();
     w.writes.add("a0");
     String write = w.ask(w.connect(), true, 900);
@@ -1089,7 +1089,7 @@
   }
 
   @Test
-  void aRowCompletedAsAnotherStatementIsNotServed() {
+  void rowCompletedAsAnotherStatementIsNotServed() {
     World w = World.serving();
     w.writes.add("a0");
     String write = w.ask(w.connect(), true, 900);
@@ -1121,7 +1121,7 @@
   }
 
   @Test
-  void aPositionInTheFutureOrOfAbsurdSizeIsNoReport() {
+  void positionInTheFutureOrOfAbsurdSizeIsNoReport() {
     World w = World.listed();
     w.wait(5);
     List<String> absurd =
@@ -1147,7 +1147,7 @@
   }
 
   @Test
-  void aConnectionThatComesUpAfterItWasGivenUpIsEnded() {
+  void connectionThatComesUpAfterItWasGivenUpIsEnded() {
     World w = World.serving();
     w.silent.add("s-0");
     w.wires.values().stream().filter(x -> "s-0".equals(x.server)).forEach(x -> x.open = false);
@@ -1180,7 +1180,7 @@
   }
 
   @Test
-  void aServerThatMovedIsCalledAtItsNewAddress() {
+  void serverThatMovedIsCalledAtItsNewAddress() {
     World w = World.serving();
     String id = w.ask(w.connect(), true, 500);
     long before = on(w, id);
@@ -1197,7 +1197,7 @@
   }
 
   @Test
-  void aDrainingServerGetsNothingNew() {
+  void drainingServerGetsNothingNew() {
     World w = World.serving();
     w.tell(g -> g.list().up(w.discovery));
     list(w, 42, false, "leaving");
@@ -1209,7 +1209,7 @@
   }
 
   @Test
-  void theRowComesFromTheServerAsItWas() {
+  void rowComesFromTheServerAsItWas() {
     World w = World.serving();
     long client = w.connect();
     String id = w.ask(client, false, 500);
@@ -1272,7 +1272,7 @@
 
   /** Taken up and reset at once: somebody lives there, and nothing ran. */
   @Test
-  void aDialThatIsResetIsNoLostProcess() {
+  void dialThatIsResetIsNoLostProcess() {
     World w = World.serving();
     w.silent.add("s-0");
     List.copyOf(w.wires.keySet()).stream()
@@ -1289,7 +1289,7 @@
   }
 
   @Test
-  void anIdleConnectionIsEndedBeforeItsServerEndsIt() {
+  void idleConnectionIsEndedBeforeItsServerEndsIt() {
     World w = World.serving();
     String id = w.ask(w.connect(), true, 500);
     long link = on(w, id);
@@ -1301,7 +1301,7 @@
   }
 
   @Test
-  void aServerThatNeverWelcomesIsNoRouteWithinTheTimeTold() {
+  void serverThatNeverWelcomesIsNoRouteWithinTheTimeTold() {
     World w = World.serving();
     w.silent.addAll(List.of("s-1", "s-2"));
     w.asked().forEach(w::end);
@@ -1320,7 +1320,7 @@
   }
 
   @Test
-  void aGatewayThatIsBehindDoesNotTakeItsServersForSilent() {
+  void gatewayThatIsBehindDoesNotTakeItsServersForSilent() {
     World w = World.serving();
     w.silent.add("s-0");
     List.copyOf(w.wires.keySet()).stream()
@@ -1343,9 +1343,9 @@
   }
 
   @Test
-  void theWarmUpIsServedAndSaysNothing() {
-    GatewayTerms terms = GatewayTerms.of(NamedValues.ofJson(config()));
-    List<String> lines = logged(() -> assertTrue(WarmUp.play(terms, 300) > 270));
+  void warmUpIsServedAndSaysNothing() {
+    GatewayConfig terms = GatewayConfig.of(ConfigValues.ofJson(config()));
+    List<String> lines = logged(() -> assertTrue(JitWarmUp.play(terms, 300) > 270));
     assertEquals(List.of(), lines);
   }
 
@@ -1353,7 +1353,7 @@
   void whatHasComeIsTakenBeforeWhatIsDue() throws InterruptedException {
     Duration[] clock = {Duration.ZERO};
     World w = new World();
-    Loop loop = new Loop(() -> clock[0]);
+    EventLoop loop = new EventLoop(() -> clock[0]);
     List<String> order = new ArrayList<>();
     w.gateway.at(Duration.ofMillis(1), () -> order.add("due"));
     for (int k = 0; k < 3; k++) {
@@ -1405,13 +1405,13 @@
 
   /** A turn without an end is told while it lasts, once, with its place. */
   @Test
-  void aLongTurnIsToldWhileItLasts() throws InterruptedException {
+  void longTurnIsToldWhileItLasts() throws InterruptedException {
     Duration[] clock = {Duration.ZERO};
-    Loop loop = new Loop(() -> clock[0]);
+    EventLoop loop = new EventLoop(() -> clock[0]);
     Gateway gateway = World.serving().gateway;
     List<String> lines =
         logged(
-            Loop.class,
+            EventLoop.class,
             () -> {
               loop.lookAtTurn(Thread.currentThread());
               loop.post(
@@ -1436,7 +1436,7 @@
             .filter(
                 l ->
                     l.startsWith("one turn has lasted over 2000 ms")
-                        && l.contains("aLongTurnIsToldWhileItLasts"))
+                        && l.contains("longTurnIsToldWhileItLasts"))
             .count(),
         lines::toString);
   }
@@ -1452,7 +1452,7 @@
         .get(client)
         .fromClient
         .feed(
-            Replies.query(
+            MessageEncoder.query(
                 "INSERT INTO kv (name, content) VALUES ('k', "
                     + "'\\x00') "
                     + "RETURNING content /* id=a0,c=file,d=2000,cluster=0 */"));
@@ -1521,7 +1521,7 @@
     World w = World.serving();
     w.lastClient++;
     long client = w.accept();
-    w.say(client, Replies.startup());
+    w.say(client, MessageEncoder.startup());
     byte[] welcome = w.wires.get(client).take().getBytes(StandardCharsets.ISO_8859_1);
     int key = new String(welcome, StandardCharsets.ISO_8859_1).indexOf("K\0\0\0\14") + 5;
     ByteBuffer cancel =
@@ -1546,7 +1546,7 @@
   }
 
   @Test
-  void aClientThatLeavesTakesItsCallOutWithIt() {
+  void clientThatLeavesTakesItsCallOutWithIt() {
     World w = World.serving();
     long client = w.connect();
     String id = w.ask(client, false, 900);
@@ -1589,7 +1589,7 @@
   }
 
   @Test
-  void aClientThatAsksWithoutReadingIsNotReadOn() {
+  void clientThatAsksWithoutReadingIsNotReadOn() {
     World w = World.serving();
     long client = w.connect();
     List<String> ids = new ArrayList<>();
@@ -1609,7 +1609,7 @@
   }
 
   @Test
-  void aClientThatSaysNothingIsTurnedAwayInTime() {
+  void clientThatSaysNothingIsTurnedAwayInTime() {
     World w = World.serving();
     long silent = w.accept();
     long half = w.accept();
@@ -1618,7 +1618,7 @@
     long begun = w.connect();
     w.say(begun, ByteBuffer.wrap(new byte[] {'Q', 0, 0, 0, 99, 'S'}));
     long usual = w.connect();
-    w.say(usual, Replies.query(""));
+    w.say(usual, MessageEncoder.query(""));
     w.wait(1900);
     List<Long> bad = List.of(silent, half, started, begun);
     assertTrue(bad.stream().allMatch(c -> w.wires.get(c).open));
@@ -1661,7 +1661,7 @@
       w.deadlines.put("a" + k, w.now.plusMillis(900));
       w.askedBy.put("a" + k, client);
       burst.put(
-          Replies.query(
+          MessageEncoder.query(
               "SELECT content FROM kv WHERE name = 'k' /* id=a"
                   + k
                   + ",c=look,d=900,cluster=0 */"));
@@ -1682,7 +1682,7 @@
     List<Long> usual = new ArrayList<>();
     for (int k = 0; k < 20; k++) {
       usual.add(w.connect());
-      w.say(usual.get(k), Replies.query(""));
+      w.say(usual.get(k), MessageEncoder.query(""));
     }
     w.wait(3000);
     for (int k = 0; k < 300; k++) {
@@ -1748,13 +1748,13 @@
     long client = w.connect();
     w.deadlines.put("z", w.now.plusMillis(900));
     String text = "SELECT content FROM kv WHERE name = 'k' /* id=z,c=look,d=900,cluster=0 */";
-    w.say(client, Replies.query(text.replace(part, instead)));
+    w.say(client, MessageEncoder.query(text.replace(part, instead)));
     assertTrue(w.wires.get(client).take().contains("C22023"));
     assertTrue(w.asked().stream().allMatch(l -> World.id(w.wires.get(l).statement) == null));
-    w.say(client, Replies.query(text));
+    w.say(client, MessageEncoder.query(text));
     on(w, "z");
     long other = w.connect();
-    w.say(other, Replies.query(text));
+    w.say(other, MessageEncoder.query(text));
     assertTrue(w.wires.get(other).take().contains("C22023"), "an id in use");
   }
 
@@ -1764,7 +1764,7 @@
     List<Long> clients = new ArrayList<>();
     for (int k = 0; k < 24; k++) {
       clients.add(w.connect());
-      w.say(clients.get(k), Replies.query(""));
+      w.say(clients.get(k), MessageEncoder.query(""));
       w.wait(1);
     }
     w.wait(2000);
@@ -1789,13 +1789,13 @@
     List<Long> clients = new ArrayList<>();
     for (int k = 0; k < 24; k++) {
       clients.add(w.connect());
-      w.say(clients.get(k), Replies.query(""));
+      w.say(clients.get(k), MessageEncoder.query(""));
     }
     w.wait(2500);
     w.behind = true;
     for (int k = 24; k < 26; k++) {
       clients.add(w.connect());
-      w.say(clients.get(k), Replies.query(""));
+      w.say(clients.get(k), MessageEncoder.query(""));
     }
     assertTrue(w.parting.keySet().containsAll(clients.subList(0, 2)), w.parting.toString());
     String id = w.ask(clients.get(0), false, 900);
@@ -1814,12 +1814,12 @@
   void whoAskedOnceAndStaysMakesRoomForWhoComes() {
     World w = World.serving("\"sockets\":1024", "\"sockets\":64");
     long usual = w.connect();
-    w.say(usual, Replies.query(""));
-    w.say(usual, Replies.query(""));
+    w.say(usual, MessageEncoder.query(""));
+    w.say(usual, MessageEncoder.query(""));
     for (int k = 0; k < 200; k++) {
       long client = w.connect();
       assertTrue(w.wires.get(client).open, "turned away: " + k);
-      w.say(client, Replies.query(""));
+      w.say(client, MessageEncoder.query(""));
       w.wait(k % 2);
     }
     List<Long> open = w.wires.keySet().stream().filter(n -> n > 0 && w.wires.get(n).open).toList();
@@ -1871,14 +1871,14 @@
   }
 
   @Test
-  void aStopAnswersWhatWasTakenAndWhatStillComes() {
+  void stopAnswersWhatWasTakenAndWhatStillComes() {
     World w = World.serving();
     long busy = w.connect();
     long idle = w.connect();
     String taken = w.ask(busy, false, 2000);
     w.tell(Gateway::stop);
     w.wait(300);
-    w.say(idle, Replies.query(""));
+    w.say(idle, MessageEncoder.query(""));
     assertTrue(w.wires.get(idle).take().contains("C57P03"), "no longer ready");
     String late = w.ask(w.connect(), false, 2000);
     w.wait(100);
@@ -1904,7 +1904,7 @@
    * does.
    */
   @Test
-  void aStopGoesOnWhileAnswersAreTaken() {
+  void stopGoesOnWhileAnswersAreTaken() {
     World w = World.serving();
     List<Long> clients = List.of(w.connect(), w.connect(), w.connect());
     w.slow.addAll(clients);
@@ -1963,7 +1963,7 @@
   }
 
   @Test
-  void aClientThatNeverReadsDoesNotHoldUpAStop() {
+  void clientThatNeverReadsDoesNotHoldUpAStop() {
     World w = World.serving();
     long client = w.connect();
     w.tell(g -> g.askedNothing(client));
@@ -1980,7 +1980,7 @@
         logged(
             () -> {
               for (int k = 0; k < 30; k++) {
-                w.say(client, Replies.query("SELECT 1"));
+                w.say(client, MessageEncoder.query("SELECT 1"));
                 w.wait(100);
               }
             });
--- a/gateway/src/test/java/weldcross/gateway/TwoCustomersTest.java
+++ b/gateway/src/test/java/weldcross/gateway/MultipleDeploymentsTest.java
@@ -8,17 +8,17 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import weldcross.config.GatewayTerms;
-import weldcross.config.NamedValues;
+import weldcross.config.ConfigValues;
+import weldcross.config.GatewayConfig;
 import weldcross.gateway.GatewayTest.Wire;
 import weldcross.gateway.GatewayTest.World;
-import weldcross.pgwire.Replies;
+import weldcross.pgwire.MessageEncoder;
 
 /**
  * Two gateways of two customers in one process, the first told to read the other's configuration
  * while it serves: nothing of the one is found in the other.
  */
-class TwoCustomersTest {
+class MultipleDeploymentsTest {
 
   /**
    * Other methods, effects, bounds, tenants, times to come back and dial times than {@link
@@ -46,9 +46,9 @@
   private int named;
 
   @BeforeEach
-  void theFirstReadsTheOthersConfiguration() {
+  void firstReadsTheOthersConfiguration() {
     byte[] text = GatewayTest.config(OTHER);
-    one.tell(g -> g.reload(GatewayTerms.of(NamedValues.ofJson(text))));
+    one.tell(g -> g.reload(GatewayConfig.of(ConfigValues.ofJson(text))));
   }
 
   /** Asks, and returns the client's connection. */
@@ -60,7 +60,7 @@
     String comment = " /* id=" + id + ",c=" + method + ",d=900,cluster=0,t=" + tenant + " */";
     w.say(
         client,
-        Replies.query(
+        MessageEncoder.query(
             write
                 ? "INSERT INTO kv (name, content) VALUES ('k', '\\x00') RETURNING content" + comment
                 : "SELECT content FROM kv WHERE name = 'k'" + comment));
@@ -142,8 +142,8 @@
   void onlyDiscoveryMovesWithAReload() {
     assertEquals(
         List.of("settings"),
-        GatewayTerms.of(NamedValues.ofJson(GatewayTest.config()))
-            .keysThatDiffer(GatewayTerms.of(NamedValues.ofJson(GatewayTest.config(OTHER)))));
+        GatewayConfig.of(ConfigValues.ofJson(GatewayTest.config()))
+            .keysThatDiffer(GatewayConfig.of(ConfigValues.ofJson(GatewayTest.config(OTHER)))));
     one.silent.addAll(List.of("s-0", "s-1", "s-2"));
     List.copyOf(one.wires.keySet()).stream()
         .filter(n -> n < 0 && one.wires.get(n).port == 0 && one.wires.get(n).open)
--- a/gateway/src/test/java/weldcross/gateway/RoundTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ReadBatchTest.java
@@ -8,14 +8,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import weldcross.gateway.GatewayTest.World;
-import weldcross.pgwire.ClientReader;
-import weldcross.pgwire.Replies;
+import weldcross.pgwire.ClientMessageDecoder;
+import weldcross.pgwire.MessageEncoder;
 
 /** In which order a round of reading is told, on a reducer that shows what it does of it. */
-class RoundTest {
+class ReadBatchTest {
 
   private final List<Gateway.Event> posted = new ArrayList<>();
-  private final Round round = new Round(posted::add);
+  private final ReadBatch round = new ReadBatch(posted::add);
   private final World w = World.serving();
 
   private void deliver() {
@@ -25,12 +25,12 @@
   }
 
   /** What it says is told by the round, as a stream on sockets does. */
-  private ClientReader reader(long client) {
+  private ClientMessageDecoder reader(long client) {
     return Streams.client(event -> round.tell(client, event), round::tell, () -> w.now, client);
   }
 
   private static ByteBuffer read(String id) {
-    return Replies.query(
+    return MessageEncoder.query(
         "SELECT content FROM kv WHERE name = 'k' /* id=" + id + ",c=look,d=900,cluster=0 */");
   }
 
@@ -43,11 +43,11 @@
     long goes = w.connect();
     long stays = w.connect();
     reader(goes);
-    ClientReader one = reader(goes);
-    one.feed(Replies.startup());
+    ClientMessageDecoder one = reader(goes);
+    one.feed(MessageEncoder.startup());
     one.feed(read("a900"));
-    ClientReader other = reader(stays);
-    other.feed(Replies.startup());
+    ClientMessageDecoder other = reader(stays);
+    other.feed(MessageEncoder.startup());
     other.feed(read("a901"));
     w.deadlines.put("a901", w.now.plusMillis(900));
     w.askedBy.put("a901", stays);
--- a/gateway/src/test/java/weldcross/gateway/SocketBoundsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/SocketLimitsTest.java
@@ -31,18 +31,18 @@
  * of its gateway. Other connections are served meanwhile, which is what would fail.
  */
 @Timeout(60)
-class SocketBoundsTest {
+class SocketLimitsTest {
 
   /** Round trips of another client: each is a round of the processor at least. */
   private static final int OTHERS = 300;
 
   private final ExecutorService threads = Executors.newCachedThreadPool();
-  private final GatheringProcessor processor = new GatheringProcessor(threads, () -> {});
+  private final GatheringIoProcessor processor = new GatheringIoProcessor(threads, () -> {});
   private final AtomicInteger looks = new AtomicInteger();
   private final AtomicBoolean full = new AtomicBoolean();
   private final LinkedBlockingQueue<IoSession> sessions = new LinkedBlockingQueue<>();
-  private final CappedAcceptor acceptor =
-      new CappedAcceptor(
+  private final ConnectionLimitAcceptor acceptor =
+      new ConnectionLimitAcceptor(
           threads,
           processor,
           100,
@@ -68,7 +68,7 @@
           public void messageReceived(IoSession session, Object message) {
             byte[] bytes = new byte[((IoBuffer) message).remaining()];
             ((IoBuffer) message).get(bytes);
-            session.write(new GatheredBuffer(ByteBuffer.wrap(bytes)));
+            session.write(new CompositeBuffer(ByteBuffer.wrap(bytes)));
           }
         });
     acceptor.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -146,7 +146,7 @@
   }
 
   /** Counts how often it is tried to be written. */
-  private static final class Counted extends GatheredBuffer {
+  private static final class Counted extends CompositeBuffer {
     final AtomicInteger tries = new AtomicInteger();
 
     Counted(ByteBuffer... parts) {
@@ -165,7 +165,7 @@
    * all.
    */
   @Test
-  void aWriteWithoutProgressWaitsForRoom() throws Exception {
+  void writeWithoutProgressWaitsForRoom() throws Exception {
     byte[] much = new byte[24 << 20];
     for (int k = 0; k < much.length; k++) {
       much[k] = (byte) (k * 31);
--- a/gateway/src/test/java/weldcross/membership/SeenExplorer.java
+++ b/gateway/src/test/java/weldcross/membership/FailureDetectorExplorer.java
@@ -18,10 +18,10 @@
  * before are not gone on from. Looks in each state whether anybody holds a life gone that has not
  * ended.
  */
-final class SeenExplorer {
+final class FailureDetectorExplorer {
 
   /** What a message is and what it does, so that equal states are known for equal. */
-  private record Message(String words, int to, Consumer<Seen> says) {}
+  private record Message(String words, int to, Consumer<FailureDetector> says) {}
 
   private static final int GATEWAYS = 3, DIALLER = 0, ENDS = 1;
 
@@ -33,7 +33,7 @@
    * it.
    */
   private final class World {
-    final List<Seen> seen = new ArrayList<>();
+    final List<FailureDetector> seen = new ArrayList<>();
     final long[] life = {1, 1, 1};
     boolean lives = true;
     final List<Message> messages = new ArrayList<>();
@@ -77,7 +77,9 @@
           others.add(name(other));
         }
       }
-      Seen next = new Seen(SeenTerms.usual(name(k), others, "", 1), new Host(k), 7 + k);
+      FailureDetector next =
+          new FailureDetector(
+              FailureDetectorConfig.usual(name(k), others, "", 1), new RecordingActions(k), 7 + k);
       if (k < seen.size()) {
         seen.set(k, next);
       } else {
@@ -90,15 +92,19 @@
       return k != ENDS || lives;
     }
 
-    private final class Host implements SeenHost {
+    private final class RecordingActions implements FailureDetectorActions {
       private final int self;
 
-      Host(int self) {
+      RecordingActions(int self) {
         this.self = self;
       }
 
       private void send(
-          String kind, PeerName to, long number, List<News> news, Consumer<Seen> says) {
+          String kind,
+          PeerName to,
+          long number,
+          List<MembershipUpdate> news,
+          Consumer<FailureDetector> says) {
         messages.add(
             new Message(
                 self + ">" + to + " " + kind + number + news,
@@ -110,12 +116,12 @@
       }
 
       @Override
-      public void probe(PeerName to, long number, List<News> news) {
+      public void probe(PeerName to, long number, List<MembershipUpdate> news) {
         send("probe", to, number, news, s -> s.probed(now, name(self), number, news));
       }
 
       @Override
-      public void help(PeerName helper, PeerName target, long number, List<News> news) {
+      public void help(PeerName helper, PeerName target, long number, List<MembershipUpdate> news) {
         send(
             "help" + target,
             helper,
@@ -125,7 +131,7 @@
       }
 
       @Override
-      public void answer(PeerName to, long number, List<News> news) {
+      public void answer(PeerName to, long number, List<MembershipUpdate> news) {
         send("answer", to, number, news, s -> s.answered(now, name(self), number, news));
       }
 
@@ -135,7 +141,7 @@
       }
 
       @Override
-      public void found(News news) {
+      public void found(MembershipUpdate news) {
         // Looked at after the step.
       }
 
@@ -192,7 +198,7 @@
               begin(ENDS);
             });
       }
-      News known =
+      MembershipUpdate known =
           seen.get(DIALLER).held().stream()
               .filter(n -> n.of().equals(name(ENDS)))
               .findFirst()
@@ -223,10 +229,10 @@
 
     private void look() {
       for (int k = 0; k < GATEWAYS; k++) {
-        for (News each : seen.get(k).held()) {
+        for (MembershipUpdate each : seen.get(k).held()) {
           int of = Integer.parseInt(each.of().name().substring(1));
           boolean ended = each.life() < life[of] || !lives(of);
-          if (lives(k) && each.finding() == Finding.GONE && !ended) {
+          if (lives(k) && each.finding() == MemberState.GONE && !ended) {
             broken = "n" + k + " holds " + each;
           }
         }
@@ -259,7 +265,7 @@
   /**
    * @param careless plants a fault: a refusal counts for the life known when it is learnt of
    */
-  SeenExplorer(boolean careless) {
+  FailureDetectorExplorer(boolean careless) {
     this.careless = careless;
   }
 
--- a/gateway/src/test/java/weldcross/membership/SeenFigures.java
+++ b/gateway/src/test/java/weldcross/membership/FailureDetectorMeasurements.java
@@ -5,16 +5,16 @@
 import java.util.List;
 
 /**
- * Figures of {@link Seen} in memory, run by hand (docs/membership.md): what a gateway sends, how
- * soon one that was killed is silent to all, how soon a goodbye is known to all, the same after
- * seven in ten die, and who is falsely held silent on bad links.
+ * Figures of {@link FailureDetector} in memory, run by hand (docs/membership.md): what a gateway
+ * sends, how soon one that was killed is silent to all, how soon a goodbye is known to all, the
+ * same after seven in ten die, and who is falsely held silent on bad links.
  */
-final class SeenFigures {
+final class FailureDetectorMeasurements {
 
   private static final Duration MOST = Duration.ofMinutes(20);
   private static final int SEEDS = 5;
 
-  private SeenFigures() {}
+  private FailureDetectorMeasurements() {}
 
   public static void main(String[] args) {
     for (int count : new int[] {5, 30, 100, 300, 1000}) {
@@ -24,8 +24,8 @@
       long falsely = 0;
       Duration span = Duration.ofMinutes(20);
       for (long seed = 1; seed <= SEEDS; seed++) {
-        SeenWorld w = new SeenWorld(30, seed);
-        w.until(MOST, () -> w.hold(w.all, Finding.HERE));
+        MembershipSimulation w = new MembershipSimulation(30, seed);
+        w.until(MOST, () -> w.hold(w.all, MemberState.HERE));
         w.loss = loss;
         w.delay = loss > 0 ? 100 : 1;
         w.run(span);
@@ -46,8 +46,8 @@
     double sent = 0;
     double bytes = 0;
     for (long seed = 1; seed <= seeds; seed++) {
-      SeenWorld w = new SeenWorld(count, seed);
-      w.until(MOST, () -> w.hold(w.all, Finding.HERE));
+      MembershipSimulation w = new MembershipSimulation(count, seed);
+      w.until(MOST, () -> w.hold(w.all, MemberState.HERE));
       w.run(Duration.ofSeconds(30));
       long messages = w.messages;
       long before = w.bytes;
@@ -56,12 +56,12 @@
       bytes += (w.bytes - before) / 30.0 / count / seeds;
       w.all.get(0).seen.leave();
       w.all.get(0).kill();
-      goodbye.add(took(w, List.of(w.all.get(0)), Finding.GONE));
+      goodbye.add(took(w, List.of(w.all.get(0)), MemberState.GONE));
       w.all.get(1).kill();
-      silent.add(took(w, List.of(w.all.get(1)), Finding.SILENT));
-      List<SeenWorld.Node> most = w.all.subList(2, 2 + (count - 2) * 7 / 10);
-      most.forEach(SeenWorld.Node::kill);
-      wave.add(took(w, most, Finding.SILENT));
+      silent.add(took(w, List.of(w.all.get(1)), MemberState.SILENT));
+      List<MembershipSimulation.Node> most = w.all.subList(2, 2 + (count - 2) * 7 / 10);
+      most.forEach(MembershipSimulation.Node::kill);
+      wave.add(took(w, most, MemberState.SILENT));
     }
     System.out.printf(
         "%d gateways: %.1f messages and %.0f bytes sent a gateway second; goodbye known to all after %s s, "
@@ -69,7 +69,8 @@
         count, sent, bytes, goodbye, silent, wave);
   }
 
-  private static double took(SeenWorld w, List<SeenWorld.Node> these, Finding finding) {
+  private static double took(
+      MembershipSimulation w, List<MembershipSimulation.Node> these, MemberState finding) {
     Duration took = w.until(MOST, () -> w.hold(these, finding));
     return took == null ? Double.NaN : took.toMillis() / 1000.0;
   }
--- a/gateway/src/test/java/weldcross/membership/SeenTest.java
+++ b/gateway/src/test/java/weldcross/membership/FailureDetectorTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import weldcross.mesh.PeerName;
 
-class SeenTest {
+class FailureDetectorTest {
 
   private static final Duration MINUTE = Duration.ofMinutes(1);
 
@@ -25,49 +25,52 @@
     return Duration.ofSeconds(count);
   }
 
-  private static SeenWorld up(int count, long seed) {
-    SeenWorld w = new SeenWorld(count, seed);
+  private static MembershipSimulation up(int count, long seed) {
+    MembershipSimulation w = new MembershipSimulation(count, seed);
     assertNotNull(
-        w.until(MINUTE.multipliedBy(10), () -> w.hold(w.all, Finding.HERE)), "all find all");
+        w.until(MINUTE.multipliedBy(10), () -> w.hold(w.all, MemberState.HERE)), "all find all");
     return w;
   }
 
   /** Killed and paused are both silent: nothing tells them apart but proof. */
   @Test
   void whoDoesNotAnswerIsSilentAndOnlyProofMakesItGone() {
-    SeenWorld w = up(5, 1);
-    SeenWorld.Node killed = w.all.get(1);
-    SeenWorld.Node paused = w.all.get(2);
+    MembershipSimulation w = up(5, 1);
+    MembershipSimulation.Node killed = w.all.get(1);
+    MembershipSimulation.Node paused = w.all.get(2);
     killed.kill();
     paused.pause();
-    assertNotNull(w.until(MINUTE, () -> w.hold(List.of(killed, paused), Finding.SILENT)));
+    assertNotNull(w.until(MINUTE, () -> w.hold(List.of(killed, paused), MemberState.SILENT)));
     w.all.get(0).seen.refusedBy(w.now, killed.name, 2);
     assertTrue(
-        w.hold(List.of(killed), Finding.SILENT), "a dial begun under another life proves nothing");
+        w.hold(List.of(killed), MemberState.SILENT),
+        "a dial begun under another life proves nothing");
     w.all.get(0).seen.refusedBy(w.now, killed.name, 1);
     assertNotNull(
-        w.until(seconds(10), () -> w.hold(List.of(killed), Finding.GONE)), "proof is passed on");
-    assertTrue(w.hold(List.of(paused), Finding.SILENT));
+        w.until(seconds(10), () -> w.hold(List.of(killed), MemberState.GONE)),
+        "proof is passed on");
+    assertTrue(w.hold(List.of(paused), MemberState.SILENT));
     paused.resume();
-    assertNotNull(w.until(seconds(10), () -> w.hold(List.of(paused), Finding.HERE)));
+    assertNotNull(w.until(seconds(10), () -> w.hold(List.of(paused), MemberState.HERE)));
     killed.start();
-    assertNotNull(w.until(seconds(20), () -> w.hold(w.all, Finding.HERE)), "a later life ends it");
+    assertNotNull(
+        w.until(seconds(20), () -> w.hold(w.all, MemberState.HERE)), "a later life ends it");
     assertEquals(0, w.falselySilent);
   }
 
   @Test
   void whoSaysGoodbyeIsGoneAtOnce() {
-    SeenWorld w = up(30, 2);
+    MembershipSimulation w = up(30, 2);
     w.all.get(3).seen.leave();
     w.all.get(3).kill();
-    Duration took = w.until(seconds(20), () -> w.hold(List.of(w.all.get(3)), Finding.GONE));
+    Duration took = w.until(seconds(20), () -> w.hold(List.of(w.all.get(3)), MemberState.GONE));
     assertNotNull(took);
     assertTrue(took.compareTo(seconds(6)) < 0, took.toString());
   }
 
   @Test
   void twoSidesHoldEachOtherSilentAndFindTogetherAgain() {
-    SeenWorld w = up(9, 3);
+    MembershipSimulation w = up(9, 3);
     for (int k = 0; k < 4; k++) {
       w.all.get(k).side = 1;
     }
@@ -84,10 +87,10 @@
                                         a == b
                                             || a.seen.findingOf(b.name)
                                                 == (a.side == b.side
-                                                    ? Finding.HERE
-                                                    : Finding.SILENT)))));
+                                                    ? MemberState.HERE
+                                                    : MemberState.SILENT)))));
     w.all.forEach(n -> n.side = 0);
-    Duration took = w.until(MINUTE, () -> w.hold(w.all, Finding.HERE));
+    Duration took = w.until(MINUTE, () -> w.hold(w.all, MemberState.HERE));
     assertNotNull(took);
     assertTrue(took.compareTo(seconds(15)) < 0, took.toString());
     assertEquals(0, w.falselySilent);
@@ -98,16 +101,17 @@
    * first.
    */
   @Test
-  void aSlowSelfDoesNotAccuseTheOthers() {
-    SeenWorld w = up(20, 4);
-    SeenWorld.Node slow = w.all.get(0);
+  void slowSelfDoesNotAccuseTheOthers() {
+    MembershipSimulation w = up(20, 4);
+    MembershipSimulation.Node slow = w.all.get(0);
     int accused = 0;
     for (int k = 0; k < 100; k++) {
       slow.pause();
       w.run(seconds(2));
       slow.resume();
       w.run(seconds(1));
-      accused += (int) slow.seen.held().stream().filter(n -> n.finding() == Finding.SILENT).count();
+      accused +=
+          (int) slow.seen.held().stream().filter(n -> n.finding() == MemberState.SILENT).count();
     }
     assertEquals(0, accused);
   }
@@ -116,7 +120,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void badLinksMakeFewFalselySilentAndNobodyGone(long seed) {
-    SeenWorld w = up(20, seed);
+    MembershipSimulation w = up(20, seed);
     w.loss = 0.3;
     w.delay = 100;
     w.run(Duration.ofMinutes(10));
@@ -126,7 +130,7 @@
     assertTrue(anHour < 12, w.falselySilent + " in ten minutes of 20 gateways");
     w.loss = 0;
     w.delay = 1;
-    assertNotNull(w.until(MINUTE, () -> w.hold(w.all, Finding.HERE)));
+    assertNotNull(w.until(MINUTE, () -> w.hold(w.all, MemberState.HERE)));
   }
 
   /**
@@ -134,18 +138,18 @@
    * logarithm.
    */
   @Test
-  void theCostOfOneDoesNotGrowWithTheNumber() {
+  void costOfOneDoesNotGrowWithTheNumber() {
     double[] sent = new double[2];
     int[] counts = {30, 300};
     for (int k = 0; k < counts.length; k++) {
-      SeenWorld w = up(counts[k], 5);
+      MembershipSimulation w = up(counts[k], 5);
       long before = w.messages;
       w.run(seconds(30));
       sent[k] = (w.messages - before) / 30.0 / counts[k];
-      SeenWorld.Node goes = w.all.get(7);
+      MembershipSimulation.Node goes = w.all.get(7);
       goes.seen.leave();
       goes.kill();
-      Duration took = w.until(MINUTE, () -> w.hold(List.of(goes), Finding.GONE));
+      Duration took = w.until(MINUTE, () -> w.hold(List.of(goes), MemberState.GONE));
       assertNotNull(took);
       assertTrue(took.compareTo(seconds(12)) < 0, counts[k] + ": " + took);
     }
@@ -159,15 +163,15 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void noLivingOneIsEverHeldGoneAndAllFindTogetherAgain(long seed) {
-    SeenWorld w = up(5 + (int) (seed % 4), seed);
+    MembershipSimulation w = up(5 + (int) (seed % 4), seed);
     for (int step = 0; step < 400; step++) {
-      SeenWorld.Node node = w.all.get(w.dice.nextInt(w.all.size()));
+      MembershipSimulation.Node node = w.all.get(w.dice.nextInt(w.all.size()));
       switch (w.dice.nextInt(9)) {
         case 0 -> {
           if (node.lives && !node.paused) {
             node.kill();
             // Somebody may find out by a refused dial.
-            SeenWorld.Node other = w.all.get(w.dice.nextInt(w.all.size()));
+            MembershipSimulation.Node other = w.all.get(w.dice.nextInt(w.all.size()));
             if (other != node && other.lives && !other.paused && w.dice.nextBoolean()) {
               other.seen.refusedBy(w.now, node.name, w.dice.nextLong(node.life) + 1);
             }
@@ -205,7 +209,8 @@
           }
         });
     assertNotNull(
-        w.until(Duration.ofMinutes(2), () -> w.hold(w.all, Finding.HERE)), "after seed " + seed);
+        w.until(Duration.ofMinutes(2), () -> w.hold(w.all, MemberState.HERE)),
+        "after seed " + seed);
   }
 
   // ---- All orders at small size
@@ -237,19 +242,19 @@
 
   /** Null where a choice cannot be made. */
   private static String play(int[] path) {
-    News[] holds = {null, null};
-    List<News> under = new ArrayList<>();
+    MembershipUpdate[] holds = {null, null};
+    List<MembershipUpdate> under = new ArrayList<>();
     long[] life = {1};
     long version = 0;
     boolean lives = true;
-    News self = new News(NAMES[2], 1, 0, Finding.HERE, "", 1, NAMES[2]);
+    MembershipUpdate self = new MembershipUpdate(NAMES[2], 1, 0, MemberState.HERE, "", 1, NAMES[2]);
     under.add(self);
     for (int choice : path) {
       switch (choice) {
         case 0, 1 -> {
           // All that is under way reaches a, or b, in the order of its making; it stays, as repeats
           // may come.
-          for (News each : under) {
+          for (MembershipUpdate each : under) {
             holds[choice] = each.overrides(holds[choice]) ? each : holds[choice];
           }
         }
@@ -258,26 +263,27 @@
             return null;
           }
           // The last comes to a before all others.
-          News last = under.get(under.size() - 1);
+          MembershipUpdate last = under.get(under.size() - 1);
           holds[0] = last.overrides(holds[0]) ? last : holds[0];
         }
         case 3 -> {
-          if (holds[0] == null || holds[0].finding() != Finding.HERE) {
+          if (holds[0] == null || holds[0].finding() != MemberState.HERE) {
             return null;
           }
-          holds[0] = holds[0].with(Finding.SILENT, NAMES[0]);
+          holds[0] = holds[0].with(MemberState.SILENT, NAMES[0]);
           under.add(holds[0]);
         }
         case 4 -> {
           if (!lives
               || holds[0] == null
               || holds[0].life() != life[0]
-              || holds[0].finding() == Finding.HERE) {
+              || holds[0].finding() == MemberState.HERE) {
             return null;
           }
           // c hears what a holds of it.
           version = Math.max(version, holds[0].version() + 1);
-          under.add(new News(NAMES[2], life[0], version, Finding.HERE, "", 1, NAMES[2]));
+          under.add(
+              new MembershipUpdate(NAMES[2], life[0], version, MemberState.HERE, "", 1, NAMES[2]));
         }
         case 5 -> {
           if (!lives || holds[1] == null) {
@@ -285,7 +291,7 @@
           }
           lives = false;
           // b finds that nobody listens where c should.
-          holds[1] = holds[1].with(Finding.GONE, NAMES[1]);
+          holds[1] = holds[1].with(MemberState.GONE, NAMES[1]);
           under.add(holds[1]);
         }
         default -> {
@@ -295,19 +301,19 @@
           lives = true;
           life[0]++;
           version = 0;
-          under.add(new News(NAMES[2], life[0], 0, Finding.HERE, "", 1, NAMES[2]));
+          under.add(new MembershipUpdate(NAMES[2], life[0], 0, MemberState.HERE, "", 1, NAMES[2]));
         }
       }
-      for (News each : holds) {
+      for (MembershipUpdate each : holds) {
         assertFalse(
-            each != null && each.finding() == Finding.GONE && lives && each.life() == life[0],
+            each != null && each.finding() == MemberState.GONE && lives && each.life() == life[0],
             "a living one is held gone: " + each);
       }
     }
     // Whatever came in whatever order: once all have come, both hold the same.
-    News[] last = holds.clone();
+    MembershipUpdate[] last = holds.clone();
     for (int k = 0; k < 2; k++) {
-      for (News each : under) {
+      for (MembershipUpdate each : under) {
         last[k] = each.overrides(last[k]) ? each : last[k];
       }
     }
@@ -327,10 +333,10 @@
    */
   @Test
   void inNoOrderIsALifeHeldGoneThatHasNotEnded() {
-    SeenExplorer explorer = new SeenExplorer(false);
+    FailureDetectorExplorer explorer = new FailureDetectorExplorer(false);
     assertNull(explorer.explore(7));
     assertTrue(explorer.states() > 5_000, explorer.states() + " states");
-    String found = new SeenExplorer(true).explore(7);
+    String found = new FailureDetectorExplorer(true).explore(7);
     assertNotNull(found, "a refusal that counts for a life it does not speak of is found");
   }
 }
--- a/gateway/src/test/java/weldcross/membership/SeenWorld.java
+++ b/gateway/src/test/java/weldcross/membership/MembershipSimulation.java
@@ -17,14 +17,14 @@
  * Many gateways' seeing over a network in memory, on a clock moved by hand: messages late, lost,
  * and cut off.
  */
-final class SeenWorld {
+final class MembershipSimulation {
 
   private record Event(Duration at, long order, Runnable run) {}
 
   /** One gateway, through its lives. */
-  final class Node implements SeenHost {
+  final class Node implements FailureDetectorActions {
     final PeerName name;
-    Seen seen;
+    FailureDetector seen;
     long life;
     boolean lives, paused;
     int side;
@@ -36,7 +36,7 @@
       this.name = new PeerName(name);
     }
 
-    private void send(PeerName to, int news, Consumer<Seen> message) {
+    private void send(PeerName to, int news, Consumer<FailureDetector> message) {
       Node there = nodes.get(to);
       messages++;
       bytes += 40 + 30L * news;
@@ -58,17 +58,17 @@
     }
 
     @Override
-    public void probe(PeerName to, long number, List<News> news) {
+    public void probe(PeerName to, long number, List<MembershipUpdate> news) {
       send(to, news.size(), s -> s.probed(now, name, number, news));
     }
 
     @Override
-    public void help(PeerName helper, PeerName target, long number, List<News> news) {
+    public void help(PeerName helper, PeerName target, long number, List<MembershipUpdate> news) {
       send(helper, news.size(), s -> s.helpAsked(now, name, target, number, news));
     }
 
     @Override
-    public void answer(PeerName to, long number, List<News> news) {
+    public void answer(PeerName to, long number, List<MembershipUpdate> news) {
       send(to, news.size(), s -> s.answered(now, name, number, news));
     }
 
@@ -79,13 +79,13 @@
 
     /** GONE is proof: it is only ever held of a life that has ended. */
     @Override
-    public void found(News news) {
+    public void found(MembershipUpdate news) {
       Node of = nodes.get(news.of());
       assertTrue(news.life() <= of.life, name + " holds " + news + " of " + of.life);
-      if (news.finding() == Finding.GONE) {
+      if (news.finding() == MemberState.GONE) {
         assertTrue(news.life() < of.life || !of.lives, name + " holds a living one gone: " + news);
       }
-      if (news.finding() == Finding.SILENT
+      if (news.finding() == MemberState.SILENT
           && of.lives
           && !of.paused
           && of.side == side
@@ -123,7 +123,9 @@
       life++;
       wakes++;
       List<PeerName> others = nodes.keySet().stream().filter(n -> !n.equals(name)).toList();
-      seen = new Seen(SeenTerms.usual(name, others, "a", 10), this, dice.nextLong());
+      seen =
+          new FailureDetector(
+              FailureDetectorConfig.usual(name, others, "a", 10), this, dice.nextLong());
       seen.start(now, life);
     }
 
@@ -159,7 +161,7 @@
   int delay = 1;
   long messages, bytes, falselySilent;
 
-  SeenWorld(int count, long seed) {
+  MembershipSimulation(int count, long seed) {
     dice = new SplittableRandom(seed);
     for (int k = 0; k < count; k++) {
       Node node = new Node("n" + k);
@@ -199,7 +201,7 @@
   }
 
   /** Whether all that live and are reached hold all of these to be that. */
-  boolean hold(List<Node> these, Finding... one) {
+  boolean hold(List<Node> these, MemberState... one) {
     for (Node a : all) {
       for (Node b : these) {
         if (a != b && a.lives && !a.paused && !List.of(one).contains(a.seen.findingOf(b.name))) {
--- a/gateway/src/test/java/weldcross/mesh/LinkPartTest.java
+++ b/gateway/src/test/java/weldcross/mesh/MeshExtensionTest.java
@@ -32,8 +32,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import weldcross.extension.Seam;
-import weldcross.mesh.net.LinkPart;
+import weldcross.extension.ExtensionContext;
+import weldcross.mesh.net.MeshExtension;
 import weldcross.mesh.wire.Frame;
 import weldcross.mesh.wire.Greeting;
 
@@ -42,10 +42,10 @@
  * nobody else.
  */
 @Timeout(60)
-class LinkPartTest {
+class MeshExtensionTest {
 
   /** The thread of one gateway, as its reducer is. */
-  private static final class Reducer implements Seam {
+  private static final class Reducer implements ExtensionContext {
     final LinkedBlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
     final PriorityQueue<Map.Entry<Duration, Runnable>> dues =
         new PriorityQueue<>(Map.Entry.comparingByKey());
@@ -105,7 +105,7 @@
   private final Map<PeerName, InetSocketAddress> places = new HashMap<>();
   private static final Set<Integer> TAKEN = new HashSet<>();
 
-  private final Map<PeerName, LinkPart> parts = new HashMap<>();
+  private final Map<PeerName, MeshExtension> parts = new HashMap<>();
   private final Map<PeerName, Reducer> reducers = new HashMap<>();
   private final List<String> told = new CopyOnWriteArrayList<>();
 
@@ -137,8 +137,8 @@
 
   private void begin(PeerName self) {
     PeerName other = self.equals(ONE) ? TWO : ONE;
-    LinkTerms terms =
-        new LinkTerms(
+    MeshConfig terms =
+        new MeshConfig(
             "c",
             self,
             List.of(other),
@@ -149,22 +149,22 @@
             Duration.ofMillis(200),
             1000,
             8 << 20);
-    LinkPart part =
-        new LinkPart(
+    MeshExtension part =
+        new MeshExtension(
             terms,
-            new LinkPlaces(places.get(self), places.get(self), places, places),
+            new PeerAddresses(places.get(self), places.get(self), places, places),
             folder.resolve(self.name()),
             1);
     part.talk(
         7,
-        new LinkPart.Talker() {
+        new MeshExtension.Talker() {
           @Override
-          public void heard(PeerName from, Life life, ByteBuffer content) {
+          public void heard(PeerName from, Incarnation life, ByteBuffer content) {
             told.add(self + " heard " + content.getInt(0) + " of " + content.remaining());
           }
 
           @Override
-          public void up(PeerName peer, Life life) {
+          public void up(PeerName peer, Incarnation life) {
             told.add(self + " up " + peer + " " + life.incarnation());
           }
 
@@ -262,7 +262,7 @@
 
   /** A later version is told which is spoken here; fields that are not known pass. */
   @Test
-  void aLaterVersionIsToldSoAndUnknownFieldsPass() throws IOException {
+  void laterVersionIsToldSoAndUnknownFieldsPass() throws IOException {
     try (Socket stranger = new Socket(places.get(ONE).getAddress(), places.get(ONE).getPort())) {
       stranger.setSoTimeout(10_000);
       byte[] greeting =
@@ -289,7 +289,7 @@
       DataInputStream in = new DataInputStream(stranger.getInputStream());
       Frame answer = Frame.parseFrom(in.readNBytes(in.readInt()));
       assertEquals("VERSION", answer.getRefused().getWhy());
-      assertEquals(LinkTerms.VERSION, answer.getRefused().getNewestVersion());
+      assertEquals(MeshConfig.VERSION, answer.getRefused().getNewestVersion());
     }
   }
 
@@ -299,9 +299,9 @@
   }
 
   @Test
-  void aNewLifeHasAHigherIncarnationAndTheStopOfTheOneBeforeWasTold() throws Exception {
+  void newLifeHasAHigherIncarnationAndTheStopOfTheOneBeforeWasTold() throws Exception {
     Reducer before = reducers.get(TWO);
-    LinkPart stopped = parts.get(TWO);
+    MeshExtension stopped = parts.get(TWO);
     before.post(
         () -> {
           stopped.stop();
--- a/gateway/src/test/java/weldcross/mesh/LinkWorld.java
+++ b/gateway/src/test/java/weldcross/mesh/MeshSimulation.java
@@ -18,12 +18,12 @@
  * of frames that keep their order, and can be held, swallowed or reset. Checks what is heard by
  * whom as it comes.
  */
-final class LinkWorld {
+final class MeshSimulation {
 
-  static final LinkTerms TERMS = terms(new PeerName("?"), List.of());
+  static final MeshConfig TERMS = terms(new PeerName("?"), List.of());
 
-  static LinkTerms terms(PeerName self, List<PeerName> peers) {
-    return new LinkTerms(
+  static MeshConfig terms(PeerName self, List<PeerName> peers) {
+    return new MeshConfig(
         "c",
         self,
         peers,
@@ -41,7 +41,7 @@
     final Node node;
     final long number;
     End other;
-    final ArrayDeque<Consumer<Links>> coming = new ArrayDeque<>();
+    final ArrayDeque<Consumer<PeerConnectionManager>> coming = new ArrayDeque<>();
     boolean open = true;
 
     End(Node node, long number) {
@@ -51,14 +51,14 @@
   }
 
   /** One gateway, through its lives. */
-  final class Node implements LinkHost {
+  final class Node implements PeerConnectionActions {
     final PeerName name;
-    Links links;
-    Life life = new Life(0, 0);
+    PeerConnectionManager links;
+    Incarnation life = new Incarnation(0, 0);
     Duration wakeAt;
     int lives;
     final Map<Long, End> ends = new LinkedHashMap<>();
-    final Map<PeerName, Life> heardOf = new HashMap<>();
+    final Map<PeerName, Incarnation> heardOf = new HashMap<>();
     final Map<PeerName, Long> lastHeard = new HashMap<>();
     final Map<PeerName, Long> sent = new HashMap<>();
     final List<String> told = new ArrayList<>();
@@ -72,7 +72,7 @@
       dials.add(new Dial(this, link, nodes.get(to.name()), lives));
     }
 
-    private void write(long link, Consumer<Links> frame) {
+    private void write(long link, Consumer<PeerConnectionManager> frame) {
       End end = ends.get(link);
       if (end != null && end.open && end.other != null && !isCut(name, end.other.node.name)) {
         end.other.coming.add(frame);
@@ -80,10 +80,10 @@
     }
 
     @Override
-    public void greet(long link, PeerName to, Life self) {
+    public void greet(long link, PeerName to, Incarnation self) {
       PeerName from = name;
       long there = other(link);
-      write(link, l -> l.greeted(now, there, "c", from, to, self, LinkTerms.VERSION));
+      write(link, l -> l.greeted(now, there, "c", from, to, self, MeshConfig.VERSION));
     }
 
     private long other(long link) {
@@ -92,13 +92,13 @@
     }
 
     @Override
-    public void welcome(long link, Life self) {
+    public void welcome(long link, Incarnation self) {
       long there = other(link);
       write(link, l -> l.welcomed(now, there, self));
     }
 
     @Override
-    public void refuse(long link, Refusal why, long known) {
+    public void refuse(long link, HandshakeRejection why, long known) {
       long there = other(link);
       write(link, l -> l.refused(now, there, why, known));
     }
@@ -173,8 +173,8 @@
 
     /** What is heard is of the latest life heard of, and in its order. */
     @Override
-    public void heard(PeerName from, Life life, int subject, ByteBuffer content) {
-      Life before = heardOf.get(from);
+    public void heard(PeerName from, Incarnation life, int subject, ByteBuffer content) {
+      Incarnation before = heardOf.get(from);
       assertEquals(links.lifeOf(from), life, name + " knows a later life of " + from);
       if (before != null) {
         assertTrue(
@@ -196,7 +196,7 @@
     }
 
     @Override
-    public void up(PeerName peer, Life life) {
+    public void up(PeerName peer, Incarnation life) {
       told.add("up " + peer + " " + life.incarnation());
     }
 
@@ -206,14 +206,14 @@
     }
 
     @Override
-    public void refusedBy(PeerName peer, Life before) {
+    public void refusedBy(PeerName peer, Incarnation before) {
       told.add("refused by " + peer);
     }
 
     @Override
     public void outlived(long incarnation) {
       told.add("outlived by " + incarnation);
-      life = new Life(incarnation + 1, life.mark());
+      life = new Incarnation(incarnation + 1, life.mark());
       later.add(() -> links.start(now, life));
     }
 
@@ -224,13 +224,13 @@
       }
       dials.removeIf(d -> d.from == this);
       lives++;
-      life = new Life(incarnation, ++marks);
+      life = new Incarnation(incarnation, ++marks);
       // What another process heard is its own: this one begins without.
       heardOf.clear();
       lastHeard.clear();
       List<PeerName> others =
           nodes.values().stream().map(n -> n.name).filter(n -> !n.equals(name)).toList();
-      links = new Links(terms(name, others), this, marks);
+      links = new PeerConnectionManager(terms(name, others), this, marks);
       wakeAt = null;
       links.start(now, life);
     }
@@ -263,7 +263,7 @@
   boolean takes = true;
   long marks, numbers, heard;
 
-  LinkWorld(int count) {
+  MeshSimulation(int count) {
     for (int k = 0; k < count; k++) {
       nodes.put("n" + k, new Node(new PeerName("n" + k)));
     }
@@ -307,7 +307,7 @@
   }
 
   void deliver(End end) {
-    Consumer<Links> frame = end.coming.poll();
+    Consumer<PeerConnectionManager> frame = end.coming.poll();
     if (frame != null) {
       frame.accept(end.node.links);
       settle();
--- a/gateway/src/test/java/weldcross/mesh/LinksTest.java
+++ b/gateway/src/test/java/weldcross/mesh/PeerConnectionManagerTest.java
@@ -14,23 +14,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class LinksTest {
+class PeerConnectionManagerTest {
 
   private static final Duration SECOND = Duration.ofSeconds(1);
 
   /** The longest rest drawn out, a dial, a greeting, a sign of life that is missed. */
   private static final Duration HEALED = Duration.ofMillis(2500);
 
-  private static LinkWorld up(int count) {
-    LinkWorld w = new LinkWorld(count);
+  private static MeshSimulation up(int count) {
+    MeshSimulation w = new MeshSimulation(count);
     w.run(SECOND);
     w.allUp();
     return w;
   }
 
   @Test
-  void aSilentCutIsNoticedThoughNothingEnds() {
-    LinkWorld w = up(2);
+  void silentCutIsNoticedThoughNothingEnds() {
+    MeshSimulation w = up(2);
     w.cuts.add("n0>n1");
     w.run(SECOND);
     assertTrue(
@@ -44,8 +44,8 @@
 
   /** A hears B, and B does not hear A: neither connection can be asked for a sign of life. */
   @Test
-  void aCutInOneDirectionEndsBothConnections() {
-    LinkWorld w = up(3);
+  void cutInOneDirectionEndsBothConnections() {
+    MeshSimulation w = up(3);
     w.cuts.add("n0>n1");
     w.run(SECOND);
     assertFalse(w.node(0).links.isUp(w.node(1).name) || w.node(1).links.isUp(w.node(0).name));
@@ -53,10 +53,10 @@
   }
 
   @Test
-  void aRestartedPeerIsKnownByItsIncarnationAndTheOneBeforeIsHeardNoMore() {
-    LinkWorld w = up(2);
+  void restartedPeerIsKnownByItsIncarnationAndTheOneBeforeIsHeardNoMore() {
+    MeshSimulation w = up(2);
     w.node(0).say(w.node(1).name, 8, false);
-    LinkWorld.End before = w.withFrames().get(0);
+    MeshSimulation.End before = w.withFrames().get(0);
     w.node(0).startAnew(2);
     w.dialComes(w.dials.get(0));
     // The new greeting overtakes what the life before had sent.
@@ -76,8 +76,8 @@
    * A disk that lost the last incarnation: others know it, and this life must take a higher one.
    */
   @Test
-  void aLifeUnderAnIncarnationInUseIsToldAndTakesAHigherOne() {
-    LinkWorld w = up(3);
+  void lifeUnderAnIncarnationInUseIsToldAndTakesAHigherOne() {
+    MeshSimulation w = up(3);
     w.node(0).startAnew(1);
     w.run(HEALED);
     assertTrue(
@@ -90,20 +90,20 @@
 
   @Test
   void whoIsNotOfTheClusterIsRefusedAndDisturbsNobody() {
-    LinkWorld w = up(2);
-    Links links = w.node(0).links;
+    MeshSimulation w = up(2);
+    PeerConnectionManager links = w.node(0).links;
     PeerName one = w.node(1).name;
-    Life life = new Life(1, w.node(1).life.mark());
+    Incarnation life = new Incarnation(1, w.node(1).life.mark());
     Object[][] wrong = {
       {"d", one, w.node(0).name, life, 1},
       {"c", new PeerName("x"), w.node(0).name, life, 1},
       {"c", one, one, life, 1},
       {"c", one, w.node(0).name, life, 2},
-      {"c", one, w.node(0).name, new Life(0, 5), 1}
+      {"c", one, w.node(0).name, new Incarnation(0, 5), 1}
     };
     for (Object[] each : wrong) {
-      LinkWorld.End end = new LinkWorld.End(w.node(0), 1000);
-      end.other = new LinkWorld.End(w.node(1), -1000);
+      MeshSimulation.End end = new MeshSimulation.End(w.node(0), 1000);
+      end.other = new MeshSimulation.End(w.node(1), -1000);
       w.node(0).ends.put(1000L, end);
       links.accepted(w.now, 1000, true);
       links.greeted(
@@ -112,7 +112,7 @@
           (String) each[0],
           (PeerName) each[1],
           (PeerName) each[2],
-          (Life) each[3],
+          (Incarnation) each[3],
           (int) each[4]);
       assertFalse(w.node(0).ends.containsKey(1000L), "refused and ended");
     }
@@ -124,9 +124,9 @@
   /** Whoever calls and says nothing holds a place for a dial's time. */
   @Test
   void silentCallersLeaveRoom() {
-    LinkWorld w = new LinkWorld(2);
+    MeshSimulation w = new MeshSimulation(2);
     for (int k = 0; k < 5; k++) {
-      LinkWorld.End end = new LinkWorld.End(w.node(0), 2000 + k);
+      MeshSimulation.End end = new MeshSimulation.End(w.node(0), 2000 + k);
       w.node(0).ends.put(end.number, end);
       w.node(0).links.accepted(w.now, end.number, true);
     }
@@ -138,7 +138,7 @@
 
   @Test
   void ofWhatMayBeLostTheOldestGoesAndElseAFullQueueIsTold() {
-    LinkWorld w = up(2);
+    MeshSimulation w = up(2);
     w.takes = false;
     PeerName one = w.node(1).name;
     for (int k = 0; k < 60; k++) {
@@ -153,7 +153,7 @@
 
   @Test
   void restsGrowWhileNobodyAnswersAndAreOverWhenThePeerCalls() {
-    LinkWorld w = up(2);
+    MeshSimulation w = up(2);
     w.cuts.addAll(List.of("n0>n1", "n1>n0"));
     w.run(Duration.ofSeconds(20));
     int dials = 0;
@@ -176,12 +176,12 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void rulesHoldThroughRandomTrouble(long seed) {
     SplittableRandom dice = new SplittableRandom(seed);
-    LinkWorld w = new LinkWorld(3 + (int) (seed % 3));
+    MeshSimulation w = new MeshSimulation(3 + (int) (seed % 3));
     int count = w.nodes.size();
     for (int step = 0; step < 6000; step++) {
-      LinkWorld.Node node = w.node(dice.nextInt(count));
+      MeshSimulation.Node node = w.node(dice.nextInt(count));
       PeerName peer = w.node(dice.nextInt(count)).name;
-      List<LinkWorld.End> coming = w.withFrames();
+      List<MeshSimulation.End> coming = w.withFrames();
       int what = dice.nextInt(1000);
       if (what < 500 && !coming.isEmpty()) {
         w.deliver(coming.get(dice.nextInt(coming.size())));
@@ -204,7 +204,7 @@
         node.links.gone(w.now, number);
       }
       w.settle();
-      w.nodes.values().forEach(LinkWorld.Node::checkBounds);
+      w.nodes.values().forEach(MeshSimulation.Node::checkBounds);
     }
     assertTrue(w.heard > 100, "messages were heard: " + w.heard);
     w.cuts.clear();
@@ -225,7 +225,7 @@
   private static final int CHOICES = 8;
 
   private static void explore(int[] path, int left, Set<String> seen) {
-    LinkWorld w = play(path);
+    MeshSimulation w = play(path);
     if (w == null || !seen.add(state(w) + "@" + left)) {
       return;
     }
@@ -240,10 +240,10 @@
   }
 
   /** Null where a choice cannot be made. */
-  private static LinkWorld play(int[] path) {
-    LinkWorld w = new LinkWorld(2);
+  private static MeshSimulation play(int[] path) {
+    MeshSimulation w = new MeshSimulation(2);
     for (int choice : path) {
-      List<LinkWorld.End> coming = w.withFrames();
+      List<MeshSimulation.End> coming = w.withFrames();
       switch (choice) {
         case 0, 1, 2 -> {
           if (choice >= coming.size()) {
@@ -263,12 +263,12 @@
         default -> w.pass(Duration.ofMillis(200));
       }
       w.settle();
-      w.nodes.values().forEach(LinkWorld.Node::checkBounds);
+      w.nodes.values().forEach(MeshSimulation.Node::checkBounds);
     }
     return w;
   }
 
-  private static String state(LinkWorld w) {
+  private static String state(MeshSimulation w) {
     StringBuilder all = new StringBuilder(w.now.toString()).append(w.dials.size());
     w.nodes
         .values()
--- a/gateway/src/test/java/weldcross/pgwire/PgWireTest.java
+++ b/gateway/src/test/java/weldcross/pgwire/PgWireTest.java
@@ -27,7 +27,7 @@
   private static final String COLUMNS = "\0\1content\0" + "\0".repeat(18);
 
   /** What a client said, in words. */
-  private static final class Heard implements ClientReader.Sink {
+  private static final class Heard implements ClientMessageDecoder.Sink {
     final List<String> words = new ArrayList<>();
     int begun;
 
@@ -87,7 +87,7 @@
 
   /** A request to cancel names whom it cancels, and is all that its connection says. */
   @Test
-  void aRequestToCancelIsReadWholeOrNotAtAll() {
+  void requestToCancelIsReadWholeOrNotAtAll() {
     byte[] cancel =
         ByteBuffer.allocate(16).putInt(16).putInt(80877102).putInt(7).putInt(-9).array();
     assertEquals(List.of("cancel 7 -9"), hear(bytes(cancel, query("")), null));
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void aClientsStreamReadsTheSameInPiecesOfAnySize() {
+  void clientsStreamReadsTheSameInPiecesOfAnySize() {
     byte[] stream =
         bytes(
             untyped(80877103),
@@ -119,10 +119,10 @@
   }
 
   /** What a server said, in words; asked again as soon as it has answered, unless there is more. */
-  private static final class Told implements ServerReader.Sink {
+  private static final class Told implements ServerMessageDecoder.Sink {
     final List<String> words = new ArrayList<>();
-    final List<ServerAnswer> answers = new ArrayList<>();
-    final ServerReader reader = new ServerReader(this);
+    final List<ServerResponse> answers = new ArrayList<>();
+    final ServerMessageDecoder reader = new ServerMessageDecoder(this);
 
     /** Welcomed, asked, and told these bytes in pieces. */
     static Told of(byte[] stream, SplittableRandom dice) {
@@ -147,7 +147,7 @@
     List<String> served() {
       return answers.stream()
           .filter(a -> a.isServed("SELECT 1"))
-          .map(ServerAnswer::rowText)
+          .map(ServerResponse::rowText)
           .toList();
     }
 
@@ -157,7 +157,7 @@
     }
 
     @Override
-    public void answered(ServerAnswer a, boolean more) {
+    public void answered(ServerResponse a, boolean more) {
       answers.add(a);
       words.add(
           a.isServed("SELECT 1")
@@ -184,7 +184,7 @@
   }
 
   @Test
-  void aServersStreamReadsTheSameInPiecesOfAnySize() {
+  void serversStreamReadsTheSameInPiecesOfAnySize() {
     byte[] refused =
         bytes(
             message('E', "SERROR\0C25006\0Mno\0\0"),
@@ -208,7 +208,7 @@
   }
 
   @Test
-  void theRowPassesUntouchedWithoutTheServersOwnParameters() {
+  void rowPassesUntouchedWithoutTheServersOwnParameters() {
     Told told = Told.of(served("v\0w"), null);
     assertArrayEquals(
         bytes(message('T', COLUMNS), row("v\0w"), message('C', "SELECT 1\0"), message('Z', "I")),
@@ -221,7 +221,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void aSpoiltStreamServesNothingButItsValue(long seed) {
+  void spoiltStreamServesNothingButItsValue(long seed) {
     SplittableRandom dice = new SplittableRandom(seed);
     for (int life = 0; life < 3000; life++) {
       byte[] stream = served("value");
@@ -284,7 +284,7 @@
   }
 
   @Test
-  void aParameterThatCannotBeReadSpoilsNothing() {
+  void parameterThatCannotBeReadSpoilsNothing() {
     for (String text :
         List.of(
             "wal_time\0soon\0",
@@ -308,7 +308,7 @@
   }
 
   @Test
-  void onlyTheWaitIsWrittenAnew() throws Malformed {
+  void onlyTheWaitIsWrittenAnew() throws ProtocolException {
     for (String text : List.of(READ, write("9f03"))) {
       Statement s = Statement.read(ByteBuffer.wrap(query(text)));
       for (long wait : new long[] {1, 480, 123_456}) {
@@ -320,7 +320,7 @@
   }
 
   @Test
-  void theHeadIsReadInPlace() throws Malformed {
+  void headIsReadInPlace() throws ProtocolException {
     Statement s = Statement.read(ByteBuffer.wrap(query(READ)));
     assertEquals(
         List.of("9b1f", "basket", "acme", "7f3a"),
@@ -360,23 +360,23 @@
         "*/|*/ /* x=1 */|42601",
         "t=acme|t=ac*/me|22023"
       })
-  void aStatementThatIsNotOfTheFormIsTurnedAway(String part, String instead, String state) {
+  void statementThatIsNotOfTheFormIsTurnedAway(String part, String instead, String state) {
     String text = READ.replace(part, instead == null ? "" : instead);
-    Malformed fault =
-        assertThrows(Malformed.class, () -> Statement.read(ByteBuffer.wrap(query(text))));
+    ProtocolException fault =
+        assertThrows(ProtocolException.class, () -> Statement.read(ByteBuffer.wrap(query(text))));
     assertEquals(state, fault.state(), text);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"9f0", "9g", "9f03 "})
-  void aValueMustBeHex(String hex) {
-    assertThrows(Malformed.class, () -> Statement.read(ByteBuffer.wrap(query(write(hex)))));
+  void valueMustBeHex(String hex) {
+    assertThrows(ProtocolException.class, () -> Statement.read(ByteBuffer.wrap(query(write(hex)))));
   }
 
   @Test
-  void aMessageWithoutItsEndIsToldOnce() {
+  void messageWithoutItsEndIsToldOnce() {
     Heard heard = new Heard();
-    ClientReader reader = new ClientReader(heard);
+    ClientMessageDecoder reader = new ClientMessageDecoder(heard);
     reader.feed(ByteBuffer.wrap(start()));
     assertEquals(0, heard.begun);
     for (int k = 0; k < 9; k++) {
@@ -420,7 +420,8 @@
 
   @Test
   void whatCannotBeReadOnEndsTheStream() {
-    byte[] tooLong = ByteBuffer.allocate(5).put((byte) 'Q').putInt(FrameReader.LONGEST + 1).array();
+    byte[] tooLong =
+        ByteBuffer.allocate(5).put((byte) 'Q').putInt(FrameDecoder.LONGEST + 1).array();
     byte[] tooShort = ByteBuffer.allocate(5).put((byte) 'Q').putInt(3).array();
     for (byte[] bad : List.of(tooLong, tooShort, message('?', ""))) {
       assertEquals(List.of("started", "broke 08P01"), hear(bytes(start(), bad, query(READ)), null));
@@ -436,7 +437,7 @@
 
   private static List<String> hear(byte[] stream, SplittableRandom dice) {
     Heard heard = new Heard();
-    ClientReader reader = new ClientReader(heard);
+    ClientMessageDecoder reader = new ClientMessageDecoder(heard);
     for (ByteBuffer piece : pieces(stream, dice)) {
       reader.feed(piece);
     }
@@ -484,7 +485,7 @@
   }
 
   private static byte[] start() {
-    return bytes(Replies.startup());
+    return bytes(MessageEncoder.startup());
   }
 
   private static byte[] untyped(int code) {
--- a/gateway/src/test/java/weldcross/routing/Rig.java
+++ b/gateway/src/test/java/weldcross/routing/RouterHarness.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import weldcross.routing.MethodRow.Effect;
-import weldcross.routing.MethodRow.Need;
-import weldcross.routing.MethodRow.Scope;
+import weldcross.routing.RequestClass.Effect;
+import weldcross.routing.RequestClass.Need;
+import weldcross.routing.RequestClass.Scope;
 
 /** A host that keeps the books of one router and fails the test at the call that breaks a rule. */
-final class Rig implements Host {
+final class RouterHarness implements RouterActions {
 
   static final Duration BOUND = ms(400);
   static final Duration SOFT = ms(400);
@@ -20,7 +20,7 @@
   static final class Server {
     final ServerId id;
     final GroupId group;
-    Condition told = Condition.GONE;
+    EndpointStatus told = EndpointStatus.GONE;
     Duration start;
     Duration pos = Duration.ZERO;
     Duration toldPos;
@@ -38,7 +38,7 @@
 
   /** An RPC in the books: what it needs and what has been done for it. */
   static final class Entry {
-    MethodRow row;
+    RequestClass row;
     GroupId group;
     Duration arrived;
     Duration deadline;
@@ -57,7 +57,7 @@
   final List<Sent> out = new ArrayList<>();
   final List<ServerId> probes = new ArrayList<>();
   final List<ServerId> tells = new ArrayList<>();
-  final ServiceTerms terms;
+  final RoutingConfig terms;
   final Router router;
   Duration now = Duration.ZERO;
   Duration ring;
@@ -68,7 +68,7 @@
   private boolean listStands = true;
   private int named;
 
-  Rig(ServiceTerms terms, long seed) {
+  RouterHarness(RoutingConfig terms, long seed) {
     this.terms = terms;
     this.router = new Router(this, terms, seed);
   }
@@ -77,14 +77,14 @@
     return Duration.ofMillis(n);
   }
 
-  static MethodRow row(Need need, Effect effect, Scope scope, double late) {
-    return new MethodRow(need, BOUND, effect, scope, ms(900), SOFT, 1 + need.ordinal(), late);
+  static RequestClass row(Need need, Effect effect, Scope scope, double late) {
+    return new RequestClass(need, BOUND, effect, scope, ms(900), SOFT, 1 + need.ordinal(), late);
   }
 
   /** One method a need, in the order of Need; the write as given. */
-  static ServiceTerms terms(
+  static RoutingConfig terms(
       Effect write, Scope scope, boolean parallel, boolean carried, boolean asked) {
-    List<MethodRow> rows = new ArrayList<>();
+    List<RequestClass> rows = new ArrayList<>();
     for (Need need : Need.values()) {
       rows.add(
           row(
@@ -93,7 +93,7 @@
               scope,
               need == Need.WRITE ? 0.5 : 0));
     }
-    return new ServiceTerms(
+    return new RoutingConfig(
         rows,
         2,
         new ZoneId(0),
@@ -114,9 +114,9 @@
   }
 
   /** The same terms in a fleet of gateways; where gone does not bind, only draining does. */
-  static ServiceTerms fleet(int gateways, boolean goneBinds) {
-    ServiceTerms t = terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false);
-    return new ServiceTerms(
+  static RoutingConfig fleet(int gateways, boolean goneBinds) {
+    RoutingConfig t = terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false);
+    return new RoutingConfig(
         t.methods(),
         gateways,
         t.zone(),
@@ -141,8 +141,8 @@
     Entry entry = rpcs.get(rpc);
     if (entry.answers == 0) {
       entry.answers++;
-      router.clientLeft(now, new RpcId(rpc));
-      List.copyOf(entry.out).forEach(s -> end(s, Outcome.CANCELLED));
+      router.clientLeft(now, new RequestId(rpc));
+      List.copyOf(entry.out).forEach(s -> end(s, AttemptOutcome.CANCELLED));
     }
   }
 
@@ -150,20 +150,20 @@
    * A group of three: s0 is the primary, both replicas stand at the present, and the router knows
    * it.
    */
-  static Rig settled() {
+  static RouterHarness settled() {
     return settled(terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false));
   }
 
-  static Rig settled(ServiceTerms terms) {
+  static RouterHarness settled(RoutingConfig terms) {
     return settled(terms, 7);
   }
 
-  static Rig settled(ServiceTerms terms, long seed) {
-    Rig rig = new Rig(terms, seed);
+  static RouterHarness settled(RoutingConfig terms, long seed) {
+    RouterHarness rig = new RouterHarness(terms, seed);
     rig.wait(ms(10_000));
     for (int k = 0; k < 3; k++) {
       Server server = new Server(k, 0);
-      server.told = Condition.ON;
+      server.told = EndpointStatus.ON;
       rig.servers.put(server.id.name(), server);
     }
     rig.server(0).primary = true;
@@ -179,7 +179,7 @@
   void list() {
     router.listBegins(now, true);
     servers.values().stream()
-        .filter(s -> s.told != Condition.GONE)
+        .filter(s -> s.told != EndpointStatus.GONE)
         .forEach(
             s ->
                 router.memberListed(
@@ -191,7 +191,7 @@
     server.toldPos =
         server.toldPos == null || pos.compareTo(server.toldPos) > 0 ? pos : server.toldPos;
     server.toldPrimary = server.primary;
-    router.probeEnded(now, server.id, Outcome.OK, null);
+    router.probeEnded(now, server.id, AttemptOutcome.OK, null);
     router.reported(now, server.id, pos, server.primary);
   }
 
@@ -224,7 +224,7 @@
   private void expire() {
     for (Sent sent : new ArrayList<>(out)) {
       if (out.contains(sent) && sent.until.compareTo(now) <= 0) {
-        end(sent, Outcome.TIMED_OUT);
+        end(sent, AttemptOutcome.TIMED_OUT);
       }
     }
   }
@@ -240,7 +240,7 @@
     rpcs.put(name, entry);
     router.rpcArrived(
         now,
-        new RpcId(name),
+        new RequestId(name),
         need.ordinal(),
         entry.group,
         new SessionId("session"),
@@ -251,22 +251,25 @@
   }
 
   /** Ends a call-out, with what an answering server says of itself. */
-  void end(Sent sent, Outcome outcome) {
+  void end(Sent sent, AttemptOutcome outcome) {
     end(sent, outcome, sent.at);
   }
 
   /**
    * @param aliveSince since when the server's process lives at least, where it answers
    */
-  void end(Sent sent, Outcome outcome, Duration aliveSince) {
+  void end(Sent sent, AttemptOutcome outcome, Duration aliveSince) {
     Entry entry = rpcs.get(sent.rpc);
     out.remove(sent);
     entry.out.remove(sent);
     entry.mayHaveRun |= !outcome.neverRan;
-    if (outcome == Outcome.OK && entry.answers == 0) {
+    if (outcome == AttemptOutcome.OK && entry.answers == 0) {
       answered(entry, "ok");
     }
-    boolean speaks = outcome == Outcome.OK || outcome == Outcome.MISS || outcome == Outcome.ERROR;
+    boolean speaks =
+        outcome == AttemptOutcome.OK
+            || outcome == AttemptOutcome.MISS
+            || outcome == AttemptOutcome.ERROR;
     if (speaks) {
       sent.server.toldPrimary = sent.server.primary;
       Duration told = sent.server.toldPos;
@@ -275,7 +278,7 @@
     }
     router.callOutEnded(
         now,
-        new RpcId(sent.rpc),
+        new RequestId(sent.rpc),
         sent.number,
         sent.server.id,
         outcome,
@@ -287,7 +290,7 @@
   }
 
   boolean mayStillGo(Sent sent) {
-    return router.mayStillGo(now, new RpcId(sent.rpc), sent.number);
+    return router.mayStillGo(now, new RequestId(sent.rpc), sent.number);
   }
 
   void listStands(boolean stands) {
@@ -299,7 +302,7 @@
   void serve(Duration age) {
     List.copyOf(out).stream()
         .filter(s -> s.at().plus(age).compareTo(now) <= 0)
-        .forEach(s -> end(s, Outcome.OK));
+        .forEach(s -> end(s, AttemptOutcome.OK));
   }
 
   Sent only(String rpc) {
@@ -320,7 +323,7 @@
   }
 
   @Override
-  public void callOut(RpcId rpc, ServerId id, Duration until) {
+  public void callOut(RequestId rpc, ServerId id, Duration until) {
     Entry e = rpcs.get(rpc.name());
     Server server = servers.get(id.name());
     check(e.answers == 0, "rule 1: sent after the final answer");
@@ -337,7 +340,7 @@
         "rule 2: sent again after the window");
     check(server.group.equals(e.group), "outside its group");
     check(listStands, "rule 3: sent by a list that may lack a drain");
-    check(server.told == Condition.ON, "rule 3: sent to a server that drains or is gone");
+    check(server.told == EndpointStatus.ON, "rule 3: sent to a server that drains or is gone");
     boolean stale =
         !server.toldPrimary
             && switch (e.row.need()) {
@@ -361,12 +364,12 @@
   }
 
   @Override
-  public void cancel(RpcId rpc, int callOut) {
+  public void cancel(RequestId rpc, int callOut) {
     check(rpcs.get(rpc.name()).sent > callOut, "cancelled what was never sent");
   }
 
   @Override
-  public void pushBack(RpcId rpc, Duration comeBackAfter) {
+  public void pushBack(RequestId rpc, Duration comeBackAfter) {
     Entry entry = rpcs.get(rpc.name());
     boolean clean = !entry.mayHaveRun && entry.out.isEmpty();
     check(
@@ -378,7 +381,7 @@
   }
 
   @Override
-  public void abort(RpcId rpc) {
+  public void abort(RequestId rpc) {
     answered(rpcs.get(rpc.name()), "aborted");
   }
 
@@ -399,7 +402,7 @@
 
   @Override
   public void forget(ServerId server) {
-    check(servers.get(server.name()).told == Condition.GONE, "forgotten though it is listed");
+    check(servers.get(server.name()).told == EndpointStatus.GONE, "forgotten though it is listed");
     check(
         out.stream().noneMatch(s -> s.server.id.equals(server)),
         "forgotten while something is out");
@@ -429,9 +432,9 @@
     } else if (what < 75 && !out.isEmpty()) {
       Sent sent = out.get(dice.nextInt(out.size()));
       boolean miss = rpcs.get(sent.rpc).row.need() == Need.WRITE && !sent.server.primary;
-      Outcome any = Outcome.values()[dice.nextInt(Outcome.values().length)];
-      end(sent, miss ? Outcome.MISS : dice.nextInt(3) > 0 ? Outcome.OK : any);
-    } else if (what < 88 && server.told == Condition.ON) {
+      AttemptOutcome any = AttemptOutcome.values()[dice.nextInt(AttemptOutcome.values().length)];
+      end(sent, miss ? AttemptOutcome.MISS : dice.nextInt(3) > 0 ? AttemptOutcome.OK : any);
+    } else if (what < 88 && server.told == EndpointStatus.ON) {
       Duration pos = server.primary ? now : now.minus(ms(dice.nextInt(700)));
       server.pos = server.pos.compareTo(pos) > 0 ? server.pos : pos;
       report(server, server.pos);
@@ -442,9 +445,9 @@
       }
       server.primary = true;
     } else if (what < 92) {
-      server.told = Condition.values()[dice.nextInt(3)];
+      server.told = EndpointStatus.values()[dice.nextInt(3)];
       server.start =
-          server.told == Condition.ON && dice.nextBoolean()
+          server.told == EndpointStatus.ON && dice.nextBoolean()
               ? now.minus(ms(dice.nextInt(2000)))
               : server.start;
       server.coldSends.clear();
--- a/gateway/src/test/java/weldcross/routing/RouterTest.java
+++ b/gateway/src/test/java/weldcross/routing/RouterTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTimeoutPreemptively;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static weldcross.routing.Rig.ms;
+import static weldcross.routing.RouterHarness.ms;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import weldcross.routing.MethodRow.Effect;
-import weldcross.routing.MethodRow.Need;
-import weldcross.routing.MethodRow.Scope;
+import weldcross.routing.RequestClass.Effect;
+import weldcross.routing.RequestClass.Need;
+import weldcross.routing.RequestClass.Scope;
 
 class RouterTest {
 
@@ -28,13 +28,14 @@
     SplittableRandom dice = new SplittableRandom(seed);
     Effect effect = Effect.values()[dice.nextInt(3)];
     Scope scope = Scope.values()[dice.nextInt(3)];
-    Rig rig =
-        new Rig(
-            Rig.terms(effect, scope, dice.nextBoolean(), dice.nextBoolean(), dice.nextBoolean()),
+    RouterHarness rig =
+        new RouterHarness(
+            RouterHarness.terms(
+                effect, scope, dice.nextBoolean(), dice.nextBoolean(), dice.nextBoolean()),
             seed);
     for (int k = 0; k < 6; k++) {
-      Rig.Server server = new Rig.Server(k, k / 3);
-      server.told = Condition.ON;
+      RouterHarness.Server server = new RouterHarness.Server(k, k / 3);
+      server.told = EndpointStatus.ON;
       server.primary = k % 3 == 0;
       rig.servers.put(server.id.name(), server);
     }
@@ -42,7 +43,7 @@
     for (int k = 0; k < 6000; k++) {
       rig.step(dice);
     }
-    rig.wait(Rig.DEADLINE.plus(ms(50)));
+    rig.wait(RouterHarness.DEADLINE.plus(ms(50)));
     assertTrue(
         rig.rpcs.values().stream().allMatch(e -> e.answers > 0), "rule 1: one had no answer");
     assertTrue(rig.rpcs.values().stream().filter(e -> "ok".equals(e.answer)).count() > 50);
@@ -52,14 +53,14 @@
   void sameEventsGiveTheSameCalls() {
     List<List<String>> lives = new ArrayList<>();
     for (int k = 0; k < 2; k++) {
-      Rig rig = Rig.settled();
+      RouterHarness rig = RouterHarness.settled();
       SplittableRandom dice = new SplittableRandom(3);
       List<String> sent = new ArrayList<>();
       for (int n = 0; n < 1500; n++) {
         rig.arrive(Need.values()[dice.nextInt(5)], 0, Duration.ZERO);
         rig.out.forEach(s -> sent.add(s.rpc() + s.server().id.name()));
         rig.wait(ms(dice.nextInt(9)));
-        new ArrayList<>(rig.out).stream().skip(2).forEach(s -> rig.end(s, Outcome.OK));
+        new ArrayList<>(rig.out).stream().skip(2).forEach(s -> rig.end(s, AttemptOutcome.OK));
       }
       lives.add(sent);
     }
@@ -68,7 +69,7 @@
 
   @Test
   void sessionReadGoesToAReplicaThatHoldsItsToken() {
-    Rig rig = Rig.settled();
+    RouterHarness rig = RouterHarness.settled();
     rig.wait(ms(200));
     rig.report(rig.server(2), rig.now.minus(ms(40)));
     assertEquals("s2", rig.only(rig.arrive(Need.SESSION, 0, ms(50))).server().id.name());
@@ -76,7 +77,7 @@
 
   @Test
   void sessionReadGoesToThePrimaryWhenNoReplicaHoldsItsToken() {
-    Rig rig = Rig.settled();
+    RouterHarness rig = RouterHarness.settled();
     rig.wait(ms(200));
     String read = rig.arrive(Need.SESSION, 0, ms(50));
     rig.wait(ms(55));
@@ -84,11 +85,13 @@
   }
 
   @Test
-  void aTokenIsKeptFromTheWriteAnswer() {
-    Rig rig = Rig.settled(Rig.terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
+  void tokenIsKeptFromTheWriteAnswer() {
+    RouterHarness rig =
+        RouterHarness.settled(
+            RouterHarness.terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
     assertFalse(rig.only(rig.arrive(Need.SESSION, 0, Duration.ZERO)).server().primary);
     rig.wait(ms(10));
-    rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), Outcome.OK);
+    rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), AttemptOutcome.OK);
     assertTrue(rig.only(rig.arrive(Need.SESSION, 0, Duration.ZERO)).server().primary);
     rig.report(rig.server(1), rig.now);
     assertEquals("s1", rig.only(rig.arrive(Need.SESSION, 0, Duration.ZERO)).server().id.name());
@@ -96,8 +99,8 @@
 
   @Test
   void boundedReadSpillsToThePrimaryWhenEveryReplicaLags() {
-    Rig rig = Rig.settled();
-    rig.wait(Rig.BOUND.minus(ms(1)));
+    RouterHarness rig = RouterHarness.settled();
+    rig.wait(RouterHarness.BOUND.minus(ms(1)));
     assertFalse(rig.only(rig.arrive(Need.BOUNDED, 0, Duration.ZERO)).server().primary);
     rig.wait(ms(1));
     String read = rig.arrive(Need.BOUNDED, 0, Duration.ZERO);
@@ -112,9 +115,9 @@
    */
   @Test
   void whatWasDecidedHoldsNoLongerThanItsReasons() {
-    Rig rig = Rig.settled();
-    rig.wait(Rig.BOUND.minus(ms(1)));
-    Rig.Sent read = rig.only(rig.arrive(Need.BOUNDED, 0, Duration.ZERO));
+    RouterHarness rig = RouterHarness.settled();
+    rig.wait(RouterHarness.BOUND.minus(ms(1)));
+    RouterHarness.Sent read = rig.only(rig.arrive(Need.BOUNDED, 0, Duration.ZERO));
     assertTrue(rig.mayStillGo(read));
     rig.wait(ms(1));
     assertFalse(rig.mayStillGo(read), "its bound has passed");
@@ -123,9 +126,9 @@
     rig.listStands(false);
     assertFalse(rig.mayStillGo(read), "its drain may be owed");
     rig.listStands(true);
-    Rig.Sent write = rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO));
+    RouterHarness.Sent write = rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO));
     assertTrue(rig.mayStillGo(write));
-    write.server().told = Condition.DRAINING;
+    write.server().told = EndpointStatus.DRAINING;
     rig.list();
     assertFalse(rig.mayStillGo(write), "it drains");
   }
@@ -135,14 +138,15 @@
    * longer.
    */
   @Test
-  void aRepeatThatWaitedForItsConnectionGoesOnlyWhileRepeatsAreDropped() {
-    Rig rig = Rig.settled(Rig.terms(Effect.TOKENED, Scope.GROUP, true, true, false));
+  void repeatThatWaitedForItsConnectionGoesOnlyWhileRepeatsAreDropped() {
+    RouterHarness rig =
+        RouterHarness.settled(RouterHarness.terms(Effect.TOKENED, Scope.GROUP, true, true, false));
     String write = rig.arrive(Need.WRITE, 0, Duration.ZERO);
     assertTrue(rig.mayStillGo(rig.only(write)), "the first send needs nobody to know a repeat");
     rig.wait(ms(850));
-    rig.end(rig.only(write), Outcome.CUT);
+    rig.end(rig.only(write), AttemptOutcome.CUT);
     rig.wait(ms(30));
-    Rig.Sent repeat = rig.only(write);
+    RouterHarness.Sent repeat = rig.only(write);
     assertTrue(rig.mayStillGo(repeat));
     rig.wait(ms(19));
     assertTrue(rig.mayStillGo(repeat));
@@ -155,8 +159,8 @@
    */
   @Test
   void whatWaitsForItsConnectionDoesNotReachAServerThatTurnedCold() {
-    Rig rig = Rig.settled();
-    Rig.Sent read = rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO));
+    RouterHarness rig = RouterHarness.settled();
+    RouterHarness.Sent read = rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO));
     assertTrue(rig.mayStillGo(read));
     read.server().start = rig.now;
     rig.list();
@@ -167,18 +171,18 @@
    * Rule 5: a report is some 0.2 s old when it comes; behind an answer it may tell of what is over.
    */
   @Test
-  void aClaimFromBeforeAnAnswerDoesNotMakeAReplicaThePrimaryAgain() {
-    Rig rig = Rig.settled();
-    Rig.Server once = rig.server(0);
-    Rig.Sent write = rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO));
+  void claimFromBeforeAnAnswerDoesNotMakeAReplicaThePrimaryAgain() {
+    RouterHarness rig = RouterHarness.settled();
+    RouterHarness.Server once = rig.server(0);
+    RouterHarness.Sent write = rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO));
     rig.wait(ms(100));
     Duration claimed = rig.now;
     rig.wait(ms(100));
     once.primary = false;
-    rig.end(write, Outcome.MISS);
+    rig.end(write, AttemptOutcome.MISS);
     rig.wait(ms(20));
     rig.router.reported(rig.now, once.id, claimed, true);
-    rig.wait(Rig.BOUND);
+    rig.wait(RouterHarness.BOUND);
     String read = rig.arrive(Need.BOUNDED, 0, Duration.ZERO);
     rig.wait(ms(60));
     assertEquals(0, rig.rpcs.get(read).sent, "the rig knows that nobody holds its bound");
@@ -194,12 +198,14 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {"CANCELLED", "TIMED_OUT", "CUT"})
-  void aSessionSeesAWriteThatWasGivenUpAndMayHaveRun(String outcome) {
-    Rig rig = Rig.settled(Rig.terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
+  void sessionSeesAWriteThatWasGivenUpAndMayHaveRun(String outcome) {
+    RouterHarness rig =
+        RouterHarness.settled(
+            RouterHarness.terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
     assertFalse(rig.only(rig.arrive(Need.SESSION, 0, Duration.ZERO)).server().primary);
     String write = rig.arrive(Need.WRITE, 0, Duration.ZERO);
     rig.wait(ms(60));
-    rig.end(rig.only(write), Outcome.valueOf(outcome));
+    rig.end(rig.only(write), AttemptOutcome.valueOf(outcome));
     rig.report(rig.server(1), rig.now);
     assertTrue(
         rig.only(rig.arrive(Need.SESSION, 0, Duration.ZERO)).server().primary,
@@ -211,24 +217,26 @@
 
   /** Rule 5: what a session has written counts at each send, not as it stood when the read came. */
   @Test
-  void aReadThatWaitsSeesWhatItsSessionHasWrittenMeanwhile() {
-    Rig rig = Rig.settled(Rig.terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
+  void readThatWaitsSeesWhatItsSessionHasWrittenMeanwhile() {
+    RouterHarness rig =
+        RouterHarness.settled(
+            RouterHarness.terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
     String write = rig.arrive(Need.WRITE, 0, Duration.ZERO);
     String read = rig.arrive(Need.SESSION, 0, Duration.ZERO);
     assertFalse(rig.only(read).server().primary, "nothing is known to be written yet");
     rig.wait(ms(60));
-    rig.end(rig.only(write), Outcome.OK);
+    rig.end(rig.only(write), AttemptOutcome.OK);
     assertFalse(rig.mayStillGo(rig.only(read)), "its connection has just come up");
-    rig.end(rig.only(read), Outcome.ERROR);
+    rig.end(rig.only(read), AttemptOutcome.ERROR);
     assertTrue(rig.only(read).server().primary, "no replica is known to hold it");
   }
 
   /** Answers in no time at all made an overdue look ask for itself in the same moment, for ever. */
   @Test
   void answersInNoTimeLeaveNoDueTimeInTheSameMoment() {
-    Rig rig = Rig.settled();
+    RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 2000; k++) {
-      rig.end(rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO)), Outcome.OK);
+      rig.end(rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO)), AttemptOutcome.OK);
     }
     rig.arrive(Need.ANY, 0, Duration.ZERO);
     assertTimeoutPreemptively(Duration.ofSeconds(20), () -> rig.wait(ms(100)));
@@ -237,7 +245,7 @@
   /** Probes that no read needs: where none come, a known position is left to grow old. */
   @Test
   void onlyTheReplicaThatAReadWouldGoToIsProbed() {
-    Rig rig = Rig.settled();
+    RouterHarness rig = RouterHarness.settled();
     rig.probes.clear();
     rig.wait(ms(300));
     assertEquals(List.of(), rig.probes);
@@ -253,30 +261,32 @@
    */
   @Test
   void inOverloadTheNewestGoesFirst() {
-    Rig rig = Rig.settled();
+    RouterHarness rig = RouterHarness.settled();
     List<String> reads = new ArrayList<>();
     for (int k = 0; k < 20; k++) {
       reads.add(rig.arrive(Need.FRESH, 0, Duration.ZERO));
       rig.wait(ms(10));
     }
-    rig.end(rig.only(reads.get(0)), Outcome.OK);
-    rig.end(rig.only(reads.get(1)), Outcome.OK);
+    rig.end(rig.only(reads.get(0)), AttemptOutcome.OK);
+    rig.end(rig.only(reads.get(1)), AttemptOutcome.OK);
     assertEquals(1, rig.rpcs.get(reads.get(19)).sent);
     assertEquals(0, rig.rpcs.get(reads.get(18)).sent);
   }
 
   @Test
-  void theLeastBusyReplicaIsPicked() {
-    Rig rig = Rig.settled();
+  void leastBusyReplicaIsPicked() {
+    RouterHarness rig = RouterHarness.settled();
     String first = rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO)).server().id.name();
     String second = rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO)).server().id.name();
     assertEquals(List.of("s1", "s2"), List.of(first, second).stream().sorted().toList());
   }
 
   @Test
-  void aFreshRouterProbesEveryMemberAndHoldsReadsUntilOneAnswers() {
-    Rig rig = new Rig(Rig.terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false), 1);
-    Rig.settled().servers.values().forEach(s -> rig.servers.put(s.id.name(), s));
+  void freshRouterProbesEveryMemberAndHoldsReadsUntilOneAnswers() {
+    RouterHarness rig =
+        new RouterHarness(
+            RouterHarness.terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false), 1);
+    RouterHarness.settled().servers.values().forEach(s -> rig.servers.put(s.id.name(), s));
     rig.list();
     assertEquals(3, rig.probes.size());
     String read = rig.arrive(Need.BOUNDED, 0, Duration.ZERO);
@@ -286,8 +296,8 @@
   }
 
   @Test
-  void aReplicaClaimFromBehindAPrimaryClaimIsOld() {
-    Rig rig = Rig.settled();
+  void replicaClaimFromBehindAPrimaryClaimIsOld() {
+    RouterHarness rig = RouterHarness.settled();
     rig.router.reported(rig.now, rig.server(0).id, rig.now.minus(ms(20)), false);
     assertEquals("s0", rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)).server().id.name());
     rig.router.reported(rig.now, rig.server(0).id, rig.now, false);
@@ -297,21 +307,21 @@
   }
 
   @Test
-  void aWriteThatMayHaveRunIsAbortedAtOnce() {
-    Rig rig = Rig.settled();
+  void writeThatMayHaveRunIsAbortedAtOnce() {
+    RouterHarness rig = RouterHarness.settled();
     String write = rig.arrive(Need.WRITE, 0, Duration.ZERO);
-    rig.end(rig.only(write), Outcome.CUT);
+    rig.end(rig.only(write), AttemptOutcome.CUT);
     assertEquals("aborted", rig.rpcs.get(write).answer);
   }
 
   @Test
-  void aWriteThatNeverRanWaitsForThePrimary() {
-    Rig rig = Rig.settled();
+  void writeThatNeverRanWaitsForThePrimary() {
+    RouterHarness rig = RouterHarness.settled();
     String write = rig.arrive(Need.WRITE, 0, Duration.ZERO);
     rig.server(0).primary = false;
-    rig.end(rig.only(write), Outcome.MISS);
-    for (Rig.Sent sent = rig.only(write); sent != null; sent = first(rig, write)) {
-      rig.end(sent, Outcome.MISS);
+    rig.end(rig.only(write), AttemptOutcome.MISS);
+    for (RouterHarness.Sent sent = rig.only(write); sent != null; sent = first(rig, write)) {
+      rig.end(sent, AttemptOutcome.MISS);
     }
     assertNull(rig.rpcs.get(write).answer);
     rig.server(2).primary = true;
@@ -323,8 +333,8 @@
    * Jams: a window per server keeps the rest in the gateway, where what cannot make it is given up.
    */
   @Test
-  void aServerThatSlowsDownGetsFewerAndTheRestIsPushedBack() {
-    Rig rig = Rig.settled();
+  void serverThatSlowsDownGetsFewerAndTheRestIsPushedBack() {
+    RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 1500; k++) {
       rig.arrive(Need.FRESH, 0, Duration.ZERO);
       rig.wait(ms(10));
@@ -340,20 +350,20 @@
 
   /** Against servers that take work and answer nothing. */
   @Test
-  void aSilentServerIsSetAsideAndItsReadsGoOutAgain() {
-    Rig rig = Rig.settled();
+  void silentServerIsSetAsideAndItsReadsGoOutAgain() {
+    RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 40; k++) {
-      Rig.Sent quick = rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO));
+      RouterHarness.Sent quick = rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO));
       rig.wait(ms(10));
-      rig.end(quick, Outcome.OK);
+      rig.end(quick, AttemptOutcome.OK);
     }
     String read = rig.arrive(Need.ANY, 0, Duration.ZERO);
-    Rig.Server hung = rig.only(read).server();
+    RouterHarness.Server hung = rig.only(read).server();
     rig.probes.clear();
     rig.wait(ms(200));
     assertEquals(
         List.of(hung.id), rig.probes.stream().distinct().toList(), "asked whether it lives");
-    rig.router.probeEnded(rig.now, hung.id, Outcome.TIMED_OUT, null);
+    rig.router.probeEnded(rig.now, hung.id, AttemptOutcome.TIMED_OUT, null);
     rig.wait(ms(50));
     assertEquals(2, rig.rpcs.get(read).sent);
     for (int k = 0; k < 6; k++) {
@@ -363,8 +373,8 @@
 
   /** Against one method paying for all others in overload. */
   @Test
-  void theLessOfAMethodIsServedTheMoreItCounts() {
-    Rig rig = Rig.settled();
+  void lessOfAMethodIsServedTheMoreItCounts() {
+    RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 400; k++) {
       rig.arrive(k % 2 == 0 ? Need.FRESH : Need.WRITE, 0, Duration.ZERO);
       rig.wait(ms(10));
@@ -381,13 +391,13 @@
 
   /** Against answers that get lost: they fill no window. */
   @Test
-  void aLostAnswerDoesNotFillTheWindow() {
-    Rig rig = Rig.settled();
+  void lostAnswerDoesNotFillTheWindow() {
+    RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 300; k++) {
       String write = rig.arrive(Need.WRITE, 0, Duration.ZERO);
       rig.wait(ms(10));
       if (k % 3 < 2) {
-        rig.end(rig.only(write), Outcome.OK);
+        rig.end(rig.only(write), AttemptOutcome.OK);
       }
     }
     assertTrue(rig.out.size() > 30, "lost and still out: " + rig.out.size());
@@ -396,7 +406,7 @@
   /** Work in vain: what the usual time no longer allows is given up before its soft deadline. */
   @Test
   void whatCannotMakeItIsGivenUpAtOnce() {
-    Rig rig = Rig.settled();
+    RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 100; k++) {
       rig.arrive(Need.FRESH, 0, Duration.ZERO);
       rig.wait(ms(10));
@@ -408,38 +418,39 @@
                 e ->
                     "pushed back".equals(e.answer)
                         && e.sent == 0
-                        && e.answeredAt.compareTo(e.arrived.plus(Rig.SOFT).minus(ms(100))) < 0));
+                        && e.answeredAt.compareTo(e.arrived.plus(RouterHarness.SOFT).minus(ms(100)))
+                            < 0));
   }
 
   /** Against resets on live servers: one does not set a server aside, two in a row do. */
   @Test
   void oneResetConnectionIsForgiven() {
-    Rig rig = Rig.settled();
+    RouterHarness rig = RouterHarness.settled();
     rig.wait(ms(1));
-    rig.end(rig.only(rig.arrive(Need.FRESH, 0, Duration.ZERO)), Outcome.CUT);
+    rig.end(rig.only(rig.arrive(Need.FRESH, 0, Duration.ZERO)), AttemptOutcome.CUT);
     String second = rig.arrive(Need.FRESH, 0, Duration.ZERO);
     assertEquals("s0", rig.only(second).server().id.name());
-    rig.end(rig.only(second), Outcome.CUT);
+    rig.end(rig.only(second), AttemptOutcome.CUT);
     assertTrue(rig.rpcs.get(rig.arrive(Need.FRESH, 0, Duration.ZERO)).out.isEmpty());
   }
 
   /** Errors from all servers alike: nobody is the cause, so nobody is set aside for them. */
   @Test
   void errorsOnEveryServerSetNoMoreThanHalfOfAGroupAside() {
-    Rig rig = Rig.settled();
+    RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 40; k++) {
       String read = rig.arrive(k % 2 == 0 ? Need.ANY : Need.FRESH, 0, Duration.ZERO);
       assertTrue(rig.rpcs.get(read).sent > 0);
-      rig.end(rig.only(read), Outcome.ERROR);
-      List.copyOf(rig.out).forEach(s -> rig.end(s, Outcome.OK));
+      rig.end(rig.only(read), AttemptOutcome.ERROR);
+      List.copyOf(rig.out).forEach(s -> rig.end(s, AttemptOutcome.OK));
       rig.wait(ms(30));
     }
   }
 
   /** Rule 4: a gateway's share, from its own share of what warm servers do. */
   @Test
-  void aColdServerGetsNoMoreThanItsBudget() {
-    Rig rig = Rig.settled();
+  void coldServerGetsNoMoreThanItsBudget() {
+    RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 3000; k++) {
       if (k == 1500) {
         rig.server(2).start = rig.now;
@@ -466,18 +477,18 @@
   @Test
   void manyGatewaysTogetherKeepAColdServersBudget() {
     int gateways = 80;
-    List<Rig> fleet = new ArrayList<>();
+    List<RouterHarness> fleet = new ArrayList<>();
     for (int g = 0; g < gateways; g++) {
-      fleet.add(Rig.settled(Rig.fleet(gateways, true), g));
+      fleet.add(RouterHarness.settled(RouterHarness.fleet(gateways, true), g));
     }
     SplittableRandom dice = new SplittableRandom(5);
     List<Duration> sends = new ArrayList<>();
     Duration start = fleet.get(0).now.plus(ms(20_000));
     for (int k = 0; k < 2400; k++) {
-      for (Rig rig : fleet) {
+      for (RouterHarness rig : fleet) {
         boolean falls = rig.now.equals(start.minus(ms(200)));
         if (falls || rig.now.equals(start)) {
-          rig.server(0).told = falls ? Condition.GONE : Condition.ON;
+          rig.server(0).told = falls ? EndpointStatus.GONE : EndpointStatus.ON;
           rig.server(0).start = falls ? null : start;
           rig.list();
         }
@@ -527,7 +538,7 @@
   private static int coldSends(int gateways, int settings, boolean told) {
     int sends = 0;
     for (int g = 0; g < gateways; g++) {
-      Rig rig = Rig.settled(Rig.fleet(settings, true), g);
+      RouterHarness rig = RouterHarness.settled(RouterHarness.fleet(settings, true), g);
       if (told) {
         // A third of them have twice the part of the others.
         rig.router.shareIs((g % 3 == 0 ? 2.0 : 1.0) / (gateways + (gateways + 2) / 3));
@@ -550,18 +561,18 @@
   /** Who is said to be gone may be there; who was said to drain stays barred until a new start. */
   @Test
   void whereOnlyDrainingBindsGoneServersServeOnAndDrainedOnesDoNot() {
-    Rig rig = Rig.settled(Rig.fleet(2, false), 7);
+    RouterHarness rig = RouterHarness.settled(RouterHarness.fleet(2, false), 7);
     rig.router.listBegins(rig.now, false);
     rig.router.memberListed(
-        rig.now, rig.server(0).id, new ZoneId(0), new GroupId(0), Condition.GONE, null, false);
+        rig.now, rig.server(0).id, new ZoneId(0), new GroupId(0), EndpointStatus.GONE, null, false);
     rig.router.listEnds(rig.now);
     assertEquals("s0", rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)).server().id.name());
-    rig.server(0).told = Condition.DRAINING;
+    rig.server(0).told = EndpointStatus.DRAINING;
     rig.list();
-    rig.server(0).told = Condition.ON;
+    rig.server(0).told = EndpointStatus.ON;
     rig.list();
     assertTrue(rig.rpcs.get(rig.arrive(Need.WRITE, 0, Duration.ZERO)).out.isEmpty());
-    rig.server(0).start = rig.now.minus(Rig.ms(9000));
+    rig.server(0).start = rig.now.minus(RouterHarness.ms(9000));
     rig.list();
     assertEquals("s0", rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)).server().id.name());
   }
@@ -572,14 +583,14 @@
    */
   @Test
   void whoLeftTheListIsKnownNoMore() {
-    Rig rig = Rig.settled();
+    RouterHarness rig = RouterHarness.settled();
     for (int k = 3; k < 1000; k++) {
-      Rig.Server server = new Rig.Server(k, 0);
-      server.told = Condition.ON;
+      RouterHarness.Server server = new RouterHarness.Server(k, 0);
+      server.told = EndpointStatus.ON;
       server.primary = k % 3 == 0;
       rig.servers.put(server.id.name(), server);
-      Rig.Server old = rig.server(k - 3);
-      old.told = Condition.GONE;
+      RouterHarness.Server old = rig.server(k - 3);
+      old.told = EndpointStatus.GONE;
       rig.list();
       rig.wait(ms(1));
       rig.report(server, rig.now);
@@ -601,10 +612,10 @@
    */
   @Test
   void whoLeftInDoubtComesBackInDoubt() {
-    Rig rig = Rig.settled();
-    rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), Outcome.NO_ROUTE);
+    RouterHarness rig = RouterHarness.settled();
+    rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), AttemptOutcome.NO_ROUTE);
     rig.wait(ms(100));
-    rig.server(0).told = Condition.GONE;
+    rig.server(0).told = EndpointStatus.GONE;
     rig.list();
     List.copyOf(rig.probes).stream()
         .distinct()
@@ -613,11 +624,11 @@
                 rig.router.probeEnded(
                     rig.now,
                     id,
-                    id.equals(rig.server(0).id) ? Outcome.TIMED_OUT : Outcome.OK,
+                    id.equals(rig.server(0).id) ? AttemptOutcome.TIMED_OUT : AttemptOutcome.OK,
                     null));
     rig.wait(ms(1000));
     assertEquals(1, rig.forgotten, "the host has nothing to keep");
-    rig.server(0).told = Condition.ON;
+    rig.server(0).told = EndpointStatus.ON;
     rig.probes.clear();
     rig.list();
     assertTrue(
@@ -630,8 +641,8 @@
 
   /** Rings multiplied once: each left over from an earlier due time asked for another. */
   @Test
-  void aRingLeftOverAsksForNoOther() {
-    Rig rig = Rig.settled();
+  void ringLeftOverAsksForNoOther() {
+    RouterHarness rig = RouterHarness.settled();
     rig.arrive(Need.ANY, 0, Duration.ZERO);
     int asks = rig.dueAsks;
     for (int k = 0; k < 50; k++) {
@@ -642,28 +653,28 @@
 
   /** Among equals, whoever answered slowly is not the first any more. */
   @Test
-  void aSlowAnswerMovesItsServerBehindItsEquals() {
-    Rig rig = Rig.settled();
+  void slowAnswerMovesItsServerBehindItsEquals() {
+    RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 30; k++) {
-      Rig.Sent sent = rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO));
+      RouterHarness.Sent sent = rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO));
       rig.wait(ms(10));
-      rig.end(sent, Outcome.OK);
+      rig.end(sent, AttemptOutcome.OK);
     }
-    Rig.Sent slow = rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO));
+    RouterHarness.Sent slow = rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO));
     rig.wait(ms(60));
-    rig.end(slow, Outcome.OK);
-    Rig.Sent next = rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO));
+    rig.end(slow, AttemptOutcome.OK);
+    RouterHarness.Sent next = rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO));
     assertFalse(next.server() == slow.server());
   }
 
   /** One failed probe proves nothing, as probes are capped; a second one in a row does. */
   @Test
   void oneFailedProbeSetsNoServerAside() {
-    Rig rig = Rig.settled();
+    RouterHarness rig = RouterHarness.settled();
     rig.wait(ms(1));
-    rig.router.probeEnded(rig.now, rig.server(0).id, Outcome.TIMED_OUT, null);
+    rig.router.probeEnded(rig.now, rig.server(0).id, AttemptOutcome.TIMED_OUT, null);
     assertEquals(1, rig.rpcs.get(rig.arrive(Need.WRITE, 0, Duration.ZERO)).sent);
-    rig.router.probeEnded(rig.now, rig.server(0).id, Outcome.TIMED_OUT, null);
+    rig.router.probeEnded(rig.now, rig.server(0).id, AttemptOutcome.TIMED_OUT, null);
     assertEquals(0, rig.rpcs.get(rig.arrive(Need.WRITE, 0, Duration.ZERO)).sent);
   }
 
@@ -673,13 +684,13 @@
    */
   @Test
   void whoAnswersOnWhatWasOpenBeforeIsNoColder() {
-    Rig rig = Rig.settled();
-    Rig.Sent before = rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO));
+    RouterHarness rig = RouterHarness.settled();
+    RouterHarness.Sent before = rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO));
     rig.wait(ms(1));
-    rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), Outcome.NO_ROUTE);
+    rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), AttemptOutcome.NO_ROUTE);
     assertTrue(isCold(rig, 0));
     rig.wait(ms(31));
-    rig.end(before, Outcome.OK);
+    rig.end(before, AttemptOutcome.OK);
     assertFalse(isCold(rig, 0));
     assertFalse(rig.router.inWords(rig.now).contains("doubted"));
   }
@@ -690,43 +701,43 @@
    */
   @Test
   void whatAServerSaidBeforeItsEndDoesNotProveThatItLives() {
-    Rig rig = Rig.settled();
-    Rig.Sent before = rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO));
+    RouterHarness rig = RouterHarness.settled();
+    RouterHarness.Sent before = rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO));
     rig.wait(ms(1));
-    rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), Outcome.NO_ROUTE);
+    rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), AttemptOutcome.NO_ROUTE);
     rig.wait(ms(5));
-    rig.end(before, Outcome.OK);
+    rig.end(before, AttemptOutcome.OK);
     assertTrue(isCold(rig, 0));
   }
 
   /** The other way: a process that nobody saw start again is spared, though it answers. */
   @Test
   void whoAnswersOnNewConnectionsAloneMayHaveStartedAgain() {
-    Rig rig = Rig.settled();
+    RouterHarness rig = RouterHarness.settled();
     Duration before = rig.now;
     rig.wait(ms(1));
-    rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), Outcome.NO_ROUTE);
+    rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), AttemptOutcome.NO_ROUTE);
     rig.wait(ms(400));
-    rig.router.probeEnded(rig.now, rig.server(0).id, Outcome.OK, rig.now);
+    rig.router.probeEnded(rig.now, rig.server(0).id, AttemptOutcome.OK, rig.now);
     assertTrue(isCold(rig, 0));
-    rig.router.probeEnded(rig.now, rig.server(0).id, Outcome.OK, before);
+    rig.router.probeEnded(rig.now, rig.server(0).id, AttemptOutcome.OK, before);
     assertFalse(isCold(rig, 0));
     rig.server(0).start = rig.now;
     rig.list();
-    rig.router.probeEnded(rig.now, rig.server(0).id, Outcome.OK, before);
+    rig.router.probeEnded(rig.now, rig.server(0).id, AttemptOutcome.OK, before);
     assertTrue(isCold(rig, 0), "a start that is listed is one");
   }
 
   @Test
-  void aKeptConnectionThatEndsSaysNothingOfItsServer() {
-    Rig rig = Rig.settled();
+  void keptConnectionThatEndsSaysNothingOfItsServer() {
+    RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 6; k++) {
       String write = rig.arrive(Need.WRITE, 0, Duration.ZERO);
-      rig.end(rig.only(write), Outcome.KEPT_CUT);
+      rig.end(rig.only(write), AttemptOutcome.KEPT_CUT);
       assertEquals("aborted", rig.rpcs.get(write).answer, "it may have run");
     }
     rig.probes.clear();
-    rig.router.probeEnded(rig.now, rig.server(0).id, Outcome.KEPT_CUT, null);
+    rig.router.probeEnded(rig.now, rig.server(0).id, AttemptOutcome.KEPT_CUT, null);
     assertEquals(List.of(rig.server(0).id), rig.probes, "asked again on another connection");
     assertFalse(rig.router.inWords(rig.now).contains("doubted") || isCold(rig, 0));
   }
@@ -737,10 +748,10 @@
    */
   @Test
   void whoTakesNothingIsSetAsideButNoColder() {
-    Rig rig = Rig.settled();
+    RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 2; k++) {
       assertFalse(rig.router.inWords(rig.now).contains("doubted"));
-      rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), Outcome.NOT_TAKEN);
+      rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), AttemptOutcome.NOT_TAKEN);
     }
     assertTrue(rig.router.inWords(rig.now).contains("doubted"));
     assertFalse(isCold(rig, 0));
@@ -755,7 +766,9 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
   void tellsALostProcessFromALostConnection(long seed) {
     SplittableRandom dice = new SplittableRandom(seed);
-    Rig rig = Rig.settled(Rig.terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false), seed);
+    RouterHarness rig =
+        RouterHarness.settled(
+            RouterHarness.terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false), seed);
     Duration[] down = new Duration[3];
     Duration[] started = {Duration.ZERO, Duration.ZERO, Duration.ZERO};
     boolean[] noticed = new boolean[3];
@@ -766,9 +779,9 @@
       if (dice.nextInt(600) == 0 && down[victim] == null) {
         down[victim] = rig.now;
         noticed[victim] = false;
-        for (Rig.Sent sent : List.copyOf(rig.out)) {
+        for (RouterHarness.Sent sent : List.copyOf(rig.out)) {
           if (sent.server() == rig.server(victim)) {
-            rig.end(sent, Outcome.CUT);
+            rig.end(sent, AttemptOutcome.CUT);
           }
         }
       }
@@ -779,17 +792,17 @@
         }
       }
       rig.arrive(dice.nextInt(3) == 0 ? Need.FRESH : Need.ANY, 0, Duration.ZERO);
-      for (Rig.Sent sent : List.copyOf(rig.out)) {
+      for (RouterHarness.Sent sent : List.copyOf(rig.out)) {
         int k = rig.server(0) == sent.server() ? 0 : rig.server(1) == sent.server() ? 1 : 2;
         if (down[k] != null) {
           noticed[k] = true;
-          rig.end(sent, Outcome.NO_ROUTE);
+          rig.end(sent, AttemptOutcome.NO_ROUTE);
         } else if (sent.at().equals(rig.now) && dice.nextInt(50) == 0) {
-          rig.end(sent, dice.nextBoolean() ? Outcome.NO_ROUTE : Outcome.KEPT_CUT);
+          rig.end(sent, dice.nextBoolean() ? AttemptOutcome.NO_ROUTE : AttemptOutcome.KEPT_CUT);
         } else if (sent.at().plus(ms(5 + dice.nextInt(40))).compareTo(rig.now) <= 0) {
           // Over a connection that may have been open for long, but for no longer than its process.
           Duration open = rig.now.minus(ms(dice.nextInt(1500)));
-          rig.end(sent, Outcome.OK, open.compareTo(started[k]) < 0 ? started[k] : open);
+          rig.end(sent, AttemptOutcome.OK, open.compareTo(started[k]) < 0 ? started[k] : open);
         }
       }
       for (ServerId id : List.copyOf(rig.probes)) {
@@ -798,7 +811,7 @@
         rig.router.probeEnded(
             rig.now,
             id,
-            down[k] == null ? Outcome.OK : Outcome.TIMED_OUT,
+            down[k] == null ? AttemptOutcome.OK : AttemptOutcome.TIMED_OUT,
             down[k] == null ? rig.now : null);
       }
       rig.probes.clear();
@@ -816,7 +829,7 @@
     assertTrue(wronged < live / 3, "taken for cold " + wronged + " of " + live);
   }
 
-  private static boolean isCold(Rig rig, int server) {
+  private static boolean isCold(RouterHarness rig, int server) {
     return rig.router.inWords(rig.now).matches("(?s).*\\bs" + server + " [^,]* cold.*");
   }
 
@@ -825,30 +838,32 @@
    */
   @Test
   void whatAPeerFoundGoneIsThinnedHere() {
-    Rig rig = Rig.settled(Rig.fleet(200, true));
-    rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), Outcome.NO_ROUTE);
+    RouterHarness rig = RouterHarness.settled(RouterHarness.fleet(200, true));
+    rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), AttemptOutcome.NO_ROUTE);
     assertEquals(List.of(rig.server(0).id), rig.tells);
     rig.router.peerTold(rig.now, new ServerId("nobody"));
-    Rig peer = Rig.settled(Rig.fleet(200, true));
+    RouterHarness peer = RouterHarness.settled(RouterHarness.fleet(200, true));
     peer.router.peerTold(peer.now, peer.server(0).id);
     for (int k = 0; k < 100; k++) {
       peer.arrive(Need.WRITE, 0, Duration.ZERO);
       peer.wait(ms(1));
-      List.copyOf(peer.out).forEach(s -> peer.end(s, Outcome.OK));
+      List.copyOf(peer.out).forEach(s -> peer.end(s, AttemptOutcome.OK));
     }
     assertTrue(peer.rpcs.values().stream().filter(e -> e.sent > 0).count() < 20);
   }
 
   /** Against many gateways that all look for a primary together. */
   @Test
-  void thePrimaryIsSoughtEverMoreRarely() {
-    Rig rig = Rig.settled();
+  void primaryIsSoughtEverMoreRarely() {
+    RouterHarness rig = RouterHarness.settled();
     rig.router.reported(rig.now, rig.server(0).id, rig.now, false);
     rig.probes.clear();
     for (int k = 0; k < 100; k++) {
       rig.arrive(Need.FRESH, 0, Duration.ZERO);
       rig.wait(ms(50));
-      rig.servers.values().forEach(s -> rig.router.probeEnded(rig.now, s.id, Outcome.OK, null));
+      rig.servers
+          .values()
+          .forEach(s -> rig.router.probeEnded(rig.now, s.id, AttemptOutcome.OK, null));
     }
     assertTrue(rig.probes.size() <= 21 && rig.probes.size() >= 6, "in 5 s: " + rig.probes.size());
   }
@@ -859,11 +874,11 @@
    */
   @Test
   void whoIsOverdueIsAskedEverMoreRarely() {
-    Rig rig = Rig.settled();
+    RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 30; k++) {
       String write = rig.arrive(Need.WRITE, 0, Duration.ZERO);
       rig.wait(ms(10));
-      rig.end(rig.only(write), Outcome.OK);
+      rig.end(rig.only(write), AttemptOutcome.OK);
     }
     rig.probes.clear();
     rig.arrive(Need.WRITE, 0, Duration.ZERO);
@@ -871,7 +886,7 @@
     for (int k = 0; k < 70; k++) {
       rig.wait(ms(20));
       asked += rig.probes.size();
-      rig.probes.forEach(s -> rig.router.probeEnded(rig.now, s, Outcome.OK, null));
+      rig.probes.forEach(s -> rig.router.probeEnded(rig.now, s, AttemptOutcome.OK, null));
       rig.probes.clear();
     }
     assertTrue(asked >= 2 && asked <= 5, "asked in 1.4 s: " + asked);
@@ -882,11 +897,11 @@
    * jam.
    */
   @Test
-  void theFirstWindowIsSharedByTheFleet() {
+  void firstWindowIsSharedByTheFleet() {
     int gateways = 80;
     int sent = 0;
     for (int g = 0; g < gateways; g++) {
-      Rig rig = Rig.settled(Rig.fleet(gateways, true), g);
+      RouterHarness rig = RouterHarness.settled(RouterHarness.fleet(gateways, true), g);
       for (int k = 0; k < 60; k++) {
         rig.arrive(Need.WRITE, 0, Duration.ZERO);
         rig.wait(ms(50));
@@ -904,15 +919,15 @@
    */
   @Test
   void oneSlowAnswerDoesNotMakeAllHopeless() {
-    Rig rig = Rig.settled();
+    RouterHarness rig = RouterHarness.settled();
     String slow = rig.arrive(Need.FRESH, 0, Duration.ZERO);
     rig.wait(ms(350));
-    rig.end(rig.only(slow), Outcome.OK);
+    rig.end(rig.only(slow), AttemptOutcome.OK);
     assertNull(heldFor(rig, ms(60)), "given up by one answer");
     for (int k = 0; k < 8; k++) {
       String quick = rig.arrive(Need.FRESH, 0, Duration.ZERO);
       rig.wait(ms(60));
-      rig.end(rig.only(quick), Outcome.OK);
+      rig.end(rig.only(quick), AttemptOutcome.OK);
     }
     assertNull(
         heldFor(rig, ms(60)), "the first answer counts for more than the eight that followed");
@@ -922,13 +937,13 @@
    * What a read had for an answer that only the primary may serve, while that drains; then it is
    * back.
    */
-  private static String heldFor(Rig rig, Duration span) {
-    rig.server(0).told = Condition.DRAINING;
+  private static String heldFor(RouterHarness rig, Duration span) {
+    rig.server(0).told = EndpointStatus.DRAINING;
     rig.list();
-    Rig.Entry entry = rig.rpcs.get(rig.arrive(Need.FRESH, 0, Duration.ZERO));
+    RouterHarness.Entry entry = rig.rpcs.get(rig.arrive(Need.FRESH, 0, Duration.ZERO));
     rig.wait(span);
     String answer = entry.answer;
-    rig.server(0).told = Condition.ON;
+    rig.server(0).told = EndpointStatus.ON;
     rig.server(0).start = rig.now.minus(ms(20_000));
     rig.list();
     rig.serve(ms(0));
@@ -940,16 +955,16 @@
    * time to spare.
    */
   @Test
-  void anAnswerAtEaseEarnsAShortRest() {
-    Rig rig = Rig.settled(Rig.fleet(80, true));
+  void answerAtEaseEarnsAShortRest() {
+    RouterHarness rig = RouterHarness.settled(RouterHarness.fleet(80, true));
     String first = rig.arrive(Need.WRITE, 0, Duration.ZERO);
     rig.wait(ms(40));
-    rig.end(rig.only(first), Outcome.OK);
+    rig.end(rig.only(first), AttemptOutcome.OK);
     String second = rig.arrive(Need.WRITE, 0, Duration.ZERO);
     rig.wait(ms(150));
     assertEquals(1, rig.rpcs.get(second).sent, "a tenth of its soft deadline was taken");
     rig.wait(ms(230));
-    rig.end(rig.only(second), Outcome.OK);
+    rig.end(rig.only(second), AttemptOutcome.OK);
     String third = rig.arrive(Need.WRITE, 0, Duration.ZERO);
     rig.wait(ms(500));
     assertEquals(0, rig.rpcs.get(third).sent, "nine tenths were taken");
@@ -958,7 +973,7 @@
   /** Clients that leave before their time: what took longer than they stayed narrows the window. */
   @Test
   void clientsThatLeaveNarrowTheWindow() {
-    Rig rig = Rig.settled();
+    RouterHarness rig = RouterHarness.settled();
     List<String> reads = new ArrayList<>();
     for (int k = 0; k < 400; k++) {
       reads.add(rig.arrive(Need.FRESH, 0, Duration.ZERO));
@@ -971,27 +986,30 @@
   /** Held on to past half their time, few went out and the rest had no time left to come back. */
   @Test
   void whatWasNeverSentIsPushedBackBeforeHalfItsTime() {
-    Rig rig = Rig.settled();
-    rig.server(0).told = Condition.DRAINING;
+    RouterHarness rig = RouterHarness.settled();
+    rig.server(0).told = EndpointStatus.DRAINING;
     rig.list();
     String write = rig.arrive(Need.WRITE, 0, Duration.ZERO);
-    rig.wait(Rig.DEADLINE.dividedBy(2));
-    Rig.Entry entry = rig.rpcs.get(write);
+    rig.wait(RouterHarness.DEADLINE.dividedBy(2));
+    RouterHarness.Entry entry = rig.rpcs.get(write);
     assertEquals("pushed back", entry.answer);
     assertTrue(
-        entry.answeredAt.minus(entry.arrived).compareTo(Rig.DEADLINE.dividedBy(3)) > 0, "too soon");
+        entry.answeredAt.minus(entry.arrived).compareTo(RouterHarness.DEADLINE.dividedBy(3)) > 0,
+        "too soon");
     // What has been out has had its chance taken, and is not cut short.
-    rig.server(0).told = Condition.ON;
+    rig.server(0).told = EndpointStatus.ON;
     rig.server(0).start = rig.now.minus(ms(20_000));
     rig.list();
     String sent = rig.arrive(Need.WRITE, 0, Duration.ZERO);
-    rig.wait(Rig.DEADLINE.dividedBy(2).plus(ms(1)));
+    rig.wait(RouterHarness.DEADLINE.dividedBy(2).plus(ms(1)));
     assertNull(rig.rpcs.get(sent).answer);
   }
 
   @Test
-  void aFailedListCallIsAskedAgainWithoutFlooding() {
-    Rig rig = new Rig(Rig.terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, true), 1);
+  void failedListCallIsAskedAgainWithoutFlooding() {
+    RouterHarness rig =
+        new RouterHarness(
+            RouterHarness.terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, true), 1);
     assertEquals(1, rig.watches);
     for (int k = 0; k < 8; k++) {
       rig.router.listFailed(rig.now);
@@ -1000,8 +1018,8 @@
     assertEquals(9, rig.watches);
   }
 
-  private static Rig.Sent first(Rig rig, String rpc) {
-    List<Rig.Sent> sent = rig.rpcs.get(rpc).out;
+  private static RouterHarness.Sent first(RouterHarness rig, String rpc) {
+    List<RouterHarness.Sent> sent = rig.rpcs.get(rpc).out;
     return sent.isEmpty() ? null : sent.get(0);
   }
 }
--- a/gateway/src/test/java/weldcross/storage/LogKeeperTest.java
+++ b/gateway/src/test/java/weldcross/storage/AsyncRecordLogTest.java
@@ -17,14 +17,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 @Timeout(60)
-class LogKeeperTest {
+class AsyncRecordLogTest {
 
   private final LinkedBlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
   private final List<String> told = new ArrayList<>();
   @TempDir private Path folder;
 
-  private final LogKeeper.Opened opened =
-      new LogKeeper.Opened() {
+  private final AsyncRecordLog.Opened opened =
+      new AsyncRecordLog.Opened() {
         @Override
         public void snapshot(long upTo, ByteBuffer content) {
           told.add("snapshot " + upTo);
@@ -46,8 +46,8 @@
         }
       };
 
-  private LogKeeper.Told note(String what) {
-    return new LogKeeper.Told() {
+  private AsyncRecordLog.Told note(String what) {
+    return new AsyncRecordLog.Told() {
       @Override
       public void sure(long number) {
         told.add(what + " sure " + number);
@@ -74,7 +74,7 @@
 
   @Test
   void whatIsToldAsSureIsThereInTheNextLife() throws Exception {
-    LogKeeper keeper = new LogKeeper(folder.resolve("a"), 100, 50, posted::add);
+    AsyncRecordLog keeper = new AsyncRecordLog(folder.resolve("a"), 100, 50, posted::add);
     keeper.open(opened);
     for (int k = 1; k <= 3; k++) {
       assertTrue(keeper.append(one(k), note("r" + k)));
@@ -85,7 +85,7 @@
     assertEquals(List.of("opened 0", "r1 sure 1", "r2 sure 2", "r3 sure 3", "s sure 2"), told);
     assertEquals(0, keeper.waiting());
     told.clear();
-    LogKeeper second = new LogKeeper(folder.resolve("a"), 100, 50, posted::add);
+    AsyncRecordLog second = new AsyncRecordLog(folder.resolve("a"), 100, 50, posted::add);
     second.open(opened);
     await(1);
     assertEquals(List.of("failed DirectoryInUse"), told);
@@ -99,12 +99,12 @@
   /** The thread that asks never waits, and what cannot be taken is told at once. */
   @Test
   void withoutALogRecordsAreLostAndWithTooManyNotTaken() throws Exception {
-    LogKeeper keeper = new LogKeeper(folder.resolve("b"), 100, 2, posted::add);
+    AsyncRecordLog keeper = new AsyncRecordLog(folder.resolve("b"), 100, 2, posted::add);
     assertTrue(keeper.append(one(1), note("early")));
     await(1);
     assertEquals(List.of("early lost"), told);
-    LogKeeper held =
-        new LogKeeper(
+    AsyncRecordLog held =
+        new AsyncRecordLog(
             folder.resolve("c"),
             100,
             2,
--- a/gateway/src/test/java/weldcross/storage/FaultyDisk.java
+++ b/gateway/src/test/java/weldcross/storage/FaultyStorageDirectory.java
@@ -12,7 +12,7 @@
  * A directory in memory that knows what is sure and what is not, and can fail or lie in each way
  * that disks do.
  */
-public class FaultyDisk implements Disk {
+public class FaultyStorageDirectory implements StorageDirectory {
 
   private static final int SECTOR = 64;
 
@@ -43,7 +43,7 @@
   public int failsAfter = Integer.MAX_VALUE;
   int forces;
 
-  public FaultyDisk(long seed) {
+  public FaultyStorageDirectory(long seed) {
     dice = new SplittableRandom(seed);
   }
 
@@ -94,8 +94,8 @@
     sure = new TreeMap<>();
   }
 
-  FaultyDisk copy() {
-    FaultyDisk copy = new FaultyDisk(1);
+  FaultyStorageDirectory copy() {
+    FaultyStorageDirectory copy = new FaultyStorageDirectory(1);
     seen.forEach((name, content) -> copy.set(name, content.seen));
     return copy;
   }
