--- a/gateway/src/test/java/weldcross/storage/RecordLogTest.java
+++ b/gateway/src/test/java/weldcross/storage/RecordLogTest.java
@@ -57,7 +57,7 @@
     log.commit();
   }
 
-  private static RecordLog open(Disk disk, Kept kept) throws IOException {
+  private static RecordLog open(StorageDirectory disk, Kept kept) throws IOException {
     return RecordLog.open(disk, SEGMENT, kept);
   }
 
@@ -68,7 +68,7 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
   void whatWasSureIsKeptThroughRandomLives(long seed) throws IOException {
     SplittableRandom dice = new SplittableRandom(seed);
-    FaultyDisk disk = new FaultyDisk(seed);
+    FaultyStorageDirectory disk = new FaultyStorageDirectory(seed);
     long sure = 0;
     long added = 0;
     int crashes = 0;
@@ -125,8 +125,8 @@
 
   /** A process that ends at any byte of its last write. */
   @Test
-  void aLogThatEndsAtAnyByteIsReadUpToItsLastWholeFrame() throws IOException {
-    FaultyDisk disk = new FaultyDisk(1);
+  void logThatEndsAtAnyByteIsReadUpToItsLastWholeFrame() throws IOException {
+    FaultyStorageDirectory disk = new FaultyStorageDirectory(1);
     RecordLog log = RecordLog.open(disk, 10 * SEGMENT, new Kept());
     List<Integer> ends = new ArrayList<>(List.of(bytesOf(disk).length));
     for (int k = 0; k < 4; k++) {
@@ -135,7 +135,7 @@
     }
     byte[] whole = bytesOf(disk);
     for (int length = 0; length <= whole.length; length++) {
-      FaultyDisk cut = disk.copy();
+      FaultyStorageDirectory cut = disk.copy();
       cut.set(cut.names().last(), Arrays.copyOf(whole, length));
       Kept kept = new Kept();
       int upTo = length;
@@ -152,8 +152,8 @@
    * another content.
    */
   @Test
-  void aWrongByteIsToldOrWasTheEndAndIsNeverReadAsARecord() throws IOException {
-    FaultyDisk disk = new FaultyDisk(1);
+  void wrongByteIsToldOrWasTheEndAndIsNeverReadAsARecord() throws IOException {
+    FaultyStorageDirectory disk = new FaultyStorageDirectory(1);
     RecordLog log = open(disk, new Kept());
     List<Integer> ends = new ArrayList<>();
     for (int k = 0; k < 3; k++) {
@@ -163,7 +163,7 @@
     byte[] whole = bytesOf(disk);
     int told = 0;
     for (int at = 0; at < whole.length; at++) {
-      FaultyDisk wrong = disk.copy();
+      FaultyStorageDirectory wrong = disk.copy();
       byte[] bytes = whole.clone();
       bytes[at] ^= 0x10;
       wrong.set(wrong.names().last(), bytes);
@@ -181,8 +181,8 @@
   }
 
   @Test
-  void aSegmentThatIsMissingOrCutIsDamage() throws IOException {
-    FaultyDisk disk = new FaultyDisk(1);
+  void segmentThatIsMissingOrCutIsDamage() throws IOException {
+    FaultyStorageDirectory disk = new FaultyStorageDirectory(1);
     RecordLog log = open(disk, new Kept());
     for (int k = 0; k < 30; k++) {
       commit(log, 2);
@@ -190,10 +190,10 @@
     List<String> names = List.copyOf(disk.names());
     assertTrue(names.size() > 4);
     for (String name : names.subList(0, names.size() - 1)) {
-      FaultyDisk missing = disk.copy();
+      FaultyStorageDirectory missing = disk.copy();
       missing.delete(name);
       assertThrows(RecordLog.Damaged.class, () -> open(missing, new Kept()), name);
-      FaultyDisk cut = disk.copy();
+      FaultyStorageDirectory cut = disk.copy();
       cut.set(name, Arrays.copyOf(disk.bytes(name), disk.bytes(name).length - 1));
       assertThrows(RecordLog.Damaged.class, () -> open(cut, new Kept()), name);
     }
@@ -202,8 +202,8 @@
   /** A disk that says yes and loses it: a hole in what is kept is told, whatever is lost. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void aForceThatLiesLosesTheEndOrIsTold(long seed) throws IOException {
-    FaultyDisk disk = new FaultyDisk(seed);
+  void forceThatLiesLosesTheEndOrIsTold(long seed) throws IOException {
+    FaultyStorageDirectory disk = new FaultyStorageDirectory(seed);
     RecordLog log = open(disk, new Kept());
     for (int k = 0; k < 20; k++) {
       commit(log, 2);
@@ -228,8 +228,8 @@
    * A bit that is wrong only while it is read: told, and nothing is written by what was read so.
    */
   @Test
-  void aReadThatFlipsABitIsToldAndChangesNothing() throws IOException {
-    FaultyDisk disk = new FaultyDisk(5);
+  void readThatFlipsABitIsToldAndChangesNothing() throws IOException {
+    FaultyStorageDirectory disk = new FaultyStorageDirectory(5);
     RecordLog log = open(disk, new Kept());
     commit(log, 5);
     byte[] before = bytesOf(disk);
@@ -244,7 +244,7 @@
 
   @Test
   void afterAFailedForceNothingMoreIsTaken() throws IOException {
-    FaultyDisk disk = new FaultyDisk(1);
+    FaultyStorageDirectory disk = new FaultyStorageDirectory(1);
     RecordLog log = open(disk, new Kept());
     commit(log, 2);
     disk.forceFails = true;
@@ -258,8 +258,8 @@
   }
 
   @Test
-  void aFullDiskTakesNothingAndGoesOnOnceThereIsRoom() throws IOException {
-    FaultyDisk disk = new FaultyDisk(1);
+  void fullDiskTakesNothingAndGoesOnOnceThereIsRoom() throws IOException {
+    FaultyStorageDirectory disk = new FaultyStorageDirectory(1);
     RecordLog log = open(disk, new Kept());
     commit(log, 2);
     disk.room = 10;
@@ -270,8 +270,8 @@
   }
 
   @Test
-  void aSnapshotStandsForWhatItTook() throws IOException {
-    FaultyDisk disk = new FaultyDisk(1);
+  void snapshotStandsForWhatItTook() throws IOException {
+    FaultyStorageDirectory disk = new FaultyStorageDirectory(1);
     RecordLog log = open(disk, new Kept());
     for (int k = 0; k < 30; k++) {
       commit(log, 2);
@@ -289,8 +289,8 @@
    * The records it stands for are gone, so a snapshot that cannot be read may not be passed over.
    */
   @Test
-  void aWrongByteInASnapshotIsDamage() throws IOException {
-    FaultyDisk disk = new FaultyDisk(1);
+  void wrongByteInASnapshotIsDamage() throws IOException {
+    FaultyStorageDirectory disk = new FaultyStorageDirectory(1);
     RecordLog log = open(disk, new Kept());
     commit(log, 3);
     log.snapshot(2, ByteBuffer.allocate(8).putLong(2).flip());
@@ -299,10 +299,10 @@
     for (int at = 0; at < whole.length; at++) {
       byte[] bytes = whole.clone();
       bytes[at] ^= 0x10;
-      FaultyDisk wrong = disk.copy();
+      FaultyStorageDirectory wrong = disk.copy();
       wrong.set(name, bytes);
       assertThrows(RecordLog.Damaged.class, () -> open(wrong, new Kept()));
-      FaultyDisk cut = disk.copy();
+      FaultyStorageDirectory cut = disk.copy();
       cut.set(name, Arrays.copyOf(whole, at));
       assertThrows(RecordLog.Damaged.class, () -> open(cut, new Kept()));
     }
@@ -314,10 +314,10 @@
    * new.
    */
   @Test
-  void aDiskThatFailsInTheMidstOfASnapshotLosesNothing() throws IOException {
+  void diskThatFailsInTheMidstOfASnapshotLosesNothing() throws IOException {
     int steps = 0;
     for (boolean failed = true; failed; steps++) {
-      FaultyDisk disk = new FaultyDisk(steps);
+      FaultyStorageDirectory disk = new FaultyStorageDirectory(steps);
       RecordLog log = open(disk, new Kept());
       for (int k = 0; k < 30; k++) {
         commit(log, 2);
@@ -341,8 +341,8 @@
 
   /** Nothing is taken, and what is there stays as it is. */
   @Test
-  void aDirectoryThatMayOnlyBeReadIsTold() throws IOException {
-    FaultyDisk disk = new FaultyDisk(1);
+  void directoryThatMayOnlyBeReadIsTold() throws IOException {
+    FaultyStorageDirectory disk = new FaultyStorageDirectory(1);
     RecordLog log = open(disk, new Kept());
     commit(log, 4);
     disk.readOnly = true;
@@ -353,7 +353,7 @@
         IOException.class,
         () ->
             open(
-                new FaultyDisk(2) {
+                new FaultyStorageDirectory(2) {
                   {
                     readOnly = true;
                   }
@@ -364,10 +364,11 @@
   }
 
   @Test
-  void aDirectoryBelongsToOneAtATime(@TempDir Path directory) throws IOException {
-    try (Disk disk = PlainDisk.at(directory.resolve("a").resolve("b"))) {
+  void directoryBelongsToOneAtATime(@TempDir Path directory) throws IOException {
+    try (StorageDirectory disk = FileStorageDirectory.at(directory.resolve("a").resolve("b"))) {
       assertThrows(
-          Disk.DirectoryInUse.class, () -> PlainDisk.at(directory.resolve("a").resolve("b")));
+          StorageDirectory.DirectoryInUse.class,
+          () -> FileStorageDirectory.at(directory.resolve("a").resolve("b")));
       try (RecordLog log = open(disk, new Kept())) {
         for (int k = 0; k < 40; k++) {
           commit(log, 3);
@@ -375,16 +376,16 @@
         log.snapshot(100, ByteBuffer.allocate(8).putLong(100).flip());
       }
     }
-    try (Disk disk = PlainDisk.at(directory.resolve("a").resolve("b"))) {
+    try (StorageDirectory disk = FileStorageDirectory.at(directory.resolve("a").resolve("b"))) {
       assertEquals(120, reopened(disk).last);
     }
   }
 
-  private static byte[] bytesOf(FaultyDisk disk) {
+  private static byte[] bytesOf(FaultyStorageDirectory disk) {
     return disk.bytes(disk.names().last());
   }
 
-  private static Kept reopened(Disk disk) throws IOException {
+  private static Kept reopened(StorageDirectory disk) throws IOException {
     Kept kept = new Kept();
     open(disk, kept).close();
     return kept;
