--- a/benchmarks/src/main/java/weldcross/benchmarks/MeshMeasurements.java
+++ b/benchmarks/src/main/java/weldcross/benchmarks/MeshMeasurements.java
@@ -96,7 +96,7 @@
     public void changed() {}
 
     @Override
-    public void shareIs(double share) {}
+    public void setQuota(double share) {}
 
     void run() {
       try {
--- a/chaos/src/main/java/weldcross/chaos/ChaosRun.java
+++ b/chaos/src/main/java/weldcross/chaos/ChaosRun.java
@@ -172,7 +172,7 @@
       synchronized (troubles) {
         // Until it is healed, without an end.
         troubles.add(
-            new History.Trouble(from, Long.MAX_VALUE / 2, havoc.excused(fault), fault.inWords()));
+            new History.Trouble(from, Long.MAX_VALUE / 2, havoc.excused(fault), fault.describe()));
       }
       return;
     }
@@ -191,7 +191,7 @@
                             + " ready again at "
                             + (ground.clock().nanos() - zero) / 1_000_000
                             + " ms after "
-                            + fault.inWords());
+                            + fault.describe());
                   }
                 }
                 healed(fault, havoc, ground.clock().nanos() - zero);
@@ -205,7 +205,7 @@
     synchronized (troubles) {
       for (int k = 0; k < troubles.size(); k++) {
         History.Trouble t = troubles.get(k);
-        if (t.until() == Long.MAX_VALUE / 2 && t.what().equals(fault.inWords())) {
+        if (t.until() == Long.MAX_VALUE / 2 && t.what().equals(fault.describe())) {
           troubles.set(
               k,
               new History.Trouble(
--- a/chaos/src/main/java/weldcross/chaos/Main.java
+++ b/chaos/src/main/java/weldcross/chaos/Main.java
@@ -132,7 +132,7 @@
         trial = ChaosRun.play(scenario, next, directory, bar::stepTo);
       }
       Report.keep(trial, directory);
-      told.println(new LatencyStatistics(trial).inWords());
+      told.println(new LatencyStatistics(trial).describe());
       trial.ready().forEach(told::println);
       tell(trial, directory, told);
       told.println("report: " + Report.write(trial, directory));
@@ -212,7 +212,7 @@
               HistoryChecker.of(kept.evidence()),
               kept.ready(),
               kept.where());
-      spec.commandLine().getOut().println(new LatencyStatistics(trial).inWords());
+      spec.commandLine().getOut().println(new LatencyStatistics(trial).describe());
       tell(trial, directory, spec.commandLine().getOut());
       spec.commandLine().getOut().println("report: " + Report.write(trial, directory));
       return trial.isClean() ? CLEAN : BREACH;
--- a/chaos/src/main/java/weldcross/chaos/agent/LyingStorageDirectory.java
+++ b/chaos/src/main/java/weldcross/chaos/agent/LyingStorageDirectory.java
@@ -55,7 +55,7 @@
 
   private final StorageDirectory real;
   private final Path words;
-  private final SplittableRandom dice = new SplittableRandom(7);
+  private final SplittableRandom random = new SplittableRandom(7);
 
   /** Names as this process sees them, each with the file that holds it. */
   private final Map<String, Kept> seen = new HashMap<>();
@@ -231,8 +231,8 @@
       int from = into.position();
       into.put(kept.now, (int) at, count);
       if (count > 0 && told().contains("flip")) {
-        int where = from + dice.nextInt(count);
-        into.put(where, (byte) (into.get(where) ^ 1 << dice.nextInt(8)));
+        int where = from + random.nextInt(count);
+        into.put(where, (byte) (into.get(where) ^ 1 << random.nextInt(8)));
       }
     }
 
--- a/chaos/src/main/java/weldcross/chaos/load/LoadGenerator.java
+++ b/chaos/src/main/java/weldcross/chaos/load/LoadGenerator.java
@@ -89,7 +89,7 @@
   private final List<InetSocketAddress> gateways;
   private final int groups;
   private final LongSupplier clock;
-  private final SplittableRandom dice;
+  private final SplittableRandom random;
   private final String mark;
   private final Map<Integer, ArrayDeque<Line>> idle = new HashMap<>();
   private final ArrayDeque<Session> atRest = new ArrayDeque<>();
@@ -120,7 +120,7 @@
     this.gateways = gateways;
     this.groups = groups;
     this.clock = clock;
-    this.dice = new SplittableRandom(seed);
+    this.random = new SplittableRandom(seed);
     this.mark = String.format("%08x", (int) seed);
   }
 
@@ -196,7 +196,7 @@
       method = draw();
       rpc = nextId();
       // A session looks up its own; browsing goes over what all wrote.
-      key = method == Method.BROWSE ? keys.get(dice.nextInt(keys.size())) : session.key;
+      key = method == Method.BROWSE ? keys.get(random.nextInt(keys.size())) : session.key;
     }
     Session of = session;
     threads.execute(
@@ -229,15 +229,15 @@
     Session session =
         new Session(
             String.format("%s%08x", mark, ++numbers),
-            dice.nextInt(groups),
-            dice.nextInt(gateways.size()),
-            dice.nextInt(MOST_ASKS) + 1);
+            random.nextInt(groups),
+            random.nextInt(gateways.size()),
+            random.nextInt(MOST_ASKS) + 1);
     keys.add(session.key);
     return session;
   }
 
   private Method draw() {
-    int at = dice.nextInt(100);
+    int at = random.nextInt(100);
     for (Method each : Method.values()) {
       at -= each.share;
       if (at < 0) {
@@ -316,7 +316,7 @@
         session.gateway =
             gateways.size() == 1
                 ? 0
-                : (gateway + 1 + dice.nextInt(gateways.size() - 1)) % gateways.size();
+                : (gateway + 1 + random.nextInt(gateways.size() - 1)) % gateways.size();
       }
       asked.add(
           new ClientOperation(
--- a/chaos/src/main/java/weldcross/chaos/proxy/FaultProxy.java
+++ b/chaos/src/main/java/weldcross/chaos/proxy/FaultProxy.java
@@ -126,7 +126,7 @@
                   ? Long.compare(a.due(), b.due())
                   : Long.compare(a.order(), b.order()));
   private final List<DatagramChannel> datagrams = new ArrayList<>();
-  private final SplittableRandom dice;
+  private final SplittableRandom random;
   private final Thread thread;
   private final ByteBuffer buffer = ByteBuffer.allocateDirect(1 << 16);
   private long order;
@@ -139,7 +139,7 @@
    */
   public FaultProxy(InetAddress host, long seed) throws IOException {
     this.host = host;
-    this.dice = new SplittableRandom(seed);
+    this.random = new SplittableRandom(seed);
     thread = new Thread(this::run, "relay");
     thread.setDaemon(true);
     thread.start();
@@ -526,7 +526,7 @@
     } else if (count > 0) {
       ByteBuffer bytes = ByteBuffer.allocate(count).put(buffer.flip()).flip();
       long due = System.nanoTime() + way.delay().toNanos();
-      if (way.lost() > 0 && dice.nextDouble() < way.lost()) {
+      if (way.lost() > 0 && random.nextDouble() < way.lost()) {
         due += AGAIN.toNanos();
       }
       pipe.lastDue = Math.max(due, pipe.lastDue);
@@ -652,14 +652,14 @@
       buffer.flip();
       ByteBuffer bytes = ByteBuffer.allocate(buffer.remaining()).put(buffer).flip();
       NetworkPath way = wayOf(from, to);
-      if (!way.isFree() || (way.lost() > 0 && dice.nextDouble() < way.lost())) {
+      if (!way.isFree() || (way.lost() > 0 && random.nextDouble() < way.lost())) {
         datagramsLost++;
         return;
       }
-      int copies = way.repeated() > 0 && dice.nextDouble() < way.repeated() ? 2 : 1;
+      int copies = way.repeated() > 0 && random.nextDouble() < way.repeated() ? 2 : 1;
       datagramsRepeated += copies - 1;
       long due = System.nanoTime() + way.delay().toNanos();
-      if (way.reordered() > 0 && dice.nextDouble() < way.reordered()) {
+      if (way.reordered() > 0 && random.nextDouble() < way.reordered()) {
         datagramsLate++;
         due += AGAIN.toNanos();
       }
--- a/chaos/src/main/java/weldcross/chaos/report/LatencyStatistics.java
+++ b/chaos/src/main/java/weldcross/chaos/report/LatencyStatistics.java
@@ -163,7 +163,7 @@
   }
 
   /** Lines for a terminal. */
-  public String inWords() {
+  public String describe() {
     StringBuilder words = new StringBuilder(line("all", total));
     gateways.forEach((name, count) -> words.append('\n').append(line(name, count)));
     causes.forEach((cause, count) -> words.append('\n').append(line("near " + cause, count)));
--- a/chaos/src/main/java/weldcross/chaos/scenario/Fault.java
+++ b/chaos/src/main/java/weldcross/chaos/scenario/Fault.java
@@ -99,7 +99,7 @@
         "how = \"" + how + "\"");
   }
 
-  public String inWords() {
+  public String describe() {
     return kind.word()
         + (on.isEmpty() ? "" : " " + on)
         + (to.isEmpty() ? "" : " " + to)
--- a/chaos/src/main/java/weldcross/chaos/scenario/Nemesis.java
+++ b/chaos/src/main/java/weldcross/chaos/scenario/Nemesis.java
@@ -14,12 +14,12 @@
 
   private static final int SHORTEST = 200, LONGEST = 4000;
 
-  private final SplittableRandom dice;
+  private final SplittableRandom random;
   private final Scenario scenario;
 
   public Nemesis(Scenario scenario, long seed) {
     this.scenario = scenario;
-    this.dice = new SplittableRandom(seed);
+    this.random = new SplittableRandom(seed);
   }
 
   /** What is written and what is drawn, in the order of their times. */
@@ -29,9 +29,9 @@
     for (int k = 0; k < scenario.draws() && span > 0; k++) {
       Fault fault =
           draw(
-              scenario.drawn().get(dice.nextInt(scenario.drawn().size())),
-              BEFORE.plusMillis(dice.nextLong(span)),
-              Duration.ofMillis(dice.nextLong(SHORTEST, LONGEST)));
+              scenario.drawn().get(random.nextInt(scenario.drawn().size())),
+              BEFORE.plusMillis(random.nextLong(span)),
+              Duration.ofMillis(random.nextLong(SHORTEST, LONGEST)));
       // One process at a time has one of its troubles: a paused one cannot be told to stop.
       if (all.stream()
           .noneMatch(
@@ -49,8 +49,8 @@
   }
 
   private Fault draw(Fault.Kind kind, Duration at, Duration lasting) {
-    String gateway = "n" + dice.nextInt(scenario.gateways());
-    String server = "s" + dice.nextInt(scenario.groups() * scenario.serversPerGroup());
+    String gateway = "n" + random.nextInt(scenario.gateways());
+    String server = "s" + random.nextInt(scenario.groups() * scenario.serversPerGroup());
     return switch (kind) {
       case KILL ->
           new Fault(
@@ -59,10 +59,10 @@
               kind,
               gateway,
               "",
-              List.of("old", "empty", "earlier").get(dice.nextInt(3)));
+              List.of("old", "empty", "earlier").get(random.nextInt(3)));
       case TERM, PAUSE -> new Fault(at, lasting, kind, gateway, "", "");
       case CLOCK ->
-          new Fault(at, lasting, kind, gateway, "", dice.nextBoolean() ? "5000" : "-5000");
+          new Fault(at, lasting, kind, gateway, "", random.nextBoolean() ? "5000" : "-5000");
       case DISK ->
           new Fault(
               at,
@@ -70,10 +70,10 @@
               kind,
               gateway,
               "",
-              List.of("lie", "fail", "full", "slow=500", "stuck").get(dice.nextInt(5)));
+              List.of("lie", "fail", "full", "slow=500", "stuck").get(random.nextInt(5)));
       case SPLIT -> new Fault(at, lasting, kind, "", "", sides());
       case LAG ->
-          new Fault(at, lasting, kind, server, "", Integer.toString(dice.nextInt(500, 3000)));
+          new Fault(at, lasting, kind, server, "", Integer.toString(random.nextInt(500, 3000)));
       case SERVER_KILL, SERVER_STALL, ANSWERS_LOST -> new Fault(at, lasting, kind, server, "", "");
       default -> between(kind, at, lasting, gateway, server);
     };
@@ -82,21 +82,21 @@
   private Fault between(
       Fault.Kind kind, Duration at, Duration lasting, String gateway, String server) {
     String to =
-        switch (dice.nextInt(4)) {
+        switch (random.nextInt(4)) {
           case 0 -> "clients";
           case 1 -> other(gateway);
           default -> server;
         };
     String how =
         kind == Fault.Kind.DELAY
-            ? Integer.toString(dice.nextInt(20, 300))
+            ? Integer.toString(random.nextInt(20, 300))
             : kind == Fault.Kind.LOSS ? "0.3" : "";
-    boolean swapped = to.equals("clients") || (kind != Fault.Kind.REFUSE && dice.nextBoolean());
+    boolean swapped = to.equals("clients") || (kind != Fault.Kind.REFUSE && random.nextBoolean());
     return new Fault(at, lasting, kind, swapped ? to : gateway, swapped ? gateway : to, how);
   }
 
   private String other(String gateway) {
-    String other = "n" + dice.nextInt(scenario.gateways());
+    String other = "n" + random.nextInt(scenario.gateways());
     return other.equals(gateway) ? "discovery" : other;
   }
 
@@ -104,7 +104,7 @@
     List<String> one = new ArrayList<>();
     List<String> two = new ArrayList<>();
     for (int k = 0; k < scenario.gateways(); k++) {
-      (dice.nextBoolean() ? one : two).add("n" + k);
+      (random.nextBoolean() ? one : two).add("n" + k);
     }
     return String.join(",", one) + "|" + String.join(",", two);
   }
--- a/chaos/src/test/java/weldcross/chaos/ChaosRunTest.java
+++ b/chaos/src/test/java/weldcross/chaos/ChaosRunTest.java
@@ -61,7 +61,7 @@
   }
 
   private static String told(ChaosRun.Result trial) {
-    return new LatencyStatistics(trial).inWords() + "\n" + trial.breaches();
+    return new LatencyStatistics(trial).describe() + "\n" + trial.breaches();
   }
 
   @Test
--- a/gateway/src/main/java/weldcross/cli/WeldcrossCommand.java
+++ b/gateway/src/main/java/weldcross/cli/WeldcrossCommand.java
@@ -127,8 +127,8 @@
       spec.commandLine()
           .getOut()
           .println(
-              terms.inWords()
-                  + (with == null ? "" : "\n" + ExtensionsConfig.read(with, terms).inWords()));
+              terms.describe()
+                  + (with == null ? "" : "\n" + ExtensionsConfig.read(with, terms).describe()));
       return OK;
     }
   }
--- a/gateway/src/main/java/weldcross/config/ConfigReader.java
+++ b/gateway/src/main/java/weldcross/config/ConfigReader.java
@@ -5,8 +5,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import weldcross.routing.RequestClass;
+import weldcross.routing.RequestClass.Consistency;
 import weldcross.routing.RequestClass.Effect;
-import weldcross.routing.RequestClass.Need;
 import weldcross.routing.RequestClass.Scope;
 import weldcross.routing.RoutingConfig;
 import weldcross.routing.ZoneId;
@@ -30,7 +30,7 @@
       ConfigValues method = told.under("categories." + k);
       rows.add(
           new RequestClass(
-              k < needs.size() ? need(told, needs.get(k)) : Need.ANY,
+              k < needs.size() ? consistency(told, needs.get(k)) : Consistency.ANY,
               k < bounds.size() ? bound(told, bounds.get(k)) : Duration.ZERO,
               effect(method),
               scope(method),
@@ -68,13 +68,13 @@
     return told.whole("familyInfo.originTime", 0, Long.MIN_VALUE);
   }
 
-  private static Need need(ConfigValues told, String word) {
+  private static Consistency consistency(ConfigValues told, String word) {
     return switch (word) {
-      case "write" -> Need.WRITE;
-      case "fresh" -> Need.FRESH;
-      case "session" -> Need.SESSION;
-      case "bounded" -> Need.BOUNDED;
-      case "any" -> Need.ANY;
+      case "write" -> Consistency.WRITE;
+      case "fresh" -> Consistency.FRESH;
+      case "session" -> Consistency.SESSION;
+      case "bounded" -> Consistency.BOUNDED;
+      case "any" -> Consistency.ANY;
       default ->
           throw told.fault(
               "familyInfo.freshness", "write, fresh, session, bounded or any for each");
@@ -92,7 +92,7 @@
   private static Effect effect(ConfigValues method) {
     return switch (method.text("effect", "at_most_once")) {
       case "idempotent" -> Effect.IDEMPOTENT;
-      case "deduplicated" -> Effect.TOKENED;
+      case "deduplicated" -> Effect.IDEMPOTENT_BY_KEY;
       case "at_most_once" -> Effect.NON_IDEMPOTENT;
       default -> throw method.fault("effect", "idempotent, deduplicated or at_most_once");
     };
--- a/gateway/src/main/java/weldcross/config/ExtensionsConfig.java
+++ b/gateway/src/main/java/weldcross/config/ExtensionsConfig.java
@@ -241,7 +241,7 @@
   }
 
   /** What would join, for a person to read. */
-  public String inWords() {
+  public String describe() {
     return "  keeps its records in "
         + directory
         + (link == null
--- a/gateway/src/main/java/weldcross/config/GatewayConfig.java
+++ b/gateway/src/main/java/weldcross/config/GatewayConfig.java
@@ -82,18 +82,18 @@
   public static GatewayConfig of(ConfigValues told) {
     ConfigValues settings = told.under("settings");
     RoutingConfig service = ConfigReader.service(settings);
-    if (service.methods().isEmpty()) {
+    if (service.requestClasses().isEmpty()) {
       throw settings.fault("categories", "a list of methods");
     }
     List<String> methods = new ArrayList<>();
-    for (int k = 0; k < service.methods().size(); k++) {
+    for (int k = 0; k < service.requestClasses().size(); k++) {
       methods.add(settings.text("categories." + k + ".name"));
     }
     List<String> tenants = new ArrayList<>();
     for (int k = 0; k < settings.count("tenants"); k++) {
       tenants.add(settings.text("tenants." + k + ".name"));
     }
-    boolean peers = service.tells() && told.has("peer_listen");
+    boolean peers = service.gossip() && told.has("peer_listen");
     boolean reportsByProbe =
         settings.word("report.source", "none", "probe", "answers").equals("probe");
     return new GatewayConfig(
@@ -198,7 +198,7 @@
   }
 
   /** What would be served, for a person to read. */
-  public String inWords() {
+  public String describe() {
     StringBuilder words =
         new StringBuilder("gateway ")
             .append(name)
@@ -214,19 +214,20 @@
             .append(service.gateways())
             .append(" gateways");
     for (int k = 0; k < methods.size(); k++) {
-      RequestClass row = service.methods().get(k);
+      RequestClass row = service.requestClasses().get(k);
       words
           .append("\n  ")
           .append(methods.get(k))
           .append(": ")
-          .append(plain(row.need()))
-          .append(row.bound().isZero() ? "" : " " + row.bound().toMillis() + " ms")
+          .append(plain(row.consistency()))
+          .append(
+              row.stalenessBound().isZero() ? "" : " " + row.stalenessBound().toMillis() + " ms")
           .append(", ")
           .append(plain(row.effect()))
           .append(", soft deadline ")
-          .append(row.softDeadline().toMillis())
+          .append(row.latencyObjective().toMillis())
           .append(" ms, utility ")
-          .append(row.utility());
+          .append(row.priorityWeight());
     }
     return words.toString();
   }
--- a/gateway/src/main/java/weldcross/consensus/MembershipViewActions.java
+++ b/gateway/src/main/java/weldcross/consensus/MembershipViewActions.java
@@ -22,7 +22,7 @@
    * The fleet's budgets are to be divided so that this gateway has this share, above 0 and at most
    * 1.
    */
-  void shareIs(double share);
+  void setQuota(double share);
 
   /** This life is no member any more and cannot be again: only a later life can. */
   void ended(long life);
--- a/gateway/src/main/java/weldcross/consensus/MembershipViewClient.java
+++ b/gateway/src/main/java/weldcross/consensus/MembershipViewClient.java
@@ -196,7 +196,7 @@
     double next = shares.share(now);
     if (next != share) {
       share = next;
-      host.shareIs(share);
+      host.setQuota(share);
     }
     if (nextAsk.compareTo(now) <= 0) {
       nextAsk = now.plus(terms.period());
@@ -279,7 +279,7 @@
   }
 
   /** One line without an end. */
-  public String inWords(Duration now) {
+  public String describe(Duration now) {
     return "agreed view "
         + view.number()
         + " of "
--- a/gateway/src/main/java/weldcross/consensus/VoterRecovery.java
+++ b/gateway/src/main/java/weldcross/consensus/VoterRecovery.java
@@ -199,7 +199,7 @@
   }
 
   /** For the log: who answered, and how many are missing. */
-  public String inWords() {
+  public String describe() {
     long having = answers.values().stream().filter(Answer::has).count();
     return phase
         + ", "
--- a/gateway/src/main/java/weldcross/consensus/net/ConsensusActions.java
+++ b/gateway/src/main/java/weldcross/consensus/net/ConsensusActions.java
@@ -33,8 +33,8 @@
   /** As {@link weldcross.consensus.MembershipViewActions#viewIs}. */
   void viewIs(MembershipView view);
 
-  /** As {@link weldcross.consensus.MembershipViewActions#shareIs}. */
-  void shareIs(double share);
+  /** As {@link weldcross.consensus.MembershipViewActions#setQuota}. */
+  void setQuota(double share);
 
   /** As {@link weldcross.consensus.MembershipViewActions#ended}. */
   void ended(long life);
--- a/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
+++ b/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
@@ -157,8 +157,8 @@
   }
 
   @Override
-  public String inWords() {
-    return agreement.agreed().inWords(seam.now())
+  public String describe() {
+    return agreement.agreed().describe(seam.now())
         + (agreement.voter() == null ? "" : ", voter " + agreement.voter().phase());
   }
 
@@ -237,9 +237,9 @@
     }
 
     @Override
-    public void shareIs(double share) {
+    public void setQuota(double share) {
       LOG.info(() -> "agreement: share " + share);
-      seam.shareIs(share);
+      seam.setQuota(share);
     }
 
     @Override
--- a/gateway/src/main/java/weldcross/consensus/net/ConsensusService.java
+++ b/gateway/src/main/java/weldcross/consensus/net/ConsensusService.java
@@ -219,8 +219,8 @@
     }
 
     @Override
-    public void shareIs(double share) {
-      host.shareIs(share);
+    public void setQuota(double share) {
+      host.setQuota(share);
     }
 
     @Override
--- a/gateway/src/main/java/weldcross/consensus/raft/RaftVoter.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/RaftVoter.java
@@ -256,7 +256,7 @@
               ? "it votes, and knows of no leader"
               : "it waits to hear what "
                   + "the other voters know before it votes: "
-                  + returning.inWords());
+                  + returning.describe());
     }
   }
 
@@ -599,7 +599,7 @@
   }
 
   /** For the log, from the voter's own thread or while that stands still. */
-  public String inWords() {
+  public String describe() {
     return phase
         + " as "
         + self
@@ -608,7 +608,7 @@
         + ", leader "
         + leader()
         + ", "
-        + (returning == null ? "" : returning.inWords());
+        + (returning == null ? "" : returning.describe());
   }
 
   // ---- Of the library
--- a/gateway/src/main/java/weldcross/control/ControlExtension.java
+++ b/gateway/src/main/java/weldcross/control/ControlExtension.java
@@ -136,7 +136,7 @@
   }
 
   @Override
-  public String inWords() {
+  public String describe() {
     return "control, " + waiting.size() + " changes waited for";
   }
 
--- a/gateway/src/main/java/weldcross/discovery/DiscoveredEndpoint.java
+++ b/gateway/src/main/java/weldcross/discovery/DiscoveredEndpoint.java
@@ -29,12 +29,12 @@
       ConfigValues entry = list.under("members." + k);
       EndpointStatus condition =
           switch (entry.text("phase")) {
-            case "active" -> EndpointStatus.ON;
+            case "active" -> EndpointStatus.ACTIVE;
             case "leaving" -> EndpointStatus.DRAINING;
-            case "left" -> EndpointStatus.GONE;
+            case "left" -> EndpointStatus.REMOVED;
             default -> throw entry.fault("phase", "active, leaving or left");
           };
-      boolean gone = condition == EndpointStatus.GONE;
+      boolean gone = condition == EndpointStatus.REMOVED;
       members.add(
           new DiscoveredEndpoint(
               entry.text("id"),
--- a/gateway/src/main/java/weldcross/discovery/EndpointListLease.java
+++ b/gateway/src/main/java/weldcross/discovery/EndpointListLease.java
@@ -73,11 +73,11 @@
    * gateways share what answers them no longer than the service allows between two calls, as what a
    * silent one missed counts only when its wait is over.
    *
-   * @param askWithin how long a gateway without a watch may go without asking
+   * @param maxPollInterval how long a gateway without a watch may go without asking
    */
-  public static Duration watch(Duration askWithin, boolean onRequest) {
-    Duration part = TOLD_AT_LATEST.dividedBy(WATCH_PART), most = askWithin.dividedBy(2);
-    return onRequest ? askWithin : part.compareTo(most) < 0 ? part : most;
+  public static Duration watch(Duration maxPollInterval, boolean onRequest) {
+    Duration part = TOLD_AT_LATEST.dividedBy(WATCH_PART), most = maxPollInterval.dividedBy(2);
+    return onRequest ? maxPollInterval : part.compareTo(most) < 0 ? part : most;
   }
 
   /** How long an answer may take beyond what its call waits for, before that is given up. */
--- a/gateway/src/main/java/weldcross/extension/ExtensionContext.java
+++ b/gateway/src/main/java/weldcross/extension/ExtensionContext.java
@@ -28,5 +28,5 @@
    *
    * @param share above 0, at most 1
    */
-  void shareIs(double share);
+  void setQuota(double share);
 }
--- a/gateway/src/main/java/weldcross/extension/GatewayExtension.java
+++ b/gateway/src/main/java/weldcross/extension/GatewayExtension.java
@@ -42,5 +42,5 @@
   void stop();
 
   /** What it holds true, for the state that the log gives: one line without an end. */
-  String inWords();
+  String describe();
 }
--- a/gateway/src/main/java/weldcross/gateway/DiscoveryWatcher.java
+++ b/gateway/src/main/java/weldcross/gateway/DiscoveryWatcher.java
@@ -30,7 +30,7 @@
   private static final Duration AT_ONCE = Duration.ofMillis(1);
 
   private final Gateway gateway;
-  private final Transport effects;
+  private final Transport transport;
   private final GatewayConfig terms;
 
   /** How long a watch waits, how long an answer may take beyond what it waits for, and a dial. */
@@ -44,7 +44,7 @@
    */
   private final boolean onRequest;
 
-  private final SplittableRandom dice;
+  private final SplittableRandom random;
   private boolean stands;
   private long revision = -1;
   private boolean failing;
@@ -60,16 +60,16 @@
    */
   private Talk current, next;
 
-  DiscoveryWatcher(Gateway gateway, Transport effects, GatewayConfig terms) {
+  DiscoveryWatcher(Gateway gateway, Transport transport, GatewayConfig terms) {
     this.gateway = gateway;
-    this.effects = effects;
+    this.transport = transport;
     this.terms = terms;
     this.grace = terms.connectTimeout().multipliedBy(4);
-    this.onRequest = terms.service().listOnRequest();
-    this.watch = EndpointListLease.watch(terms.service().askWithin(), onRequest);
+    this.onRequest = terms.service().pollEndpointList();
+    this.watch = EndpointListLease.watch(terms.service().maxPollInterval(), onRequest);
     this.patience = EndpointListLease.patience(grace, onRequest);
     this.term = new EndpointListLease(terms.stopSending(), onRequest);
-    this.dice = new SplittableRandom(~terms.seed());
+    this.random = new SplittableRandom(~terms.seed());
   }
 
   /**
@@ -90,7 +90,7 @@
               + "server until it speaks");
     }
     if (before != stands) {
-      gateway.listStands(stands);
+      gateway.setEndpointListValid(stands);
     }
     Duration end = term.end();
     if (stands && (looksAt == null || end.compareTo(looksAt) < 0)) {
@@ -112,7 +112,7 @@
   }
 
   void start() {
-    gateway.listStands(false);
+    gateway.setEndpointListValid(false);
     if (terms.known().has("members.count")) {
       take(terms.known());
     }
@@ -145,7 +145,7 @@
   void up(long number) {
     Talk talk = talk(number);
     if (talk == null) {
-      effects.drop(number);
+      transport.drop(number);
     } else {
       talk.up = true;
       if (talk.lostAt != null && EndpointListLease.isNewWatch(gateway.now().minus(talk.lostAt))) {
@@ -241,7 +241,7 @@
       LOG.info(() -> "the list there is behind the one held, which stays in force");
     }
     boolean stays =
-        gateway.now().minus(talk.behindSince).compareTo(terms.service().askWithin()) < 0;
+        gateway.now().minus(talk.behindSince).compareTo(terms.service().maxPollInterval()) < 0;
     if (!stays && !told.flag("complete", false)) {
       talk.askWhole = true;
     }
@@ -256,7 +256,7 @@
     gateway.listed(
         false,
         DiscoveredEndpoint.read(told, terms.zones()).stream()
-            .filter(m -> m.condition() != EndpointStatus.ON)
+            .filter(m -> m.condition() != EndpointStatus.ACTIVE)
             .toList());
     return told.whole("revision", -1, 0);
   }
@@ -332,7 +332,7 @@
       up = false;
       answered = false;
       link = gateway.nextNumber();
-      effects.dialDiscovery(link, address);
+      transport.dialDiscovery(link, address);
       expectWithin(grace);
     }
 
@@ -354,7 +354,7 @@
               + ":"
               + address.getPort()
               + "\r\nAccept: application/json\r\n\r\n";
-      effects.write(link, ByteBuffer.wrap(head.getBytes(StandardCharsets.US_ASCII)));
+      transport.write(link, ByteBuffer.wrap(head.getBytes(StandardCharsets.US_ASCII)));
       expectWithin(waits.plus(patience));
       if (first) {
         long expected = asked;
@@ -363,7 +363,7 @@
             () -> {
               if (asked == expected) {
                 doubted = asked;
-                effects.hear(link);
+                transport.hear(link);
               }
             });
       }
@@ -428,7 +428,7 @@
       end();
       if (isLast()) {
         long ended = asked;
-        Duration rest = term.rest(++failures, silent, terms.connectTimeout(), dice.nextDouble());
+        Duration rest = term.rest(++failures, silent, terms.connectTimeout(), random.nextDouble());
         gateway.at(
             gateway.now().plus(rest),
             () -> {
@@ -447,7 +447,7 @@
       // Down for a while it learns nothing: only while it speaks does being behind show that it
       // counts anew.
       behindSince = null;
-      effects.drop(link);
+      transport.drop(link);
       link = 0;
     }
   }
--- a/gateway/src/main/java/weldcross/gateway/Gateway.java
+++ b/gateway/src/main/java/weldcross/gateway/Gateway.java
@@ -29,7 +29,7 @@
 import weldcross.routing.AttemptOutcome;
 import weldcross.routing.EndpointStatus;
 import weldcross.routing.GroupId;
-import weldcross.routing.RequestClass.Need;
+import weldcross.routing.RequestClass.Consistency;
 import weldcross.routing.RequestId;
 import weldcross.routing.Router;
 import weldcross.routing.RouterActions;
@@ -135,7 +135,7 @@
     final PipelinedRequest turn;
     final Statement statement;
     final Duration deadline;
-    final List<Attempt> callOuts = new ArrayList<>(1);
+    final List<Attempt> attempts = new ArrayList<>(1);
     int out;
     boolean answered;
 
@@ -157,22 +157,22 @@
 
     Attempt(Rpc rpc, ServerId server, Duration until) {
       this.rpc = rpc;
-      this.number = rpc.callOuts.size();
+      this.number = rpc.attempts.size();
       this.server = server;
       this.until = until;
-      rpc.callOuts.add(this);
+      rpc.attempts.add(this);
       rpc.out++;
     }
 
     @Override
     ByteBuffer[] message() {
-      return rpc.statement.withWait(Math.max(1, until.minus(effects.now()).toMillis()));
+      return rpc.statement.withWait(Math.max(1, until.minus(transport.now()).toMillis()));
     }
 
     /** By the clock: a turn may have lasted, and a bound counts from the send. */
     @Override
     boolean mayGo() {
-      return router.mayStillGo(effects.now(), rpc.id, number);
+      return router.isStillEligible(transport.now(), rpc.id, number);
     }
 
     @Override
@@ -212,7 +212,7 @@
                       .plus(rpc.statement.isWrite() ? ONE_MILLI : Duration.ZERO));
       Boolean primary = answer == null ? null : answer.primary();
       noteRole(server, primary);
-      router.callOutEnded(
+      router.attemptEnded(
           now,
           rpc.id,
           number,
@@ -259,7 +259,7 @@
 
     @Override
     void ended(AttemptOutcome outcome, ServerResponse answer) {
-      router.probeEnded(now, server, outcome, aliveSince);
+      router.healthCheckEnded(now, server, outcome, aliveSince);
       if (outcome == AttemptOutcome.OK) {
         report(server, terms.reportsByProbe() ? answer.rowText() : answer.stats());
       }
@@ -267,7 +267,7 @@
   }
 
   private final GatewayConfig terms;
-  private final Transport effects;
+  private final Transport transport;
   private final Duration unixAtStart;
   private final ServerConnectionPool links;
   private final DiscoveryWatcher list;
@@ -306,15 +306,15 @@
   /** Those whose connections have ended from here and who may still read what they were told. */
   private final Set<Long> leaving = new HashSet<>();
 
-  private long taken, served, pushedBack, aborted, left;
+  private long taken, served, rejected, failed, left;
 
   /**
    * @param unixAtStart what the wall clock showed, as time since 1970, when the time given to
    *     events was zero
    */
-  Gateway(GatewayConfig terms, Transport effects, Duration unixAtStart) {
+  Gateway(GatewayConfig terms, Transport transport, Duration unixAtStart) {
     this.terms = terms;
-    this.effects = effects;
+    this.transport = transport;
     this.unixAtStart = unixAtStart;
     this.secrets = new SplittableRandom(terms.seed()).split();
     // Three eighths each for clients and servers, an eighth is the process's own; what the other
@@ -324,8 +324,8 @@
     this.silence = terms.connectTimeout().multipliedBy(8);
     this.links =
         new ServerConnectionPool(
-            this, effects, terms.connectTimeout(), terms.idleClose(), terms.sockets() * 3 / 8);
-    this.list = new DiscoveryWatcher(this, effects, terms);
+            this, transport, terms.connectTimeout(), terms.idleClose(), terms.sockets() * 3 / 8);
+    this.list = new DiscoveryWatcher(this, transport, terms);
   }
 
   // ---- The one way in
@@ -432,8 +432,8 @@
       }
 
       @Override
-      public void shareIs(double share) {
-        router.shareIs(share);
+      public void setQuota(double share) {
+        router.setQuota(share);
       }
     };
   }
@@ -458,13 +458,13 @@
   }
 
   void start() {
-    LOG.info(() -> terms.inWords().split("\n")[0]);
+    LOG.info(() -> terms.describe().split("\n")[0]);
     router = new Router(this, terms.service(), terms.seed());
     enter(Phase.LISTENING);
-    effects.listen(terms.listen());
-    effects.greetItself();
+    transport.listen(terms.listen());
+    transport.greetItself();
     if (terms.peerListen() != null) {
-      effects.joinPeers(terms.peerListen());
+      transport.joinPeers(terms.peerListen());
     }
     list.start();
     if (LOG.isLoggable(Level.FINE)) {
@@ -474,7 +474,7 @@
 
   /** What this gateway holds true, once a second, to be compared with what crosses the sockets. */
   private void state(Duration due) {
-    LOG.fine(() -> now.minus(due).toMillis() + " ms behind; " + inWords());
+    LOG.fine(() -> now.minus(due).toMillis() + " ms behind; " + describe());
     Duration next = now.plus(STATE_APART);
     at(next, () -> state(next));
   }
@@ -489,7 +489,7 @@
     at(
         now.plus(STILL_COMING),
         () -> {
-          effects.stopListening();
+          transport.stopListening();
           List.copyOf(clients.values()).forEach(this::closeIfDone);
           stopIfDone();
         });
@@ -540,7 +540,7 @@
     if (!client.parting) {
       client.parting = true;
       parting++;
-      effects.part(client.number, client.words);
+      transport.part(client.number, client.words);
     }
   }
 
@@ -569,7 +569,7 @@
   /** It was told why: nothing more of it counts, and it has a moment to read that. */
   private void farewell(Client client) {
     remove(client);
-    effects.finish(client.number);
+    transport.finish(client.number);
     linger(client);
   }
 
@@ -581,7 +581,7 @@
     at(
         now.plus(terms.connectTimeout()),
         () -> {
-          effects.drop(client.number);
+          transport.drop(client.number);
           leaving.remove(client.number);
           stopIfDone();
         });
@@ -619,7 +619,7 @@
   }
 
   /** What is kept at this moment, all of which is bounded by what is open and listed. */
-  String inWords() {
+  String describe() {
     return clients.size()
         + " clients, "
         + rpcs.size()
@@ -630,13 +630,13 @@
         + " due; "
         + counts()
         + "; "
-        + links.inWords()
+        + links.describe()
         + "; "
-        + router.inWords(now)
+        + router.describe(now)
         + (parts.isEmpty()
             ? ""
             : "; "
-                + parts.stream().map(GatewayExtension::inWords).collect(Collectors.joining("; ")));
+                + parts.stream().map(GatewayExtension::describe).collect(Collectors.joining("; ")));
   }
 
   private String counts() {
@@ -644,9 +644,9 @@
         + " taken, "
         + served
         + " ok, "
-        + pushedBack
+        + rejected
         + " pushed back, "
-        + aborted
+        + failed
         + " aborted, "
         + left
         + " left by their clients";
@@ -657,7 +657,7 @@
   void accepted(long number) {
     Client client = new Client(number, secrets.nextInt(), now);
     if (clients.size() - parting >= mostClients && !makeRoom()) {
-      effects.write(number, MessageEncoder.fatal("53300", "too many clients"));
+      transport.write(number, MessageEncoder.fatal("53300", "too many clients"));
       farewell(client);
       return;
     }
@@ -703,7 +703,7 @@
     }
     client.waiting.forEach(w -> parts.add(MessageEncoder.error("53300", "not begun", null)));
     parts.add(MessageEncoder.fatal(state, text));
-    effects.write(client.number, parts.toArray(new ByteBuffer[0]));
+    transport.write(client.number, parts.toArray(new ByteBuffer[0]));
     farewell(client);
     leave(client);
   }
@@ -725,7 +725,7 @@
       if (rpc != null && !rpc.answered) {
         left++;
         rpc.answered = true;
-        router.clientLeft(now, rpc.id);
+        router.clientDisconnected(now, rpc.id);
         forget(rpc);
       }
     }
@@ -733,7 +733,7 @@
 
   /** It said that it is done. */
   void clientEnded(long number) {
-    effects.drop(number);
+    transport.drop(number);
     clientGone(number);
   }
 
@@ -763,7 +763,7 @@
             rpc -> {
               left++;
               rpc.answered = true;
-              router.clientLeft(now, rpc.id);
+              router.clientDisconnected(now, rpc.id);
               answer(rpc, CANCELLED.duplicate());
               forget(rpc);
             });
@@ -855,7 +855,7 @@
     next(client);
     if (!client.waiting.isEmpty() && !client.unread && !client.ending) {
       client.unread = true;
-      effects.read(number, false);
+      transport.read(number, false);
     }
   }
 
@@ -868,7 +868,7 @@
     writeOn(client);
     if (client.unread && client.waiting.isEmpty() && !client.ending) {
       client.unread = false;
-      effects.read(client.number, true);
+      transport.read(client.number, true);
     }
   }
 
@@ -887,7 +887,7 @@
       client.turns.poll();
     }
     client.writing = true;
-    if (effects.write(client.number, parts.toArray(new ByteBuffer[0]))) {
+    if (transport.write(client.number, parts.toArray(new ByteBuffer[0]))) {
       soon(() -> clientWritten(client.number));
     }
   }
@@ -911,7 +911,7 @@
     if (method < 0) {
       fault = "unknown method";
     } else if (statement.isWrite()
-        != (terms.service().methods().get(method).need() == Need.WRITE)) {
+        != (terms.service().requestClasses().get(method).consistency() == Consistency.WRITE)) {
       fault = "method and statement do not agree";
     } else if (statement.tenant() != null
         && !terms.tenants().isEmpty()
@@ -955,11 +955,11 @@
                 + ", "
                 + patience.toMillis()
                 + " ms left");
-    Need need = terms.service().methods().get(method).need();
-    boolean inSession = need == Need.WRITE || need == Need.SESSION;
+    Consistency consistency = terms.service().requestClasses().get(method).consistency();
+    boolean inSession = consistency == Consistency.WRITE || consistency == Consistency.SESSION;
     long after = statement.afterMillis();
     Duration sinceWrite = now.minus(since(after)).minus(ONE_MILLI);
-    router.rpcArrived(
+    router.requestArrived(
         now,
         id,
         method,
@@ -1057,18 +1057,18 @@
   // ---- The list, and other gateways
 
   void listed(boolean whole, List<DiscoveredEndpoint> members) {
-    router.listBegins(now, whole);
+    router.beginEndpointList(now, whole);
     for (DiscoveredEndpoint m : members) {
       ServerId server = new ServerId(m.id());
       if (m.address() != null) {
         links.listed(server, m.address());
       }
       GroupId group = new GroupId(m.group());
-      if (m.condition() != EndpointStatus.GONE || groups.containsKey(server)) {
+      if (m.condition() != EndpointStatus.REMOVED || groups.containsKey(server)) {
         groups.put(server, group);
         groupNumbers.add(group);
       }
-      router.memberListed(
+      router.endpointListed(
           now,
           server,
           new ZoneId(m.zone()),
@@ -1077,7 +1077,7 @@
           m.upSinceMillis() == 0 ? null : since(m.upSinceMillis()),
           m.head());
     }
-    router.listEnds(now);
+    router.endEndpointList(now);
     serveIfReady();
   }
 
@@ -1088,8 +1088,8 @@
   }
 
   /** Told whenever it changes: whether the list holds all that binds. */
-  void listStands(boolean stands) {
-    router.listStands(now, stands);
+  void setEndpointListValid(boolean stands) {
+    router.setEndpointListValid(now, stands);
     serveIfReady();
   }
 
@@ -1108,28 +1108,28 @@
     }
   }
 
-  void peerTold(ServerId server) {
-    router.peerTold(now, server);
+  void gossipReceived(ServerId server) {
+    router.gossipReceived(now, server);
   }
 
   // ---- What the router asks for
 
   @Override
-  public void callOut(RequestId id, ServerId server, Duration until) {
+  public void sendAttempt(RequestId id, ServerId server, Duration until) {
     Rpc rpc = rpcs.get(id);
-    Attempt callOut =
+    Attempt attempt =
         new Attempt(rpc, server, until.compareTo(rpc.deadline) < 0 ? until : rpc.deadline);
-    LOG.fine(() -> "rpc " + id.name() + ": call-out " + callOut.number + " to " + server.name());
-    if (callOut.until.compareTo(now) <= 0) {
-      links.drop(callOut, AttemptOutcome.NOT_SENT);
+    LOG.fine(() -> "rpc " + id.name() + ": call-out " + attempt.number + " to " + server.name());
+    if (attempt.until.compareTo(now) <= 0) {
+      links.drop(attempt, AttemptOutcome.NOT_SENT);
       return;
     }
-    links.ask(server, callOut);
+    links.ask(server, attempt);
     at(
-        callOut.until,
+        attempt.until,
         () -> {
-          if (!callOut.over) {
-            links.drop(callOut, AttemptOutcome.TIMED_OUT);
+          if (!attempt.over) {
+            links.drop(attempt, AttemptOutcome.TIMED_OUT);
           }
         });
   }
@@ -1137,24 +1137,24 @@
   @Override
   public void cancel(RequestId id, int number) {
     Rpc rpc = rpcs.get(id);
-    if (rpc != null && !rpc.callOuts.get(number).over) {
-      links.drop(rpc.callOuts.get(number), AttemptOutcome.CANCELLED);
+    if (rpc != null && !rpc.attempts.get(number).over) {
+      links.drop(rpc.attempts.get(number), AttemptOutcome.CANCELLED);
     }
   }
 
   @Override
-  public void pushBack(RequestId id, Duration comeBackAfter) {
-    long millis = comeBackAfter.toMillis();
+  public void reject(RequestId id, Duration retryAfter) {
+    long millis = retryAfter.toMillis();
     if (giveUp(
         id, MessageEncoder.error("53300", "not now", millis > 0 ? Long.toString(millis) : null))) {
-      pushedBack++;
+      rejected++;
     }
   }
 
   @Override
-  public void abort(RequestId id) {
+  public void fail(RequestId id) {
     if (giveUp(id, FAILED.duplicate())) {
-      aborted++;
+      failed++;
     }
   }
 
@@ -1171,7 +1171,7 @@
                 + ": given up with "
                 + rpc.deadline.minus(now).toMillis()
                 + " ms left, "
-                + rpc.callOuts.size()
+                + rpc.attempts.size()
                 + " call-outs");
     answer(rpc, words);
     forget(rpc);
@@ -1179,21 +1179,21 @@
   }
 
   @Override
-  public void probe(ServerId server) {
+  public void sendHealthCheck(ServerId server) {
     LOG.fine(() -> "probe to " + server.name());
     links.ask(server, new Probe(server));
   }
 
   @Override
-  public void tellPeers(ServerId server) {
+  public void gossipUnreachable(ServerId server) {
     byte[] message = GossipMessage.write(server);
     if (terms.peersAll() != null && message.length <= GossipMessage.LONGEST) {
-      effects.tellPeers(terms.peersAll(), message);
+      transport.tellPeers(terms.peersAll(), message);
     }
   }
 
   @Override
-  public void forget(ServerId server) {
+  public void endpointRemoved(ServerId server) {
     links.forget(server);
     groups.remove(server);
   }
@@ -1203,15 +1203,15 @@
    * for.
    */
   @Override
-  public void watchList() {}
+  public void watchEndpointList() {}
 
   @Override
-  public void ringAt(Duration when) {
-    at(when, () -> router.timerRang(now));
+  public void scheduleTick(Duration when) {
+    at(when, () -> router.tick(now));
   }
 
   @Override
-  public void dueAt(Duration when) {
-    at(when, () -> router.dueReached(now));
+  public void scheduleTimer(Duration when) {
+    at(when, () -> router.timersDue(now));
   }
 }
--- a/gateway/src/main/java/weldcross/gateway/GatewayProcess.java
+++ b/gateway/src/main/java/weldcross/gateway/GatewayProcess.java
@@ -39,7 +39,7 @@
   private static final Logger LOG = Logger.getLogger(GatewayProcess.class.getName());
 
   private final EventLoop loop;
-  private final MinaTransport effects;
+  private final MinaTransport transport;
   private final Gateway gateway;
 
   GatewayProcess(GatewayConfig terms) {
@@ -57,9 +57,9 @@
     Instant wall = readWall.get();
     Supplier<Duration> clock = () -> Duration.ofNanos(System.nanoTime() - zero);
     loop = new EventLoop(clock);
-    effects = new MinaTransport(loop, clock, terms.sockets() * 3 / 4);
+    transport = new MinaTransport(loop, clock, terms.sockets() * 3 / 4);
     gateway =
-        new Gateway(terms, effects, Duration.ofSeconds(wall.getEpochSecond(), wall.getNano()));
+        new Gateway(terms, transport, Duration.ofSeconds(wall.getEpochSecond(), wall.getNano()));
     if (parts.isEmpty()) {
       loop.post(Gateway::start);
     } else {
@@ -123,7 +123,7 @@
         LOOK_APART);
     try {
       loop.run(gateway);
-      effects.end();
+      transport.end();
       return 0;
     } catch (Throwable e) {
       // Its sockets end with the process: MINA's end waits for a thread that may be what broke.
@@ -150,6 +150,6 @@
 
   /** The address that clients connect to, once there is one. */
   CompletableFuture<InetSocketAddress> listening() {
-    return effects.listening();
+    return transport.listening();
   }
 }
--- a/gateway/src/main/java/weldcross/gateway/MinaTransport.java
+++ b/gateway/src/main/java/weldcross/gateway/MinaTransport.java
@@ -189,7 +189,7 @@
             in.get(bytes);
             ServerId server = GossipMessage.read(bytes);
             if (server != null) {
-              loop.post(g -> g.peerTold(server));
+              loop.post(g -> g.gossipReceived(server));
             }
           }
 
--- a/gateway/src/main/java/weldcross/gateway/ServerConnectionPool.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerConnectionPool.java
@@ -51,7 +51,7 @@
   private static final ArrayDeque<Link> NONE = new ArrayDeque<>();
 
   private final Gateway gateway;
-  private final Transport effects;
+  private final Transport transport;
   private final Duration connectTimeout;
   private final Duration idleFor;
   private final int most;
@@ -73,9 +73,9 @@
    * @param idleClose after which a server closes; a connection is given up here before that
    */
   ServerConnectionPool(
-      Gateway gateway, Transport effects, Duration connectTimeout, Duration idleClose, int most) {
+      Gateway gateway, Transport transport, Duration connectTimeout, Duration idleClose, int most) {
     this.gateway = gateway;
-    this.effects = effects;
+    this.transport = transport;
     this.connectTimeout = connectTimeout;
     this.idleFor = idleClose.minus(idleClose.dividedBy(8));
     this.most = most;
@@ -129,13 +129,13 @@
     InetSocketAddress address = addresses.get(server);
     if (links.size() >= most || address == null) {
       gateway.complain("no descriptor left for a connection to " + server.name());
-      gateway.soon(() -> end(question, AttemptOutcome.NO_ROUTE, null));
+      gateway.soon(() -> end(question, AttemptOutcome.UNREACHABLE, null));
       return;
     }
     Link dialled = new Link(gateway.nextNumber(), server, address);
     links.put(dialled.number, dialled);
     carry(dialled, question);
-    effects.dialServer(dialled.number, address);
+    transport.dialServer(dialled.number, address);
     expect(dialled);
   }
 
@@ -151,7 +151,7 @@
         () -> {
           if (link.step == step) {
             link.doubted = step;
-            effects.hear(link.number);
+            transport.hear(link.number);
           }
         });
     gateway.at(gateway.now().plus(connectTimeout.multipliedBy(2)), () -> silent(link, step));
@@ -170,7 +170,7 @@
       return;
     }
     if (!link.up) {
-      effects.drop(link.number);
+      transport.drop(link.number);
       link.reached = false;
       gone(link.number, null);
     } else if (link.begun) {
@@ -196,7 +196,7 @@
       write(link, MessageEncoder.startup());
     } else {
       // Given up as it came up: nobody would ever end it.
-      effects.drop(number);
+      transport.drop(number);
     }
   }
 
@@ -281,7 +281,7 @@
     boolean asked = link.up;
     remove(link);
     if (question != null) {
-      end(question, asked ? AttemptOutcome.CUT : AttemptOutcome.NO_ROUTE, null);
+      end(question, asked ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.UNREACHABLE, null);
     }
   }
 
@@ -303,7 +303,7 @@
         rest != null && (rest.isServed(question.tag()) || rest.state() != null)
             ? outcome(rest)
             : null;
-    if (told != null && (link.up || told == AttemptOutcome.NO_ROOM)) {
+    if (told != null && (link.up || told == AttemptOutcome.OVERLOADED)) {
       end(question, told, rest);
     } else {
       end(question, lost(link), null);
@@ -317,10 +317,12 @@
       rests.lost(link.rested);
     }
     if (link.up && link.unwritten == 0) {
-      return kept ? AttemptOutcome.KEPT_CUT : AttemptOutcome.CUT;
+      return kept ? AttemptOutcome.IDLE_CONNECTION_LOST : AttemptOutcome.CONNECTION_LOST;
     }
     // Taken up and ended before its welcome, or while it rested: whoever did so may well live.
-    return kept || (link.reached && !link.up) ? AttemptOutcome.NOT_TAKEN : AttemptOutcome.NO_ROUTE;
+    return kept || (link.reached && !link.up)
+        ? AttemptOutcome.CLOSED_BEFORE_SEND
+        : AttemptOutcome.UNREACHABLE;
   }
 
   /**
@@ -339,8 +341,8 @@
       return AttemptOutcome.OK;
     }
     return switch (answer.state()) {
-      case "25006", "72000" -> AttemptOutcome.MISS;
-      case "53300" -> AttemptOutcome.NO_ROOM;
+      case "25006", "72000" -> AttemptOutcome.INELIGIBLE;
+      case "53300" -> AttemptOutcome.OVERLOADED;
       default -> AttemptOutcome.ERROR;
     };
   }
@@ -362,7 +364,7 @@
    * is told first would make of a write that ran one that never went out, and send it twice.
    */
   private void write(Link link, ByteBuffer... parts) {
-    if (effects.write(link.number, parts)) {
+    if (transport.write(link.number, parts)) {
       allOut(link);
     } else {
       link.unwritten++;
@@ -370,7 +372,7 @@
   }
 
   /** For the log: connections by server, and how many of them carry a question. */
-  String inWords() {
+  String describe() {
     Map<String, int[]> counts = new TreeMap<>();
     for (Link link : links.values()) {
       int[] count = counts.computeIfAbsent(link.server.name(), s -> new int[2]);
@@ -430,6 +432,6 @@
       link.question.link = null;
       link.question = null;
     }
-    effects.drop(link.number);
+    transport.drop(link.number);
   }
 }
--- a/gateway/src/main/java/weldcross/membership/FailureDetector.java
+++ b/gateway/src/main/java/weldcross/membership/FailureDetector.java
@@ -466,7 +466,7 @@
   }
 
   /** One line without an end. */
-  public String inWords() {
+  public String describe() {
     Map<MemberState, Integer> counts = new TreeMap<>();
     held.values().forEach(n -> counts.merge(n.finding(), 1, Integer::sum));
     return "seen "
--- a/gateway/src/main/java/weldcross/membership/net/MembershipExtension.java
+++ b/gateway/src/main/java/weldcross/membership/net/MembershipExtension.java
@@ -97,8 +97,8 @@
   }
 
   @Override
-  public String inWords() {
-    return seen.inWords();
+  public String describe() {
+    return seen.describe();
   }
 
   // ---- Of the link
--- a/gateway/src/main/java/weldcross/mesh/PeerConnectionManager.java
+++ b/gateway/src/main/java/weldcross/mesh/PeerConnectionManager.java
@@ -615,7 +615,7 @@
   }
 
   /** One line without an end: each peer with its phase, life, and what waited and was dropped. */
-  public String inWords() {
+  public String describe() {
     StringBuilder words =
         new StringBuilder("link ")
             .append(self == null ? "not begun" : "incarnation " + self.incarnation());
--- a/gateway/src/main/java/weldcross/mesh/net/MeshExtension.java
+++ b/gateway/src/main/java/weldcross/mesh/net/MeshExtension.java
@@ -230,8 +230,8 @@
   }
 
   @Override
-  public String inWords() {
-    return links.inWords()
+  public String describe() {
+    return links.describe()
         + (trouble == null ? "" : "; disk: " + trouble)
         + (kept.waiting() == 0 ? "" : "; " + kept.waiting() + " wait for the disk");
   }
--- a/gateway/src/main/java/weldcross/routing/AttemptOutcome.java
+++ b/gateway/src/main/java/weldcross/routing/AttemptOutcome.java
@@ -4,24 +4,24 @@
 public enum AttemptOutcome {
   OK(false),
   ERROR(false),
-  NO_ROOM(true),
+  OVERLOADED(true),
   TIMED_OUT(false),
   /** No process was found there, or nothing came back from where it should be. */
-  NO_ROUTE(true),
+  UNREACHABLE(true),
   /** Its connection ended under it. */
-  CUT(false),
+  CONNECTION_LOST(false),
   /** The same on a connection kept from before, which says nothing of the server. */
-  KEPT_CUT(false),
+  IDLE_CONNECTION_LOST(false),
   /** Its connection ended before it was sent, at the word of somebody who lives. */
-  NOT_TAKEN(true),
+  CLOSED_BEFORE_SEND(true),
   CANCELLED(false),
   NOT_SENT(true),
-  MISS(true);
+  INELIGIBLE(true);
 
   /** Whether it proves that nothing ran. */
-  public final boolean neverRan;
+  public final boolean provesNotExecuted;
 
-  AttemptOutcome(boolean neverRan) {
-    this.neverRan = neverRan;
+  AttemptOutcome(boolean provesNotExecuted) {
+    this.provesNotExecuted = provesNotExecuted;
   }
 }
--- a/gateway/src/main/java/weldcross/routing/EndpointStatus.java
+++ b/gateway/src/main/java/weldcross/routing/EndpointStatus.java
@@ -2,7 +2,7 @@
 
 /** What the server list says of a server. */
 public enum EndpointStatus {
-  ON,
+  ACTIVE,
   DRAINING,
-  GONE
+  REMOVED
 }
--- a/gateway/src/main/java/weldcross/routing/RequestClass.java
+++ b/gateway/src/main/java/weldcross/routing/RequestClass.java
@@ -4,20 +4,20 @@
 
 /** What differs by method, as far as the router reads it. */
 public record RequestClass(
-    Need need,
-    Duration bound,
+    Consistency consistency,
+    Duration stalenessBound,
     Effect effect,
     Scope scope,
-    Duration window,
-    Duration softDeadline,
-    double utility,
-    double lateUtility) {
+    Duration deduplicationWindow,
+    Duration latencyObjective,
+    double priorityWeight,
+    double lateWeight) {
 
   /**
    * How fresh the data must be: the primary's alone, all commits, the session's, within a bound,
    * any.
    */
-  public enum Need {
+  public enum Consistency {
     WRITE,
     FRESH,
     SESSION,
@@ -28,7 +28,7 @@
   /** May run again; may run again where a repeat is known for one; may never run twice. */
   public enum Effect {
     IDEMPOTENT,
-    TOKENED,
+    IDEMPOTENT_BY_KEY,
     NON_IDEMPOTENT
   }
 
--- a/gateway/src/main/java/weldcross/routing/Router.java
+++ b/gateway/src/main/java/weldcross/routing/Router.java
@@ -11,8 +11,8 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
+import weldcross.routing.RequestClass.Consistency;
 import weldcross.routing.RequestClass.Effect;
-import weldcross.routing.RequestClass.Need;
 
 /**
  * Decides where each RPC goes: the fast causal reads of Readwritesplit, from one gateway's own
@@ -147,7 +147,7 @@
       this.group = group;
       this.zone = zone;
       // An order of each gateway's own, the nearer first, as crossing zones costs.
-      order = dice.nextDouble() + (zone.equals(terms.zone()) ? 0 : 1);
+      order = random.nextDouble() + (zone.equals(terms.zone()) ? 0 : 1);
       // Its part of what all gateways try together: one each from a hundred jams what knows nobody
       // yet.
       window = FIRST_WINDOW / fleet;
@@ -184,8 +184,8 @@
     final RequestClass row;
     final Group group;
     final Duration arrived, giveUpAt, lastSend, unsentUntil;
-    final double luck = dice.nextDouble();
-    final List<Attempt> callOuts = new ArrayList<>();
+    final double luck = random.nextDouble();
+    final List<Attempt> attempts = new ArrayList<>();
     final LinkedHashSet<EndpointState> tried = new LinkedHashSet<>();
     SessionId session;
 
@@ -199,13 +199,13 @@
     Rpc(RequestId id, int method, Group group, Duration now, Duration deadline) {
       this.id = id;
       this.method = method;
-      this.row = terms.methods().get(method);
+      this.row = terms.requestClasses().get(method);
       this.group = group;
       this.arrived = now;
       // Where a late answer has no utility the soft deadline ends the work, so that servers drop
       // it.
       this.giveUpAt =
-          row.lateUtility() > 0 ? deadline : sooner(now.plus(row.softDeadline()), deadline);
+          row.lateWeight() > 0 ? deadline : sooner(now.plus(row.latencyObjective()), deadline);
       // What is still held is answered a little before the client gives up, not in the same moment.
       this.lastSend =
           sooner(giveUpAt, deadline.minus(sooner(LOOK, deadline.minus(now).dividedBy(8))));
@@ -215,7 +215,7 @@
 
   private final RouterActions host;
   private final RoutingConfig terms;
-  private final SplittableRandom dice;
+  private final SplittableRandom random;
   private final Duration probeAfter;
   private final Map<ServerId, EndpointState> seats = new LinkedHashMap<>();
   private final Map<GroupId, Group> groups = new LinkedHashMap<>();
@@ -225,29 +225,29 @@
   private final double[] usual, served;
   private final int[] answers;
   private Duration floor, wakeAt, askAt, askWait;
-  private boolean listStands = true;
+  private boolean setEndpointListValid = true;
   private LinkedHashSet<EndpointState> unseen;
   private double workDone, warmRate, extra = 1, fleet;
 
   public Router(RouterActions host, RoutingConfig terms, long seed) {
     this.host = host;
     this.terms = terms;
-    this.dice = new SplittableRandom(seed);
+    this.random = new SplittableRandom(seed);
     this.fleet = terms.gateways();
-    this.usual = new double[terms.methods().size()];
-    this.served = new double[terms.methods().size()];
-    this.answers = new int[terms.methods().size()];
+    this.usual = new double[terms.requestClasses().size()];
+    this.served = new double[terms.requestClasses().size()];
+    this.answers = new int[terms.requestClasses().size()];
     this.probeAfter =
-        terms.methods().stream()
-            .filter(m -> m.need() == Need.BOUNDED)
-            .map(m -> m.bound().dividedBy(4))
+        terms.requestClasses().stream()
+            .filter(m -> m.consistency() == Consistency.BOUNDED)
+            .map(m -> m.stalenessBound().dividedBy(4))
             .min(Duration::compareTo)
             .orElse(BEAT);
-    this.askWait = terms.askWithin().dividedBy(16);
-    if (terms.listOnRequest()) {
-      host.watchList();
+    this.askWait = terms.maxPollInterval().dividedBy(16);
+    if (terms.pollEndpointList()) {
+      host.watchEndpointList();
     }
-    host.ringAt(BEAT);
+    host.scheduleTick(BEAT);
   }
 
   /**
@@ -255,7 +255,7 @@
    * (0, 1]. With a smaller one the windows shrink alike, as the others' parts add to them; a larger
    * one they grow into by answers.
    */
-  public void shareIs(double share) {
+  public void setQuota(double share) {
     double shrunk = Math.min(1, fleet * share);
     seats.values().forEach(s -> s.window = Math.max(LEAST_WINDOW, s.window * shrunk));
     fleet = 1 / share;
@@ -263,11 +263,11 @@
 
   // ---- The server list
 
-  public void listBegins(Duration now, boolean whole) {
+  public void beginEndpointList(Duration now, boolean whole) {
     unseen = whole ? new LinkedHashSet<>(seats.values()) : new LinkedHashSet<>();
   }
 
-  public void memberListed(
+  public void endpointListed(
       Duration now,
       ServerId id,
       ZoneId zone,
@@ -278,14 +278,14 @@
     Group group = groups.computeIfAbsent(groupId, g -> new Group());
     EndpointState seat = seats.computeIfAbsent(id, s -> new EndpointState(s, group, zone));
     unseen.remove(seat);
-    if (condition == EndpointStatus.GONE) {
-      seat.listed &= !terms.goneBinds();
+    if (condition == EndpointStatus.REMOVED) {
+      seat.listed &= !terms.removalIsBinding();
       return;
     }
     seat.listed = true;
     seat.goneAt = null;
     // Where only draining binds, a list that is wrong for a while does not take it back.
-    boolean same = !terms.goneBinds() && (start == null || start.equals(seat.start));
+    boolean same = !terms.removalIsBinding() && (start == null || start.equals(seat.start));
     seat.draining = condition == EndpointStatus.DRAINING || (seat.draining && same);
     // A start not seen before is a cold server, whatever this router thought of it.
     if (start != null && !start.equals(seat.start)) {
@@ -299,8 +299,8 @@
     }
   }
 
-  public void listEnds(Duration now) {
-    unseen.forEach(s -> s.listed &= !terms.goneBinds());
+  public void endEndpointList(Duration now) {
+    unseen.forEach(s -> s.listed &= !terms.removalIsBinding());
     groups.values().forEach(g -> look(now, g));
   }
 
@@ -309,9 +309,9 @@
    * not nothing goes out, as a server may drain whose drain was never told. Harmful where discovery
    * is gone and all servers are well.
    */
-  public void listStands(Duration now, boolean stands) {
-    boolean again = stands && !listStands;
-    listStands = stands;
+  public void setEndpointListValid(Duration now, boolean stands) {
+    boolean again = stands && !setEndpointListValid;
+    setEndpointListValid = stands;
     if (again) {
       groups.values().forEach(g -> look(now, g));
     }
@@ -321,14 +321,14 @@
    * The notice does not say which call failed, so the watch is asked for again, more and more
    * rarely.
    */
-  public void listFailed(Duration now) {
-    askAt = now.plus(askWait).plusNanos(dice.nextLong(askWait.toNanos() + 1));
-    askWait = sooner(askWait.multipliedBy(2), terms.askWithin().dividedBy(2));
+  public void endpointListFailed(Duration now) {
+    askAt = now.plus(askWait).plusNanos(random.nextLong(askWait.toNanos() + 1));
+    askWait = sooner(askWait.multipliedBy(2), terms.maxPollInterval().dividedBy(2));
   }
 
   // ---- RPCs
 
-  public void rpcArrived(
+  public void requestArrived(
       Duration now,
       RequestId id,
       int method,
@@ -340,11 +340,12 @@
     Group group = groups.computeIfAbsent(groupId, g -> new Group());
     Rpc rpc = new Rpc(id, method, group, now, now.plus(patience));
     rpc.session = session;
-    rpc.worth = rpc.row.utility() * (repeat ? REPEAT_VALUE : 1);
+    rpc.worth = rpc.row.priorityWeight() * (repeat ? REPEAT_VALUE : 1);
     rpc.carried = sinceWrite.isZero() ? null : now.minus(sinceWrite);
     open.put(id, rpc);
-    dueAt(rpc.unsentUntil, at -> endIf(rpc, rpc.callOuts.isEmpty()));
-    dueAt(rpc.lastSend, at -> endIf(rpc, rpc.out == 0 || rpc.row.effect() == Effect.IDEMPOTENT));
+    scheduleTimer(rpc.unsentUntil, at -> endIf(rpc, rpc.attempts.isEmpty()));
+    scheduleTimer(
+        rpc.lastSend, at -> endIf(rpc, rpc.out == 0 || rpc.row.effect() == Effect.IDEMPOTENT));
     route(now, rpc);
   }
 
@@ -354,24 +355,26 @@
    * that is none any more, a drain, a list that lapsed, repeats that are dropped no longer, a
    * server that turned cold. What must not goes on as never sent.
    */
-  public boolean mayStillGo(Duration now, RequestId id, int number) {
+  public boolean isStillEligible(Duration now, RequestId id, int number) {
     Rpc rpc = open.get(id);
-    Attempt callOut = rpc.callOuts.get(number);
-    EndpointState seat = callOut.seat;
+    Attempt attempt = rpc.attempts.get(number);
+    EndpointState seat = attempt.seat;
     boolean repeatKnown =
-        rpc.row.effect() != Effect.TOKENED
+        rpc.row.effect() != Effect.IDEMPOTENT_BY_KEY
             || (rpc.out == 1 && !rpc.mayHaveRun)
             || repeatsDropped(now, rpc);
     return !rpc.answered
-        && listStands
+        && setEndpointListValid
         && seat.listed
         && !seat.draining
         && repeatKnown
-        && (callOut.paced || !cold(now, seat))
-        && (rpc.row.need() == Need.WRITE || seat == rpc.group.primary || holds(now, rpc, seat));
+        && (attempt.paced || !cold(now, seat))
+        && (rpc.row.consistency() == Consistency.WRITE
+            || seat == rpc.group.primary
+            || holds(now, rpc, seat));
   }
 
-  public void callOutEnded(
+  public void attemptEnded(
       Duration now,
       RequestId id,
       int number,
@@ -386,14 +389,14 @@
     if (rpc == null) {
       return;
     }
-    Attempt callOut = rpc.callOuts.get(number);
-    EndpointState seat = callOut.seat;
+    Attempt attempt = rpc.attempts.get(number);
+    EndpointState seat = attempt.seat;
     rpc.out--;
-    seat.out.remove(callOut);
-    boolean write = rpc.row.need() == Need.WRITE;
+    seat.out.remove(attempt);
+    boolean write = rpc.row.consistency() == Consistency.WRITE;
     seat.reads -= write ? 0 : 1;
-    rpc.mayHaveRun |= !outcome.neverRan;
-    if (write && !outcome.neverRan && rpc.session != null && !terms.tokensCarried()) {
+    rpc.mayHaveRun |= !outcome.provesNotExecuted;
+    if (write && !outcome.provesNotExecuted && rpc.session != null && !terms.clientsCarryTokens()) {
       // Given up as its answer was on its way it may have been done, and its session is owed the
       // sight of it.
       Duration done = outcome == AttemptOutcome.OK ? now : now.plus(BRIEF_HOLD);
@@ -403,13 +406,13 @@
       Duration asOf = pos != null && !write ? pos : now.minus(took);
       learn(now, seat, primary ? asOf : pos, primary, true);
     }
-    judge(now, seat, callOut, outcome, took);
+    judge(now, seat, attempt, outcome, took);
     seenAlive(now, seat, aliveSince);
     if (ended && !rpc.answered) {
       close(rpc, outcome == AttemptOutcome.OK);
     }
     if (!rpc.answered && rpc.out == 0) {
-      furtherCallOut(now, rpc, outcome);
+      retry(now, rpc, outcome);
     }
     if (rpc.answered && rpc.out == 0) {
       open.remove(id);
@@ -417,7 +420,7 @@
     release(now, seat.group);
   }
 
-  public void clientLeft(Duration now, RequestId id) {
+  public void clientDisconnected(Duration now, RequestId id) {
     Rpc rpc = open.get(id);
     if (rpc != null && !rpc.answered) {
       rpc.abandoned = true;
@@ -431,7 +434,7 @@
    * Where a probe was answered no more may be concluded than that the server lives and can be
    * reached.
    */
-  public void probeEnded(
+  public void healthCheckEnded(
       Duration now, ServerId server, AttemptOutcome outcome, Duration aliveSince) {
     EndpointState seat = seats.get(server);
     seat.probing = false;
@@ -439,10 +442,11 @@
     if (outcome == AttemptOutcome.OK) {
       seat.doubted &= seat.deaf == 0;
       seat.deaf = 0;
-    } else if (outcome == AttemptOutcome.KEPT_CUT) {
+    } else if (outcome == AttemptOutcome.IDLE_CONNECTION_LOST) {
       // It never got there, and what it was for is still wanted.
       probe(now, seat, Duration.ZERO);
-    } else if (outcome != AttemptOutcome.NOT_TAKEN && (++seat.deaf > 1 || unheard(now, seat) > 0)) {
+    } else if (outcome != AttemptOutcome.CLOSED_BEFORE_SEND
+        && (++seat.deaf > 1 || unheard(now, seat) > 0)) {
       doubt(now, seat);
     }
   }
@@ -456,7 +460,7 @@
    * Against pushing over a cold return unseen from here; thins for nothing where the peer is cut
    * off.
    */
-  public void peerTold(Duration now, ServerId server) {
+  public void gossipReceived(Duration now, ServerId server) {
     EndpointState seat = seats.get(server);
     if (seat != null) {
       seat.start = seat.toldAt = now;
@@ -500,11 +504,11 @@
 
   // ---- Time
 
-  public void timerRang(Duration now) {
-    host.ringAt(now.plus(BEAT));
+  public void tick(Duration now) {
+    host.scheduleTick(now.plus(BEAT));
     if (askAt != null && now.compareTo(askAt) >= 0) {
       askAt = null;
-      host.watchList();
+      host.watchEndpointList();
     }
     long warm = seats.values().stream().filter(s -> s.listed && !cold(now, s)).count();
     warmRate += warm == 0 ? 0 : (workDone / warm - warmRate * seconds(BEAT)) / seconds(PACE_SPAN);
@@ -526,14 +530,14 @@
   private boolean forget(Duration now, EndpointState seat) {
     if (seat.goneAt == null) {
       seat.goneAt = now;
-      host.forget(seat.id);
+      host.endpointRemoved(seat.id);
     }
-    boolean over = now.minus(seat.goneAt).compareTo(terms.coldFor()) >= 0;
+    boolean over = now.minus(seat.goneAt).compareTo(terms.slowStartDuration()) >= 0;
     seat.group.primary = over && seat.group.primary == seat ? null : seat.group.primary;
     return over && seat.group.seats.remove(seat);
   }
 
-  public void dueReached(Duration now) {
+  public void timersDue(Duration now) {
     // Rings asked for before an earlier due time came up are left over; answered, they would
     // multiply.
     if (wakeAt == null || now.compareTo(wakeAt) < 0) {
@@ -548,7 +552,7 @@
     }
   }
 
-  private void dueAt(Duration at, Consumer<Duration> due) {
+  private void scheduleTimer(Duration at, Consumer<Duration> due) {
     dues.computeIfAbsent(at, a -> new ArrayList<>(1)).add(due);
     if (wakeAt == null || at.compareTo(wakeAt) < 0) {
       wake(at);
@@ -557,7 +561,7 @@
 
   private void wake(Duration at) {
     wakeAt = at;
-    host.dueAt(at);
+    host.scheduleTimer(at);
   }
 
   /**
@@ -569,7 +573,7 @@
     group.held.add(rpc);
     if (!group.looking) {
       group.looking = true;
-      dueAt(
+      scheduleTimer(
           now.plus(LOOK),
           at -> {
             group.looking = false;
@@ -603,7 +607,7 @@
     if (seat.doubted || (seat.group.held.isEmpty() && lost(c))) {
       rescue(now, c);
     }
-    dueAt(now.plus(span(c.work)), at -> overdue(at, c));
+    scheduleTimer(now.plus(span(c.work)), at -> overdue(at, c));
   }
 
   /**
@@ -624,26 +628,28 @@
    * wait.
    */
   private boolean refreshed(Duration now, Rpc rpc) {
-    Need need = rpc.row.need();
-    boolean byPosition = need == Need.BOUNDED || (need == Need.SESSION && token(rpc) != null);
-    EndpointState next = byPosition && terms.probes() ? leastBusy(now, rpc, false) : null;
+    Consistency consistency = rpc.row.consistency();
+    boolean byPosition =
+        consistency == Consistency.BOUNDED
+            || (consistency == Consistency.SESSION && token(rpc) != null);
+    EndpointState next = byPosition && terms.healthChecks() ? leastBusy(now, rpc, false) : null;
     boolean old =
         next != null && (next.pos == null || now.minus(next.pos).compareTo(probeAfter) > 0);
-    if (old && (need == Need.BOUNDED || !holds(now, rpc, next))) {
+    if (old && (consistency == Consistency.BOUNDED || !holds(now, rpc, next))) {
       probe(now, next, probeAfter);
     }
     return next != null && next.probing && now.minus(rpc.arrived).compareTo(BRIEF_HOLD) < 0;
   }
 
   private boolean probe(Duration now, EndpointState seat, Duration gap) {
-    if (!terms.probes()
+    if (!terms.healthChecks()
         || seat.probing
         || (seat.probedAt != null && now.minus(seat.probedAt).compareTo(gap) < 0)) {
       return false;
     }
     seat.probing = true;
     seat.probedAt = now;
-    host.probe(seat.id);
+    host.sendHealthCheck(seat.id);
     return true;
   }
 
@@ -651,7 +657,7 @@
 
   private EndpointState choose(Duration now, Rpc rpc) {
     Group group = rpc.group;
-    if (rpc.row.need() == Need.WRITE) {
+    if (rpc.row.consistency() == Consistency.WRITE) {
       return group.primary != null ? ready(now, rpc, group.primary) : nextInTurn(now, rpc);
     }
     if (!group.heard) {
@@ -677,9 +683,9 @@
 
   private boolean holds(Duration now, Rpc rpc, EndpointState seat) {
     Duration pos = seat.pos;
-    return switch (rpc.row.need()) {
+    return switch (rpc.row.consistency()) {
       case ANY -> true;
-      case BOUNDED -> pos != null && now.minus(pos).compareTo(rpc.row.bound()) < 0;
+      case BOUNDED -> pos != null && now.minus(pos).compareTo(rpc.row.stalenessBound()) < 0;
       case SESSION -> token(rpc) == null || (pos != null && pos.compareTo(token(rpc)) >= 0);
       case FRESH -> pos != null && pos.compareTo(rpc.arrived) >= 0;
       case WRITE -> false;
@@ -688,7 +694,7 @@
 
   /** As it stands now: a write of its session may have been answered while the read waited. */
   private Duration token(Rpc rpc) {
-    return terms.tokensCarried() ? rpc.carried : tokens.getOrDefault(rpc.session, floor);
+    return terms.clientsCarryTokens() ? rpc.carried : tokens.getOrDefault(rpc.session, floor);
   }
 
   /** Of equals in reads the one that comes first in this gateway's own order. */
@@ -704,7 +710,7 @@
   private EndpointState nextInTurn(Duration now, Rpc rpc) {
     Group group = rpc.group;
     // The last call-out is kept for a primary that is known.
-    if (now.compareTo(group.nextRound) < 0 || rpc.callOuts.size() + 1 >= terms.callOutLimit()) {
+    if (now.compareTo(group.nextRound) < 0 || rpc.attempts.size() + 1 >= terms.maxAttempts()) {
       return null;
     }
     for (int k = 0; k < group.seats.size(); k++) {
@@ -738,23 +744,23 @@
     }
     rpc.group.held.remove(rpc);
     boolean paced = cold(now, seat);
-    Attempt callOut = new Attempt(rpc, seat, rpc.callOuts.size(), now, work(rpc.method), paced);
-    rpc.callOuts.add(callOut);
+    Attempt attempt = new Attempt(rpc, seat, rpc.attempts.size(), now, work(rpc.method), paced);
+    rpc.attempts.add(attempt);
     rpc.out++;
     rpc.tried.add(seat);
-    seat.out.add(callOut);
-    seat.reads += rpc.row.need() == Need.WRITE ? 0 : 1;
+    seat.out.add(attempt);
+    seat.reads += rpc.row.consistency() == Consistency.WRITE ? 0 : 1;
     if (paced) {
       // Of what is unused a quarter of the fall window's part may be saved up, or one call-out.
       Duration gap = coldGap(now, seat, rpc.method);
-      Duration saved = now.minus(later(gap, terms.fallWindow().dividedBy(4)));
+      Duration saved = now.minus(later(gap, terms.overloadWindow().dividedBy(4)));
       seat.coldNext = later(seat.coldNext, saved).plus(gap);
     }
     if (seat.doubted) {
       doubt(now, seat);
     }
-    host.callOut(rpc.id, seat.id, rpc.giveUpAt);
-    dueAt(now.plus(span(LOST_TIMES * callOut.work)), at -> overdue(at, callOut));
+    host.sendAttempt(rpc.id, seat.id, rpc.giveUpAt);
+    scheduleTimer(now.plus(span(LOST_TIMES * attempt.work)), at -> overdue(at, attempt));
   }
 
   private void release(Duration now, Group group) {
@@ -762,7 +768,7 @@
     // Overload: taken oldest first, everything would go out when it is almost too late.
     if (!waiting.isEmpty()
         && seconds(now.minus(waiting.get(0).arrived))
-            > LONG_WAIT * seconds(waiting.get(0).row.softDeadline())) {
+            > LONG_WAIT * seconds(waiting.get(0).row.latencyObjective())) {
       Collections.reverse(waiting);
     }
     waiting.sort(Comparator.comparingDouble(rpc -> -value(now, rpc)));
@@ -784,16 +790,17 @@
    * others.
    */
   private double value(Duration now, Rpc rpc) {
-    boolean late = now.compareTo(rpc.arrived.plus(rpc.row.softDeadline())) >= 0;
+    boolean late = now.compareTo(rpc.arrived.plus(rpc.row.latencyObjective())) >= 0;
     return rpc.worth
-        * (late ? rpc.row.lateUtility() : 1)
-        / seconds(rpc.row.softDeadline())
+        * (late ? rpc.row.lateWeight() : 1)
+        / seconds(rpc.row.latencyObjective())
         / (LEAST_SERVED + served[rpc.method]);
   }
 
   /** What failed before its time is tried elsewhere, after all members only with the next look. */
-  private void furtherCallOut(Duration now, Rpc rpc, AttemptOutcome outcome) {
-    boolean missed = outcome == AttemptOutcome.MISS && rpc.row.need() == Need.WRITE;
+  private void retry(Duration now, Rpc rpc, AttemptOutcome outcome) {
+    boolean missed =
+        outcome == AttemptOutcome.INELIGIBLE && rpc.row.consistency() == Consistency.WRITE;
     if (now.compareTo(rpc.lastSend) >= 0 || !mayGoOut(now, rpc)) {
       giveUp(rpc);
     } else if (missed
@@ -815,10 +822,11 @@
     boolean clean = rpc.out == 0 && !rpc.mayHaveRun;
     if (rpc.row.effect() == Effect.IDEMPOTENT
         || clean
-        || (rpc.row.effect() == Effect.TOKENED && rpc.row.scope() == RequestClass.Scope.ALL)) {
-      host.pushBack(rpc.id, terms.longestComeBack());
+        || (rpc.row.effect() == Effect.IDEMPOTENT_BY_KEY
+            && rpc.row.scope() == RequestClass.Scope.ALL)) {
+      host.reject(rpc.id, terms.maxRetryAfter());
     } else {
-      host.abort(rpc.id);
+      host.fail(rpc.id);
     }
     close(rpc, false);
   }
@@ -827,8 +835,8 @@
     served[rpc.method] += SERVED_GAIN * ((ok ? 1 : 0) - served[rpc.method]);
     rpc.answered = true;
     rpc.group.held.remove(rpc);
-    if (terms.cancels()) {
-      rpc.callOuts.stream()
+    if (terms.cancellation()) {
+      rpc.attempts.stream()
           .filter(c -> c.seat.out.contains(c))
           .forEach(c -> host.cancel(rpc.id, c.number));
     }
@@ -843,7 +851,7 @@
    * The seat itself if the RPC may go there now: listed, warm enough, trusted, and no effect twice.
    */
   private EndpointState ready(Duration now, Rpc rpc, EndpointState seat) {
-    return listStands
+    return setEndpointListValid
             && seat.listed
             && !seat.draining
             && !rpc.tried.contains(seat)
@@ -871,30 +879,30 @@
   /** No effect twice: whether the RPC may go out, or out again, by its method and the terms. */
   private boolean mayGoOut(Duration now, Rpc rpc) {
     boolean limited =
-        rpc.callOuts.size() >= terms.callOutLimit() || (rpc.out > 0 && !terms.parallelCallOuts());
+        rpc.attempts.size() >= terms.maxAttempts() || (rpc.out > 0 && !terms.parallelAttempts());
     boolean risk = rpc.out > 0 || rpc.mayHaveRun;
     return !limited
         && (!risk
             || switch (rpc.row.effect()) {
               case IDEMPOTENT -> true;
-              case TOKENED -> repeatsDropped(now, rpc);
+              case IDEMPOTENT_BY_KEY -> repeatsDropped(now, rpc);
               case NON_IDEMPOTENT -> false;
             });
   }
 
   /** Counted from the first send, which is the earliest that may have run. */
   private static boolean repeatsDropped(Duration now, Rpc rpc) {
-    return now.minus(rpc.callOuts.get(0).sent).compareTo(rpc.row.window()) < 0;
+    return now.minus(rpc.attempts.get(0).sent).compareTo(rpc.row.deduplicationWindow()) < 0;
   }
 
   /**
    * A repeat of a tokened RPC is known in its group, which all sends stay in, or only in its zone.
    */
   private boolean knowsRepeats(Rpc rpc, EndpointState seat) {
-    return rpc.row.effect() != Effect.TOKENED
+    return rpc.row.effect() != Effect.IDEMPOTENT_BY_KEY
         || rpc.row.scope() != RequestClass.Scope.ZONE
-        || rpc.callOuts.isEmpty()
-        || rpc.callOuts.get(0).seat.zone.equals(seat.zone);
+        || rpc.attempts.isEmpty()
+        || rpc.attempts.get(0).seat.zone.equals(seat.zone);
   }
 
   /**
@@ -903,7 +911,7 @@
    */
   private boolean trusted(Duration now, Rpc rpc, EndpointState seat) {
     boolean due = !seat.doubted || now.compareTo(seat.trialAt) >= 0;
-    if (due && seat.doubted && seat.deaf > 0 && terms.probes()) {
+    if (due && seat.doubted && seat.deaf > 0 && terms.healthChecks()) {
       probe(now, seat, SHORT_WAIT);
       return false;
     }
@@ -914,7 +922,8 @@
   }
 
   private boolean cold(Duration now, EndpointState seat) {
-    return seat.coldSince != null && now.minus(seat.coldSince).compareTo(terms.coldFor()) < 0;
+    return seat.coldSince != null
+        && now.minus(seat.coldSince).compareTo(terms.slowStartDuration()) < 0;
   }
 
   /**
@@ -926,7 +935,8 @@
       return true;
     }
     boolean fresh = now.minus(rpc.arrived).compareTo(BRIEF_HOLD) <= 0;
-    boolean untold = seat.start == null || now.minus(seat.start).compareTo(terms.coldFor()) >= 0;
+    boolean untold =
+        seat.start == null || now.minus(seat.start).compareTo(terms.slowStartDuration()) >= 0;
     if (!fresh || untold) {
       return fresh;
     }
@@ -935,7 +945,7 @@
     List<EndpointState> members = seat.group.seats;
     // Where it is the least busy it is picked by all, not by one in as many as there are members.
     double equals =
-        rpc.row.need() == Need.WRITE
+        rpc.row.consistency() == Consistency.WRITE
             ? members.size()
             : members.stream()
                 .filter(
@@ -949,12 +959,17 @@
                 .count();
     return !owed
         && rpc.luck
-            < COLD_MARGIN * terms.fallMultiple() * coldShare(now, seat) * equals / members.size();
+            < COLD_MARGIN
+                * terms.overloadMultiple()
+                * slowStartShare(now, seat)
+                * equals
+                / members.size();
   }
 
-  private double coldShare(Duration now, EndpointState seat) {
-    double age = Math.max(0, seconds(now.minus(seat.coldSince)) / seconds(terms.coldFor()));
-    return terms.coldShare() + (1 - terms.coldShare()) * Math.min(1, age);
+  private double slowStartShare(Duration now, EndpointState seat) {
+    double age =
+        Math.max(0, seconds(now.minus(seat.coldSince)) / seconds(terms.slowStartDuration()));
+    return terms.slowStartShare() + (1 - terms.slowStartShare()) * Math.min(1, age);
   }
 
   /** Who learns of a start starts at a moment of its own: many gateways learn of it at once. */
@@ -963,8 +978,8 @@
     // A place among its equals drawn anew: after those who have been slow it would be first
     // everywhere.
     List<EndpointState> equals = seat.group.seats;
-    seat.order = equals.get(dice.nextInt(equals.size())).order + dice.nextDouble() - 0.5;
-    seat.coldNext = now.plus(span(dice.nextDouble() * seconds(coldGap(now, seat, 0))));
+    seat.order = equals.get(random.nextInt(equals.size())).order + random.nextDouble() - 0.5;
+    seat.coldNext = now.plus(span(random.nextDouble() * seconds(coldGap(now, seat, 0))));
   }
 
   /**
@@ -973,9 +988,9 @@
    * the call-outs there; who has done nothing yet takes its part of one a fall window.
    */
   private Duration coldGap(Duration now, EndpointState seat, int method) {
-    double rate = COLD_MARGIN * terms.fallMultiple() * coldShare(now, seat) * warmRate;
+    double rate = COLD_MARGIN * terms.overloadMultiple() * slowStartShare(now, seat) * warmRate;
     double work = work(method);
-    double least = work / (seconds(terms.fallWindow()) * fleet);
+    double least = work / (seconds(terms.overloadWindow()) * fleet);
     return span(work / Math.max(rate, least));
   }
 
@@ -995,14 +1010,14 @@
   }
 
   private void judge(
-      Duration now, EndpointState seat, Attempt callOut, AttemptOutcome outcome, Duration took) {
-    widen(now, seat, callOut, outcome, took);
-    int m = callOut.rpc.method;
+      Duration now, EndpointState seat, Attempt attempt, AttemptOutcome outcome, Duration took) {
+    widen(now, seat, attempt, outcome, took);
+    int m = attempt.rpc.method;
     // Whoever disappoints goes behind an equal: one answer proves nothing, but moving costs
     // nothing.
     boolean slow = seconds(took) > SLOW_TIMES * usual[m] && outcome == AttemptOutcome.OK;
     seat.order +=
-        slow || outcome == AttemptOutcome.ERROR || outcome == AttemptOutcome.NO_ROUTE ? 1 : 0;
+        slow || outcome == AttemptOutcome.ERROR || outcome == AttemptOutcome.UNREACHABLE ? 1 : 0;
     if (outcome == AttemptOutcome.OK) {
       // Settles at the median: with a mean, one jammed server would make every RPC look hopeless.
       // The first
@@ -1011,18 +1026,18 @@
       double reach = Math.max(STRIDE, 1 + 1.0 / ++answers[m]);
       double stride = seconds(took) < usual[m] ? 1 / reach : reach;
       usual[m] = Math.max(LEAST_USUAL, usual[m] == 0 ? seconds(took) : usual[m] * stride);
-      workDone += cold(now, seat) ? 0 : callOut.work;
+      workDone += cold(now, seat) ? 0 : attempt.work;
       extra += EXTRA_PER_OK;
     }
     switch (outcome) {
-      case OK, MISS -> trust(now, seat, callOut);
+      case OK, INELIGIBLE -> trust(now, seat, attempt);
       // One alone proves nothing: errors happen, and connections are reset on live servers.
-      case ERROR, NO_ROOM, CUT, NOT_TAKEN -> seat.strikes++;
-      case NO_ROUTE -> {
+      case ERROR, OVERLOADED, CONNECTION_LOST, CLOSED_BEFORE_SEND -> seat.strikes++;
+      case UNREACHABLE -> {
         seat.strikes += 1 + ++seat.deaf;
-        if (terms.tells() && (seat.toldAt == null || now.minus(seat.toldAt).compareTo(BEAT) > 0)) {
+        if (terms.gossip() && (seat.toldAt == null || now.minus(seat.toldAt).compareTo(BEAT) > 0)) {
           seat.toldAt = now;
-          host.tellPeers(seat.id);
+          host.gossipUnreachable(seat.id);
         }
       }
     }
@@ -1042,16 +1057,16 @@
    * what the work takes.
    */
   private void widen(
-      Duration now, EndpointState seat, Attempt callOut, AttemptOutcome outcome, Duration took) {
-    if ((outcome.neverRan && outcome != AttemptOutcome.NO_ROOM)
-        || outcome == AttemptOutcome.KEPT_CUT
-        || lost(callOut)) {
+      Duration now, EndpointState seat, Attempt attempt, AttemptOutcome outcome, Duration took) {
+    if ((outcome.provesNotExecuted && outcome != AttemptOutcome.OVERLOADED)
+        || outcome == AttemptOutcome.IDLE_CONNECTION_LOST
+        || lost(attempt)) {
       return;
     }
-    double soft = seconds(callOut.rpc.row.softDeadline());
+    double soft = seconds(attempt.rpc.row.latencyObjective());
     // Cancelled as its client left: whatever patience clients have, the answer took longer.
-    boolean left = outcome == AttemptOutcome.CANCELLED && callOut.rpc.abandoned;
-    double strain = outcome == AttemptOutcome.NO_ROOM || left ? 1 : seconds(took) / soft;
+    boolean left = outcome == AttemptOutcome.CANCELLED && attempt.rpc.abandoned;
+    double strain = outcome == AttemptOutcome.OVERLOADED || left ? 1 : seconds(took) / soft;
     // A gateway that sees little must learn as fast by the clock as one that sees much.
     double gain =
         Math.max(WINDOW_GAIN, BOLDEST_GAIN * Math.min(1, seconds(now.minus(seat.windowAt))));
@@ -1114,23 +1129,23 @@
   /**
    * Against hangs and lost answers; the budget keeps further call-outs from feeding an overload.
    */
-  private void rescue(Duration now, Attempt callOut) {
-    Rpc rpc = callOut.rpc;
+  private void rescue(Duration now, Attempt attempt) {
+    Rpc rpc = attempt.rpc;
     if (rpc.answered || rpc.row.effect() != Effect.IDEMPOTENT || rpc.out > 1 || extra < 1) {
       return;
     }
     route(now, rpc);
     extra -= rpc.out - 1;
-    if (!terms.parallelCallOuts() && terms.cancels()) {
+    if (!terms.parallelAttempts() && terms.cancellation()) {
       extra--;
-      host.cancel(rpc.id, callOut.number);
+      host.cancel(rpc.id, attempt.number);
     }
   }
 
   /**
    * For the log: of each server its call-outs, window, age of its position in ms, and its standing.
    */
-  public String inWords(Duration now) {
+  public String describe(Duration now) {
     return seats.values().stream()
             .map(
                 s ->
--- a/gateway/src/main/java/weldcross/routing/RouterActions.java
+++ b/gateway/src/main/java/weldcross/routing/RouterActions.java
@@ -12,36 +12,36 @@
    * Sends the RPC to the server; it is dropped at {@code until}, or when the client gives up if
    * sooner.
    */
-  void callOut(RequestId rpc, ServerId server, Duration until);
+  void sendAttempt(RequestId rpc, ServerId server, Duration until);
 
   /** Stops waiting for one call-out; whether the server stops working on it is its own matter. */
-  void cancel(RequestId rpc, int callOut);
+  void cancel(RequestId rpc, int attempt);
 
   /**
    * Final answer: nothing ran that matters, trying again is harmless; zero gives no time to come
    * back.
    */
-  void pushBack(RequestId rpc, Duration comeBackAfter);
+  void reject(RequestId rpc, Duration retryAfter);
 
   /** Final answer: failed, with no promise about its effect. */
-  void abort(RequestId rpc);
+  void fail(RequestId rpc);
 
-  void probe(ServerId server);
+  void sendHealthCheck(ServerId server);
 
   /** Tells all other gateways that no process was found there; the message may be lost. */
-  void tellPeers(ServerId server);
+  void gossipUnreachable(ServerId server);
 
   /**
    * The server left the list, nothing is out there, and it is not called until it is listed again.
    */
-  void forget(ServerId server);
+  void endpointRemoved(ServerId server);
 
   /** Asks for changes of the server list from now on. */
-  void watchList();
+  void watchEndpointList();
 
-  /** Asks for {@link Router#timerRang} at {@code at}; the one periodic timer of the instance. */
-  void ringAt(Duration at);
+  /** Asks for {@link Router#tick} at {@code at}; the one periodic timer of the instance. */
+  void scheduleTick(Duration at);
 
-  /** Asks for {@link Router#dueReached} at {@code at}, for the earliest of the due times. */
-  void dueAt(Duration at);
+  /** Asks for {@link Router#timersDue} at {@code at}, for the earliest of the due times. */
+  void scheduleTimer(Duration at);
 }
--- a/gateway/src/main/java/weldcross/simulator/SimulatorActions.java
+++ b/gateway/src/main/java/weldcross/simulator/SimulatorActions.java
@@ -24,7 +24,7 @@
   }
 
   @Override
-  public void callOut(RequestId rpc, ServerId server, Duration until) {
+  public void sendAttempt(RequestId rpc, ServerId server, Duration until) {
     begin("CALL_OUT")
         .append(rpc.name())
         .append(' ')
@@ -35,31 +35,27 @@
   }
 
   @Override
-  public void cancel(RequestId rpc, int callOut) {
-    begin("ABORT_ATTEMPT").append(rpc.name()).append(' ').append(callOut).append('\n');
+  public void cancel(RequestId rpc, int attempt) {
+    begin("ABORT_ATTEMPT").append(rpc.name()).append(' ').append(attempt).append('\n');
   }
 
   @Override
-  public void pushBack(RequestId rpc, Duration comeBackAfter) {
-    begin("SHED")
-        .append(rpc.name())
-        .append(' ')
-        .append(comeBackAfter.toNanos() / 1000)
-        .append('\n');
+  public void reject(RequestId rpc, Duration retryAfter) {
+    begin("SHED").append(rpc.name()).append(' ').append(retryAfter.toNanos() / 1000).append('\n');
   }
 
   @Override
-  public void abort(RequestId rpc) {
+  public void fail(RequestId rpc) {
     begin("END_FAILED").append(rpc.name()).append('\n');
   }
 
   @Override
-  public void probe(ServerId server) {
+  public void sendHealthCheck(ServerId server) {
     begin("POLL").append(server.name()).append('\n');
   }
 
   @Override
-  public void tellPeers(ServerId server) {
+  public void gossipUnreachable(ServerId server) {
     begin("TELL")
         .append("all ")
         .append(HexFormat.of().formatHex(GossipMessage.write(server)))
@@ -67,22 +63,22 @@
   }
 
   @Override
-  public void forget(ServerId server) {
+  public void endpointRemoved(ServerId server) {
     // Nothing is kept here.
   }
 
   @Override
-  public void watchList() {
+  public void watchEndpointList() {
     begin("OBSERVE").append("1\n");
   }
 
   @Override
-  public void ringAt(Duration at) {
+  public void scheduleTick(Duration at) {
     begin("WAKE_ME").append(TIMER).append(' ').append(atOrAfter(at)).append('\n');
   }
 
   @Override
-  public void dueAt(Duration at) {
+  public void scheduleTimer(Duration at) {
     begin("WAKE_ME").append(DUE).append(' ').append(atOrAfter(at)).append('\n');
   }
 
--- a/gateway/src/main/java/weldcross/simulator/SimulatorSession.java
+++ b/gateway/src/main/java/weldcross/simulator/SimulatorSession.java
@@ -143,7 +143,7 @@
         return () -> instances.remove(number);
       case "DIRECTORY_UPDATE":
         if (p[2].equals("failed")) {
-          return () -> to.router.listFailed(now);
+          return () -> to.router.endpointListFailed(now);
         }
         String[][] rows = pages.get(Integer.parseInt(p[4]));
         if (rows == null) {
@@ -159,7 +159,7 @@
         SessionId session = absent(p[7]) ? null : new SessionId(p[7]);
         GroupId group = new GroupId(new BigDecimal(p[8]).intValue());
         return () ->
-            to.router.rpcArrived(
+            to.router.requestArrived(
                 now,
                 new RequestId(p[2]),
                 method,
@@ -173,14 +173,14 @@
         Boolean primary = (note & 3) == 0 ? null : Boolean.valueOf((note & 3) == 1);
         Duration pos = note >> 2 == 0 ? null : since(to, to.originMicros + (note >> 2) * 1000);
         AttemptOutcome outcome = outcome(p[6]);
-        int callOut = Integer.parseInt(p[7]);
+        int attempt = Integer.parseInt(p[7]);
         boolean ended = p[8].equals("1");
         Duration took = micros(p[4], 1, RoundingMode.FLOOR);
         return () -> {
-          to.router.callOutEnded(
+          to.router.attemptEnded(
               now,
               new RequestId(p[2]),
-              callOut,
+              attempt,
               new ServerId(p[3]),
               outcome,
               took,
@@ -192,7 +192,7 @@
         };
       case "ECHO":
         return () -> {
-          to.router.probeEnded(
+          to.router.healthCheckEnded(
               now,
               new ServerId(p[4]),
               p[3].equals("pass") ? AttemptOutcome.OK : AttemptOutcome.TIMED_OUT,
@@ -200,14 +200,14 @@
           report(to, now, new ServerId(p[4]), p[5]);
         };
       case "CLIENT_LEFT":
-        return () -> to.router.clientLeft(now, new RequestId(p[2]));
+        return () -> to.router.clientDisconnected(now, new RequestId(p[2]));
       case "ALARM":
         return p[2].equals(SimulatorActions.TIMER)
-            ? () -> to.router.timerRang(now)
-            : () -> to.router.dueReached(now);
+            ? () -> to.router.tick(now)
+            : () -> to.router.timersDue(now);
       case "INBOX":
         ServerId named = peerWord(p[3]);
-        return named == null ? () -> {} : () -> to.router.peerTold(now, named);
+        return named == null ? () -> {} : () -> to.router.gossipReceived(now, named);
       case "UNDER_WAY":
         return () -> {};
       default:
@@ -216,17 +216,17 @@
   }
 
   private void list(Instance to, Duration now, boolean whole, String[][] rows) {
-    to.router.listBegins(now, whole);
+    to.router.beginEndpointList(now, whole);
     for (String[] r : rows) {
       EndpointStatus condition =
           switch (r[5]) {
-            case "on" -> EndpointStatus.ON;
+            case "on" -> EndpointStatus.ACTIVE;
             case "fading" -> EndpointStatus.DRAINING;
-            case "off" -> EndpointStatus.GONE;
+            case "off" -> EndpointStatus.REMOVED;
             default -> throw new ProtocolException("unknown condition: " + r[5]);
           };
       long ready = absent(r[7]) ? 0 : Long.parseLong(r[7]);
-      to.router.memberListed(
+      to.router.endpointListed(
           now,
           new ServerId(r[1]),
           new ZoneId(Integer.parseInt(r[2])),
@@ -235,7 +235,7 @@
           ready == 0 ? null : since(to, ready),
           !absent(r[8]) && r[8].equals("1"));
     }
-    to.router.listEnds(now);
+    to.router.endEndpointList(now);
   }
 
   private static void report(Instance to, Duration now, ServerId server, String pairs) {
@@ -254,20 +254,20 @@
    * well.
    */
   private static boolean answered(AttemptOutcome outcome) {
-    return outcome == AttemptOutcome.OK || outcome == AttemptOutcome.MISS;
+    return outcome == AttemptOutcome.OK || outcome == AttemptOutcome.INELIGIBLE;
   }
 
   private static AttemptOutcome outcome(String code) {
     return switch (code) {
       case "pass" -> AttemptOutcome.OK;
       case "fault" -> AttemptOutcome.ERROR;
-      case "no_room" -> AttemptOutcome.NO_ROOM;
+      case "no_room" -> AttemptOutcome.OVERLOADED;
       case "too_slow" -> AttemptOutcome.TIMED_OUT;
-      case "no_route" -> AttemptOutcome.NO_ROUTE;
-      case "cut" -> AttemptOutcome.CUT;
+      case "no_route" -> AttemptOutcome.UNREACHABLE;
+      case "cut" -> AttemptOutcome.CONNECTION_LOST;
       case "undone" -> AttemptOutcome.CANCELLED;
       case "stale_send" -> AttemptOutcome.NOT_SENT;
-      case "none_here" -> AttemptOutcome.MISS;
+      case "none_here" -> AttemptOutcome.INELIGIBLE;
       default -> throw new ProtocolException("unknown outcome: " + code);
     };
   }
--- a/gateway/src/test/java/weldcross/config/ConfigReaderTest.java
+++ b/gateway/src/test/java/weldcross/config/ConfigReaderTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import weldcross.routing.RequestClass.Consistency;
 import weldcross.routing.RequestClass.Effect;
-import weldcross.routing.RequestClass.Need;
 import weldcross.routing.RoutingConfig;
 
 class ConfigReaderTest {
@@ -40,9 +40,10 @@
             + "invariants.fallMultiple=2 invariants.fall=1000000";
     assertEquals(fromJson, ConfigReader.service(ConfigValues.ofPairs(wire.split(" "), 3)));
     assertEquals(
-        List.of(Need.SESSION, Need.WRITE), fromJson.methods().stream().map(m -> m.need()).toList());
-    assertEquals(Effect.NON_IDEMPOTENT, fromJson.methods().get(1).effect());
-    assertEquals(Duration.ofMillis(500), fromJson.longestComeBack());
+        List.of(Consistency.SESSION, Consistency.WRITE),
+        fromJson.requestClasses().stream().map(m -> m.consistency()).toList());
+    assertEquals(Effect.NON_IDEMPOTENT, fromJson.requestClasses().get(1).effect());
+    assertEquals(Duration.ofMillis(500), fromJson.maxRetryAfter());
   }
 
   @ParameterizedTest
--- a/gateway/src/test/java/weldcross/connections/IdleTimeoutEstimatorTest.java
+++ b/gateway/src/test/java/weldcross/connections/IdleTimeoutEstimatorTest.java
@@ -43,16 +43,16 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void findsTheRestThatConnectionsDoNotOutliveAndThatTheyDoAgain(long seed) {
-    SplittableRandom dice = new SplittableRandom(seed);
-    long limit = 20L + dice.nextInt(2000);
-    double gone = 0.4 + 0.6 * dice.nextDouble();
+    SplittableRandom random = new SplittableRandom(seed);
+    long limit = 20L + random.nextInt(2000);
+    double gone = 0.4 + 0.6 * random.nextDouble();
     int lost = 0;
     for (int k = 0; k < 3000; k++) {
-      boolean fresh = dice.nextInt(4) == 0;
-      Duration rested = fresh ? null : ms(1L << dice.nextInt(13));
+      boolean fresh = random.nextInt(4) == 0;
+      Duration rested = fresh ? null : ms(1L << random.nextInt(13));
       // As a pool does it: RPCs only where they may, probes whatever there is.
-      if (fresh || rests.mayCarry(rested) || dice.nextInt(5) == 0) {
-        boolean fails = dice.nextDouble() < (!fresh && rested.toMillis() >= limit ? gone : 0.04);
+      if (fresh || rests.mayCarry(rested) || random.nextInt(5) == 0) {
+        boolean fails = random.nextDouble() < (!fresh && rested.toMillis() >= limit ? gone : 0.04);
         lost += fails && !fresh && rests.mayCarry(rested) ? 1 : 0;
         use(rested, fails);
       }
@@ -61,7 +61,7 @@
     assertTrue(rests.mayCarry(ms(Long.highestOneBit(limit) / 2)));
     assertTrue(lost < 300, "lost " + lost + " of some 2000");
     for (int k = 0; k < 3000; k++) {
-      use(ms(1L << dice.nextInt(13)), dice.nextInt(25) == 0);
+      use(ms(1L << random.nextInt(13)), random.nextInt(25) == 0);
     }
     assertEquals(true, rests.mayCarry(ms(4096)));
   }
--- a/gateway/src/test/java/weldcross/consensus/MembershipStateMachineTest.java
+++ b/gateway/src/test/java/weldcross/consensus/MembershipStateMachineTest.java
@@ -67,18 +67,18 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
   void anyMotionsKeepTheRules(long seed) {
-    SplittableRandom dice = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     MembershipStateMachine views = new MembershipStateMachine();
     MembershipStateMachine copy = new MembershipStateMachine();
     Map<PeerName, Long> highestEnded = new TreeMap<>();
     for (int step = 0; step < 5000; step++) {
-      PeerName name = List.of(A, B, C).get(dice.nextInt(3));
-      long life = 1L + dice.nextInt(40);
+      PeerName name = List.of(A, B, C).get(random.nextInt(3));
+      long life = 1L + random.nextInt(40);
       Proposal motion =
-          switch (dice.nextInt(4)) {
+          switch (random.nextInt(4)) {
             case 0 -> Proposal.gone(name, life, B);
             case 1 -> Proposal.leave(member(name, life));
-            case 2 -> Proposal.forget(name, B, views.view().number() - dice.nextInt(2));
+            case 2 -> Proposal.forget(name, B, views.view().number() - random.nextInt(2));
             default -> Proposal.join(member(name, life));
           };
       MembershipView before = views.view();
@@ -237,13 +237,13 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void noShareIsEverWiderThanTheLeastThatWasKnownWithinTheTime(long seed) {
-    SplittableRandom dice = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     FleetQuota share = new FleetQuota(0.1, Duration.ofSeconds(30));
     List<Double> shares = new ArrayList<>(List.of(0.1));
     List<Duration> since = new ArrayList<>(List.of(Duration.ofSeconds(-100)));
     Duration now = Duration.ZERO;
     for (int step = 0; step < 2000; step++) {
-      now = now.plusMillis(dice.nextInt(20_000));
+      now = now.plusMillis(random.nextInt(20_000));
       double least = shares.get(shares.size() - 1);
       for (int k = shares.size() - 1; k >= 0; k--) {
         least = Math.min(least, shares.get(k));
@@ -254,8 +254,8 @@
       }
       assertTrue(
           share.share(now) <= least + 1e-12, step + ": " + share.share(now) + " over " + least);
-      if (dice.nextBoolean()) {
-        double next = 1.0 / (1 + dice.nextInt(20));
+      if (random.nextBoolean()) {
+        double next = 1.0 / (1 + random.nextInt(20));
         share.known(now, next);
         shares.add(next);
         since.add(now);
--- a/gateway/src/test/java/weldcross/consensus/net/ConsensusSimulation.java
+++ b/gateway/src/test/java/weldcross/consensus/net/ConsensusSimulation.java
@@ -103,8 +103,8 @@
               0.01,
               new Thread(),
               new WorldClock(),
-              dice.nextLong(),
-              () -> 1 + dice.nextLong(Long.MAX_VALUE));
+              random.nextLong(),
+              () -> 1 + random.nextLong(Long.MAX_VALUE));
       agreement.begun(life);
     }
 
@@ -137,12 +137,12 @@
       @Override
       public void send(PeerName to, Word word) {
         Node there = nodes.get(to);
-        if (of != process || cut(Node.this, there) || dice.nextDouble() < loss) {
+        if (of != process || cut(Node.this, there) || random.nextDouble() < loss) {
           return;
         }
         byte[] bytes = word.toByteArray();
         there.later(
-            Duration.ofMillis(delay + dice.nextInt(delay + 1)),
+            Duration.ofMillis(delay + random.nextInt(delay + 1)),
             () -> {
               try {
                 there.agreement.heard(name, Word.parseFrom(bytes));
@@ -188,7 +188,7 @@
       }
 
       @Override
-      public void shareIs(double share) {
+      public void setQuota(double share) {
         assertTrue(share > 0 && share <= 1);
       }
 
@@ -261,7 +261,7 @@
   /** By number, as the first that learnt of it had it. */
   final TreeMap<Long, MembershipView> agreedOn = new TreeMap<>();
 
-  final SplittableRandom dice;
+  final SplittableRandom random;
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
           (a, b) ->
@@ -278,7 +278,7 @@
   final List<List<Node>> deaf = new ArrayList<>();
 
   ConsensusSimulation(int count, int voting, long seed, boolean trustDisks) {
-    dice = new SplittableRandom(seed);
+    random = new SplittableRandom(seed);
     this.trustDisks = trustDisks;
     for (int k = 0; k < count; k++) {
       Node node = new Node(k);
--- a/gateway/src/test/java/weldcross/consensus/net/ConsensusSweep.java
+++ b/gateway/src/test/java/weldcross/consensus/net/ConsensusSweep.java
@@ -36,10 +36,10 @@
                           n ->
                               n.name
                                   + " "
-                                  + n.agreement.agreed().inWords(w.now)
+                                  + n.agreement.agreed().describe(w.now)
                                   + (n.agreement.voter() == null
                                       ? ""
-                                      : " " + n.agreement.voter().inWords()))
+                                      : " " + n.agreement.voter().describe()))
                       .toList());
         }
         if (w.agreedOn.lastKey() > w.all.get(0).view().number()) {
--- a/gateway/src/test/java/weldcross/consensus/net/ConsensusTest.java
+++ b/gateway/src/test/java/weldcross/consensus/net/ConsensusTest.java
@@ -41,7 +41,7 @@
                         n ->
                             n.name
                                 + " "
-                                + n.agreement.agreed().inWords(w.now)
+                                + n.agreement.agreed().describe(w.now)
                                 + (n.agreement.voter() == null
                                     ? ""
                                     : " " + n.agreement.voter().phase()))
@@ -324,11 +324,11 @@
     ConsensusSimulation w =
         new ConsensusSimulation(5 + (int) (seed % 3), seed % 2 == 0 ? 3 : 5, seed, trusted);
     assertNotNull(w.until(MINUTE, w::agree));
-    ConsensusSimulation.Node liar = w.all.get(w.dice.nextInt(w.voters.size()));
+    ConsensusSimulation.Node liar = w.all.get(w.random.nextInt(w.voters.size()));
     for (int step = 0; step < steps; step++) {
-      ConsensusSimulation.Node node = w.all.get(w.dice.nextInt(w.all.size()));
-      ConsensusSimulation.Node other = w.all.get(w.dice.nextInt(w.all.size()));
-      switch (w.dice.nextInt(14)) {
+      ConsensusSimulation.Node node = w.all.get(w.random.nextInt(w.all.size()));
+      ConsensusSimulation.Node other = w.all.get(w.random.nextInt(w.all.size()));
+      switch (w.random.nextInt(14)) {
         case 0, 1 -> {
           if (node.lives) {
             node.kill();
@@ -345,13 +345,13 @@
             node.resume();
           }
         }
-        case 8 -> node.side = w.dice.nextInt(2);
+        case 8 -> node.side = w.random.nextInt(2);
         case 9 -> w.all.forEach(n -> n.side = 0);
         case 10 -> w.deaf.add(List.of(node, other));
         case 11 -> {
           w.deaf.clear();
-          w.loss = w.dice.nextBoolean() ? 0.2 : 0;
-          w.delay = 1 + w.dice.nextInt(100);
+          w.loss = w.random.nextBoolean() ? 0.2 : 0;
+          w.delay = 1 + w.random.nextInt(100);
         }
         case 12 -> liar.disk.forceLies = !liar.disk.forceLies;
         default -> {
@@ -360,7 +360,7 @@
           }
         }
       }
-      w.run(Duration.ofMillis(w.dice.nextInt(4000)));
+      w.run(Duration.ofMillis(w.random.nextInt(4000)));
     }
     return w;
   }
--- a/gateway/src/test/java/weldcross/discovery/DiscoveryTest.java
+++ b/gateway/src/test/java/weldcross/discovery/DiscoveryTest.java
@@ -120,7 +120,7 @@
         });
   }
 
-  private static List<String> read(String stream, SplittableRandom dice)
+  private static List<String> read(String stream, SplittableRandom random)
       throws HttpResponseDecoder.ProtocolException {
     List<String> got = new ArrayList<>();
     HttpResponseDecoder reader =
@@ -128,7 +128,8 @@
             (status, body) -> got.add(status + " " + new String(body, StandardCharsets.UTF_8)));
     byte[] bytes = stream.getBytes(StandardCharsets.ISO_8859_1);
     for (int from = 0; from < bytes.length; ) {
-      int size = dice == null ? bytes.length : Math.min(bytes.length - from, 1 + dice.nextInt(7));
+      int size =
+          random == null ? bytes.length : Math.min(bytes.length - from, 1 + random.nextInt(7));
       reader.feed(ByteBuffer.wrap(bytes, from, size));
       from += size;
     }
--- a/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
@@ -46,7 +46,7 @@
 
   private volatile boolean waits;
   private final EventLoop loop = new EventLoop(this::clock);
-  private MinaTransport effects;
+  private MinaTransport transport;
   private Gateway gateway;
 
   /**
@@ -81,10 +81,10 @@
         GatewayTest.config(
             "\"sockets\":1024", "\"sockets\":" + sockets, "\"mayTell\":true", "\"mayTell\":false");
     GatewayConfig terms = GatewayConfig.of(ConfigValues.ofJson(config));
-    effects = new MinaTransport(loop, this::clock, sockets * 3 / 4);
-    gateway = new Gateway(terms, effects, Duration.ofHours(500_000));
+    transport = new MinaTransport(loop, this::clock, sockets * 3 / 4);
+    gateway = new Gateway(terms, transport, Duration.ofHours(500_000));
     gateway.reduce(now, Gateway::start);
-    at = effects.listening().get(20, TimeUnit.SECONDS);
+    at = transport.listening().get(20, TimeUnit.SECONDS);
     // Its own greeting is over before anything is counted; before it began there are no clients
     // either.
     until(() -> gateway.isWarm() && clients() == 0);
@@ -97,7 +97,7 @@
       each.close();
     }
     if (!broke) {
-      effects.end();
+      transport.end();
     }
   }
 
@@ -106,7 +106,7 @@
     do {
       loop.catchUp(gateway);
       assertTrue(
-          System.nanoTime() - began < BOUND_NANOS, () -> "not within 20 s: " + gateway.inWords());
+          System.nanoTime() - began < BOUND_NANOS, () -> "not within 20 s: " + gateway.describe());
       Thread.onSpinWait();
     } while (!condition.getAsBoolean());
   }
@@ -117,13 +117,13 @@
    */
   private void aRoundIsOver() {
     CountDownLatch read = new CountDownLatch(1);
-    effects.processor.afterReading(read::countDown);
+    transport.processor.afterReading(read::countDown);
     until(() -> read.getCount() == 0);
     loop.catchUp(gateway);
   }
 
   private int clients() {
-    return Integer.parseInt(gateway.inWords().split(" ")[0]);
+    return Integer.parseInt(gateway.describe().split(" ")[0]);
   }
 
   private void moveClock(int millis) {
@@ -174,7 +174,7 @@
   }
 
   private int taken() {
-    return Integer.parseInt(gateway.inWords().split("; ")[1].split(" ")[0]);
+    return Integer.parseInt(gateway.describe().split("; ")[1].split(" ")[0]);
   }
 
   /**
@@ -260,7 +260,7 @@
     // Sixteen are worked side by side, and pushed back when 0.45 of their time is over.
     while (answered < all) {
       assertTrue(
-          System.nanoTime() - began < BOUND_NANOS, answered + " answered; " + gateway.inWords());
+          System.nanoTime() - began < BOUND_NANOS, answered + " answered; " + gateway.describe());
       // What a round brings is begun, or nothing more is: only then does the time of those in work
       // pass.
       for (int still = 0, before = -1; still < 4; before = taken()) {
@@ -300,7 +300,7 @@
   @Test
   void faultInATaskOfTheProcessorIsNotTheEndOfAllReading() throws Exception {
     Socket first = connect();
-    effects.processor.afterReading(
+    transport.processor.afterReading(
         () -> {
           throw new IllegalStateException("a fault of one connection");
         });
@@ -314,7 +314,7 @@
   void endOfTheReadingThreadIsTheEndOfTheGateway() throws Exception {
     connect();
     broke = true;
-    effects.processor.afterReading(
+    transport.processor.afterReading(
         () -> {
           throw new StackOverflowError("planted");
         });
@@ -358,7 +358,7 @@
       List<Socket> fill = fillUp(to);
       // Nobody accepts and the queue is full: these stay on their way.
       for (int k = 0; k < 40; k++) {
-        effects.dialServer(-1_000 - k, to);
+        transport.dialServer(-1_000 - k, to);
       }
       int kept = 0;
       List<Socket> clients = new ArrayList<>();
@@ -382,7 +382,7 @@
         each.close();
       }
       for (int k = 0; k < 40; k++) {
-        effects.drop(-1_000 - k);
+        transport.drop(-1_000 - k);
       }
     }
   }
--- a/gateway/src/test/java/weldcross/gateway/DiscoveryWatcherTest.java
+++ b/gateway/src/test/java/weldcross/gateway/DiscoveryWatcherTest.java
@@ -61,7 +61,7 @@
 
   /** The list as it truly is, who knows it, and one gateway that lives, restarts and is watched. */
   private static final class Model {
-    final SplittableRandom dice;
+    final SplittableRandom random;
 
     /**
      * Each change's server and whether it drains from then on; the first stands for the list of the
@@ -84,7 +84,7 @@
     int at = 1, sent, held, delivered, refused;
 
     Model(long seed, boolean onRequest) {
-      dice = new SplittableRandom(seed);
+      random = new SplittableRandom(seed);
       this.onRequest = onRequest;
       begin(1);
     }
@@ -205,14 +205,14 @@
     }
 
     void step() {
-      int kind = dice.nextInt(100);
+      int kind = random.nextInt(100);
       if (kind < 22) {
-        servers.add(1 + dice.nextInt(2));
-        drains.add(dice.nextInt(3) > 0);
+        servers.add(1 + random.nextInt(2));
+        drains.add(random.nextInt(3) > 0);
       } else if (kind < 25) {
-        agents[1 + dice.nextInt(2)].silent ^= true;
+        agents[1 + random.nextInt(2)].silent ^= true;
       } else if (kind < 26) {
-        agents[1 + dice.nextInt(2)].busy = onRequest && dice.nextInt(3) > 0;
+        agents[1 + random.nextInt(2)].busy = onRequest && random.nextInt(3) > 0;
       } else if (kind < 30) {
         noteTold();
         at = 3 - at;
@@ -225,15 +225,15 @@
         mute.addAll(open());
       } else if (kind < 41) {
         noteTold();
-        begin(1 + dice.nextInt(agents[at].has()));
+        begin(1 + random.nextInt(agents[at].has()));
       } else if (kind < 80) {
-        w.ask(w.connect(), dice.nextInt(4) == 0, 900);
+        w.ask(w.connect(), random.nextInt(4) == 0, 900);
       }
       for (Agent agent : List.of(agents[1], agents[2])) {
         List<Long> toIt =
             open().stream().filter(l -> agents[w.wires.get(l).port] == agent).toList();
         for (int r = agent.has() + 1;
-            !agent.silent && dice.nextInt(3) > 0 && r < servers.size();
+            !agent.silent && random.nextInt(3) > 0 && r < servers.size();
             r++) {
           agent.had.put(r, now());
           if (!toIt.isEmpty() && mute.containsAll(toIt)) {
@@ -242,11 +242,11 @@
         }
       }
       discoverySpeaks();
-      if (dice.nextInt(3) > 0) {
+      if (random.nextInt(3) > 0) {
         w.asked().forEach(l -> w.answer(l, null));
       }
-      for (int k = dice.nextInt(30) == 0 ? dice.nextInt(150) : 1; k > 0; k--) {
-        w.wait(1 + dice.nextInt(100));
+      for (int k = random.nextInt(30) == 0 ? random.nextInt(150) : 1; k > 0; k--) {
+        w.wait(1 + random.nextInt(100));
         discoverySpeaks();
       }
       held += w.list().stands() ? 0 : 1;
@@ -288,7 +288,7 @@
             !agent.silent && !wire.dropped && m.matches();
             m = ASKED.matcher(wire.received)) {
           int since = m.group(2) == null ? -1 : Integer.parseInt(m.group(2));
-          if (wire.answeredAt == null && agent.busy && dice.nextInt(4) > 0) {
+          if (wire.answeredAt == null && agent.busy && random.nextInt(4) > 0) {
             refused++;
             wire.take();
             w.tell(g -> g.list().answered(link, 503, new byte[0]));
@@ -296,7 +296,7 @@
           }
           wire.answeredAt = wire.answeredAt == null ? w.now : wire.answeredAt;
           if (agent.busy
-              && dice.nextInt(LINE_MILLIS) > 100
+              && random.nextInt(LINE_MILLIS) > 100
               && w.now.minus(wire.answeredAt).toMillis() < LINE_MILLIS) {
             break;
           }
--- a/gateway/src/test/java/weldcross/gateway/GatewayProcessTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayProcessTest.java
@@ -532,7 +532,7 @@
     }
 
     @Override
-    public String inWords() {
+    public String describe() {
       return name;
     }
   }
--- a/gateway/src/test/java/weldcross/gateway/GatewayTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayTest.java
@@ -606,30 +606,30 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
   void keepsTheRulesThroughRandomLives(long seed) {
-    SplittableRandom dice = new SplittableRandom(seed);
-    World w = World.serving("\"parallelTries\":true", "\"parallelTries\":" + dice.nextBoolean());
+    SplittableRandom random = new SplittableRandom(seed);
+    World w = World.serving("\"parallelTries\":true", "\"parallelTries\":" + random.nextBoolean());
     List<Long> clients = new ArrayList<>();
     for (int step = 0; step < 2000; step++) {
-      int kind = dice.nextInt(100);
+      int kind = random.nextInt(100);
       List<Long> asked = w.asked();
       if (kind < 25) {
         List<Long> free = clients.stream().filter(c -> !w.waits(c)).toList();
         long client =
-            free.isEmpty() || dice.nextInt(4) == 0
+            free.isEmpty() || random.nextInt(4) == 0
                 ? w.connect()
-                : free.get(dice.nextInt(free.size()));
+                : free.get(random.nextInt(free.size()));
         clients.remove(client);
-        boolean write = dice.nextInt(3) == 0;
+        boolean write = random.nextInt(3) == 0;
         if (write) {
           w.writes.add("a" + w.named);
         }
-        w.ask(client, write, 50 + dice.nextInt(2000));
+        w.ask(client, write, 50 + random.nextInt(2000));
         clients.add(client);
       } else if (kind < 27 && !clients.isEmpty()) {
-        w.leave(clients.remove(dice.nextInt(clients.size())));
+        w.leave(clients.remove(random.nextInt(clients.size())));
       } else if (kind < 70 && !asked.isEmpty()) {
-        long link = asked.get(dice.nextInt(asked.size()));
-        int how = dice.nextInt(40);
+        long link = asked.get(random.nextInt(asked.size()));
+        int how = random.nextInt(40);
         boolean misses =
             World.id(w.wires.get(link).statement) != null
                 && w.wires.get(link).statement.startsWith("INSERT")
@@ -644,12 +644,12 @@
                   : how == 1 ? "XX000" : how == 2 ? "53300" : how == 3 ? "99999" : null);
         }
       } else if (kind == 71) {
-        String server = "s-" + dice.nextInt(3);
+        String server = "s-" + random.nextInt(3);
         if (!w.silent.remove(server)) {
           w.silent.add(server);
         }
       } else {
-        w.wait(dice.nextInt(30));
+        w.wait(random.nextInt(30));
       }
     }
     w.wait(5000);
@@ -1264,7 +1264,7 @@
       w.wait(130);
     }
     assertTrue(lost > 1 && lost < 12, "lost " + lost);
-    assertFalse(w.gateway.inWords().contains("cold") || w.gateway.inWords().contains("doubted"));
+    assertFalse(w.gateway.describe().contains("cold") || w.gateway.describe().contains("doubted"));
     long open =
         w.wires.entrySet().stream().filter(e -> e.getKey() < 0 && e.getValue().open).count();
     assertTrue(open < 9, "those given up are ended: " + open);
@@ -1282,7 +1282,7 @@
     long link = w.wires.keySet().stream().min(Long::compare).orElseThrow();
     w.silent.clear();
     w.tell(g -> g.links().dialReset(link));
-    assertFalse(w.gateway.inWords().contains("cold") || w.gateway.inWords().contains("doubted"));
+    assertFalse(w.gateway.describe().contains("cold") || w.gateway.describe().contains("doubted"));
     w.wait(30);
     w.answer(on(w, id), null);
     assertEquals("ok", w.answers.get(id), "asked again, as nothing ran");
@@ -1667,7 +1667,7 @@
                   + ",c=look,d=900,cluster=0 */"));
     }
     w.say(client, burst.flip());
-    assertTrue(w.gateway.inWords().contains(" 16 rpcs"), w.gateway.inWords());
+    assertTrue(w.gateway.describe().contains(" 16 rpcs"), w.gateway.describe());
     for (int k = 0; k < 90; k++) {
       w.wait(10);
       w.answerProbes();
@@ -1692,14 +1692,14 @@
       w.answer(on(w, w.ask(client, true, 500)), null);
     }
     assertEquals(20, w.answers.size());
-    assertTrue(w.gateway.inWords().startsWith("24 clients"), w.gateway.inWords());
+    assertTrue(w.gateway.describe().startsWith("24 clients"), w.gateway.describe());
   }
 
   /** Ids, keys, clients and servers always new: what is kept is what is open and listed. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void nothingGrowsWithWhatHasPassed(long seed) {
-    SplittableRandom dice = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     World w = World.serving();
     w.tell(g -> g.list().up(w.discovery));
     for (int k = 3; k < 1500; k++) {
@@ -1707,7 +1707,7 @@
           "{\"revision\":"
               + k
               + ",\"complete\":"
-              + dice.nextBoolean()
+              + random.nextBoolean()
               + ",\"members\":["
               + member(0, "active")
               + ","
@@ -1720,19 +1720,19 @@
       w.tell(g -> g.list().answered(w.discovery, 200, text.getBytes(StandardCharsets.UTF_8)));
       w.flush();
       long client = w.connect();
-      for (int n = dice.nextInt(4); n >= 0; n--) {
+      for (int n = random.nextInt(4); n >= 0; n--) {
         w.ask(client, false, 300);
       }
-      w.wait(dice.nextInt(20));
-      w.asked().forEach(l -> w.answer(l, dice.nextInt(9) == 0 ? "XX000" : null));
-      w.wait(dice.nextInt(40));
-      if (dice.nextInt(3) > 0) {
+      w.wait(random.nextInt(20));
+      w.asked().forEach(l -> w.answer(l, random.nextInt(9) == 0 ? "XX000" : null));
+      w.wait(random.nextInt(40));
+      if (random.nextInt(3) > 0) {
         w.leave(client);
       }
       w.wires.entrySet().removeIf(e -> e.getKey() < 0 && e.getValue().dropped);
     }
     w.wait(17_300);
-    String kept = w.gateway.inWords();
+    String kept = w.gateway.describe();
     Matcher m =
         Pattern.compile("(\\d+) clients, (\\d+) rpcs, (\\d+) servers, (\\d+) due;.*").matcher(kept);
     assertTrue(m.matches(), kept);
@@ -1833,12 +1833,12 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void noStatementIsReadInVainWhileConnectionsEnd(long seed) {
-    SplittableRandom dice = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     World w = World.serving("\"sockets\":1024", "\"sockets\":64");
     List<Long> usual = new ArrayList<>();
     for (int step = 0; step < 1500; step++) {
-      int kind = dice.nextInt(100);
-      w.behind = dice.nextInt(3) > 0;
+      int kind = random.nextInt(100);
+      w.behind = random.nextInt(3) > 0;
       usual.removeIf(c -> !w.wires.get(c).open);
       if (kind < 6) {
         usual.add(w.connect());
@@ -1848,14 +1848,14 @@
         // Those that are just given up, where there are any: what was read is told before that is.
         List<Long> free = usual.stream().filter(c -> !w.waits(c)).toList();
         List<Long> parting = free.stream().filter(w.parting::containsKey).toList();
-        List<Long> from = parting.isEmpty() || dice.nextBoolean() ? free : parting;
-        w.ask(from.get(dice.nextInt(from.size())), false, 100 + dice.nextInt(2000));
+        List<Long> from = parting.isEmpty() || random.nextBoolean() ? free : parting;
+        w.ask(from.get(random.nextInt(from.size())), false, 100 + random.nextInt(2000));
       } else if (kind < 60) {
         w.hearNow();
       } else if (kind < 85 && !w.asked().isEmpty()) {
-        w.answer(w.asked().get(dice.nextInt(w.asked().size())), null);
+        w.answer(w.asked().get(random.nextInt(w.asked().size())), null);
       } else {
-        w.wait(dice.nextInt(kind == 99 ? 3000 : 40));
+        w.wait(random.nextInt(kind == 99 ? 3000 : 40));
       }
       if (step == 1400) {
         w.tell(Gateway::stop);
--- a/gateway/src/test/java/weldcross/gateway/MultipleDeploymentsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/MultipleDeploymentsTest.java
@@ -133,8 +133,8 @@
     ask(fresh, false, "browse", "zeta");
     assertTrue(statements(fresh).isEmpty(), "it knows no position yet");
     assertEquals(Duration.ZERO, fresh.now);
-    assertTrue(fresh.gateway.inWords().contains("s-0 0/6 ?"), fresh.gateway.inWords());
-    assertFalse(one.gateway.inWords().contains("s-0 0/6 ?"), one.gateway.inWords());
+    assertTrue(fresh.gateway.describe().contains("s-0 0/6 ?"), fresh.gateway.describe());
+    assertFalse(one.gateway.describe().contains("s-0 0/6 ?"), one.gateway.describe());
   }
 
   /** What a reload cannot change is said to wait for a restart, and none of it holds before. */
--- a/gateway/src/test/java/weldcross/gateway/ReadBatchTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ReadBatchTest.java
@@ -55,8 +55,8 @@
     deliver();
     assertTrue(w.outOn.containsKey("a901"));
     assertTrue(
-        !w.outOn.containsKey("a900") && !w.gateway.inWords().contains("2 taken"),
-        w.gateway.inWords());
+        !w.outOn.containsKey("a900") && !w.gateway.describe().contains("2 taken"),
+        w.gateway.describe());
   }
 
   /** All who go are one event, before anything else: none of them is made room for by another. */
@@ -101,6 +101,6 @@
     round.went(70);
     round.came(71);
     deliver();
-    assertTrue(w.gateway.inWords().startsWith("1 clients"), w.gateway.inWords());
+    assertTrue(w.gateway.describe().startsWith("1 clients"), w.gateway.describe());
   }
 }
--- a/gateway/src/test/java/weldcross/membership/FailureDetectorExplorer.java
+++ b/gateway/src/test/java/weldcross/membership/FailureDetectorExplorer.java
@@ -249,7 +249,7 @@
                 + life[k]
                 + seen.get(k).self()
                 + seen.get(k).held()
-                + seen.get(k).inWords());
+                + seen.get(k).describe());
       }
       return words + " " + messages.stream().map(Message::words).toList() + now + dialled + refused;
     }
--- a/gateway/src/test/java/weldcross/membership/FailureDetectorTest.java
+++ b/gateway/src/test/java/weldcross/membership/FailureDetectorTest.java
@@ -165,15 +165,15 @@
   void noLivingOneIsEverHeldGoneAndAllFindTogetherAgain(long seed) {
     MembershipSimulation w = up(5 + (int) (seed % 4), seed);
     for (int step = 0; step < 400; step++) {
-      MembershipSimulation.Node node = w.all.get(w.dice.nextInt(w.all.size()));
-      switch (w.dice.nextInt(9)) {
+      MembershipSimulation.Node node = w.all.get(w.random.nextInt(w.all.size()));
+      switch (w.random.nextInt(9)) {
         case 0 -> {
           if (node.lives && !node.paused) {
             node.kill();
             // Somebody may find out by a refused dial.
-            MembershipSimulation.Node other = w.all.get(w.dice.nextInt(w.all.size()));
-            if (other != node && other.lives && !other.paused && w.dice.nextBoolean()) {
-              other.seen.refusedBy(w.now, node.name, w.dice.nextLong(node.life) + 1);
+            MembershipSimulation.Node other = w.all.get(w.random.nextInt(w.all.size()));
+            if (other != node && other.lives && !other.paused && w.random.nextBoolean()) {
+              other.seen.refusedBy(w.now, node.name, w.random.nextLong(node.life) + 1);
             }
           }
         }
@@ -192,11 +192,11 @@
             node.resume();
           }
         }
-        case 6 -> node.side = w.dice.nextInt(2);
-        case 7 -> w.loss = w.dice.nextInt(3) * 0.2;
+        case 6 -> node.side = w.random.nextInt(2);
+        case 7 -> w.loss = w.random.nextInt(3) * 0.2;
         default -> w.all.forEach(n -> n.side = 0);
       }
-      w.run(Duration.ofMillis(w.dice.nextInt(3000)));
+      w.run(Duration.ofMillis(w.random.nextInt(3000)));
     }
     w.loss = 0;
     w.all.forEach(
--- a/gateway/src/test/java/weldcross/membership/MembershipSimulation.java
+++ b/gateway/src/test/java/weldcross/membership/MembershipSimulation.java
@@ -40,11 +40,11 @@
       Node there = nodes.get(to);
       messages++;
       bytes += 40 + 30L * news;
-      if (dice.nextDouble() < loss || side != there.side) {
+      if (random.nextDouble() < loss || side != there.side) {
         return;
       }
       after(
-          Duration.ofMillis(delay + dice.nextInt(delay + 1)),
+          Duration.ofMillis(delay + random.nextInt(delay + 1)),
           () -> there.take(() -> message.accept(there.seen)));
     }
 
@@ -125,7 +125,7 @@
       List<PeerName> others = nodes.keySet().stream().filter(n -> !n.equals(name)).toList();
       seen =
           new FailureDetector(
-              FailureDetectorConfig.usual(name, others, "a", 10), this, dice.nextLong());
+              FailureDetectorConfig.usual(name, others, "a", 10), this, random.nextLong());
       seen.start(now, life);
     }
 
@@ -154,7 +154,7 @@
               a.at().equals(b.at())
                   ? Long.compare(a.order(), b.order())
                   : a.at().compareTo(b.at()));
-  final SplittableRandom dice;
+  final SplittableRandom random;
   private long order;
   Duration now = Duration.ZERO;
   double loss;
@@ -162,7 +162,7 @@
   long messages, bytes, falselySilent;
 
   MembershipSimulation(int count, long seed) {
-    dice = new SplittableRandom(seed);
+    random = new SplittableRandom(seed);
     for (int k = 0; k < count; k++) {
       Node node = new Node("n" + k);
       nodes.put(node.name, node);
--- a/gateway/src/test/java/weldcross/mesh/MeshExtensionTest.java
+++ b/gateway/src/test/java/weldcross/mesh/MeshExtensionTest.java
@@ -77,7 +77,7 @@
     public void changed() {}
 
     @Override
-    public void shareIs(double share) {
+    public void setQuota(double share) {
       // Nobody routes here.
     }
 
--- a/gateway/src/test/java/weldcross/mesh/MeshSimulation.java
+++ b/gateway/src/test/java/weldcross/mesh/MeshSimulation.java
@@ -243,8 +243,8 @@
     void checkBounds() {
       for (Node peer : nodes.values()) {
         if (peer != this) {
-          assertTrue(links.waiting(peer.name) <= TERMS.mostWaiting(), links.inWords());
-          assertTrue(links.bytes(peer.name) <= 2 * TERMS.mostBytes(), links.inWords());
+          assertTrue(links.waiting(peer.name) <= TERMS.mostWaiting(), links.describe());
+          assertTrue(links.bytes(peer.name) <= 2 * TERMS.mostBytes(), links.describe());
         }
       }
     }
@@ -356,7 +356,7 @@
         if (a != b) {
           assertTrue(
               a.links.isUp(b.name),
-              a.name + " to " + b.name + ": " + a.links.inWords() + " | " + b.links.inWords());
+              a.name + " to " + b.name + ": " + a.links.describe() + " | " + b.links.describe());
           assertEquals(b.life, a.links.lifeOf(b.name));
         }
       }
--- a/gateway/src/test/java/weldcross/mesh/PeerConnectionManagerTest.java
+++ b/gateway/src/test/java/weldcross/mesh/PeerConnectionManagerTest.java
@@ -145,7 +145,7 @@
       w.node(0).say(one, 16, true);
       w.node(0).checkBounds();
     }
-    assertTrue(w.node(0).links.inWords().contains("dropped"), w.node(0).links.inWords());
+    assertTrue(w.node(0).links.describe().contains("dropped"), w.node(0).links.describe());
     assertTrue(w.node(0).links.isUp(one));
     assertFalse(w.node(0).links.send(w.now, one, 1, ByteBuffer.allocate(16), false));
     assertTrue(w.node(0).told.contains("down n1: too much waits for it"));
@@ -175,31 +175,31 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void rulesHoldThroughRandomTrouble(long seed) {
-    SplittableRandom dice = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     MeshSimulation w = new MeshSimulation(3 + (int) (seed % 3));
     int count = w.nodes.size();
     for (int step = 0; step < 6000; step++) {
-      MeshSimulation.Node node = w.node(dice.nextInt(count));
-      PeerName peer = w.node(dice.nextInt(count)).name;
+      MeshSimulation.Node node = w.node(random.nextInt(count));
+      PeerName peer = w.node(random.nextInt(count)).name;
       List<MeshSimulation.End> coming = w.withFrames();
-      int what = dice.nextInt(1000);
+      int what = random.nextInt(1000);
       if (what < 500 && !coming.isEmpty()) {
-        w.deliver(coming.get(dice.nextInt(coming.size())));
+        w.deliver(coming.get(random.nextInt(coming.size())));
       } else if (what < 600 && !w.dials.isEmpty()) {
-        w.dialComes(w.dials.get(dice.nextInt(w.dials.size())));
+        w.dialComes(w.dials.get(random.nextInt(w.dials.size())));
       } else if (what < 800 && !peer.equals(node.name)) {
-        node.say(peer, 8 + dice.nextInt(40), dice.nextBoolean());
+        node.say(peer, 8 + random.nextInt(40), random.nextBoolean());
       } else if (what < 960) {
-        w.pass(Duration.ofMillis(dice.nextInt(60)));
+        w.pass(Duration.ofMillis(random.nextInt(60)));
       } else if (what < 975 && !peer.equals(node.name)) {
         w.cuts.add(node.name + ">" + peer);
       } else if (what < 990) {
         w.cuts.clear();
       } else if (what < 996) {
         // Now and then a disk lost what it had said was kept.
-        node.startAnew(node.life.incarnation() + (dice.nextInt(4) == 0 ? 0 : 1));
+        node.startAnew(node.life.incarnation() + (random.nextInt(4) == 0 ? 0 : 1));
       } else if (!node.ends.isEmpty()) {
-        long number = List.copyOf(node.ends.keySet()).get(dice.nextInt(node.ends.size()));
+        long number = List.copyOf(node.ends.keySet()).get(random.nextInt(node.ends.size()));
         node.drop(number);
         node.links.gone(w.now, number);
       }
@@ -274,7 +274,7 @@
         .values()
         .forEach(
             n -> {
-              all.append(n.life).append(n.links.inWords()).append(n.lastHeard);
+              all.append(n.life).append(n.links.describe()).append(n.lastHeard);
               n.ends
                   .values()
                   .forEach(e -> all.append(e.number).append(e.open).append(e.coming.size()));
--- a/gateway/src/test/java/weldcross/pgwire/PgWireTest.java
+++ b/gateway/src/test/java/weldcross/pgwire/PgWireTest.java
@@ -125,7 +125,7 @@
     final ServerMessageDecoder reader = new ServerMessageDecoder(this);
 
     /** Welcomed, asked, and told these bytes in pieces. */
-    static Told of(byte[] stream, SplittableRandom dice) {
+    static Told of(byte[] stream, SplittableRandom random) {
       Told told = new Told();
       told.reader.ask();
       told.reader.feed(
@@ -134,13 +134,13 @@
                   message('R', "\0\0\0\0"),
                   message('S', "server_version\0" + "14\0"),
                   message('Z', "I"))));
-      told.hear(stream, dice);
+      told.hear(stream, random);
       return told;
     }
 
-    void hear(byte[] stream, SplittableRandom dice) {
+    void hear(byte[] stream, SplittableRandom random) {
       reader.ask();
-      pieces(stream, dice).forEach(reader::feed);
+      pieces(stream, random).forEach(reader::feed);
     }
 
     /** What was passed on as served; nothing of a row that cannot be told to be whole may be. */
@@ -191,10 +191,10 @@
             message('S', "mode\0read-only\0"),
             message('Z', "I"));
     for (long seed = -1; seed < 200; seed++) {
-      SplittableRandom dice = seed < 0 ? null : new SplittableRandom(seed);
-      Told told = Told.of(served("value"), dice);
-      told.hear(refused, dice);
-      told.hear(served("x0=12.5,x1=1"), dice);
+      SplittableRandom random = seed < 0 ? null : new SplittableRandom(seed);
+      Told told = Told.of(served("value"), random);
+      told.hear(refused, random);
+      told.hear(served("x0=12.5,x1=1"), random);
       told.words.removeIf("begun"::equals);
       assertEquals(
           List.of(
@@ -222,31 +222,31 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void spoiltStreamServesNothingButItsValue(long seed) {
-    SplittableRandom dice = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     for (int life = 0; life < 3000; life++) {
       byte[] stream = served("value");
-      byte[] noise = new byte[1 + dice.nextInt(40)];
-      dice.nextBytes(noise);
-      int at = dice.nextInt(stream.length);
-      switch (dice.nextInt(4)) {
+      byte[] noise = new byte[1 + random.nextInt(40)];
+      random.nextBytes(noise);
+      int at = random.nextInt(stream.length);
+      switch (random.nextInt(4)) {
         case 0 -> {
           // The length of some message, or of the row's value, is another.
           int[] lengths = {1, 34, 40, 50, 64};
           ByteBuffer.wrap(stream)
               .putInt(
-                  lengths[dice.nextInt(5)],
-                  dice.nextInt(3) == 0 ? dice.nextInt() : dice.nextInt(70) - 3);
+                  lengths[random.nextInt(5)],
+                  random.nextInt(3) == 0 ? random.nextInt() : random.nextInt(70) - 3);
         }
         case 1 -> stream = bytes(Arrays.copyOf(stream, at), noise);
         case 2 -> stream = bytes(stream, noise);
         default -> stream = bytes(stream, served("other"));
       }
-      Told told = Told.of(stream, dice);
+      Told told = Told.of(stream, random);
       assertTrue(
           told.served().isEmpty() || told.served().equals(List.of("value")), told.words.toString());
       boolean spoilt = told.words.stream().anyMatch(w -> w.equals("spoilt") || w.endsWith("more"));
       if (spoilt || !told.served().isEmpty()) {
-        told.hear(served("next"), dice);
+        told.hear(served("next"), random);
         assertEquals(!spoilt, told.served().contains("next"), told.words.toString());
       }
     }
@@ -394,24 +394,24 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void noiseIsNeverTakenForAStatement(long seed) {
-    SplittableRandom dice = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     byte[] good = bytes(start(), query(READ), query(write("00ff")), query(READ));
     for (int life = 0; life < 3000; life++) {
       byte[] stream = good.clone();
-      for (int n = dice.nextInt(3); n >= 0; n--) {
-        int at = dice.nextInt(stream.length);
-        if (dice.nextInt(3) == 0) {
-          ByteBuffer.wrap(stream).putInt(Math.min(at, stream.length - 4), dice.nextInt());
-        } else if (dice.nextBoolean()) {
-          stream[at] = (byte) dice.nextInt(256);
+      for (int n = random.nextInt(3); n >= 0; n--) {
+        int at = random.nextInt(stream.length);
+        if (random.nextInt(3) == 0) {
+          ByteBuffer.wrap(stream).putInt(Math.min(at, stream.length - 4), random.nextInt());
+        } else if (random.nextBoolean()) {
+          stream[at] = (byte) random.nextInt(256);
         } else {
           stream =
               bytes(
                   Arrays.copyOf(stream, at),
-                  Arrays.copyOfRange(good, dice.nextInt(good.length), good.length));
+                  Arrays.copyOfRange(good, random.nextInt(good.length), good.length));
         }
       }
-      for (String word : hear(stream, dice)) {
+      for (String word : hear(stream, random)) {
         assertTrue(
             word.matches("started|encryption|nothing|ended|(wrong|broke) \\w{5}|asked .*"), word);
       }
@@ -435,21 +435,23 @@
     assertEquals(List.of("broke 08P01"), hear(new byte[] {0, 0, 0, 4}, null));
   }
 
-  private static List<String> hear(byte[] stream, SplittableRandom dice) {
+  private static List<String> hear(byte[] stream, SplittableRandom random) {
     Heard heard = new Heard();
     ClientMessageDecoder reader = new ClientMessageDecoder(heard);
-    for (ByteBuffer piece : pieces(stream, dice)) {
+    for (ByteBuffer piece : pieces(stream, random)) {
       reader.feed(piece);
     }
     return heard.words;
   }
 
-  private static List<ByteBuffer> pieces(byte[] stream, SplittableRandom dice) {
+  private static List<ByteBuffer> pieces(byte[] stream, SplittableRandom random) {
     List<ByteBuffer> pieces = new ArrayList<>();
     for (int from = 0; from < stream.length; ) {
       int most = stream.length - from;
       int size =
-          dice == null ? most : Math.min(most, 1 + dice.nextInt(dice.nextBoolean() ? 9 : 40_000));
+          random == null
+              ? most
+              : Math.min(most, 1 + random.nextInt(random.nextBoolean() ? 9 : 40_000));
       // Read buffers begin anywhere, so each piece lies inside a larger one.
       ByteBuffer piece =
           ByteBuffer.allocate(size + 3).position(3).put(stream, from, size).position(3);
--- a/gateway/src/test/java/weldcross/routing/RouterHarness.java
+++ b/gateway/src/test/java/weldcross/routing/RouterHarness.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import weldcross.routing.RequestClass.Consistency;
 import weldcross.routing.RequestClass.Effect;
-import weldcross.routing.RequestClass.Need;
 import weldcross.routing.RequestClass.Scope;
 
 /** A host that keeps the books of one router and fails the test at the call that breaks a rule. */
@@ -20,7 +20,7 @@
   static final class Server {
     final ServerId id;
     final GroupId group;
-    EndpointStatus told = EndpointStatus.GONE;
+    EndpointStatus told = EndpointStatus.REMOVED;
     Duration start;
     Duration pos = Duration.ZERO;
     Duration toldPos;
@@ -65,7 +65,7 @@
   int watches;
   int dueAsks;
   int forgotten;
-  private boolean listStands = true;
+  private boolean setEndpointListValid = true;
   private int named;
 
   RouterHarness(RoutingConfig terms, long seed) {
@@ -77,21 +77,22 @@
     return Duration.ofMillis(n);
   }
 
-  static RequestClass row(Need need, Effect effect, Scope scope, double late) {
-    return new RequestClass(need, BOUND, effect, scope, ms(900), SOFT, 1 + need.ordinal(), late);
+  static RequestClass row(Consistency consistency, Effect effect, Scope scope, double late) {
+    return new RequestClass(
+        consistency, BOUND, effect, scope, ms(900), SOFT, 1 + consistency.ordinal(), late);
   }
 
   /** One method a need, in the order of Need; the write as given. */
   static RoutingConfig terms(
       Effect write, Scope scope, boolean parallel, boolean carried, boolean asked) {
     List<RequestClass> rows = new ArrayList<>();
-    for (Need need : Need.values()) {
+    for (Consistency consistency : Consistency.values()) {
       rows.add(
           row(
-              need,
-              need == Need.WRITE ? write : Effect.IDEMPOTENT,
+              consistency,
+              consistency == Consistency.WRITE ? write : Effect.IDEMPOTENT,
               scope,
-              need == Need.WRITE ? 0.5 : 0));
+              consistency == Consistency.WRITE ? 0.5 : 0));
     }
     return new RoutingConfig(
         rows,
@@ -114,26 +115,26 @@
   }
 
   /** The same terms in a fleet of gateways; where gone does not bind, only draining does. */
-  static RoutingConfig fleet(int gateways, boolean goneBinds) {
+  static RoutingConfig fleet(int gateways, boolean removalIsBinding) {
     RoutingConfig t = terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false);
     return new RoutingConfig(
-        t.methods(),
+        t.requestClasses(),
         gateways,
         t.zone(),
         true,
-        t.callOutLimit(),
+        t.maxAttempts(),
         true,
         true,
         true,
-        t.longestComeBack(),
+        t.maxRetryAfter(),
         false,
-        t.askWithin(),
-        goneBinds,
+        t.maxPollInterval(),
+        removalIsBinding,
         true,
-        t.coldShare(),
-        t.coldFor(),
-        t.fallMultiple(),
-        t.fallWindow());
+        t.slowStartShare(),
+        t.slowStartDuration(),
+        t.overloadMultiple(),
+        t.overloadWindow());
   }
 
   /** Its client leaves before its time; what is out of it ends as cancelled. */
@@ -141,7 +142,7 @@
     Entry entry = rpcs.get(rpc);
     if (entry.answers == 0) {
       entry.answers++;
-      router.clientLeft(now, new RequestId(rpc));
+      router.clientDisconnected(now, new RequestId(rpc));
       List.copyOf(entry.out).forEach(s -> end(s, AttemptOutcome.CANCELLED));
     }
   }
@@ -163,7 +164,7 @@
     rig.wait(ms(10_000));
     for (int k = 0; k < 3; k++) {
       Server server = new Server(k, 0);
-      server.told = EndpointStatus.ON;
+      server.told = EndpointStatus.ACTIVE;
       rig.servers.put(server.id.name(), server);
     }
     rig.server(0).primary = true;
@@ -177,21 +178,21 @@
   }
 
   void list() {
-    router.listBegins(now, true);
+    router.beginEndpointList(now, true);
     servers.values().stream()
-        .filter(s -> s.told != EndpointStatus.GONE)
+        .filter(s -> s.told != EndpointStatus.REMOVED)
         .forEach(
             s ->
-                router.memberListed(
+                router.endpointListed(
                     now, s.id, new ZoneId(s.id.hashCode() & 1), s.group, s.told, s.start, false));
-    router.listEnds(now);
+    router.endEndpointList(now);
   }
 
   void report(Server server, Duration pos) {
     server.toldPos =
         server.toldPos == null || pos.compareTo(server.toldPos) > 0 ? pos : server.toldPos;
     server.toldPrimary = server.primary;
-    router.probeEnded(now, server.id, AttemptOutcome.OK, null);
+    router.healthCheckEnded(now, server.id, AttemptOutcome.OK, null);
     router.reported(now, server.id, pos, server.primary);
   }
 
@@ -212,9 +213,9 @@
       now = next;
       if (next.equals(due)) {
         due = null;
-        router.dueReached(now);
+        router.timersDue(now);
       } else {
-        router.timerRang(now);
+        router.tick(now);
       }
       expire();
     }
@@ -229,19 +230,20 @@
     }
   }
 
-  String arrive(Need need, int group, Duration sinceWrite) {
+  String arrive(Consistency consistency, int group, Duration sinceWrite) {
     Entry entry = new Entry();
-    entry.row = terms.methods().get(need.ordinal());
+    entry.row = terms.requestClasses().get(consistency.ordinal());
     entry.group = new GroupId(group);
     entry.arrived = now;
     entry.deadline = now.plus(DEADLINE);
-    entry.token = need == Need.SESSION && !sinceWrite.isZero() ? now.minus(sinceWrite) : null;
+    entry.token =
+        consistency == Consistency.SESSION && !sinceWrite.isZero() ? now.minus(sinceWrite) : null;
     String name = "r" + named++;
     rpcs.put(name, entry);
-    router.rpcArrived(
+    router.requestArrived(
         now,
         new RequestId(name),
-        need.ordinal(),
+        consistency.ordinal(),
         entry.group,
         new SessionId("session"),
         sinceWrite,
@@ -262,13 +264,13 @@
     Entry entry = rpcs.get(sent.rpc);
     out.remove(sent);
     entry.out.remove(sent);
-    entry.mayHaveRun |= !outcome.neverRan;
+    entry.mayHaveRun |= !outcome.provesNotExecuted;
     if (outcome == AttemptOutcome.OK && entry.answers == 0) {
       answered(entry, "ok");
     }
     boolean speaks =
         outcome == AttemptOutcome.OK
-            || outcome == AttemptOutcome.MISS
+            || outcome == AttemptOutcome.INELIGIBLE
             || outcome == AttemptOutcome.ERROR;
     if (speaks) {
       sent.server.toldPrimary = sent.server.primary;
@@ -276,7 +278,7 @@
       boolean newer = told == null || told.compareTo(sent.at) < 0;
       sent.server.toldPos = sent.server.primary && newer ? sent.at : told;
     }
-    router.callOutEnded(
+    router.attemptEnded(
         now,
         new RequestId(sent.rpc),
         sent.number,
@@ -289,13 +291,13 @@
         entry.answers > 0);
   }
 
-  boolean mayStillGo(Sent sent) {
-    return router.mayStillGo(now, new RequestId(sent.rpc), sent.number);
+  boolean isStillEligible(Sent sent) {
+    return router.isStillEligible(now, new RequestId(sent.rpc), sent.number);
   }
 
-  void listStands(boolean stands) {
-    listStands = stands;
-    router.listStands(now, stands);
+  void setEndpointListValid(boolean stands) {
+    setEndpointListValid = stands;
+    router.setEndpointListValid(now, stands);
   }
 
   /** Answers what has been out for that long. */
@@ -323,27 +325,27 @@
   }
 
   @Override
-  public void callOut(RequestId rpc, ServerId id, Duration until) {
+  public void sendAttempt(RequestId rpc, ServerId id, Duration until) {
     Entry e = rpcs.get(rpc.name());
     Server server = servers.get(id.name());
     check(e.answers == 0, "rule 1: sent after the final answer");
-    check(e.out.isEmpty() || terms.parallelCallOuts(), "rule 2: two out at once");
-    check(++e.sent <= terms.callOutLimit(), "more call-outs than allowed");
+    check(e.out.isEmpty() || terms.parallelAttempts(), "rule 2: two out at once");
+    check(++e.sent <= terms.maxAttempts(), "more call-outs than allowed");
     boolean risk = e.mayHaveRun || !e.out.isEmpty();
     check(
         !risk || e.row.effect() != Effect.NON_IDEMPOTENT,
         "rule 2: sent again though it may have run");
     check(
         !risk
-            || e.row.effect() != Effect.TOKENED
-            || now.minus(e.firstSent).compareTo(e.row.window()) < 0,
+            || e.row.effect() != Effect.IDEMPOTENT_BY_KEY
+            || now.minus(e.firstSent).compareTo(e.row.deduplicationWindow()) < 0,
         "rule 2: sent again after the window");
     check(server.group.equals(e.group), "outside its group");
-    check(listStands, "rule 3: sent by a list that may lack a drain");
-    check(server.told == EndpointStatus.ON, "rule 3: sent to a server that drains or is gone");
+    check(setEndpointListValid, "rule 3: sent by a list that may lack a drain");
+    check(server.told == EndpointStatus.ACTIVE, "rule 3: sent to a server that drains or is gone");
     boolean stale =
         !server.toldPrimary
-            && switch (e.row.need()) {
+            && switch (e.row.consistency()) {
               case BOUNDED ->
                   server.toldPos == null || now.minus(server.toldPos).compareTo(BOUND) >= 0;
               case SESSION ->
@@ -353,8 +355,8 @@
               case ANY, WRITE -> false;
             };
     check(!stale, "rule 5: stale read");
-    if (server.start != null && now.minus(server.start).compareTo(terms.coldFor()) < 0) {
-      server.coldSends.removeIf(at -> now.minus(at).compareTo(terms.fallWindow()) > 0);
+    if (server.start != null && now.minus(server.start).compareTo(terms.slowStartDuration()) < 0) {
+      server.coldSends.removeIf(at -> now.minus(at).compareTo(terms.overloadWindow()) > 0);
       server.coldSends.add(now);
     }
     e.firstSent = e.firstSent == null ? now : e.firstSent;
@@ -364,45 +366,46 @@
   }
 
   @Override
-  public void cancel(RequestId rpc, int callOut) {
-    check(rpcs.get(rpc.name()).sent > callOut, "cancelled what was never sent");
+  public void cancel(RequestId rpc, int attempt) {
+    check(rpcs.get(rpc.name()).sent > attempt, "cancelled what was never sent");
   }
 
   @Override
-  public void pushBack(RequestId rpc, Duration comeBackAfter) {
+  public void reject(RequestId rpc, Duration retryAfter) {
     Entry entry = rpcs.get(rpc.name());
     boolean clean = !entry.mayHaveRun && entry.out.isEmpty();
     check(
         clean
             || entry.row.effect() == Effect.IDEMPOTENT
-            || (entry.row.effect() == Effect.TOKENED && entry.row.scope() == Scope.ALL),
+            || (entry.row.effect() == Effect.IDEMPOTENT_BY_KEY && entry.row.scope() == Scope.ALL),
         "rule 2: pushed back though it may have run");
     answered(entry, "pushed back");
   }
 
   @Override
-  public void abort(RequestId rpc) {
+  public void fail(RequestId rpc) {
     answered(rpcs.get(rpc.name()), "aborted");
   }
 
   @Override
-  public void probe(ServerId server) {
+  public void sendHealthCheck(ServerId server) {
     probes.add(server);
   }
 
   @Override
-  public void tellPeers(ServerId server) {
+  public void gossipUnreachable(ServerId server) {
     tells.add(server);
   }
 
   @Override
-  public void watchList() {
+  public void watchEndpointList() {
     watches++;
   }
 
   @Override
-  public void forget(ServerId server) {
-    check(servers.get(server.name()).told == EndpointStatus.GONE, "forgotten though it is listed");
+  public void endpointRemoved(ServerId server) {
+    check(
+        servers.get(server.name()).told == EndpointStatus.REMOVED, "forgotten though it is listed");
     check(
         out.stream().noneMatch(s -> s.server.id.equals(server)),
         "forgotten while something is out");
@@ -410,32 +413,33 @@
   }
 
   @Override
-  public void ringAt(Duration at) {
+  public void scheduleTick(Duration at) {
     ring = at;
   }
 
   @Override
-  public void dueAt(Duration at) {
+  public void scheduleTimer(Duration at) {
     dueAsks++;
     due = at;
   }
 
   /** One step of a random life: whatever may happen next does, by the dice. */
-  void step(SplittableRandom dice) {
-    Server server = new ArrayList<>(servers.values()).get(dice.nextInt(servers.size()));
-    int what = dice.nextInt(100);
+  void step(SplittableRandom random) {
+    Server server = new ArrayList<>(servers.values()).get(random.nextInt(servers.size()));
+    int what = random.nextInt(100);
     if (what < 40) {
-      Need need = Need.values()[dice.nextInt(Need.values().length)];
+      Consistency consistency = Consistency.values()[random.nextInt(Consistency.values().length)];
       Duration since =
-          terms.tokensCarried() ? ms(dice.nextInt(3) * dice.nextInt(400)) : Duration.ZERO;
-      arrive(need, dice.nextInt(2), since);
+          terms.clientsCarryTokens() ? ms(random.nextInt(3) * random.nextInt(400)) : Duration.ZERO;
+      arrive(consistency, random.nextInt(2), since);
     } else if (what < 75 && !out.isEmpty()) {
-      Sent sent = out.get(dice.nextInt(out.size()));
-      boolean miss = rpcs.get(sent.rpc).row.need() == Need.WRITE && !sent.server.primary;
-      AttemptOutcome any = AttemptOutcome.values()[dice.nextInt(AttemptOutcome.values().length)];
-      end(sent, miss ? AttemptOutcome.MISS : dice.nextInt(3) > 0 ? AttemptOutcome.OK : any);
-    } else if (what < 88 && server.told == EndpointStatus.ON) {
-      Duration pos = server.primary ? now : now.minus(ms(dice.nextInt(700)));
+      Sent sent = out.get(random.nextInt(out.size()));
+      boolean miss =
+          rpcs.get(sent.rpc).row.consistency() == Consistency.WRITE && !sent.server.primary;
+      AttemptOutcome any = AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
+      end(sent, miss ? AttemptOutcome.INELIGIBLE : random.nextInt(3) > 0 ? AttemptOutcome.OK : any);
+    } else if (what < 88 && server.told == EndpointStatus.ACTIVE) {
+      Duration pos = server.primary ? now : now.minus(ms(random.nextInt(700)));
       server.pos = server.pos.compareTo(pos) > 0 ? server.pos : pos;
       report(server, server.pos);
     } else if (what < 90) {
@@ -445,19 +449,19 @@
       }
       server.primary = true;
     } else if (what < 92) {
-      server.told = EndpointStatus.values()[dice.nextInt(3)];
+      server.told = EndpointStatus.values()[random.nextInt(3)];
       server.start =
-          server.told == EndpointStatus.ON && dice.nextBoolean()
-              ? now.minus(ms(dice.nextInt(2000)))
+          server.told == EndpointStatus.ACTIVE && random.nextBoolean()
+              ? now.minus(ms(random.nextInt(2000)))
               : server.start;
       server.coldSends.clear();
       list();
     } else if (what < 93) {
-      router.listFailed(now);
+      router.endpointListFailed(now);
     } else if (what < 94) {
-      listStands(dice.nextInt(4) > 0);
+      setEndpointListValid(random.nextInt(4) > 0);
     } else {
-      wait(ms(dice.nextInt(60)));
+      wait(ms(random.nextInt(60)));
     }
   }
 }
