--- a/gateway/src/test/java/weldcross/routing/RouterTest.java
+++ b/gateway/src/test/java/weldcross/routing/RouterTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import weldcross.routing.RequestClass.Consistency;
 import weldcross.routing.RequestClass.Effect;
-import weldcross.routing.RequestClass.Need;
 import weldcross.routing.RequestClass.Scope;
 
 class RouterTest {
@@ -25,23 +25,23 @@
   @ValueSource(
       longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22})
   void keepsTheRulesThroughRandomLives(long seed) {
-    SplittableRandom dice = new SplittableRandom(seed);
-    Effect effect = Effect.values()[dice.nextInt(3)];
-    Scope scope = Scope.values()[dice.nextInt(3)];
+    SplittableRandom random = new SplittableRandom(seed);
+    Effect effect = Effect.values()[random.nextInt(3)];
+    Scope scope = Scope.values()[random.nextInt(3)];
     RouterHarness rig =
         new RouterHarness(
             RouterHarness.terms(
-                effect, scope, dice.nextBoolean(), dice.nextBoolean(), dice.nextBoolean()),
+                effect, scope, random.nextBoolean(), random.nextBoolean(), random.nextBoolean()),
             seed);
     for (int k = 0; k < 6; k++) {
       RouterHarness.Server server = new RouterHarness.Server(k, k / 3);
-      server.told = EndpointStatus.ON;
+      server.told = EndpointStatus.ACTIVE;
       server.primary = k % 3 == 0;
       rig.servers.put(server.id.name(), server);
     }
     rig.list();
     for (int k = 0; k < 6000; k++) {
-      rig.step(dice);
+      rig.step(random);
     }
     rig.wait(RouterHarness.DEADLINE.plus(ms(50)));
     assertTrue(
@@ -54,12 +54,12 @@
     List<List<String>> lives = new ArrayList<>();
     for (int k = 0; k < 2; k++) {
       RouterHarness rig = RouterHarness.settled();
-      SplittableRandom dice = new SplittableRandom(3);
+      SplittableRandom random = new SplittableRandom(3);
       List<String> sent = new ArrayList<>();
       for (int n = 0; n < 1500; n++) {
-        rig.arrive(Need.values()[dice.nextInt(5)], 0, Duration.ZERO);
+        rig.arrive(Consistency.values()[random.nextInt(5)], 0, Duration.ZERO);
         rig.out.forEach(s -> sent.add(s.rpc() + s.server().id.name()));
-        rig.wait(ms(dice.nextInt(9)));
+        rig.wait(ms(random.nextInt(9)));
         new ArrayList<>(rig.out).stream().skip(2).forEach(s -> rig.end(s, AttemptOutcome.OK));
       }
       lives.add(sent);
@@ -72,14 +72,14 @@
     RouterHarness rig = RouterHarness.settled();
     rig.wait(ms(200));
     rig.report(rig.server(2), rig.now.minus(ms(40)));
-    assertEquals("s2", rig.only(rig.arrive(Need.SESSION, 0, ms(50))).server().id.name());
+    assertEquals("s2", rig.only(rig.arrive(Consistency.SESSION, 0, ms(50))).server().id.name());
   }
 
   @Test
   void sessionReadGoesToThePrimaryWhenNoReplicaHoldsItsToken() {
     RouterHarness rig = RouterHarness.settled();
     rig.wait(ms(200));
-    String read = rig.arrive(Need.SESSION, 0, ms(50));
+    String read = rig.arrive(Consistency.SESSION, 0, ms(50));
     rig.wait(ms(55));
     assertEquals("s0", rig.only(read).server().id.name());
   }
@@ -89,21 +89,22 @@
     RouterHarness rig =
         RouterHarness.settled(
             RouterHarness.terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
-    assertFalse(rig.only(rig.arrive(Need.SESSION, 0, Duration.ZERO)).server().primary);
+    assertFalse(rig.only(rig.arrive(Consistency.SESSION, 0, Duration.ZERO)).server().primary);
     rig.wait(ms(10));
-    rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), AttemptOutcome.OK);
-    assertTrue(rig.only(rig.arrive(Need.SESSION, 0, Duration.ZERO)).server().primary);
+    rig.end(rig.only(rig.arrive(Consistency.WRITE, 0, Duration.ZERO)), AttemptOutcome.OK);
+    assertTrue(rig.only(rig.arrive(Consistency.SESSION, 0, Duration.ZERO)).server().primary);
     rig.report(rig.server(1), rig.now);
-    assertEquals("s1", rig.only(rig.arrive(Need.SESSION, 0, Duration.ZERO)).server().id.name());
+    assertEquals(
+        "s1", rig.only(rig.arrive(Consistency.SESSION, 0, Duration.ZERO)).server().id.name());
   }
 
   @Test
   void boundedReadSpillsToThePrimaryWhenEveryReplicaLags() {
     RouterHarness rig = RouterHarness.settled();
     rig.wait(RouterHarness.BOUND.minus(ms(1)));
-    assertFalse(rig.only(rig.arrive(Need.BOUNDED, 0, Duration.ZERO)).server().primary);
+    assertFalse(rig.only(rig.arrive(Consistency.BOUNDED, 0, Duration.ZERO)).server().primary);
     rig.wait(ms(1));
-    String read = rig.arrive(Need.BOUNDED, 0, Duration.ZERO);
+    String read = rig.arrive(Consistency.BOUNDED, 0, Duration.ZERO);
     assertTrue(rig.rpcs.get(read).out.isEmpty(), "it waits briefly for the probe under way");
     rig.wait(ms(55));
     assertTrue(rig.only(read).server().primary);
@@ -117,20 +118,20 @@
   void whatWasDecidedHoldsNoLongerThanItsReasons() {
     RouterHarness rig = RouterHarness.settled();
     rig.wait(RouterHarness.BOUND.minus(ms(1)));
-    RouterHarness.Sent read = rig.only(rig.arrive(Need.BOUNDED, 0, Duration.ZERO));
-    assertTrue(rig.mayStillGo(read));
+    RouterHarness.Sent read = rig.only(rig.arrive(Consistency.BOUNDED, 0, Duration.ZERO));
+    assertTrue(rig.isStillEligible(read));
     rig.wait(ms(1));
-    assertFalse(rig.mayStillGo(read), "its bound has passed");
+    assertFalse(rig.isStillEligible(read), "its bound has passed");
     rig.report(read.server(), rig.now);
-    assertTrue(rig.mayStillGo(read), "a newer position is known");
-    rig.listStands(false);
-    assertFalse(rig.mayStillGo(read), "its drain may be owed");
-    rig.listStands(true);
-    RouterHarness.Sent write = rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO));
-    assertTrue(rig.mayStillGo(write));
+    assertTrue(rig.isStillEligible(read), "a newer position is known");
+    rig.setEndpointListValid(false);
+    assertFalse(rig.isStillEligible(read), "its drain may be owed");
+    rig.setEndpointListValid(true);
+    RouterHarness.Sent write = rig.only(rig.arrive(Consistency.WRITE, 0, Duration.ZERO));
+    assertTrue(rig.isStillEligible(write));
     write.server().told = EndpointStatus.DRAINING;
     rig.list();
-    assertFalse(rig.mayStillGo(write), "it drains");
+    assertFalse(rig.isStillEligible(write), "it drains");
   }
 
   /**
@@ -140,18 +141,20 @@
   @Test
   void repeatThatWaitedForItsConnectionGoesOnlyWhileRepeatsAreDropped() {
     RouterHarness rig =
-        RouterHarness.settled(RouterHarness.terms(Effect.TOKENED, Scope.GROUP, true, true, false));
-    String write = rig.arrive(Need.WRITE, 0, Duration.ZERO);
-    assertTrue(rig.mayStillGo(rig.only(write)), "the first send needs nobody to know a repeat");
+        RouterHarness.settled(
+            RouterHarness.terms(Effect.IDEMPOTENT_BY_KEY, Scope.GROUP, true, true, false));
+    String write = rig.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    assertTrue(
+        rig.isStillEligible(rig.only(write)), "the first send needs nobody to know a repeat");
     rig.wait(ms(850));
-    rig.end(rig.only(write), AttemptOutcome.CUT);
+    rig.end(rig.only(write), AttemptOutcome.CONNECTION_LOST);
     rig.wait(ms(30));
     RouterHarness.Sent repeat = rig.only(write);
-    assertTrue(rig.mayStillGo(repeat));
+    assertTrue(rig.isStillEligible(repeat));
     rig.wait(ms(19));
-    assertTrue(rig.mayStillGo(repeat));
+    assertTrue(rig.isStillEligible(repeat));
     rig.wait(ms(1));
-    assertFalse(rig.mayStillGo(repeat), "900 ms after the first send");
+    assertFalse(rig.isStillEligible(repeat), "900 ms after the first send");
   }
 
   /**
@@ -160,11 +163,11 @@
   @Test
   void whatWaitsForItsConnectionDoesNotReachAServerThatTurnedCold() {
     RouterHarness rig = RouterHarness.settled();
-    RouterHarness.Sent read = rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO));
-    assertTrue(rig.mayStillGo(read));
+    RouterHarness.Sent read = rig.only(rig.arrive(Consistency.ANY, 0, Duration.ZERO));
+    assertTrue(rig.isStillEligible(read));
     read.server().start = rig.now;
     rig.list();
-    assertFalse(rig.mayStillGo(read));
+    assertFalse(rig.isStillEligible(read));
   }
 
   /**
@@ -174,16 +177,16 @@
   void claimFromBeforeAnAnswerDoesNotMakeAReplicaThePrimaryAgain() {
     RouterHarness rig = RouterHarness.settled();
     RouterHarness.Server once = rig.server(0);
-    RouterHarness.Sent write = rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO));
+    RouterHarness.Sent write = rig.only(rig.arrive(Consistency.WRITE, 0, Duration.ZERO));
     rig.wait(ms(100));
     Duration claimed = rig.now;
     rig.wait(ms(100));
     once.primary = false;
-    rig.end(write, AttemptOutcome.MISS);
+    rig.end(write, AttemptOutcome.INELIGIBLE);
     rig.wait(ms(20));
     rig.router.reported(rig.now, once.id, claimed, true);
     rig.wait(RouterHarness.BOUND);
-    String read = rig.arrive(Need.BOUNDED, 0, Duration.ZERO);
+    String read = rig.arrive(Consistency.BOUNDED, 0, Duration.ZERO);
     rig.wait(ms(60));
     assertEquals(0, rig.rpcs.get(read).sent, "the rig knows that nobody holds its bound");
     once.primary = true;
@@ -197,22 +200,23 @@
    * that write.
    */
   @ParameterizedTest
-  @ValueSource(strings = {"CANCELLED", "TIMED_OUT", "CUT"})
+  @ValueSource(strings = {"CANCELLED", "TIMED_OUT", "CONNECTION_LOST"})
   void sessionSeesAWriteThatWasGivenUpAndMayHaveRun(String outcome) {
     RouterHarness rig =
         RouterHarness.settled(
             RouterHarness.terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
-    assertFalse(rig.only(rig.arrive(Need.SESSION, 0, Duration.ZERO)).server().primary);
-    String write = rig.arrive(Need.WRITE, 0, Duration.ZERO);
+    assertFalse(rig.only(rig.arrive(Consistency.SESSION, 0, Duration.ZERO)).server().primary);
+    String write = rig.arrive(Consistency.WRITE, 0, Duration.ZERO);
     rig.wait(ms(60));
     rig.end(rig.only(write), AttemptOutcome.valueOf(outcome));
     rig.report(rig.server(1), rig.now);
     assertTrue(
-        rig.only(rig.arrive(Need.SESSION, 0, Duration.ZERO)).server().primary,
+        rig.only(rig.arrive(Consistency.SESSION, 0, Duration.ZERO)).server().primary,
         "no replica is sure to hold it");
     rig.wait(ms(40));
     rig.report(rig.server(1), rig.now);
-    assertEquals("s1", rig.only(rig.arrive(Need.SESSION, 0, Duration.ZERO)).server().id.name());
+    assertEquals(
+        "s1", rig.only(rig.arrive(Consistency.SESSION, 0, Duration.ZERO)).server().id.name());
   }
 
   /** Rule 5: what a session has written counts at each send, not as it stood when the read came. */
@@ -221,12 +225,12 @@
     RouterHarness rig =
         RouterHarness.settled(
             RouterHarness.terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
-    String write = rig.arrive(Need.WRITE, 0, Duration.ZERO);
-    String read = rig.arrive(Need.SESSION, 0, Duration.ZERO);
+    String write = rig.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    String read = rig.arrive(Consistency.SESSION, 0, Duration.ZERO);
     assertFalse(rig.only(read).server().primary, "nothing is known to be written yet");
     rig.wait(ms(60));
     rig.end(rig.only(write), AttemptOutcome.OK);
-    assertFalse(rig.mayStillGo(rig.only(read)), "its connection has just come up");
+    assertFalse(rig.isStillEligible(rig.only(read)), "its connection has just come up");
     rig.end(rig.only(read), AttemptOutcome.ERROR);
     assertTrue(rig.only(read).server().primary, "no replica is known to hold it");
   }
@@ -236,9 +240,9 @@
   void answersInNoTimeLeaveNoDueTimeInTheSameMoment() {
     RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 2000; k++) {
-      rig.end(rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO)), AttemptOutcome.OK);
+      rig.end(rig.only(rig.arrive(Consistency.ANY, 0, Duration.ZERO)), AttemptOutcome.OK);
     }
-    rig.arrive(Need.ANY, 0, Duration.ZERO);
+    rig.arrive(Consistency.ANY, 0, Duration.ZERO);
     assertTimeoutPreemptively(Duration.ofSeconds(20), () -> rig.wait(ms(100)));
   }
 
@@ -249,9 +253,9 @@
     rig.probes.clear();
     rig.wait(ms(300));
     assertEquals(List.of(), rig.probes);
-    rig.arrive(Need.BOUNDED, 0, Duration.ZERO);
+    rig.arrive(Consistency.BOUNDED, 0, Duration.ZERO);
     assertEquals(1, rig.probes.size());
-    rig.arrive(Need.ANY, 0, Duration.ZERO);
+    rig.arrive(Consistency.ANY, 0, Duration.ZERO);
     rig.wait(ms(50));
     assertEquals(1, rig.probes.size());
   }
@@ -264,7 +268,7 @@
     RouterHarness rig = RouterHarness.settled();
     List<String> reads = new ArrayList<>();
     for (int k = 0; k < 20; k++) {
-      reads.add(rig.arrive(Need.FRESH, 0, Duration.ZERO));
+      reads.add(rig.arrive(Consistency.FRESH, 0, Duration.ZERO));
       rig.wait(ms(10));
     }
     rig.end(rig.only(reads.get(0)), AttemptOutcome.OK);
@@ -276,8 +280,8 @@
   @Test
   void leastBusyReplicaIsPicked() {
     RouterHarness rig = RouterHarness.settled();
-    String first = rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO)).server().id.name();
-    String second = rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO)).server().id.name();
+    String first = rig.only(rig.arrive(Consistency.ANY, 0, Duration.ZERO)).server().id.name();
+    String second = rig.only(rig.arrive(Consistency.ANY, 0, Duration.ZERO)).server().id.name();
     assertEquals(List.of("s1", "s2"), List.of(first, second).stream().sorted().toList());
   }
 
@@ -289,7 +293,7 @@
     RouterHarness.settled().servers.values().forEach(s -> rig.servers.put(s.id.name(), s));
     rig.list();
     assertEquals(3, rig.probes.size());
-    String read = rig.arrive(Need.BOUNDED, 0, Duration.ZERO);
+    String read = rig.arrive(Consistency.BOUNDED, 0, Duration.ZERO);
     assertTrue(rig.rpcs.get(read).out.isEmpty());
     rig.report(rig.server(1), rig.now);
     assertEquals("s1", rig.only(read).server().id.name());
@@ -299,29 +303,31 @@
   void replicaClaimFromBehindAPrimaryClaimIsOld() {
     RouterHarness rig = RouterHarness.settled();
     rig.router.reported(rig.now, rig.server(0).id, rig.now.minus(ms(20)), false);
-    assertEquals("s0", rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)).server().id.name());
+    assertEquals(
+        "s0", rig.only(rig.arrive(Consistency.WRITE, 0, Duration.ZERO)).server().id.name());
     rig.router.reported(rig.now, rig.server(0).id, rig.now, false);
     rig.server(0).toldPrimary = false;
     rig.router.reported(rig.now, rig.server(1).id, rig.now, true);
-    assertEquals("s1", rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)).server().id.name());
+    assertEquals(
+        "s1", rig.only(rig.arrive(Consistency.WRITE, 0, Duration.ZERO)).server().id.name());
   }
 
   @Test
   void writeThatMayHaveRunIsAbortedAtOnce() {
     RouterHarness rig = RouterHarness.settled();
-    String write = rig.arrive(Need.WRITE, 0, Duration.ZERO);
-    rig.end(rig.only(write), AttemptOutcome.CUT);
+    String write = rig.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    rig.end(rig.only(write), AttemptOutcome.CONNECTION_LOST);
     assertEquals("aborted", rig.rpcs.get(write).answer);
   }
 
   @Test
   void writeThatNeverRanWaitsForThePrimary() {
     RouterHarness rig = RouterHarness.settled();
-    String write = rig.arrive(Need.WRITE, 0, Duration.ZERO);
+    String write = rig.arrive(Consistency.WRITE, 0, Duration.ZERO);
     rig.server(0).primary = false;
-    rig.end(rig.only(write), AttemptOutcome.MISS);
+    rig.end(rig.only(write), AttemptOutcome.INELIGIBLE);
     for (RouterHarness.Sent sent = rig.only(write); sent != null; sent = first(rig, write)) {
-      rig.end(sent, AttemptOutcome.MISS);
+      rig.end(sent, AttemptOutcome.INELIGIBLE);
     }
     assertNull(rig.rpcs.get(write).answer);
     rig.server(2).primary = true;
@@ -336,7 +342,7 @@
   void serverThatSlowsDownGetsFewerAndTheRestIsPushedBack() {
     RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 1500; k++) {
-      rig.arrive(Need.FRESH, 0, Duration.ZERO);
+      rig.arrive(Consistency.FRESH, 0, Duration.ZERO);
       rig.wait(ms(10));
       rig.serve(ms(390));
     }
@@ -353,21 +359,21 @@
   void silentServerIsSetAsideAndItsReadsGoOutAgain() {
     RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 40; k++) {
-      RouterHarness.Sent quick = rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO));
+      RouterHarness.Sent quick = rig.only(rig.arrive(Consistency.ANY, 0, Duration.ZERO));
       rig.wait(ms(10));
       rig.end(quick, AttemptOutcome.OK);
     }
-    String read = rig.arrive(Need.ANY, 0, Duration.ZERO);
+    String read = rig.arrive(Consistency.ANY, 0, Duration.ZERO);
     RouterHarness.Server hung = rig.only(read).server();
     rig.probes.clear();
     rig.wait(ms(200));
     assertEquals(
         List.of(hung.id), rig.probes.stream().distinct().toList(), "asked whether it lives");
-    rig.router.probeEnded(rig.now, hung.id, AttemptOutcome.TIMED_OUT, null);
+    rig.router.healthCheckEnded(rig.now, hung.id, AttemptOutcome.TIMED_OUT, null);
     rig.wait(ms(50));
     assertEquals(2, rig.rpcs.get(read).sent);
     for (int k = 0; k < 6; k++) {
-      assertFalse(hung == rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO)).server());
+      assertFalse(hung == rig.only(rig.arrive(Consistency.ANY, 0, Duration.ZERO)).server());
     }
   }
 
@@ -376,14 +382,18 @@
   void lessOfAMethodIsServedTheMoreItCounts() {
     RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 400; k++) {
-      rig.arrive(k % 2 == 0 ? Need.FRESH : Need.WRITE, 0, Duration.ZERO);
+      rig.arrive(k % 2 == 0 ? Consistency.FRESH : Consistency.WRITE, 0, Duration.ZERO);
       rig.wait(ms(10));
       rig.serve(ms(150));
     }
     long writes =
-        rig.rpcs.values().stream().filter(e -> e.row.need() == Need.WRITE && e.sent > 0).count();
+        rig.rpcs.values().stream()
+            .filter(e -> e.row.consistency() == Consistency.WRITE && e.sent > 0)
+            .count();
     long reads =
-        rig.rpcs.values().stream().filter(e -> e.row.need() == Need.FRESH && e.sent > 0).count();
+        rig.rpcs.values().stream()
+            .filter(e -> e.row.consistency() == Consistency.FRESH && e.sent > 0)
+            .count();
     assertTrue(
         writes > 5 && reads > writes,
         "reads, worth twice a write: " + reads + ", writes: " + writes);
@@ -394,7 +404,7 @@
   void lostAnswerDoesNotFillTheWindow() {
     RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 300; k++) {
-      String write = rig.arrive(Need.WRITE, 0, Duration.ZERO);
+      String write = rig.arrive(Consistency.WRITE, 0, Duration.ZERO);
       rig.wait(ms(10));
       if (k % 3 < 2) {
         rig.end(rig.only(write), AttemptOutcome.OK);
@@ -408,7 +418,7 @@
   void whatCannotMakeItIsGivenUpAtOnce() {
     RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 100; k++) {
-      rig.arrive(Need.FRESH, 0, Duration.ZERO);
+      rig.arrive(Consistency.FRESH, 0, Duration.ZERO);
       rig.wait(ms(10));
       rig.serve(ms(200));
     }
@@ -427,11 +437,12 @@
   void oneResetConnectionIsForgiven() {
     RouterHarness rig = RouterHarness.settled();
     rig.wait(ms(1));
-    rig.end(rig.only(rig.arrive(Need.FRESH, 0, Duration.ZERO)), AttemptOutcome.CUT);
-    String second = rig.arrive(Need.FRESH, 0, Duration.ZERO);
+    rig.end(
+        rig.only(rig.arrive(Consistency.FRESH, 0, Duration.ZERO)), AttemptOutcome.CONNECTION_LOST);
+    String second = rig.arrive(Consistency.FRESH, 0, Duration.ZERO);
     assertEquals("s0", rig.only(second).server().id.name());
-    rig.end(rig.only(second), AttemptOutcome.CUT);
-    assertTrue(rig.rpcs.get(rig.arrive(Need.FRESH, 0, Duration.ZERO)).out.isEmpty());
+    rig.end(rig.only(second), AttemptOutcome.CONNECTION_LOST);
+    assertTrue(rig.rpcs.get(rig.arrive(Consistency.FRESH, 0, Duration.ZERO)).out.isEmpty());
   }
 
   /** Errors from all servers alike: nobody is the cause, so nobody is set aside for them. */
@@ -439,7 +450,7 @@
   void errorsOnEveryServerSetNoMoreThanHalfOfAGroupAside() {
     RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 40; k++) {
-      String read = rig.arrive(k % 2 == 0 ? Need.ANY : Need.FRESH, 0, Duration.ZERO);
+      String read = rig.arrive(k % 2 == 0 ? Consistency.ANY : Consistency.FRESH, 0, Duration.ZERO);
       assertTrue(rig.rpcs.get(read).sent > 0);
       rig.end(rig.only(read), AttemptOutcome.ERROR);
       List.copyOf(rig.out).forEach(s -> rig.end(s, AttemptOutcome.OK));
@@ -460,7 +471,7 @@
       if (k % 20 == 0) {
         rig.servers.values().forEach(s -> rig.report(s, rig.now));
       }
-      rig.arrive(Need.ANY, 0, Duration.ZERO);
+      rig.arrive(Consistency.ANY, 0, Duration.ZERO);
       rig.wait(ms(2));
       rig.serve(ms(8));
       Duration start = rig.server(2).start == null ? rig.now : rig.server(2).start;
@@ -481,23 +492,23 @@
     for (int g = 0; g < gateways; g++) {
       fleet.add(RouterHarness.settled(RouterHarness.fleet(gateways, true), g));
     }
-    SplittableRandom dice = new SplittableRandom(5);
+    SplittableRandom random = new SplittableRandom(5);
     List<Duration> sends = new ArrayList<>();
     Duration start = fleet.get(0).now.plus(ms(20_000));
     for (int k = 0; k < 2400; k++) {
       for (RouterHarness rig : fleet) {
         boolean falls = rig.now.equals(start.minus(ms(200)));
         if (falls || rig.now.equals(start)) {
-          rig.server(0).told = falls ? EndpointStatus.GONE : EndpointStatus.ON;
+          rig.server(0).told = falls ? EndpointStatus.REMOVED : EndpointStatus.ACTIVE;
           rig.server(0).start = falls ? null : start;
           rig.list();
         }
         // Two writes a second at each gateway; three more wait there when the primary returns.
         int burst = falls ? 3 : 0;
-        for (int n = dice.nextInt(50) == 0 ? burst + 1 : burst; n > 0; n--) {
-          rig.arrive(Need.WRITE, 0, Duration.ZERO);
-          rig.arrive(Need.ANY, 0, Duration.ZERO);
-          rig.arrive(Need.ANY, 0, Duration.ZERO);
+        for (int n = random.nextInt(50) == 0 ? burst + 1 : burst; n > 0; n--) {
+          rig.arrive(Consistency.WRITE, 0, Duration.ZERO);
+          rig.arrive(Consistency.ANY, 0, Duration.ZERO);
+          rig.arrive(Consistency.ANY, 0, Duration.ZERO);
         }
         rig.serve(ms(30));
         rig.wait(ms(10));
@@ -541,13 +552,13 @@
       RouterHarness rig = RouterHarness.settled(RouterHarness.fleet(settings, true), g);
       if (told) {
         // A third of them have twice the part of the others.
-        rig.router.shareIs((g % 3 == 0 ? 2.0 : 1.0) / (gateways + (gateways + 2) / 3));
+        rig.router.setQuota((g % 3 == 0 ? 2.0 : 1.0) / (gateways + (gateways + 2) / 3));
       }
       rig.server(0).start = rig.now;
       rig.list();
-      Duration end = rig.now.plus(rig.terms.fallWindow().multipliedBy(3));
+      Duration end = rig.now.plus(rig.terms.overloadWindow().multipliedBy(3));
       while (rig.now.compareTo(end) < 0) {
-        rig.arrive(Need.WRITE, 0, Duration.ZERO);
+        rig.arrive(Consistency.WRITE, 0, Duration.ZERO);
         rig.wait(ms(20));
         sends +=
             rig.server(0).coldSends.stream()
@@ -562,19 +573,27 @@
   @Test
   void whereOnlyDrainingBindsGoneServersServeOnAndDrainedOnesDoNot() {
     RouterHarness rig = RouterHarness.settled(RouterHarness.fleet(2, false), 7);
-    rig.router.listBegins(rig.now, false);
-    rig.router.memberListed(
-        rig.now, rig.server(0).id, new ZoneId(0), new GroupId(0), EndpointStatus.GONE, null, false);
-    rig.router.listEnds(rig.now);
-    assertEquals("s0", rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)).server().id.name());
+    rig.router.beginEndpointList(rig.now, false);
+    rig.router.endpointListed(
+        rig.now,
+        rig.server(0).id,
+        new ZoneId(0),
+        new GroupId(0),
+        EndpointStatus.REMOVED,
+        null,
+        false);
+    rig.router.endEndpointList(rig.now);
+    assertEquals(
+        "s0", rig.only(rig.arrive(Consistency.WRITE, 0, Duration.ZERO)).server().id.name());
     rig.server(0).told = EndpointStatus.DRAINING;
     rig.list();
-    rig.server(0).told = EndpointStatus.ON;
+    rig.server(0).told = EndpointStatus.ACTIVE;
     rig.list();
-    assertTrue(rig.rpcs.get(rig.arrive(Need.WRITE, 0, Duration.ZERO)).out.isEmpty());
+    assertTrue(rig.rpcs.get(rig.arrive(Consistency.WRITE, 0, Duration.ZERO)).out.isEmpty());
     rig.server(0).start = rig.now.minus(RouterHarness.ms(9000));
     rig.list();
-    assertEquals("s0", rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)).server().id.name());
+    assertEquals(
+        "s0", rig.only(rig.arrive(Consistency.WRITE, 0, Duration.ZERO)).server().id.name());
   }
 
   /**
@@ -586,24 +605,24 @@
     RouterHarness rig = RouterHarness.settled();
     for (int k = 3; k < 1000; k++) {
       RouterHarness.Server server = new RouterHarness.Server(k, 0);
-      server.told = EndpointStatus.ON;
+      server.told = EndpointStatus.ACTIVE;
       server.primary = k % 3 == 0;
       rig.servers.put(server.id.name(), server);
       RouterHarness.Server old = rig.server(k - 3);
-      old.told = EndpointStatus.GONE;
+      old.told = EndpointStatus.REMOVED;
       rig.list();
       rig.wait(ms(1));
       rig.report(server, rig.now);
       rig.wait(ms(300));
-      String write = rig.arrive(Need.WRITE, 0, Duration.ZERO);
+      String write = rig.arrive(Consistency.WRITE, 0, Duration.ZERO);
       assertEquals("s" + k / 3 * 3, rig.only(write).server().id.name());
       rig.wait(ms(2));
       rig.serve(Duration.ZERO);
     }
     assertEquals(997, rig.forgotten);
-    rig.wait(rig.terms.coldFor().plus(ms(300)));
+    rig.wait(rig.terms.slowStartDuration().plus(ms(300)));
     assertEquals(
-        3, rig.router.inWords(rig.now).split("s\\d+ ").length - 1, rig.router.inWords(rig.now));
+        3, rig.router.describe(rig.now).split("s\\d+ ").length - 1, rig.router.describe(rig.now));
   }
 
   /**
@@ -613,28 +632,28 @@
   @Test
   void whoLeftInDoubtComesBackInDoubt() {
     RouterHarness rig = RouterHarness.settled();
-    rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), AttemptOutcome.NO_ROUTE);
+    rig.end(rig.only(rig.arrive(Consistency.WRITE, 0, Duration.ZERO)), AttemptOutcome.UNREACHABLE);
     rig.wait(ms(100));
-    rig.server(0).told = EndpointStatus.GONE;
+    rig.server(0).told = EndpointStatus.REMOVED;
     rig.list();
     List.copyOf(rig.probes).stream()
         .distinct()
         .forEach(
             id ->
-                rig.router.probeEnded(
+                rig.router.healthCheckEnded(
                     rig.now,
                     id,
                     id.equals(rig.server(0).id) ? AttemptOutcome.TIMED_OUT : AttemptOutcome.OK,
                     null));
     rig.wait(ms(1000));
     assertEquals(1, rig.forgotten, "the host has nothing to keep");
-    rig.server(0).told = EndpointStatus.ON;
+    rig.server(0).told = EndpointStatus.ACTIVE;
     rig.probes.clear();
     rig.list();
     assertTrue(
-        isCold(rig, 0) && rig.router.inWords(rig.now).contains("doubted"),
-        rig.router.inWords(rig.now));
-    String write = rig.arrive(Need.WRITE, 0, Duration.ZERO);
+        isCold(rig, 0) && rig.router.describe(rig.now).contains("doubted"),
+        rig.router.describe(rig.now));
+    String write = rig.arrive(Consistency.WRITE, 0, Duration.ZERO);
     assertEquals(0, rig.rpcs.get(write).sent);
     assertTrue(rig.probes.contains(rig.server(0).id), "asked before an RPC is risked");
   }
@@ -643,10 +662,10 @@
   @Test
   void ringLeftOverAsksForNoOther() {
     RouterHarness rig = RouterHarness.settled();
-    rig.arrive(Need.ANY, 0, Duration.ZERO);
+    rig.arrive(Consistency.ANY, 0, Duration.ZERO);
     int asks = rig.dueAsks;
     for (int k = 0; k < 50; k++) {
-      rig.router.dueReached(rig.now);
+      rig.router.timersDue(rig.now);
     }
     assertEquals(asks, rig.dueAsks);
   }
@@ -656,14 +675,14 @@
   void slowAnswerMovesItsServerBehindItsEquals() {
     RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 30; k++) {
-      RouterHarness.Sent sent = rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO));
+      RouterHarness.Sent sent = rig.only(rig.arrive(Consistency.ANY, 0, Duration.ZERO));
       rig.wait(ms(10));
       rig.end(sent, AttemptOutcome.OK);
     }
-    RouterHarness.Sent slow = rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO));
+    RouterHarness.Sent slow = rig.only(rig.arrive(Consistency.ANY, 0, Duration.ZERO));
     rig.wait(ms(60));
     rig.end(slow, AttemptOutcome.OK);
-    RouterHarness.Sent next = rig.only(rig.arrive(Need.ANY, 0, Duration.ZERO));
+    RouterHarness.Sent next = rig.only(rig.arrive(Consistency.ANY, 0, Duration.ZERO));
     assertFalse(next.server() == slow.server());
   }
 
@@ -672,10 +691,10 @@
   void oneFailedProbeSetsNoServerAside() {
     RouterHarness rig = RouterHarness.settled();
     rig.wait(ms(1));
-    rig.router.probeEnded(rig.now, rig.server(0).id, AttemptOutcome.TIMED_OUT, null);
-    assertEquals(1, rig.rpcs.get(rig.arrive(Need.WRITE, 0, Duration.ZERO)).sent);
-    rig.router.probeEnded(rig.now, rig.server(0).id, AttemptOutcome.TIMED_OUT, null);
-    assertEquals(0, rig.rpcs.get(rig.arrive(Need.WRITE, 0, Duration.ZERO)).sent);
+    rig.router.healthCheckEnded(rig.now, rig.server(0).id, AttemptOutcome.TIMED_OUT, null);
+    assertEquals(1, rig.rpcs.get(rig.arrive(Consistency.WRITE, 0, Duration.ZERO)).sent);
+    rig.router.healthCheckEnded(rig.now, rig.server(0).id, AttemptOutcome.TIMED_OUT, null);
+    assertEquals(0, rig.rpcs.get(rig.arrive(Consistency.WRITE, 0, Duration.ZERO)).sent);
   }
 
   /**
@@ -685,14 +704,14 @@
   @Test
   void whoAnswersOnWhatWasOpenBeforeIsNoColder() {
     RouterHarness rig = RouterHarness.settled();
-    RouterHarness.Sent before = rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO));
+    RouterHarness.Sent before = rig.only(rig.arrive(Consistency.WRITE, 0, Duration.ZERO));
     rig.wait(ms(1));
-    rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), AttemptOutcome.NO_ROUTE);
+    rig.end(rig.only(rig.arrive(Consistency.WRITE, 0, Duration.ZERO)), AttemptOutcome.UNREACHABLE);
     assertTrue(isCold(rig, 0));
     rig.wait(ms(31));
     rig.end(before, AttemptOutcome.OK);
     assertFalse(isCold(rig, 0));
-    assertFalse(rig.router.inWords(rig.now).contains("doubted"));
+    assertFalse(rig.router.describe(rig.now).contains("doubted"));
   }
 
   /**
@@ -702,9 +721,9 @@
   @Test
   void whatAServerSaidBeforeItsEndDoesNotProveThatItLives() {
     RouterHarness rig = RouterHarness.settled();
-    RouterHarness.Sent before = rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO));
+    RouterHarness.Sent before = rig.only(rig.arrive(Consistency.WRITE, 0, Duration.ZERO));
     rig.wait(ms(1));
-    rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), AttemptOutcome.NO_ROUTE);
+    rig.end(rig.only(rig.arrive(Consistency.WRITE, 0, Duration.ZERO)), AttemptOutcome.UNREACHABLE);
     rig.wait(ms(5));
     rig.end(before, AttemptOutcome.OK);
     assertTrue(isCold(rig, 0));
@@ -716,15 +735,15 @@
     RouterHarness rig = RouterHarness.settled();
     Duration before = rig.now;
     rig.wait(ms(1));
-    rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), AttemptOutcome.NO_ROUTE);
+    rig.end(rig.only(rig.arrive(Consistency.WRITE, 0, Duration.ZERO)), AttemptOutcome.UNREACHABLE);
     rig.wait(ms(400));
-    rig.router.probeEnded(rig.now, rig.server(0).id, AttemptOutcome.OK, rig.now);
+    rig.router.healthCheckEnded(rig.now, rig.server(0).id, AttemptOutcome.OK, rig.now);
     assertTrue(isCold(rig, 0));
-    rig.router.probeEnded(rig.now, rig.server(0).id, AttemptOutcome.OK, before);
+    rig.router.healthCheckEnded(rig.now, rig.server(0).id, AttemptOutcome.OK, before);
     assertFalse(isCold(rig, 0));
     rig.server(0).start = rig.now;
     rig.list();
-    rig.router.probeEnded(rig.now, rig.server(0).id, AttemptOutcome.OK, before);
+    rig.router.healthCheckEnded(rig.now, rig.server(0).id, AttemptOutcome.OK, before);
     assertTrue(isCold(rig, 0), "a start that is listed is one");
   }
 
@@ -732,14 +751,15 @@
   void keptConnectionThatEndsSaysNothingOfItsServer() {
     RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 6; k++) {
-      String write = rig.arrive(Need.WRITE, 0, Duration.ZERO);
-      rig.end(rig.only(write), AttemptOutcome.KEPT_CUT);
+      String write = rig.arrive(Consistency.WRITE, 0, Duration.ZERO);
+      rig.end(rig.only(write), AttemptOutcome.IDLE_CONNECTION_LOST);
       assertEquals("aborted", rig.rpcs.get(write).answer, "it may have run");
     }
     rig.probes.clear();
-    rig.router.probeEnded(rig.now, rig.server(0).id, AttemptOutcome.KEPT_CUT, null);
+    rig.router.healthCheckEnded(
+        rig.now, rig.server(0).id, AttemptOutcome.IDLE_CONNECTION_LOST, null);
     assertEquals(List.of(rig.server(0).id), rig.probes, "asked again on another connection");
-    assertFalse(rig.router.inWords(rig.now).contains("doubted") || isCold(rig, 0));
+    assertFalse(rig.router.describe(rig.now).contains("doubted") || isCold(rig, 0));
   }
 
   /**
@@ -750,10 +770,12 @@
   void whoTakesNothingIsSetAsideButNoColder() {
     RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 2; k++) {
-      assertFalse(rig.router.inWords(rig.now).contains("doubted"));
-      rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), AttemptOutcome.NOT_TAKEN);
+      assertFalse(rig.router.describe(rig.now).contains("doubted"));
+      rig.end(
+          rig.only(rig.arrive(Consistency.WRITE, 0, Duration.ZERO)),
+          AttemptOutcome.CLOSED_BEFORE_SEND);
     }
-    assertTrue(rig.router.inWords(rig.now).contains("doubted"));
+    assertTrue(rig.router.describe(rig.now).contains("doubted"));
     assertFalse(isCold(rig, 0));
   }
 
@@ -765,7 +787,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
   void tellsALostProcessFromALostConnection(long seed) {
-    SplittableRandom dice = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     RouterHarness rig =
         RouterHarness.settled(
             RouterHarness.terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false), seed);
@@ -775,13 +797,13 @@
     int live = 0;
     int wronged = 0;
     for (int step = 0; step < 4000; step++) {
-      int victim = 1 + dice.nextInt(2);
-      if (dice.nextInt(600) == 0 && down[victim] == null) {
+      int victim = 1 + random.nextInt(2);
+      if (random.nextInt(600) == 0 && down[victim] == null) {
         down[victim] = rig.now;
         noticed[victim] = false;
         for (RouterHarness.Sent sent : List.copyOf(rig.out)) {
           if (sent.server() == rig.server(victim)) {
-            rig.end(sent, AttemptOutcome.CUT);
+            rig.end(sent, AttemptOutcome.CONNECTION_LOST);
           }
         }
       }
@@ -791,34 +813,38 @@
           down[k] = null;
         }
       }
-      rig.arrive(dice.nextInt(3) == 0 ? Need.FRESH : Need.ANY, 0, Duration.ZERO);
+      rig.arrive(random.nextInt(3) == 0 ? Consistency.FRESH : Consistency.ANY, 0, Duration.ZERO);
       for (RouterHarness.Sent sent : List.copyOf(rig.out)) {
         int k = rig.server(0) == sent.server() ? 0 : rig.server(1) == sent.server() ? 1 : 2;
         if (down[k] != null) {
           noticed[k] = true;
-          rig.end(sent, AttemptOutcome.NO_ROUTE);
-        } else if (sent.at().equals(rig.now) && dice.nextInt(50) == 0) {
-          rig.end(sent, dice.nextBoolean() ? AttemptOutcome.NO_ROUTE : AttemptOutcome.KEPT_CUT);
-        } else if (sent.at().plus(ms(5 + dice.nextInt(40))).compareTo(rig.now) <= 0) {
+          rig.end(sent, AttemptOutcome.UNREACHABLE);
+        } else if (sent.at().equals(rig.now) && random.nextInt(50) == 0) {
+          rig.end(
+              sent,
+              random.nextBoolean()
+                  ? AttemptOutcome.UNREACHABLE
+                  : AttemptOutcome.IDLE_CONNECTION_LOST);
+        } else if (sent.at().plus(ms(5 + random.nextInt(40))).compareTo(rig.now) <= 0) {
           // Over a connection that may have been open for long, but for no longer than its process.
-          Duration open = rig.now.minus(ms(dice.nextInt(1500)));
+          Duration open = rig.now.minus(ms(random.nextInt(1500)));
           rig.end(sent, AttemptOutcome.OK, open.compareTo(started[k]) < 0 ? started[k] : open);
         }
       }
       for (ServerId id : List.copyOf(rig.probes)) {
         int k = Integer.parseInt(id.name().substring(1));
         noticed[k] |= down[k] != null;
-        rig.router.probeEnded(
+        rig.router.healthCheckEnded(
             rig.now,
             id,
             down[k] == null ? AttemptOutcome.OK : AttemptOutcome.TIMED_OUT,
             down[k] == null ? rig.now : null);
       }
       rig.probes.clear();
-      rig.wait(ms(dice.nextInt(12)));
+      rig.wait(ms(random.nextInt(12)));
       for (int k = 0; k < 3; k++) {
         boolean restarted =
-            rig.now.minus(started[k]).compareTo(rig.terms.coldFor()) < 0
+            rig.now.minus(started[k]).compareTo(rig.terms.slowStartDuration()) < 0
                 && k > 0
                 && !started[k].isZero();
         assertTrue(!restarted || !noticed[k] || isCold(rig, k), "cold, and not known to be: s" + k);
@@ -830,7 +856,7 @@
   }
 
   private static boolean isCold(RouterHarness rig, int server) {
-    return rig.router.inWords(rig.now).matches("(?s).*\\bs" + server + " [^,]* cold.*");
+    return rig.router.describe(rig.now).matches("(?s).*\\bs" + server + " [^,]* cold.*");
   }
 
   /**
@@ -839,13 +865,13 @@
   @Test
   void whatAPeerFoundGoneIsThinnedHere() {
     RouterHarness rig = RouterHarness.settled(RouterHarness.fleet(200, true));
-    rig.end(rig.only(rig.arrive(Need.WRITE, 0, Duration.ZERO)), AttemptOutcome.NO_ROUTE);
+    rig.end(rig.only(rig.arrive(Consistency.WRITE, 0, Duration.ZERO)), AttemptOutcome.UNREACHABLE);
     assertEquals(List.of(rig.server(0).id), rig.tells);
-    rig.router.peerTold(rig.now, new ServerId("nobody"));
+    rig.router.gossipReceived(rig.now, new ServerId("nobody"));
     RouterHarness peer = RouterHarness.settled(RouterHarness.fleet(200, true));
-    peer.router.peerTold(peer.now, peer.server(0).id);
+    peer.router.gossipReceived(peer.now, peer.server(0).id);
     for (int k = 0; k < 100; k++) {
-      peer.arrive(Need.WRITE, 0, Duration.ZERO);
+      peer.arrive(Consistency.WRITE, 0, Duration.ZERO);
       peer.wait(ms(1));
       List.copyOf(peer.out).forEach(s -> peer.end(s, AttemptOutcome.OK));
     }
@@ -859,11 +885,11 @@
     rig.router.reported(rig.now, rig.server(0).id, rig.now, false);
     rig.probes.clear();
     for (int k = 0; k < 100; k++) {
-      rig.arrive(Need.FRESH, 0, Duration.ZERO);
+      rig.arrive(Consistency.FRESH, 0, Duration.ZERO);
       rig.wait(ms(50));
       rig.servers
           .values()
-          .forEach(s -> rig.router.probeEnded(rig.now, s.id, AttemptOutcome.OK, null));
+          .forEach(s -> rig.router.healthCheckEnded(rig.now, s.id, AttemptOutcome.OK, null));
     }
     assertTrue(rig.probes.size() <= 21 && rig.probes.size() >= 6, "in 5 s: " + rig.probes.size());
   }
@@ -876,17 +902,17 @@
   void whoIsOverdueIsAskedEverMoreRarely() {
     RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 30; k++) {
-      String write = rig.arrive(Need.WRITE, 0, Duration.ZERO);
+      String write = rig.arrive(Consistency.WRITE, 0, Duration.ZERO);
       rig.wait(ms(10));
       rig.end(rig.only(write), AttemptOutcome.OK);
     }
     rig.probes.clear();
-    rig.arrive(Need.WRITE, 0, Duration.ZERO);
+    rig.arrive(Consistency.WRITE, 0, Duration.ZERO);
     int asked = 0;
     for (int k = 0; k < 70; k++) {
       rig.wait(ms(20));
       asked += rig.probes.size();
-      rig.probes.forEach(s -> rig.router.probeEnded(rig.now, s, AttemptOutcome.OK, null));
+      rig.probes.forEach(s -> rig.router.healthCheckEnded(rig.now, s, AttemptOutcome.OK, null));
       rig.probes.clear();
     }
     assertTrue(asked >= 2 && asked <= 5, "asked in 1.4 s: " + asked);
@@ -903,7 +929,7 @@
     for (int g = 0; g < gateways; g++) {
       RouterHarness rig = RouterHarness.settled(RouterHarness.fleet(gateways, true), g);
       for (int k = 0; k < 60; k++) {
-        rig.arrive(Need.WRITE, 0, Duration.ZERO);
+        rig.arrive(Consistency.WRITE, 0, Duration.ZERO);
         rig.wait(ms(50));
         rig.serve(ms(300));
       }
@@ -920,12 +946,12 @@
   @Test
   void oneSlowAnswerDoesNotMakeAllHopeless() {
     RouterHarness rig = RouterHarness.settled();
-    String slow = rig.arrive(Need.FRESH, 0, Duration.ZERO);
+    String slow = rig.arrive(Consistency.FRESH, 0, Duration.ZERO);
     rig.wait(ms(350));
     rig.end(rig.only(slow), AttemptOutcome.OK);
     assertNull(heldFor(rig, ms(60)), "given up by one answer");
     for (int k = 0; k < 8; k++) {
-      String quick = rig.arrive(Need.FRESH, 0, Duration.ZERO);
+      String quick = rig.arrive(Consistency.FRESH, 0, Duration.ZERO);
       rig.wait(ms(60));
       rig.end(rig.only(quick), AttemptOutcome.OK);
     }
@@ -940,10 +966,10 @@
   private static String heldFor(RouterHarness rig, Duration span) {
     rig.server(0).told = EndpointStatus.DRAINING;
     rig.list();
-    RouterHarness.Entry entry = rig.rpcs.get(rig.arrive(Need.FRESH, 0, Duration.ZERO));
+    RouterHarness.Entry entry = rig.rpcs.get(rig.arrive(Consistency.FRESH, 0, Duration.ZERO));
     rig.wait(span);
     String answer = entry.answer;
-    rig.server(0).told = EndpointStatus.ON;
+    rig.server(0).told = EndpointStatus.ACTIVE;
     rig.server(0).start = rig.now.minus(ms(20_000));
     rig.list();
     rig.serve(ms(0));
@@ -957,15 +983,15 @@
   @Test
   void answerAtEaseEarnsAShortRest() {
     RouterHarness rig = RouterHarness.settled(RouterHarness.fleet(80, true));
-    String first = rig.arrive(Need.WRITE, 0, Duration.ZERO);
+    String first = rig.arrive(Consistency.WRITE, 0, Duration.ZERO);
     rig.wait(ms(40));
     rig.end(rig.only(first), AttemptOutcome.OK);
-    String second = rig.arrive(Need.WRITE, 0, Duration.ZERO);
+    String second = rig.arrive(Consistency.WRITE, 0, Duration.ZERO);
     rig.wait(ms(150));
     assertEquals(1, rig.rpcs.get(second).sent, "a tenth of its soft deadline was taken");
     rig.wait(ms(230));
     rig.end(rig.only(second), AttemptOutcome.OK);
-    String third = rig.arrive(Need.WRITE, 0, Duration.ZERO);
+    String third = rig.arrive(Consistency.WRITE, 0, Duration.ZERO);
     rig.wait(ms(500));
     assertEquals(0, rig.rpcs.get(third).sent, "nine tenths were taken");
   }
@@ -976,7 +1002,7 @@
     RouterHarness rig = RouterHarness.settled();
     List<String> reads = new ArrayList<>();
     for (int k = 0; k < 400; k++) {
-      reads.add(rig.arrive(Need.FRESH, 0, Duration.ZERO));
+      reads.add(rig.arrive(Consistency.FRESH, 0, Duration.ZERO));
       rig.wait(ms(20));
       rig.leave(reads.get(Math.max(0, k - 5)));
     }
@@ -989,7 +1015,7 @@
     RouterHarness rig = RouterHarness.settled();
     rig.server(0).told = EndpointStatus.DRAINING;
     rig.list();
-    String write = rig.arrive(Need.WRITE, 0, Duration.ZERO);
+    String write = rig.arrive(Consistency.WRITE, 0, Duration.ZERO);
     rig.wait(RouterHarness.DEADLINE.dividedBy(2));
     RouterHarness.Entry entry = rig.rpcs.get(write);
     assertEquals("pushed back", entry.answer);
@@ -997,10 +1023,10 @@
         entry.answeredAt.minus(entry.arrived).compareTo(RouterHarness.DEADLINE.dividedBy(3)) > 0,
         "too soon");
     // What has been out has had its chance taken, and is not cut short.
-    rig.server(0).told = EndpointStatus.ON;
+    rig.server(0).told = EndpointStatus.ACTIVE;
     rig.server(0).start = rig.now.minus(ms(20_000));
     rig.list();
-    String sent = rig.arrive(Need.WRITE, 0, Duration.ZERO);
+    String sent = rig.arrive(Consistency.WRITE, 0, Duration.ZERO);
     rig.wait(RouterHarness.DEADLINE.dividedBy(2).plus(ms(1)));
     assertNull(rig.rpcs.get(sent).answer);
   }
@@ -1012,8 +1038,8 @@
             RouterHarness.terms(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, true), 1);
     assertEquals(1, rig.watches);
     for (int k = 0; k < 8; k++) {
-      rig.router.listFailed(rig.now);
-      rig.wait(rig.terms.askWithin());
+      rig.router.endpointListFailed(rig.now);
+      rig.wait(rig.terms.maxPollInterval());
     }
     assertEquals(9, rig.watches);
   }
--- a/gateway/src/test/java/weldcross/storage/FaultyStorageDirectory.java
+++ b/gateway/src/test/java/weldcross/storage/FaultyStorageDirectory.java
@@ -22,7 +22,7 @@
     byte[] sure = new byte[0];
   }
 
-  private final SplittableRandom dice;
+  private final SplittableRandom random;
   private TreeMap<String, Content> seen = new TreeMap<>();
   private TreeMap<String, Content> sure = new TreeMap<>();
 
@@ -44,7 +44,7 @@
   int forces;
 
   public FaultyStorageDirectory(long seed) {
-    dice = new SplittableRandom(seed);
+    random = new SplittableRandom(seed);
   }
 
   /**
@@ -59,10 +59,10 @@
                   content.sure,
                   Math.max(
                       content.sure.length,
-                      dice.nextBoolean() ? content.seen.length : content.sure.length));
+                      random.nextBoolean() ? content.seen.length : content.sure.length));
           for (int at = 0; at < bytes.length; at += SECTOR) {
             int end = Math.min(at + SECTOR, Math.min(bytes.length, content.seen.length));
-            if (end > at && dice.nextBoolean()) {
+            if (end > at && random.nextBoolean()) {
               System.arraycopy(content.seen, at, bytes, at, end - at);
             }
           }
@@ -130,8 +130,8 @@
         int from = into.position();
         into.put(content.seen, (int) at, count);
         if (readFlips && count > 0) {
-          int where = from + dice.nextInt(count);
-          into.put(where, (byte) (into.get(where) ^ 1 << dice.nextInt(8)));
+          int where = from + random.nextInt(count);
+          into.put(where, (byte) (into.get(where) ^ 1 << random.nextInt(8)));
         }
       }
 
--- a/gateway/src/test/java/weldcross/storage/RecordLogTest.java
+++ b/gateway/src/test/java/weldcross/storage/RecordLogTest.java
@@ -67,19 +67,19 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
   void whatWasSureIsKeptThroughRandomLives(long seed) throws IOException {
-    SplittableRandom dice = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     FaultyStorageDirectory disk = new FaultyStorageDirectory(seed);
     long sure = 0;
     long added = 0;
     int crashes = 0;
     RecordLog log = open(disk, new Kept());
     for (int step = 0; step < 1500; step++) {
-      int kind = dice.nextInt(100);
+      int kind = random.nextInt(100);
       if (kind < 70) {
-        int records = 1 + dice.nextInt(6);
+        int records = 1 + random.nextInt(6);
         added = Math.max(added, log.last() + records);
         disk.forceFails = kind == 0;
-        disk.room = kind == 1 ? dice.nextInt(200) : Long.MAX_VALUE;
+        disk.room = kind == 1 ? random.nextInt(200) : Long.MAX_VALUE;
         try {
           commit(log, records);
           sure = log.last();
@@ -92,7 +92,7 @@
         disk.forceFails = false;
         disk.room = Long.MAX_VALUE;
       } else if (kind < 80 && log.state() == RecordLog.State.OPEN && log.last() > 0) {
-        long upTo = Math.max(log.found().snapshotUpTo(), log.last() - dice.nextInt(20));
+        long upTo = Math.max(log.found().snapshotUpTo(), log.last() - random.nextInt(20));
         try {
           log.snapshot(upTo, ByteBuffer.allocate(8).putLong(upTo).flip());
         } catch (IllegalArgumentException e) {
