--- a/gateway/src/main/java/weldcross/routing/AttemptOutcome.java
+++ b/gateway/src/main/java/weldcross/routing/AttemptOutcome.java
@@ -18,10 +18,14 @@
   NOT_SENT(true),
   INELIGIBLE(true);
 
-  /** Whether it proves that nothing ran. */
-  public final boolean provesNotExecuted;
+  private final boolean provesNotExecuted;
 
   AttemptOutcome(boolean provesNotExecuted) {
     this.provesNotExecuted = provesNotExecuted;
   }
+
+  /** Returns whether this outcome proves that the server did not execute the request. */
+  public boolean provesNotExecuted() {
+    return provesNotExecuted;
+  }
 }
--- a/gateway/src/test/java/weldcross/routing/RouterHarness.java
+++ b/gateway/src/test/java/weldcross/routing/RouterHarness.java
@@ -264,7 +264,7 @@
     Entry entry = rpcs.get(sent.rpc);
     out.remove(sent);
     entry.out.remove(sent);
-    entry.mayHaveRun |= !outcome.provesNotExecuted;
+    entry.mayHaveRun |= !outcome.provesNotExecuted();
     if (outcome == AttemptOutcome.OK && entry.answers == 0) {
       answered(entry, "ok");
     }
