--- a/gateway/src/main/java/weldcross/gateway/Gateway.java
+++ b/gateway/src/main/java/weldcross/gateway/Gateway.java
@@ -1186,8 +1186,8 @@
 
   @Override
   public void gossipUnreachable(ServerId server) {
-    byte[] message = GossipMessage.write(server);
-    if (terms.peersAll() != null && message.length <= GossipMessage.LONGEST) {
+    byte[] message = GossipMessage.encode(server);
+    if (terms.peersAll() != null && message.length <= GossipMessage.MAX_BYTES) {
       transport.tellPeers(terms.peersAll(), message);
     }
   }
--- a/gateway/src/main/java/weldcross/gateway/MinaTransport.java
+++ b/gateway/src/main/java/weldcross/gateway/MinaTransport.java
@@ -187,7 +187,7 @@
             IoBuffer in = (IoBuffer) message;
             byte[] bytes = new byte[in.remaining()];
             in.get(bytes);
-            ServerId server = GossipMessage.read(bytes);
+            ServerId server = GossipMessage.decode(bytes);
             if (server != null) {
               loop.post(g -> g.gossipReceived(server));
             }
--- a/gateway/src/main/java/weldcross/gossip/GossipMessage.java
+++ b/gateway/src/main/java/weldcross/gossip/GossipMessage.java
@@ -5,24 +5,22 @@
 import java.nio.charset.StandardCharsets;
 import weldcross.routing.ServerId;
 
-/**
- * The one thing that gateways tell each other, as the bytes of a message: the server that was not
- * found.
- */
+/** The codec of the one message between gateways: the name of a server that was not reachable. */
 public final class GossipMessage {
 
-  /** Longer messages are not carried. */
-  public static final int LONGEST = 256;
+  /** The longest message that is carried, in bytes. */
+  public static final int MAX_BYTES = 256;
 
   private GossipMessage() {}
 
-  public static byte[] write(ServerId notFound) {
-    return notFound.name().getBytes(StandardCharsets.UTF_8);
+  /** Returns the message, in UTF-8; it may be longer than {@link #MAX_BYTES}. */
+  public static byte[] encode(ServerId unreachable) {
+    return unreachable.name().getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Null for what is no such message. */
-  public static ServerId read(byte[] message) {
-    if (message.length == 0 || message.length > LONGEST) {
+  /** Returns the server that the message names, or null if it is no such message. */
+  public static ServerId decode(byte[] message) {
+    if (message.length == 0 || message.length > MAX_BYTES) {
       return null;
     }
     try {
--- a/gateway/src/main/java/weldcross/routing/AttemptOutcome.java
+++ b/gateway/src/main/java/weldcross/routing/AttemptOutcome.java
@@ -1,21 +1,38 @@
 package weldcross.routing;
 
-/** How a call-out or a probe ended. */
+/** How an attempt or a health check ended. */
 public enum AttemptOutcome {
+  /** The server answered with success. */
   OK(false),
+
+  /** The server answered with an error, or on behalf of a process that has died. */
   ERROR(false),
+
+  /** The server turned it away because it has too much to do. */
   OVERLOADED(true),
+
+  /** No answer came in time. */
   TIMED_OUT(false),
-  /** No process was found there, or nothing came back from where it should be. */
+
+  /** No connection came up: nobody listens there, or the connect timed out. */
   UNREACHABLE(true),
-  /** Its connection ended under it. */
+
+  /** Its connection ended before the answer. */
   CONNECTION_LOST(false),
-  /** The same on a connection kept from before, which says nothing of the server. */
+
+  /** As {@link #CONNECTION_LOST}, on a reused connection, which says nothing of the server. */
   IDLE_CONNECTION_LOST(false),
-  /** Its connection ended before it was sent, at the word of somebody who lives. */
+
+  /** A live server ended the connection before the attempt was sent. */
   CLOSED_BEFORE_SEND(true),
+
+  /** This gateway cancelled it. */
   CANCELLED(false),
+
+  /** It was decided, but no longer eligible when its connection was up. */
   NOT_SENT(true),
+
+  /** The server does not serve such requests, as a replica does not serve writes. */
   INELIGIBLE(true);
 
   private final boolean provesNotExecuted;
--- a/gateway/src/main/java/weldcross/routing/EndpointState.java
+++ b/gateway/src/main/java/weldcross/routing/EndpointState.java
@@ -87,4 +87,19 @@
   boolean isPrimary() {
     return this == group.primary;
   }
+
+  /** Describes this endpoint for the log, see {@link Router#describe}. */
+  String describe(Duration now, boolean warmingUp) {
+    return id.name()
+        + " "
+        + inFlight.size()
+        + "/"
+        + (int) concurrencyLimit
+        + " "
+        + (position == null ? "?" : now.minus(position).toMillis())
+        + (isPrimary() ? " primary" : "")
+        + (ejected ? " ejected" : "")
+        + (warmingUp ? " warming-up" : "")
+        + (listed ? "" : " removed");
+  }
 }
--- a/gateway/src/main/java/weldcross/routing/PrimaryTracker.java
+++ b/gateway/src/main/java/weldcross/routing/PrimaryTracker.java
@@ -33,8 +33,6 @@
   private static void record(
       Duration now, EndpointState endpoint, Duration position, Boolean primary, boolean answer) {
     ReplicaGroup group = endpoint.group;
-    boolean first = !group.hasReported;
-    group.hasReported = true;
     EndpointState previous = group.primary;
     if (Boolean.TRUE.equals(primary)) {
       recordPrimary(endpoint, position);
@@ -42,7 +40,8 @@
       recordReplica(endpoint, answer ? now : position, answer);
     }
     endpoint.position = later(endpoint.position, position);
-    if (first || group.primary != previous) {
+    if (!group.hasReported || group.primary != previous) {
+      group.hasReported = true;
       group.nextRoundAt = now;
       for (EndpointState member : group.members) {
         member.primarySearchBackoff = EndpointState.INITIAL_BACKOFF;
--- a/gateway/src/main/java/weldcross/routing/RequestId.java
+++ b/gateway/src/main/java/weldcross/routing/RequestId.java
@@ -1,10 +1,12 @@
 package weldcross.routing;
 
 /**
- * One try of a client; a client's repeat is another RPC.
+ * One request of a client; when the client retries it, that is another request.
  *
- * <p>What a record compares itself by is made when the program runs, at each start; here it is
- * written out.
+ * <p>{@code equals} and {@code hashCode} are written out because those that the compiler makes for
+ * a record are linked when they are first called, which slows the start of the program.
+ *
+ * @param name unique among the open requests of a gateway; not null
  */
 public record RequestId(String name) {
 
--- a/gateway/src/main/java/weldcross/routing/RequestState.java
+++ b/gateway/src/main/java/weldcross/routing/RequestState.java
@@ -58,6 +58,8 @@
   boolean clientDisconnected;
 
   /**
+   * Creates the state of a request that has just arrived.
+   *
    * @param deadline when the client gives up
    * @param clientRetry whether the client has sent the same before
    * @param carriedToken null where there is none
--- a/gateway/src/main/java/weldcross/routing/Router.java
+++ b/gateway/src/main/java/weldcross/routing/Router.java
@@ -43,19 +43,18 @@
    * @param seed decides all random choices: the same events give the same calls
    */
   public Router(RouterActions actions, RoutingConfig config, long seed) {
-    int requestClasses = config.requestClasses().size();
     this.actions = actions;
     this.config = config;
     this.random = new SplittableRandom(seed);
     this.timers = new RouterTimers(actions);
-    this.latency = new LatencyEstimator(requestClasses);
+    this.latency = new LatencyEstimator(config.requestClasses().size());
     this.consistency = new SessionConsistency(config);
     this.limiter = new ConcurrencyLimiter(config.gateways(), latency);
     this.slowStart = new SlowStart(config, random, latency, limiter, consistency);
     this.healthChecker = new HealthChecker(actions, config, consistency);
     this.outliers = new OutlierDetector(actions, config, latency, slowStart, healthChecker);
     this.retryPolicy = new RetryPolicy(config);
-    this.admissionQueue = new AdmissionQueue(requestClasses);
+    this.admissionQueue = new AdmissionQueue(config.requestClasses().size());
     this.registry = new EndpointRegistry(actions, config, random, limiter, slowStart);
     this.selector =
         new EndpointSelector(
@@ -483,23 +482,10 @@
    * the age of its position in ms and its standing; and the number of queued requests.
    */
   public String describe(Duration now) {
-    return registry.endpoints().stream().map(endpoint -> describe(now, endpoint)).toList()
-        + ", held "
+    return registry.endpoints().stream()
+            .map(endpoint -> endpoint.describe(now, slowStart.isWarmingUp(now, endpoint)))
+            .toList()
+        + ", queued "
         + registry.groups().stream().mapToInt(group -> group.queue.size()).sum();
   }
-
-  private String describe(Duration now, EndpointState endpoint) {
-    Duration position = endpoint.position;
-    return endpoint.id.name()
-        + " "
-        + endpoint.inFlight.size()
-        + "/"
-        + (int) endpoint.concurrencyLimit
-        + " "
-        + (position == null ? "?" : now.minus(position).toMillis())
-        + (endpoint.isPrimary() ? " primary" : "")
-        + (endpoint.ejected ? " doubted" : "")
-        + (slowStart.isWarmingUp(now, endpoint) ? " cold" : "")
-        + (endpoint.listed ? "" : " gone");
-  }
 }
--- a/gateway/src/main/java/weldcross/routing/RouterActions.java
+++ b/gateway/src/main/java/weldcross/routing/RouterActions.java
@@ -3,45 +3,49 @@
 import java.time.Duration;
 
 /**
- * What a {@link Router} can do to the world; calls take effect at the moment of the event under
- * way.
+ * What a {@link Router} asks of its host. Calls take effect at the time of the event that the
+ * router handles, and must not call back into it. Times count from the start of the router.
  */
 public interface RouterActions {
 
   /**
-   * Sends the RPC to the server; it is dropped at {@code until}, or when the client gives up if
-   * sooner.
+   * Sends the request to the server; the attempts of a request are numbered from zero.
+   *
+   * @param expiresAt when the attempt ends without an answer; sooner if the client gives up sooner
    */
-  void sendAttempt(RequestId rpc, ServerId server, Duration until);
+  void sendAttempt(RequestId request, ServerId server, Duration expiresAt);
 
-  /** Stops waiting for one call-out; whether the server stops working on it is its own matter. */
-  void cancel(RequestId rpc, int attempt);
+  /** Stops waiting for one attempt; whether the server stops working on it is its own matter. */
+  void cancel(RequestId request, int attempt);
 
   /**
-   * Final answer: nothing ran that matters, trying again is harmless; zero gives no time to come
-   * back.
+   * Gives the final answer that the request was turned away and may be sent again without harm.
+   *
+   * @param retryAfter how long the client should wait before; zero if it is told no time
    */
-  void reject(RequestId rpc, Duration retryAfter);
+  void reject(RequestId request, Duration retryAfter);
 
-  /** Final answer: failed, with no promise about its effect. */
-  void fail(RequestId rpc);
+  /** Gives the final answer that the request failed; it may have been executed. */
+  void fail(RequestId request);
 
+  /** Sends a health check, whose end is told by {@link Router#healthCheckEnded}. */
   void sendHealthCheck(ServerId server);
 
-  /** Tells all other gateways that no process was found there; the message may be lost. */
+  /** Tells all other gateways that the server could not be reached; the message may be lost. */
   void gossipUnreachable(ServerId server);
 
   /**
-   * The server left the list, nothing is out there, and it is not called until it is listed again.
+   * Says that the server has left the list and has nothing in flight: it gets nothing until it is
+   * listed again.
    */
   void endpointRemoved(ServerId server);
 
-  /** Asks for changes of the server list from now on. */
+  /** Asks for changes of the endpoint list from now on. */
   void watchEndpointList();
 
-  /** Asks for {@link Router#tick} at {@code at}; the one periodic timer of the instance. */
+  /** Asks for {@link Router#tick} at {@code at}; there is one periodic timer. */
   void scheduleTick(Duration at);
 
-  /** Asks for {@link Router#timersDue} at {@code at}, for the earliest of the due times. */
+  /** Asks for {@link Router#timersDue} at {@code at}, the earliest time that any timer is due. */
   void scheduleTimer(Duration at);
 }
--- a/gateway/src/main/java/weldcross/routing/ServerId.java
+++ b/gateway/src/main/java/weldcross/routing/ServerId.java
@@ -1,10 +1,13 @@
 package weldcross.routing;
 
 /**
- * A database server, the same at every gateway and across its restarts.
+ * A database server. The id is the same at every gateway and stays the same when its process
+ * restarts.
  *
- * <p>What a record compares itself by is made when the program runs, at each start; here it is
- * written out.
+ * <p>{@code equals} and {@code hashCode} are written out because those that the compiler makes for
+ * a record are linked when they are first called, which slows the start of the program.
+ *
+ * @param name unique among all servers; not null
  */
 public record ServerId(String name) {
 
--- a/gateway/src/main/java/weldcross/routing/SessionId.java
+++ b/gateway/src/main/java/weldcross/routing/SessionId.java
@@ -1,10 +1,12 @@
 package weldcross.routing;
 
 /**
- * The session whose writes a read has to see.
+ * A client session, whose reads see its own writes.
  *
- * <p>What a record compares itself by is made when the program runs, at each start; here it is
- * written out.
+ * <p>{@code equals} and {@code hashCode} are written out because those that the compiler makes for
+ * a record are linked when they are first called, which slows the start of the program.
+ *
+ * @param name unique among all sessions; not null
  */
 public record SessionId(String name) {
 
--- a/gateway/src/main/java/weldcross/routing/ZoneId.java
+++ b/gateway/src/main/java/weldcross/routing/ZoneId.java
@@ -1,10 +1,12 @@
 package weldcross.routing;
 
 /**
- * A data centre, hall or site.
+ * A zone: a data centre, a hall or a site.
  *
- * <p>What a record compares itself by is made when the program runs, at each start; here it is
- * written out.
+ * <p>{@code equals} and {@code hashCode} are written out because those that the compiler makes for
+ * a record are linked when they are first called, which slows the start of the program.
+ *
+ * @param number unique among all zones
  */
 public record ZoneId(int number) {
 
--- a/gateway/src/main/java/weldcross/simulator/SimulatorActions.java
+++ b/gateway/src/main/java/weldcross/simulator/SimulatorActions.java
@@ -58,7 +58,7 @@
   public void gossipUnreachable(ServerId server) {
     begin("TELL")
         .append("all ")
-        .append(HexFormat.of().formatHex(GossipMessage.write(server)))
+        .append(HexFormat.of().formatHex(GossipMessage.encode(server)))
         .append('\n');
   }
 
--- a/gateway/src/main/java/weldcross/simulator/SimulatorSession.java
+++ b/gateway/src/main/java/weldcross/simulator/SimulatorSession.java
@@ -287,7 +287,7 @@
 
   private static ServerId peerWord(String hex) {
     try {
-      return GossipMessage.read(HexFormat.of().parseHex(hex));
+      return GossipMessage.decode(HexFormat.of().parseHex(hex));
     } catch (IllegalArgumentException e) {
       return null;
     }
--- a/gateway/src/test/java/weldcross/gateway/GatewayTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayTest.java
@@ -1264,7 +1264,8 @@
       w.wait(130);
     }
     assertTrue(lost > 1 && lost < 12, "lost " + lost);
-    assertFalse(w.gateway.describe().contains("cold") || w.gateway.describe().contains("doubted"));
+    assertFalse(
+        w.gateway.describe().contains("warming-up") || w.gateway.describe().contains("ejected"));
     long open =
         w.wires.entrySet().stream().filter(e -> e.getKey() < 0 && e.getValue().open).count();
     assertTrue(open < 9, "those given up are ended: " + open);
@@ -1282,7 +1283,8 @@
     long link = w.wires.keySet().stream().min(Long::compare).orElseThrow();
     w.silent.clear();
     w.tell(g -> g.links().dialReset(link));
-    assertFalse(w.gateway.describe().contains("cold") || w.gateway.describe().contains("doubted"));
+    assertFalse(
+        w.gateway.describe().contains("warming-up") || w.gateway.describe().contains("ejected"));
     w.wait(30);
     w.answer(on(w, id), null);
     assertEquals("ok", w.answers.get(id), "asked again, as nothing ran");
--- a/gateway/src/test/java/weldcross/routing/RouterTest.java
+++ b/gateway/src/test/java/weldcross/routing/RouterTest.java
@@ -651,7 +651,7 @@
     rig.probes.clear();
     rig.list();
     assertTrue(
-        isCold(rig, 0) && rig.router.describe(rig.now).contains("doubted"),
+        isCold(rig, 0) && rig.router.describe(rig.now).contains("ejected"),
         rig.router.describe(rig.now));
     String write = rig.arrive(Consistency.WRITE, 0, Duration.ZERO);
     assertEquals(0, rig.rpcs.get(write).sent);
@@ -711,7 +711,7 @@
     rig.wait(ms(31));
     rig.end(before, AttemptOutcome.OK);
     assertFalse(isCold(rig, 0));
-    assertFalse(rig.router.describe(rig.now).contains("doubted"));
+    assertFalse(rig.router.describe(rig.now).contains("ejected"));
   }
 
   /**
@@ -759,7 +759,7 @@
     rig.router.healthCheckEnded(
         rig.now, rig.server(0).id, AttemptOutcome.IDLE_CONNECTION_LOST, null);
     assertEquals(List.of(rig.server(0).id), rig.probes, "asked again on another connection");
-    assertFalse(rig.router.describe(rig.now).contains("doubted") || isCold(rig, 0));
+    assertFalse(rig.router.describe(rig.now).contains("ejected") || isCold(rig, 0));
   }
 
   /**
@@ -770,12 +770,12 @@
   void whoTakesNothingIsSetAsideButNoColder() {
     RouterHarness rig = RouterHarness.settled();
     for (int k = 0; k < 2; k++) {
-      assertFalse(rig.router.describe(rig.now).contains("doubted"));
+      assertFalse(rig.router.describe(rig.now).contains("ejected"));
       rig.end(
           rig.only(rig.arrive(Consistency.WRITE, 0, Duration.ZERO)),
           AttemptOutcome.CLOSED_BEFORE_SEND);
     }
-    assertTrue(rig.router.describe(rig.now).contains("doubted"));
+    assertTrue(rig.router.describe(rig.now).contains("ejected"));
     assertFalse(isCold(rig, 0));
   }
 
@@ -856,7 +856,7 @@
   }
 
   private static boolean isCold(RouterHarness rig, int server) {
-    return rig.router.describe(rig.now).matches("(?s).*\\bs" + server + " [^,]* cold.*");
+    return rig.router.describe(rig.now).matches("(?s).*\\bs" + server + " [^,]* warming-up.*");
   }
 
   /**
