--- a/chaos/src/test/java/weldcross/chaos/ConsensusChaosTest.java
+++ b/chaos/src/test/java/weldcross/chaos/ConsensusChaosTest.java
@@ -107,7 +107,7 @@
       ChaosCluster.Gateway n0 = ground.gateway("n0");
       Fault pause = fault(Fault.Kind.PAUSE, "n3", "");
       havoc.begin(pause);
-      tells(n0, 0, "n3 is SILENT");
+      tells(n0, 0, "peer=n3 state=UNREACHABLE");
       Fault kill = fault(Fault.Kind.KILL, "n1", "old");
       havoc.begin(kill);
       drops(n0, "n1");
@@ -132,8 +132,8 @@
       ChaosCluster.Gateway n2 = ground.gateway("n2");
       Fault split = fault(Fault.Kind.SPLIT, "", "n0,n3|n1,n2,n4");
       havoc.begin(split);
-      tells(n2, 0, "n0 is SILENT");
-      tells(n0, 0, "n2 is SILENT");
+      tells(n2, 0, "peer=n0 state=UNREACHABLE");
+      tells(n0, 0, "peer=n2 state=UNREACHABLE");
       String before = n0.lastView();
       // Asked of the minority nothing is done; of the majority it is.
       assertEquals(1, cluster(n0, "forget", "n1", "--it-has-ended"));
@@ -145,7 +145,7 @@
       // It lives, and comes back as a later life by itself.
       agree(ground);
       assertTrue(n2.lastView().contains("n0:2"), n2.lastView());
-      assertFalse(log(n2).contains("is GONE"), "nobody ended");
+      assertFalse(log(n2).contains("state=DEAD"), "nobody ended");
     }
   }
 
--- a/chaos/src/test/java/weldcross/chaos/MembershipChaosTest.java
+++ b/chaos/src/test/java/weldcross/chaos/MembershipChaosTest.java
@@ -47,7 +47,7 @@
     for (ChaosCluster.Gateway a : ground.gateways()) {
       for (ChaosCluster.Gateway b : ground.gateways()) {
         if (a != b) {
-          tells(a, 0, b.name() + " is HERE");
+          tells(a, 0, "peer=" + b.name() + " state=ALIVE");
         }
       }
     }
@@ -71,7 +71,7 @@
     ManagedProcess.until(
         gateway.name() + " tells: " + words,
         Duration.ofSeconds(40),
-        () -> log(gateway).substring(from).contains("membership: " + words));
+        () -> log(gateway).substring(from).contains("membership: member state changed: " + words));
   }
 
   /**
@@ -85,21 +85,21 @@
       ChaosCluster.Gateway n0 = ground.gateway("n0");
       Fault pause = fault(Fault.Kind.PAUSE, "n1", "");
       havoc.begin(pause);
-      tells(n0, 0, "n1 is SILENT");
+      tells(n0, 0, "peer=n1 state=UNREACHABLE");
       int from = log(n0).length();
       havoc.end(pause, LAG);
-      tells(n0, from, "n1 is HERE");
+      tells(n0, from, "peer=n1 state=ALIVE");
       for (ChaosCluster.Gateway each : ground.gateways()) {
-        assertFalse(log(each).contains("n1 is GONE"), each.name());
+        assertFalse(log(each).contains("peer=n1 state=DEAD"), each.name());
       }
       int before = log(n0).length();
       Fault kill = fault(Fault.Kind.KILL, "n2", "old");
       havoc.begin(kill);
-      tells(n0, before, "n2 is GONE, life 1");
+      tells(n0, before, "peer=n2 state=DEAD incarnation=1");
       havoc.end(kill, LAG);
-      tells(n0, before, "n2 is HERE, life 2");
+      tells(n0, before, "peer=n2 state=ALIVE incarnation=2");
       havoc.begin(fault(Fault.Kind.TERM, "n3", ""));
-      tells(n0, before, "n3 is GONE, life 1");
+      tells(n0, before, "peer=n3 state=DEAD incarnation=1");
     }
   }
 
@@ -112,14 +112,14 @@
       FaultInjector havoc = new FaultInjector(ground);
       Fault split = fault(Fault.Kind.SPLIT, "", "n0,n1|n2,n3");
       havoc.begin(split);
-      tells(ground.gateway("n0"), 0, "n2 is SILENT");
-      tells(ground.gateway("n3"), 0, "n1 is SILENT");
+      tells(ground.gateway("n0"), 0, "peer=n2 state=UNREACHABLE");
+      tells(ground.gateway("n3"), 0, "peer=n1 state=UNREACHABLE");
       int[] from = ground.gateways().stream().mapToInt(g -> log(g).length()).toArray();
       havoc.end(split, LAG);
-      tells(ground.gateway("n0"), from[0], "n2 is HERE");
-      tells(ground.gateway("n3"), from[3], "n1 is HERE");
+      tells(ground.gateway("n0"), from[0], "peer=n2 state=ALIVE");
+      tells(ground.gateway("n3"), from[3], "peer=n1 state=ALIVE");
       for (ChaosCluster.Gateway each : ground.gateways()) {
-        assertFalse(log(each).contains("is GONE"), each.name());
+        assertFalse(log(each).contains("state=DEAD"), each.name());
       }
     }
   }
--- a/gateway/src/main/java/weldcross/config/ExtensionsConfig.java
+++ b/gateway/src/main/java/weldcross/config/ExtensionsConfig.java
@@ -196,7 +196,7 @@
         cluster + "/" + voters.stream().map(PeerName::name).collect(Collectors.joining(",")),
         self,
         seen.zone(),
-        seen.part(),
+        seen.trafficWeight(),
         List.copyOf(voters),
         agreement.millis("period_ms", Duration.ofSeconds(1), 50),
         agreement.millis("share_after_ms", Duration.ofSeconds(30), 0),
@@ -218,9 +218,9 @@
       throw told.fault("part", "only with an address to tell for each of link.peers");
     }
     FailureDetectorConfig usual =
-        FailureDetectorConfig.usual(
+        FailureDetectorConfig.defaults(
             self, List.copyOf(peers), told.text("zone", ""), (int) told.whole("part", 1000, 0));
-    Duration period = told.millis("period_ms", usual.period(), 50);
+    Duration period = told.millis("period_ms", usual.probeInterval(), 50);
     Duration within = told.millis("answer_within_ms", period.multipliedBy(2).dividedBy(5), 10);
     if (within.compareTo(period) >= 0) {
       throw told.fault(
@@ -230,14 +230,14 @@
         self,
         usual.peers(),
         usual.zone(),
-        usual.part(),
+        usual.trafficWeight(),
         period,
         within,
-        usual.helpers(),
-        usual.shortestDoubt(),
-        usual.longestDoubt(),
-        usual.mostNews(),
-        usual.spread());
+        usual.indirectProbes(),
+        usual.minSuspicion(),
+        usual.maxSuspicionFactor(),
+        usual.maxUpdatesPerMessage(),
+        usual.retransmitFactor());
   }
 
   /** What would join, for a person to read. */
@@ -265,9 +265,9 @@
             ? ""
             : "\n  membership: "
                 + (seen.zone().isEmpty() ? "" : "zone " + seen.zone() + ", ")
-                + seen.part()
+                + seen.trafficWeight()
                 + " thousandths of the traffic, a probe each "
-                + seen.period().toMillis()
+                + seen.probeInterval().toMillis()
                 + " ms")
         + (agreement == null
             ? ""
--- a/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
+++ b/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
@@ -101,10 +101,10 @@
             seed,
             new SecureRandom()::nextLong);
     link.talk(SUBJECT, this);
-    seen.tell(
+    seen.addListener(
         news -> {
-          if (news.finding() == MemberState.GONE) {
-            agreement.gone(news.of(), news.life());
+          if (news.state() == MemberState.DEAD) {
+            agreement.gone(news.member(), news.incarnation());
           }
         });
   }
--- a/gateway/src/main/java/weldcross/control/ControlExtension.java
+++ b/gateway/src/main/java/weldcross/control/ControlExtension.java
@@ -31,6 +31,7 @@
 import weldcross.extension.ExtensionContext;
 import weldcross.extension.GatewayExtension;
 import weldcross.membership.MembershipUpdate;
+import weldcross.membership.net.MemberStateNames;
 import weldcross.membership.net.MembershipExtension;
 import weldcross.mesh.PeerConnectionManager;
 import weldcross.mesh.PeerName;
@@ -219,7 +220,7 @@
     Duration now = seam.now();
     TreeSet<PeerName> names = new TreeSet<>(view.members().keySet());
     Map<PeerName, MembershipUpdate> held = new TreeMap<>();
-    seen.seen().held().forEach(n -> held.put(n.of(), n));
+    seen.failureDetector().members().forEach(n -> held.put(n.member(), n));
     names.addAll(held.keySet());
     names.addAll(links.peers());
     names.add(terms.self());
@@ -259,14 +260,15 @@
       Duration now)
       throws IOException {
     boolean self = name.equals(terms.self());
-    MembershipUpdate known = self ? seen.seen().self() : news;
+    MembershipUpdate known = self ? seen.failureDetector().self().orElse(null) : news;
     j.writeStartObject();
     text(j, "name", name.name());
-    text(j, "seen", self ? "SELF" : seen.seen().findingOf(name).name());
-    j.writeNumberField("life", known == null ? 0 : known.life());
+    text(j, "seen", self ? "SELF" : MemberStateNames.nameOf(seen.failureDetector().stateOf(name)));
+    j.writeNumberField("life", known == null ? 0 : known.incarnation());
     j.writeNumberField("agreed", member == null ? 0 : member.life());
     text(j, "zone", member != null ? member.zone() : known == null ? "" : known.zone());
-    j.writeNumberField("part", member != null ? member.part() : known == null ? 0 : known.part());
+    j.writeNumberField(
+        "part", member != null ? member.part() : known == null ? 0 : known.trafficWeight());
     j.writeNumberField("heard_ms", self || heardAt == null ? -1 : now.minus(heardAt).toMillis());
     text(j, "link", self ? "" : link.links().isUp(name) ? "up" : "down");
     j.writeBooleanField("votes", terms.voters().contains(name));
--- a/gateway/src/main/java/weldcross/extension/ExtensionContext.java
+++ b/gateway/src/main/java/weldcross/extension/ExtensionContext.java
@@ -3,28 +3,30 @@
 import java.time.Duration;
 
 /**
- * What a {@link GatewayExtension} may ask of its gateway. All but {@link #post} is called on the
- * gateway's thread.
+ * What a {@link GatewayExtension} may ask of its gateway. All methods but {@link #post} must be
+ * called on the gateway's thread.
  */
 public interface ExtensionContext {
 
-  /** Time since the gateway's start, as the change under way has it; never goes back. */
+  /** Time since the gateway's start as of the current event; never goes back. */
   Duration now();
 
-  /** Has this run at that time, or at once where that has passed, as a change of its own. */
-  void at(Duration when, Runnable due);
+  /** Runs the task at that time, or at once if it has passed, as an event of its own. */
+  void at(Duration when, Runnable task);
 
-  /** Has this run in the same moment, but not inside the call that is being made. */
-  void soon(Runnable next);
+  /** Runs the task at the same time, after the current call has returned. */
+  void soon(Runnable task);
 
-  /** From any thread: has this run on the gateway's, in the order of the calls from one thread. */
-  void post(Runnable event);
+  /**
+   * From any thread: runs the task on the gateway's thread. Tasks of one thread keep their order.
+   */
+  void post(Runnable task);
 
-  /** Whether the part is ready, or done, may have changed: the gateway looks again. */
+  /** Tells the gateway that the extension's readiness, or whether it is done, may have changed. */
   void changed();
 
   /**
-   * What all gateways may do together is divided so that this one has this share from now on.
+   * Sets this gateway's share of the limits that all gateways have together.
    *
    * @param share above 0, at most 1
    */
--- a/gateway/src/main/java/weldcross/extension/GatewayExtension.java
+++ b/gateway/src/main/java/weldcross/extension/GatewayExtension.java
@@ -1,46 +1,56 @@
 package weldcross.extension;
 
 /**
- * A subsystem that joins a gateway: an adapter that turns what its own pure module decides into
- * effects. All is called on the one thread that owns the gateway's state, never waits, and is
- * called by the gateway alone; what happens elsewhere (a socket, a disk) comes back by {@link
- * ExtensionContext#post}. Parts are started in the order told and ended in the reverse one. See
- * docs/architecture.md for how to add one.
+ * A subsystem that joins a gateway: an adapter that turns the decisions of its own pure module into
+ * effects.
+ *
+ * <p>All methods are called by the gateway, on the one thread that owns its state, and must not
+ * block. What happens elsewhere (a socket, a disk) is handed to that thread by {@link
+ * ExtensionContext#post}. Extensions are started in the configured order and stopped in the reverse
+ * one. See docs/architecture.md for how to add one.
  */
 public interface GatewayExtension {
 
-  /** A word for the log, also the name of its table in the file of terms. */
+  /** A short name for the log; also the name of its table in the extensions' file. */
   String name();
 
   /**
-   * Called once, before clients are listened for.
+   * Called once, before the gateway listens for clients.
    *
-   * @param seam what it may ask of the gateway, for as long as it lives
-   * @throws IllegalStateException where it cannot work at all; the gateway then ends with a fault
+   * @param context what the extension may ask of the gateway until it is stopped
+   * @throws IllegalStateException where the extension cannot work at all; the gateway then exits
+   *     with a failure
    */
-  void start(ExtensionContext seam);
+  void start(ExtensionContext context);
 
-  /** Whether the gateway may call itself ready for all that this part knows. */
-  boolean isReady();
+  /** Whether, for all that this extension knows, the gateway may report itself ready. */
+  default boolean isReady() {
+    return true;
+  }
 
   /**
-   * The gateway was told to read its configuration again; a part's own terms hold from its start
-   * on.
+   * The gateway has read its configuration again. Most extensions ignore this, as their own
+   * configuration is fixed at their start.
    */
-  void reloaded();
+  default void reloaded() {}
 
-  /** The gateway was told to stop: RPCs in hand are still worked on, no new ones are wanted. */
-  void drain();
+  /**
+   * The gateway shuts down: RPCs under way are still completed, no new ones are wanted. Most
+   * extensions work on until {@link #stop}.
+   */
+  default void drain() {}
 
   /**
-   * Whether nothing of this part has to be waited for before the gateway ends; within a bound of
-   * its own.
+   * Whether the gateway need not wait for this extension before it exits. An extension that answers
+   * false after {@link #drain} bounds the wait itself.
    */
-  boolean isDone();
+  default boolean isDone() {
+    return true;
+  }
 
-  /** The last call: whatever is open ends, at once. */
+  /** The last call: closes at once whatever is open. */
   void stop();
 
-  /** What it holds true, for the state that the log gives: one line without an end. */
+  /** The extension's state for the gateway's log, in one line without a line end. */
   String describe();
 }
--- a/gateway/src/main/java/weldcross/membership/FailureDetectorActions.java
+++ b/gateway/src/main/java/weldcross/membership/FailureDetectorActions.java
@@ -4,28 +4,38 @@
 import java.util.List;
 import weldcross.mesh.PeerName;
 
-/** What {@link FailureDetector} can do to the world; messages may be lost, late and repeated. */
+/**
+ * The effects of a {@link FailureDetector}. Messages may be lost, delayed and repeated; none of the
+ * calls waits.
+ */
 public interface FailureDetectorActions {
 
-  void probe(PeerName to, long number, List<MembershipUpdate> news);
+  /** Asks a member for an ack with the same sequence number. */
+  void sendPing(PeerName to, long sequence, List<MembershipUpdate> updates);
 
   /**
-   * Asks another to probe for this gateway; its answer, or that there was none, comes under the
-   * number.
+   * Asks a helper to ping the target for this gateway; its ack or nack comes back under the same
+   * sequence number.
    */
-  void help(PeerName helper, PeerName target, long number, List<MembershipUpdate> news);
+  void sendPingRequest(
+      PeerName helper, PeerName target, long sequence, List<MembershipUpdate> updates);
 
-  void answer(PeerName to, long number, List<MembershipUpdate> news);
+  /** Answers a ping, or tells an asker that the target of its ping request answered. */
+  void sendAck(PeerName to, long sequence, List<MembershipUpdate> updates);
 
-  /** The target that was to be probed for that gateway did not answer in time. */
-  void noAnswer(PeerName to, long number);
+  /** Tells an asker that the target of its ping request did not answer in time. */
+  void sendNack(PeerName to, long sequence);
 
-  /** Told whenever what is held of a gateway changed; SUSPECT is told as well. */
-  void found(MembershipUpdate now);
+  /** Called whenever the state held of another member changed, {@code SUSPECT} included. */
+  void memberChanged(MembershipUpdate update);
 
-  /** It is said that this life of this gateway is gone, which only a higher incarnation answers. */
-  void takenForGone(long life);
+  /**
+   * Others hold this gateway's incarnation for dead, which only a higher incarnation refutes.
+   *
+   * @param incarnation the one held for dead, or a later one that others know of
+   */
+  void declaredDead(long incarnation);
 
-  /** Asks for {@link FailureDetector#due} then; only the time asked for last counts. */
+  /** Asks for a call of {@link FailureDetector#onTimer} then; only the last request counts. */
   void wakeAt(Duration when);
 }
--- a/gateway/src/main/java/weldcross/membership/FailureDetectorConfig.java
+++ b/gateway/src/main/java/weldcross/membership/FailureDetectorConfig.java
@@ -5,35 +5,50 @@
 import weldcross.mesh.PeerName;
 
 /**
- * What the seeing of others is told at the start.
+ * Configuration of a {@link FailureDetector}, fixed at its start.
  *
- * @param peers all that are known of at the start; others are learnt of
- * @param period one probe is sent in each, if all is well here
- * @param answerWithin a probe's answer, before others are asked to try
- * @param helpers how many are asked then
- * @param shortestDoubt in periods, times the logarithm of the number of gateways: how long a
- *     suspect may still speak when others suspect it too
- * @param longestDoubt times that, when nobody else does
- * @param mostNews that one message carries
- * @param spread each news is passed on so many times the logarithm of the number of gateways
+ * @param self this gateway
+ * @param peers all members known at the start; others are learnt from updates
+ * @param zone this gateway's zone; empty where there are none
+ * @param trafficWeight this gateway's part of all traffic, in thousandths
+ * @param probeInterval one probe is sent in each
+ * @param ackTimeout how long a probe waits for its answer before others are asked to probe
+ * @param indirectProbes how many others are asked then
+ * @param minSuspicion how long a suspicion lasts when several share it: in probe intervals, times
+ *     the logarithm of the number of members
+ * @param maxSuspicionFactor times {@code minSuspicion}: how long it lasts when nobody else shares
+ *     it
+ * @param maxUpdatesPerMessage updates that one message carries
+ * @param retransmitFactor each update is passed on so many times the logarithm of the number of
+ *     members
  */
 public record FailureDetectorConfig(
     PeerName self,
     List<PeerName> peers,
     String zone,
-    int part,
-    Duration period,
-    Duration answerWithin,
-    int helpers,
-    double shortestDoubt,
-    int longestDoubt,
-    int mostNews,
-    int spread) {
+    int trafficWeight,
+    Duration probeInterval,
+    Duration ackTimeout,
+    int indirectProbes,
+    double minSuspicion,
+    int maxSuspicionFactor,
+    int maxUpdatesPerMessage,
+    int retransmitFactor) {
 
-  /** As the papers have them, with a period of a second. */
-  public static FailureDetectorConfig usual(
-      PeerName self, List<PeerName> peers, String zone, int part) {
+  /** The values of the SWIM and Lifeguard papers, with a probe interval of one second. */
+  public static FailureDetectorConfig defaults(
+      PeerName self, List<PeerName> peers, String zone, int trafficWeight) {
     return new FailureDetectorConfig(
-        self, peers, zone, part, Duration.ofSeconds(1), Duration.ofMillis(400), 3, 4, 6, 12, 3);
+        self,
+        peers,
+        zone,
+        trafficWeight,
+        Duration.ofSeconds(1),
+        Duration.ofMillis(400),
+        3,
+        4,
+        6,
+        12,
+        3);
   }
 }
--- a/gateway/src/main/java/weldcross/membership/MemberState.java
+++ b/gateway/src/main/java/weldcross/membership/MemberState.java
@@ -1,24 +1,31 @@
 package weldcross.membership;
 
 /**
- * What one gateway holds true of another; three things that are never mixed, and what comes before
- * them.
+ * The state of a member as one gateway sees it.
+ *
+ * <p>The order of the constants is the order of precedence between two updates of one incarnation
+ * and version: the later constant wins.
  */
 public enum MemberState {
-  /** Told of at the start, and never heard of. */
-  UNHEARD,
-  /** It answers, or others say so. */
-  HERE,
+  /** Configured as a peer, and never heard of. */
+  UNKNOWN,
+  /** It answers, or others say that it does. */
+  ALIVE,
   /**
-   * It did not answer, and has time to say that it is here. For everything but the next probe it is
-   * here.
+   * It did not answer and still has time to refute the suspicion. Treated as alive by everything
+   * but the next probe.
    */
   SUSPECT,
-  /** It did not answer in time. It may be alive, cut off, and at work. */
-  SILENT,
+  /** It did not answer in time. It may be running, cut off from this gateway, and still at work. */
+  UNREACHABLE,
   /**
-   * Proof: it said goodbye, or where it should listen nobody does. This life of it does nothing
-   * more.
+   * Proven: it said goodbye, or no process listens on its address. This incarnation does nothing
+   * any more.
    */
-  GONE
+  DEAD;
+
+  /** Whether the member is expected to answer: alive, or suspected and not yet given up. */
+  public boolean isReachable() {
+    return this == ALIVE || this == SUSPECT;
+  }
 }
--- a/gateway/src/main/java/weldcross/membership/MembershipUpdate.java
+++ b/gateway/src/main/java/weldcross/membership/MembershipUpdate.java
@@ -1,41 +1,63 @@
 package weldcross.membership;
 
+import java.util.Optional;
 import weldcross.mesh.PeerName;
 
 /**
- * What is said of one gateway, as it goes from one to the next.
+ * A statement about one member, as gateways pass it on to each other.
  *
- * @param life its incarnation, from its records; a later one ends all that was said of the one
- *     before
- * @param version within that life, raised by itself alone, to answer what is said of it
- * @param finding never UNHEARD
- * @param zone where it stands; empty where there are none
- * @param part of the traffic, in thousandths
- * @param by who found it, so that one gateway's doubt counts once however many pass it on
+ * @param member whom it is about
+ * @param incarnation the member's incarnation, from its records; an update of a later incarnation
+ *     replaces all of earlier ones
+ * @param version within the incarnation; raised by the member alone, to refute what is said of it
+ * @param state never {@link MemberState#UNKNOWN}
+ * @param zone the member's zone; empty where there are none
+ * @param trafficWeight the member's part of all traffic, in thousandths
+ * @param reporter who found the state, so that one gateway's suspicion counts once however many
+ *     pass it on
  */
 public record MembershipUpdate(
-    PeerName of, long life, long version, MemberState finding, String zone, int part, PeerName by) {
+    PeerName member,
+    long incarnation,
+    long version,
+    MemberState state,
+    String zone,
+    int trafficWeight,
+    PeerName reporter) {
 
   /**
-   * Whether this, heard after the other, is to be believed in its place. Of one life and version
-   * the worse counts; GONE counts for its whole life, so that no late word brings it back.
+   * Whether this update, received after the other, takes its place. Of one incarnation and version
+   * the worse state wins; {@link MemberState#DEAD} holds for the whole incarnation, so that no
+   * delayed update revives it.
    */
-  boolean overrides(MembershipUpdate before) {
-    if (before == null) {
-      return true;
+  boolean overrides(Optional<MembershipUpdate> previous) {
+    return previous.map(this::overrides).orElse(true);
+  }
+
+  private boolean overrides(MembershipUpdate previous) {
+    if (incarnation != previous.incarnation) {
+      return incarnation > previous.incarnation;
     }
-    if (life != before.life) {
-      return life > before.life;
+    if (state == MemberState.DEAD || previous.state == MemberState.DEAD) {
+      return previous.state != MemberState.DEAD;
     }
-    if (finding == MemberState.GONE || before.finding == MemberState.GONE) {
-      return before.finding != MemberState.GONE;
+    if (version != previous.version) {
+      return version > previous.version;
     }
-    return version != before.version
-        ? version > before.version
-        : finding.compareTo(before.finding) > 0;
+    return state.compareTo(previous.state) > 0;
+  }
+
+  /** Whether both updates confirm one suspicion: same incarnation and version, both suspect. */
+  boolean confirmsSuspicionOf(MembershipUpdate previous) {
+    return state == MemberState.SUSPECT
+        && previous.state == MemberState.SUSPECT
+        && incarnation == previous.incarnation
+        && version == previous.version;
   }
 
-  MembershipUpdate with(MemberState next, PeerName finder) {
-    return new MembershipUpdate(of, life, version, next, zone, part, finder);
+  /** The same incarnation and version in another state. */
+  MembershipUpdate withState(MemberState newState, PeerName newReporter) {
+    return new MembershipUpdate(
+        member, incarnation, version, newState, zone, trafficWeight, newReporter);
   }
 }
--- /dev/null
+++ b/gateway/src/main/java/weldcross/membership/net/MemberStateNames.java
@@ -0,0 +1,43 @@
+package weldcross.membership.net;
+
+import java.util.Map;
+import java.util.Optional;
+import java.util.stream.Collectors;
+import weldcross.membership.MemberState;
+
+/**
+ * The names of member states outside the process: in membership messages, in the JSON of the
+ * control endpoint and in the output of {@code weldcross cluster}. They are part of the protocol
+ * and stay as they are whatever the constants of {@link MemberState} are called.
+ */
+public final class MemberStateNames {
+
+  private static final Map<MemberState, String> NAMES =
+      Map.of(
+          MemberState.UNKNOWN, "UNHEARD",
+          MemberState.ALIVE, "HERE",
+          MemberState.SUSPECT, "SUSPECT",
+          MemberState.UNREACHABLE, "SILENT",
+          MemberState.DEAD, "GONE");
+
+  /** The states that a membership message may hold. */
+  private static final Map<String, MemberState> STATES =
+      NAMES.entrySet().stream()
+          .filter(entry -> entry.getKey() != MemberState.UNKNOWN)
+          .collect(Collectors.toUnmodifiableMap(Map.Entry::getValue, Map.Entry::getKey));
+
+  private MemberStateNames() {}
+
+  /** The external name of a state. */
+  public static String nameOf(MemberState state) {
+    return NAMES.get(state);
+  }
+
+  /**
+   * The state of that name; empty where the name is none that a message may hold, as those of later
+   * versions, or that of {@link MemberState#UNKNOWN}, which is never sent.
+   */
+  public static Optional<MemberState> stateOf(String name) {
+    return Optional.ofNullable(STATES.get(name));
+  }
+}
--- a/gateway/src/main/java/weldcross/membership/net/MembershipExtension.java
+++ b/gateway/src/main/java/weldcross/membership/net/MembershipExtension.java
@@ -10,54 +10,57 @@
 import java.util.logging.Logger;
 import weldcross.extension.ExtensionContext;
 import weldcross.extension.GatewayExtension;
+import weldcross.extension.RestartableTimer;
 import weldcross.membership.FailureDetector;
 import weldcross.membership.FailureDetectorActions;
 import weldcross.membership.FailureDetectorConfig;
 import weldcross.membership.MemberState;
 import weldcross.membership.MembershipUpdate;
-import weldcross.membership.wire.Entry;
-import weldcross.membership.wire.Word;
+import weldcross.membership.wire.MembershipMessage;
 import weldcross.mesh.Incarnation;
 import weldcross.mesh.PeerName;
 import weldcross.mesh.net.MeshExtension;
 
 /**
- * Who is here, as a part of a gateway: {@link FailureDetector} decides, the link carries its words.
+ * Membership as an extension of a gateway: {@link FailureDetector} decides, the mesh carries its
+ * messages as datagrams.
  */
 public final class MembershipExtension
     implements GatewayExtension, FailureDetectorActions, MeshExtension.Talker {
 
-  /** Under which the link carries this part's words. */
+  /** The subject of this extension's messages on the mesh. */
   public static final int SUBJECT = 2;
 
   private static final Logger LOG = Logger.getLogger(MembershipExtension.class.getName());
 
-  private final MeshExtension link;
-  private final FailureDetector seen;
+  private final MeshExtension mesh;
+  private final FailureDetector failureDetector;
   private final List<Consumer<MembershipUpdate>> listeners = new ArrayList<>();
-  private ExtensionContext seam;
-  private Duration wakeAt;
+  private ExtensionContext context;
+  private RestartableTimer timer;
 
   /**
+   * Creates the extension and subscribes it to the mesh.
+   *
    * @param seed of the order of probes
    */
-  public MembershipExtension(FailureDetectorConfig terms, MeshExtension link, long seed) {
-    this.link = link;
-    this.seen = new FailureDetector(terms, this, seed);
-    link.talk(SUBJECT, this);
+  public MembershipExtension(FailureDetectorConfig config, MeshExtension mesh, long seed) {
+    this.mesh = mesh;
+    this.failureDetector = new FailureDetector(config, this, seed);
+    mesh.talk(SUBJECT, this);
   }
 
-  /** Called before the part is started: whoever is to hear of each finding that changes. */
-  public void tell(Consumer<MembershipUpdate> listener) {
+  /** Adds a listener of each changed member state; called before the extension is started. */
+  public void addListener(Consumer<MembershipUpdate> listener) {
     listeners.add(listener);
   }
 
-  /** What is held of another gateway. */
-  public FailureDetector seen() {
-    return seen;
+  /** The states held of the other gateways. */
+  public FailureDetector failureDetector() {
+    return failureDetector;
   }
 
-  // ---- Of the gateway
+  // ---- GatewayExtension
 
   @Override
   public String name() {
@@ -66,188 +69,141 @@
 
   @Override
   public void start(ExtensionContext gateway) {
-    seam = gateway;
-  }
-
-  @Override
-  public boolean isReady() {
-    return true;
-  }
-
-  @Override
-  public void reloaded() {
-    // Its terms hold from a start on.
-  }
-
-  @Override
-  public void drain() {
-    // Others learn of it at the end: until then this gateway is here.
-  }
-
-  @Override
-  public boolean isDone() {
-    return true;
+    context = gateway;
+    timer = new RestartableTimer(gateway, failureDetector::onTimer);
   }
 
   @Override
   public void stop() {
-    if (seen.self() != null) {
-      seen.leave();
+    if (isStarted()) {
+      failureDetector.leave();
     }
   }
 
   @Override
   public String describe() {
-    return seen.describe();
+    return failureDetector.describe();
   }
 
-  // ---- Of the link
+  /** Whether the mesh has an incarnation, without which nothing is sent or heard. */
+  private boolean isStarted() {
+    return failureDetector.self().isPresent();
+  }
+
+  // ---- Events of the mesh
 
   @Override
   public void begun(Incarnation self) {
-    seen.start(seam.now(), self.incarnation());
+    failureDetector.start(context.now(), self.incarnation());
   }
 
   @Override
-  public void heard(PeerName from, Incarnation life, ByteBuffer content) {
-    if (seen.self() == null) {
+  public void heard(PeerName from, Incarnation incarnation, ByteBuffer content) {
+    if (!isStarted()) {
       return;
     }
-    Word word;
     try {
-      word = Word.parseFrom(content);
+      dispatch(from, MembershipMessage.parseFrom(content));
     } catch (InvalidProtocolBufferException e) {
-      LOG.fine(() -> "membership: a word of " + from + " that is none");
-      return;
-    }
-    List<MembershipUpdate> news = new ArrayList<>();
-    for (Entry each : word.getNewsList()) {
-      MemberState finding = finding(each.getFinding());
-      if (finding != null) {
-        news.add(
-            new MembershipUpdate(
-                new PeerName(each.getOf()),
-                each.getLife(),
-                each.getVersion(),
-                finding,
-                each.getZone(),
-                each.getPart(),
-                new PeerName(each.getBy())));
-      }
-    }
-    Duration now = seam.now();
-    switch (word.getKindCase()) {
-      case PROBE -> seen.probed(now, from, word.getProbe(), news);
-      case ANSWER -> seen.answered(now, from, word.getAnswer(), news);
-      case NO_ANSWER -> seen.notAnswered(now, from, word.getNoAnswer());
-      case HELP -> seen.helpAsked(now, from, new PeerName(word.getTarget()), word.getHelp(), news);
-      default -> {
-        // Of a later version, which says more than is known here.
-      }
+      LOG.fine(() -> "membership: message ignored: peer=" + from + " reason=" + e.getMessage());
     }
   }
 
-  private static MemberState finding(String word) {
-    for (MemberState each : MemberState.values()) {
-      if (each != MemberState.UNHEARD && each.name().equals(word)) {
-        return each;
+  private void dispatch(PeerName from, MembershipMessage message) {
+    Duration now = context.now();
+    List<MembershipUpdate> updates = MembershipUpdateCodec.decodeAll(message.getUpdatesList());
+    switch (message.getKindCase()) {
+      case PING -> failureDetector.onPing(now, from, message.getPing(), updates);
+      case ACK -> failureDetector.onAck(now, from, message.getAck(), updates);
+      case NACK -> failureDetector.onNack(now, from, message.getNack());
+      case PING_REQUEST -> {
+        PeerName target = new PeerName(message.getPingRequestTarget());
+        failureDetector.onPingRequest(now, from, target, message.getPingRequest(), updates);
+      }
+      default -> {
+        // A kind of a later version.
       }
     }
-    return null;
   }
 
   @Override
-  public void up(PeerName peer, Incarnation life) {
-    // Probes tell more: that a connection is up says nothing of its other side's thread.
+  public void up(PeerName peer, Incarnation incarnation) {
+    // An open connection says nothing about the peer's event loop, which a probe does.
   }
 
   @Override
-  public void down(PeerName peer, String why) {
-    // Nor does its end: what is proof is told by refused dials.
+  public void down(PeerName peer, String reason) {
+    // Nor does its end prove anything; only a refused connect does.
   }
 
   @Override
-  public void refusedBy(PeerName peer, Incarnation before) {
-    if (before != null && seen.self() != null) {
-      seen.refusedBy(seam.now(), peer, before.incarnation());
+  public void refusedBy(PeerName peer, Incarnation lastKnown) {
+    if (lastKnown != null && isStarted()) {
+      failureDetector.onConnectionRefused(context.now(), peer, lastKnown.incarnation());
     }
   }
 
-  // ---- What is decided
+  // ---- FailureDetectorActions
 
   @Override
-  public void probe(PeerName to, long number, List<MembershipUpdate> news) {
-    say(to, Word.newBuilder().setProbe(number), news);
+  public void sendPing(PeerName to, long sequence, List<MembershipUpdate> updates) {
+    send(to, MembershipMessage.newBuilder().setPing(sequence), updates);
   }
 
   @Override
-  public void help(PeerName helper, PeerName target, long number, List<MembershipUpdate> news) {
-    say(helper, Word.newBuilder().setHelp(number).setTarget(target.name()), news);
+  public void sendPingRequest(
+      PeerName helper, PeerName target, long sequence, List<MembershipUpdate> updates) {
+    MembershipMessage.Builder message =
+        MembershipMessage.newBuilder().setPingRequest(sequence).setPingRequestTarget(target.name());
+    send(helper, message, updates);
   }
 
   @Override
-  public void answer(PeerName to, long number, List<MembershipUpdate> news) {
-    say(to, Word.newBuilder().setAnswer(number), news);
+  public void sendAck(PeerName to, long sequence, List<MembershipUpdate> updates) {
+    send(to, MembershipMessage.newBuilder().setAck(sequence), updates);
   }
 
   @Override
-  public void noAnswer(PeerName to, long number) {
-    say(to, Word.newBuilder().setNoAnswer(number), List.of());
+  public void sendNack(PeerName to, long sequence) {
+    send(to, MembershipMessage.newBuilder().setNack(sequence), List.of());
   }
 
-  private void say(PeerName to, Word.Builder word, List<MembershipUpdate> news) {
-    for (MembershipUpdate each : news) {
-      word.addNews(
-          Entry.newBuilder()
-              .setOf(each.of().name())
-              .setLife(each.life())
-              .setVersion(each.version())
-              .setFinding(each.finding().name())
-              .setZone(each.zone())
-              .setPart(each.part())
-              .setBy(each.by().name()));
-    }
-    link.tell(to, SUBJECT, word.build().toByteString().asReadOnlyByteBuffer());
+  private void send(
+      PeerName to, MembershipMessage.Builder message, List<MembershipUpdate> updates) {
+    message.addAllUpdates(MembershipUpdateCodec.encodeAll(updates));
+    mesh.tell(to, SUBJECT, message.build().toByteString().asReadOnlyByteBuffer());
   }
 
   @Override
-  public void found(MembershipUpdate now) {
+  public void memberChanged(MembershipUpdate update) {
     LOG.log(
-        now.finding() == MemberState.SUSPECT ? Level.FINE : Level.INFO,
+        update.state() == MemberState.SUSPECT ? Level.FINE : Level.INFO,
         () ->
-            "membership: "
-                + now.of()
-                + " is "
-                + now.finding()
-                + ", life "
-                + now.life()
-                + " version "
-                + now.version()
-                + ", by "
-                + now.by());
-    listeners.forEach(each -> each.accept(now));
+            "membership: member state changed: peer="
+                + update.member()
+                + " state="
+                + update.state()
+                + " incarnation="
+                + update.incarnation()
+                + " version="
+                + update.version()
+                + " reporter="
+                + update.reporter());
+    listeners.forEach(listener -> listener.accept(update));
   }
 
   @Override
-  public void takenForGone(long life) {
+  public void declaredDead(long incarnation) {
     LOG.severe(
         () ->
-            "membership: others hold life "
-                + life
-                + " of this gateway for gone, and it lives: something "
-                + "refuses dials in its place, or its records were lost");
-    link.raise(life);
+            "membership: declared dead while alive: incarnation="
+                + incarnation
+                + " reason=connects are refused in this gateway's place, or its records were lost");
+    mesh.raise(incarnation);
   }
 
   @Override
   public void wakeAt(Duration when) {
-    wakeAt = when;
-    seam.at(
-        when,
-        () -> {
-          if (when.equals(wakeAt)) {
-            seen.due(seam.now());
-          }
-        });
+    timer.schedule(when);
   }
 }
--- a/gateway/src/test/java/weldcross/membership/FailureDetectorExplorer.java
+++ b/gateway/src/test/java/weldcross/membership/FailureDetectorExplorer.java
@@ -33,7 +33,7 @@
    * it.
    */
   private final class World {
-    final List<FailureDetector> seen = new ArrayList<>();
+    final List<FailureDetector> detectors = new ArrayList<>();
     final long[] life = {1, 1, 1};
     boolean lives = true;
     final List<Message> messages = new ArrayList<>();
@@ -56,14 +56,16 @@
       for (int from = 0; from < GATEWAYS; from++) {
         for (int to = 0; to < GATEWAYS; to++) {
           if (from != to) {
-            seen.get(to).probed(now, name(from), 0, List.of(seen.get(from).self()));
+            detectors
+                .get(to)
+                .onPing(now, name(from), 0, List.of(detectors.get(from).self().orElseThrow()));
           }
         }
       }
       // And one probe is under way.
       messages.clear();
       now = now.plusSeconds(1);
-      seen.get(DIALLER).due(now);
+      detectors.get(DIALLER).onTimer(now);
     }
 
     private PeerName name(int k) {
@@ -79,11 +81,13 @@
       }
       FailureDetector next =
           new FailureDetector(
-              FailureDetectorConfig.usual(name(k), others, "", 1), new RecordingActions(k), 7 + k);
-      if (k < seen.size()) {
-        seen.set(k, next);
+              FailureDetectorConfig.defaults(name(k), others, "", 1),
+              new RecordingActions(k),
+              7 + k);
+      if (k < detectors.size()) {
+        detectors.set(k, next);
       } else {
-        seen.add(next);
+        detectors.add(next);
       }
       next.start(now, life[k]);
     }
@@ -103,11 +107,11 @@
           String kind,
           PeerName to,
           long number,
-          List<MembershipUpdate> news,
+          List<MembershipUpdate> updates,
           Consumer<FailureDetector> says) {
         messages.add(
             new Message(
-                self + ">" + to + " " + kind + number + news,
+                self + ">" + to + " " + kind + number + updates,
                 Integer.parseInt(to.name().substring(1)),
                 says));
         if (messages.size() > UNDER_WAY) {
@@ -116,37 +120,38 @@
       }
 
       @Override
-      public void probe(PeerName to, long number, List<MembershipUpdate> news) {
-        send("probe", to, number, news, s -> s.probed(now, name(self), number, news));
+      public void sendPing(PeerName to, long number, List<MembershipUpdate> updates) {
+        send("probe", to, number, updates, s -> s.onPing(now, name(self), number, updates));
       }
 
       @Override
-      public void help(PeerName helper, PeerName target, long number, List<MembershipUpdate> news) {
+      public void sendPingRequest(
+          PeerName helper, PeerName target, long number, List<MembershipUpdate> updates) {
         send(
             "help" + target,
             helper,
             number,
-            news,
-            s -> s.helpAsked(now, name(self), target, number, news));
+            updates,
+            s -> s.onPingRequest(now, name(self), target, number, updates));
       }
 
       @Override
-      public void answer(PeerName to, long number, List<MembershipUpdate> news) {
-        send("answer", to, number, news, s -> s.answered(now, name(self), number, news));
+      public void sendAck(PeerName to, long number, List<MembershipUpdate> updates) {
+        send("answer", to, number, updates, s -> s.onAck(now, name(self), number, updates));
       }
 
       @Override
-      public void noAnswer(PeerName to, long number) {
-        send("none", to, number, List.of(), s -> s.notAnswered(now, name(self), number));
+      public void sendNack(PeerName to, long number) {
+        send("none", to, number, List.of(), s -> s.onNack(now, name(self), number));
       }
 
       @Override
-      public void found(MembershipUpdate news) {
+      public void memberChanged(MembershipUpdate updates) {
         // Looked at after the step.
       }
 
       @Override
-      public void takenForGone(long of) {
+      public void declaredDead(long of) {
         if (of >= life[self]) {
           broken = "n" + self + " lives as " + life[self] + " and hears that it is gone as " + of;
         }
@@ -169,7 +174,7 @@
             () -> {
               messages.remove(each);
               if (lives(each.to())) {
-                each.says().accept(seen.get(each.to()));
+                each.says().accept(detectors.get(each.to()));
               }
             });
         step(steps, "is lost " + each.words(), () -> messages.remove(each));
@@ -182,7 +187,7 @@
               "n" + k + " looks",
               () -> {
                 now = now.plusSeconds(1);
-                seen.get(one).due(now);
+                detectors.get(one).onTimer(now);
               });
         }
       }
@@ -199,12 +204,12 @@
             });
       }
       MembershipUpdate known =
-          seen.get(DIALLER).held().stream()
-              .filter(n -> n.of().equals(name(ENDS)))
+          detectors.get(DIALLER).members().stream()
+              .filter(n -> n.member().equals(name(ENDS)))
               .findFirst()
               .orElse(null);
       if (dialled < 0) {
-        step(steps, "dials", () -> dialled = known.life());
+        step(steps, "dials", () -> dialled = known.incarnation());
       } else if (refused == null) {
         step(steps, lives ? "is taken" : "is refused", () -> refused = !lives);
       } else {
@@ -213,7 +218,9 @@
             "learns of it",
             () -> {
               if (refused) {
-                seen.get(DIALLER).refusedBy(now, name(ENDS), careless ? known.life() : dialled);
+                detectors
+                    .get(DIALLER)
+                    .onConnectionRefused(now, name(ENDS), careless ? known.incarnation() : dialled);
               }
               dialled = -1;
               refused = null;
@@ -229,10 +236,10 @@
 
     private void look() {
       for (int k = 0; k < GATEWAYS; k++) {
-        for (MembershipUpdate each : seen.get(k).held()) {
-          int of = Integer.parseInt(each.of().name().substring(1));
-          boolean ended = each.life() < life[of] || !lives(of);
-          if (lives(k) && each.finding() == MemberState.GONE && !ended) {
+        for (MembershipUpdate each : detectors.get(k).members()) {
+          int of = Integer.parseInt(each.member().name().substring(1));
+          boolean ended = each.incarnation() < life[of] || !lives(of);
+          if (lives(k) && each.state() == MemberState.DEAD && !ended) {
             broken = "n" + k + " holds " + each;
           }
         }
@@ -247,9 +254,9 @@
             lives(k)
                 + " "
                 + life[k]
-                + seen.get(k).self()
-                + seen.get(k).held()
-                + seen.get(k).describe());
+                + detectors.get(k).self()
+                + detectors.get(k).members()
+                + detectors.get(k).describe());
       }
       return words + " " + messages.stream().map(Message::words).toList() + now + dialled + refused;
     }
--- a/gateway/src/test/java/weldcross/membership/FailureDetectorMeasurements.java
+++ b/gateway/src/test/java/weldcross/membership/FailureDetectorMeasurements.java
@@ -25,11 +25,11 @@
       Duration span = Duration.ofMinutes(20);
       for (long seed = 1; seed <= SEEDS; seed++) {
         MembershipSimulation w = new MembershipSimulation(30, seed);
-        w.until(MOST, () -> w.hold(w.all, MemberState.HERE));
+        w.until(MOST, () -> w.hold(w.all, MemberState.ALIVE));
         w.loss = loss;
         w.delay = loss > 0 ? 100 : 1;
         w.run(span);
-        falsely += w.falselySilent;
+        falsely += w.falselyUnreachable;
       }
       System.out.printf(
           "30 gateways, %.0f%% of messages lost, %s: %.3f falsely held silent a gateway hour%n",
@@ -47,21 +47,21 @@
     double bytes = 0;
     for (long seed = 1; seed <= seeds; seed++) {
       MembershipSimulation w = new MembershipSimulation(count, seed);
-      w.until(MOST, () -> w.hold(w.all, MemberState.HERE));
+      w.until(MOST, () -> w.hold(w.all, MemberState.ALIVE));
       w.run(Duration.ofSeconds(30));
       long messages = w.messages;
       long before = w.bytes;
       w.run(Duration.ofSeconds(30));
       sent += (w.messages - messages) / 30.0 / count / seeds;
       bytes += (w.bytes - before) / 30.0 / count / seeds;
-      w.all.get(0).seen.leave();
+      w.all.get(0).detector.leave();
       w.all.get(0).kill();
-      goodbye.add(took(w, List.of(w.all.get(0)), MemberState.GONE));
+      goodbye.add(took(w, List.of(w.all.get(0)), MemberState.DEAD));
       w.all.get(1).kill();
-      silent.add(took(w, List.of(w.all.get(1)), MemberState.SILENT));
+      silent.add(took(w, List.of(w.all.get(1)), MemberState.UNREACHABLE));
       List<MembershipSimulation.Node> most = w.all.subList(2, 2 + (count - 2) * 7 / 10);
       most.forEach(MembershipSimulation.Node::kill);
-      wave.add(took(w, most, MemberState.SILENT));
+      wave.add(took(w, most, MemberState.UNREACHABLE));
     }
     System.out.printf(
         "%d gateways: %.1f messages and %.0f bytes sent a gateway second; goodbye known to all after %s s, "
--- a/gateway/src/test/java/weldcross/membership/FailureDetectorTest.java
+++ b/gateway/src/test/java/weldcross/membership/FailureDetectorTest.java
@@ -11,6 +11,7 @@
 import java.util.Arrays;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -28,7 +29,7 @@
   private static MembershipSimulation up(int count, long seed) {
     MembershipSimulation w = new MembershipSimulation(count, seed);
     assertNotNull(
-        w.until(MINUTE.multipliedBy(10), () -> w.hold(w.all, MemberState.HERE)), "all find all");
+        w.until(MINUTE.multipliedBy(10), () -> w.hold(w.all, MemberState.ALIVE)), "all find all");
     return w;
   }
 
@@ -40,30 +41,30 @@
     MembershipSimulation.Node paused = w.all.get(2);
     killed.kill();
     paused.pause();
-    assertNotNull(w.until(MINUTE, () -> w.hold(List.of(killed, paused), MemberState.SILENT)));
-    w.all.get(0).seen.refusedBy(w.now, killed.name, 2);
+    assertNotNull(w.until(MINUTE, () -> w.hold(List.of(killed, paused), MemberState.UNREACHABLE)));
+    w.all.get(0).detector.onConnectionRefused(w.now, killed.name, 2);
     assertTrue(
-        w.hold(List.of(killed), MemberState.SILENT),
+        w.hold(List.of(killed), MemberState.UNREACHABLE),
         "a dial begun under another life proves nothing");
-    w.all.get(0).seen.refusedBy(w.now, killed.name, 1);
+    w.all.get(0).detector.onConnectionRefused(w.now, killed.name, 1);
     assertNotNull(
-        w.until(seconds(10), () -> w.hold(List.of(killed), MemberState.GONE)),
+        w.until(seconds(10), () -> w.hold(List.of(killed), MemberState.DEAD)),
         "proof is passed on");
-    assertTrue(w.hold(List.of(paused), MemberState.SILENT));
+    assertTrue(w.hold(List.of(paused), MemberState.UNREACHABLE));
     paused.resume();
-    assertNotNull(w.until(seconds(10), () -> w.hold(List.of(paused), MemberState.HERE)));
+    assertNotNull(w.until(seconds(10), () -> w.hold(List.of(paused), MemberState.ALIVE)));
     killed.start();
     assertNotNull(
-        w.until(seconds(20), () -> w.hold(w.all, MemberState.HERE)), "a later life ends it");
-    assertEquals(0, w.falselySilent);
+        w.until(seconds(20), () -> w.hold(w.all, MemberState.ALIVE)), "a later life ends it");
+    assertEquals(0, w.falselyUnreachable);
   }
 
   @Test
   void whoSaysGoodbyeIsGoneAtOnce() {
     MembershipSimulation w = up(30, 2);
-    w.all.get(3).seen.leave();
+    w.all.get(3).detector.leave();
     w.all.get(3).kill();
-    Duration took = w.until(seconds(20), () -> w.hold(List.of(w.all.get(3)), MemberState.GONE));
+    Duration took = w.until(seconds(20), () -> w.hold(List.of(w.all.get(3)), MemberState.DEAD));
     assertNotNull(took);
     assertTrue(took.compareTo(seconds(6)) < 0, took.toString());
   }
@@ -85,15 +86,15 @@
                                 .allMatch(
                                     b ->
                                         a == b
-                                            || a.seen.findingOf(b.name)
+                                            || a.detector.stateOf(b.name)
                                                 == (a.side == b.side
-                                                    ? MemberState.HERE
-                                                    : MemberState.SILENT)))));
+                                                    ? MemberState.ALIVE
+                                                    : MemberState.UNREACHABLE)))));
     w.all.forEach(n -> n.side = 0);
-    Duration took = w.until(MINUTE, () -> w.hold(w.all, MemberState.HERE));
+    Duration took = w.until(MINUTE, () -> w.hold(w.all, MemberState.ALIVE));
     assertNotNull(took);
     assertTrue(took.compareTo(seconds(15)) < 0, took.toString());
-    assertEquals(0, w.falselySilent);
+    assertEquals(0, w.falselyUnreachable);
   }
 
   /**
@@ -111,7 +112,10 @@
       slow.resume();
       w.run(seconds(1));
       accused +=
-          (int) slow.seen.held().stream().filter(n -> n.finding() == MemberState.SILENT).count();
+          (int)
+              slow.detector.members().stream()
+                  .filter(n -> n.state() == MemberState.UNREACHABLE)
+                  .count();
     }
     assertEquals(0, accused);
   }
@@ -125,16 +129,17 @@
     w.delay = 100;
     w.run(Duration.ofMinutes(10));
     assertTrue(
-        w.all.stream().anyMatch(n -> n.seen.health() > 0), "who gets no answers doubts itself");
-    double anHour = w.falselySilent / 20.0 * 6;
-    assertTrue(anHour < 12, w.falselySilent + " in ten minutes of 20 gateways");
+        w.all.stream().anyMatch(n -> n.detector.healthScore() > 0),
+        "who gets no answers doubts itself");
+    double anHour = w.falselyUnreachable / 20.0 * 6;
+    assertTrue(anHour < 12, w.falselyUnreachable + " in ten minutes of 20 gateways");
     w.loss = 0;
     w.delay = 1;
-    assertNotNull(w.until(MINUTE, () -> w.hold(w.all, MemberState.HERE)));
+    assertNotNull(w.until(MINUTE, () -> w.hold(w.all, MemberState.ALIVE)));
   }
 
   /**
-   * What one gateway sends is the same at thirty and three hundred; news take rounds by the
+   * What one gateway sends is the same at thirty and three hundred; updates take rounds by the
    * logarithm.
    */
   @Test
@@ -147,9 +152,9 @@
       w.run(seconds(30));
       sent[k] = (w.messages - before) / 30.0 / counts[k];
       MembershipSimulation.Node goes = w.all.get(7);
-      goes.seen.leave();
+      goes.detector.leave();
       goes.kill();
-      Duration took = w.until(MINUTE, () -> w.hold(List.of(goes), MemberState.GONE));
+      Duration took = w.until(MINUTE, () -> w.hold(List.of(goes), MemberState.DEAD));
       assertNotNull(took);
       assertTrue(took.compareTo(seconds(12)) < 0, counts[k] + ": " + took);
     }
@@ -173,7 +178,8 @@
             // Somebody may find out by a refused dial.
             MembershipSimulation.Node other = w.all.get(w.random.nextInt(w.all.size()));
             if (other != node && other.lives && !other.paused && w.random.nextBoolean()) {
-              other.seen.refusedBy(w.now, node.name, w.random.nextLong(node.life) + 1);
+              other.detector.onConnectionRefused(
+                  w.now, node.name, w.random.nextLong(node.life) + 1);
             }
           }
         }
@@ -209,7 +215,7 @@
           }
         });
     assertNotNull(
-        w.until(Duration.ofMinutes(2), () -> w.hold(w.all, MemberState.HERE)),
+        w.until(Duration.ofMinutes(2), () -> w.hold(w.all, MemberState.ALIVE)),
         "after seed " + seed);
   }
 
@@ -218,8 +224,8 @@
   private static final PeerName[] NAMES = {new PeerName("a"), new PeerName("b"), new PeerName("c")};
 
   /**
-   * Three that pass news about c in any order, with loss and repeats; c lives, restarts, or answers
-   * for itself.
+   * Three that pass updates about c in any order, with loss and repeats; c lives, restarts, or
+   * answers for itself.
    */
   @Test
   void allOrdersOfNewsAboutOne() {
@@ -247,7 +253,8 @@
     long[] life = {1};
     long version = 0;
     boolean lives = true;
-    MembershipUpdate self = new MembershipUpdate(NAMES[2], 1, 0, MemberState.HERE, "", 1, NAMES[2]);
+    MembershipUpdate self =
+        new MembershipUpdate(NAMES[2], 1, 0, MemberState.ALIVE, "", 1, NAMES[2]);
     under.add(self);
     for (int choice : path) {
       switch (choice) {
@@ -255,7 +262,8 @@
           // All that is under way reaches a, or b, in the order of its making; it stays, as repeats
           // may come.
           for (MembershipUpdate each : under) {
-            holds[choice] = each.overrides(holds[choice]) ? each : holds[choice];
+            holds[choice] =
+                each.overrides(Optional.ofNullable(holds[choice])) ? each : holds[choice];
           }
         }
         case 2 -> {
@@ -264,26 +272,26 @@
           }
           // The last comes to a before all others.
           MembershipUpdate last = under.get(under.size() - 1);
-          holds[0] = last.overrides(holds[0]) ? last : holds[0];
+          holds[0] = last.overrides(Optional.ofNullable(holds[0])) ? last : holds[0];
         }
         case 3 -> {
-          if (holds[0] == null || holds[0].finding() != MemberState.HERE) {
+          if (holds[0] == null || holds[0].state() != MemberState.ALIVE) {
             return null;
           }
-          holds[0] = holds[0].with(MemberState.SILENT, NAMES[0]);
+          holds[0] = holds[0].withState(MemberState.UNREACHABLE, NAMES[0]);
           under.add(holds[0]);
         }
         case 4 -> {
           if (!lives
               || holds[0] == null
-              || holds[0].life() != life[0]
-              || holds[0].finding() == MemberState.HERE) {
+              || holds[0].incarnation() != life[0]
+              || holds[0].state() == MemberState.ALIVE) {
             return null;
           }
           // c hears what a holds of it.
           version = Math.max(version, holds[0].version() + 1);
           under.add(
-              new MembershipUpdate(NAMES[2], life[0], version, MemberState.HERE, "", 1, NAMES[2]));
+              new MembershipUpdate(NAMES[2], life[0], version, MemberState.ALIVE, "", 1, NAMES[2]));
         }
         case 5 -> {
           if (!lives || holds[1] == null) {
@@ -291,7 +299,7 @@
           }
           lives = false;
           // b finds that nobody listens where c should.
-          holds[1] = holds[1].with(MemberState.GONE, NAMES[1]);
+          holds[1] = holds[1].withState(MemberState.DEAD, NAMES[1]);
           under.add(holds[1]);
         }
         default -> {
@@ -301,12 +309,15 @@
           lives = true;
           life[0]++;
           version = 0;
-          under.add(new MembershipUpdate(NAMES[2], life[0], 0, MemberState.HERE, "", 1, NAMES[2]));
+          under.add(new MembershipUpdate(NAMES[2], life[0], 0, MemberState.ALIVE, "", 1, NAMES[2]));
         }
       }
       for (MembershipUpdate each : holds) {
         assertFalse(
-            each != null && each.finding() == MemberState.GONE && lives && each.life() == life[0],
+            each != null
+                && each.state() == MemberState.DEAD
+                && lives
+                && each.incarnation() == life[0],
             "a living one is held gone: " + each);
       }
     }
@@ -314,15 +325,15 @@
     MembershipUpdate[] last = holds.clone();
     for (int k = 0; k < 2; k++) {
       for (MembershipUpdate each : under) {
-        last[k] = each.overrides(last[k]) ? each : last[k];
+        last[k] = each.overrides(Optional.ofNullable(last[k])) ? each : last[k];
       }
     }
     assertTrue(
         last[0] == null
             || last[1] == null
-            || (last[0].life() == last[1].life()
+            || (last[0].incarnation() == last[1].incarnation()
                 && last[0].version() == last[1].version()
-                && last[0].finding() == last[1].finding()),
+                && last[0].state() == last[1].state()),
         last[0] + " and " + last[1]);
     return Arrays.toString(holds) + under + life[0] + version + lives;
   }
--- a/gateway/src/test/java/weldcross/membership/MembershipSimulation.java
+++ b/gateway/src/test/java/weldcross/membership/MembershipSimulation.java
@@ -24,7 +24,7 @@
   /** One gateway, through its lives. */
   final class Node implements FailureDetectorActions {
     final PeerName name;
-    FailureDetector seen;
+    FailureDetector detector;
     long life;
     boolean lives, paused;
     int side;
@@ -36,16 +36,16 @@
       this.name = new PeerName(name);
     }
 
-    private void send(PeerName to, int news, Consumer<FailureDetector> message) {
+    private void send(PeerName to, int updates, Consumer<FailureDetector> message) {
       Node there = nodes.get(to);
       messages++;
-      bytes += 40 + 30L * news;
+      bytes += 40 + 30L * updates;
       if (random.nextDouble() < loss || side != there.side) {
         return;
       }
       after(
           Duration.ofMillis(delay + random.nextInt(delay + 1)),
-          () -> there.take(() -> message.accept(there.seen)));
+          () -> there.take(() -> message.accept(there.detector)));
     }
 
     /** A process that stands still finds all that came when it goes on. */
@@ -58,45 +58,48 @@
     }
 
     @Override
-    public void probe(PeerName to, long number, List<MembershipUpdate> news) {
-      send(to, news.size(), s -> s.probed(now, name, number, news));
+    public void sendPing(PeerName to, long number, List<MembershipUpdate> updates) {
+      send(to, updates.size(), s -> s.onPing(now, name, number, updates));
     }
 
     @Override
-    public void help(PeerName helper, PeerName target, long number, List<MembershipUpdate> news) {
-      send(helper, news.size(), s -> s.helpAsked(now, name, target, number, news));
+    public void sendPingRequest(
+        PeerName helper, PeerName target, long number, List<MembershipUpdate> updates) {
+      send(helper, updates.size(), s -> s.onPingRequest(now, name, target, number, updates));
     }
 
     @Override
-    public void answer(PeerName to, long number, List<MembershipUpdate> news) {
-      send(to, news.size(), s -> s.answered(now, name, number, news));
+    public void sendAck(PeerName to, long number, List<MembershipUpdate> updates) {
+      send(to, updates.size(), s -> s.onAck(now, name, number, updates));
     }
 
     @Override
-    public void noAnswer(PeerName to, long number) {
-      send(to, 0, s -> s.notAnswered(now, name, number));
+    public void sendNack(PeerName to, long number) {
+      send(to, 0, s -> s.onNack(now, name, number));
     }
 
     /** GONE is proof: it is only ever held of a life that has ended. */
     @Override
-    public void found(MembershipUpdate news) {
-      Node of = nodes.get(news.of());
-      assertTrue(news.life() <= of.life, name + " holds " + news + " of " + of.life);
-      if (news.finding() == MemberState.GONE) {
-        assertTrue(news.life() < of.life || !of.lives, name + " holds a living one gone: " + news);
+    public void memberChanged(MembershipUpdate updates) {
+      Node of = nodes.get(updates.member());
+      assertTrue(updates.incarnation() <= of.life, name + " holds " + updates + " of " + of.life);
+      if (updates.state() == MemberState.DEAD) {
+        assertTrue(
+            updates.incarnation() < of.life || !of.lives,
+            name + " holds a living one gone: " + updates);
       }
-      if (news.finding() == MemberState.SILENT
+      if (updates.state() == MemberState.UNREACHABLE
           && of.lives
           && !of.paused
           && of.side == side
-          && news.by().equals(name)) {
-        falselySilent++;
+          && updates.reporter().equals(name)) {
+        falselyUnreachable++;
       }
-      foundAt.put(news.of(), now);
+      foundAt.put(updates.member(), now);
     }
 
     @Override
-    public void takenForGone(long of) {
+    public void declaredDead(long of) {
       throw new AssertionError(name + " lives and is taken for gone: " + of);
     }
 
@@ -111,7 +114,7 @@
                   take(
                       () -> {
                         if (wake == wakes) {
-                          seen.due(now);
+                          detector.onTimer(now);
                         }
                       })));
     }
@@ -123,10 +126,10 @@
       life++;
       wakes++;
       List<PeerName> others = nodes.keySet().stream().filter(n -> !n.equals(name)).toList();
-      seen =
+      detector =
           new FailureDetector(
-              FailureDetectorConfig.usual(name, others, "a", 10), this, random.nextLong());
-      seen.start(now, life);
+              FailureDetectorConfig.defaults(name, others, "a", 10), this, random.nextLong());
+      detector.start(now, life);
     }
 
     void kill() {
@@ -159,7 +162,7 @@
   Duration now = Duration.ZERO;
   double loss;
   int delay = 1;
-  long messages, bytes, falselySilent;
+  long messages, bytes, falselyUnreachable;
 
   MembershipSimulation(int count, long seed) {
     random = new SplittableRandom(seed);
@@ -204,7 +207,7 @@
   boolean hold(List<Node> these, MemberState... one) {
     for (Node a : all) {
       for (Node b : these) {
-        if (a != b && a.lives && !a.paused && !List.of(one).contains(a.seen.findingOf(b.name))) {
+        if (a != b && a.lives && !a.paused && !List.of(one).contains(a.detector.stateOf(b.name))) {
           return false;
         }
       }
