--- a/gateway/src/main/java/weldcross/gateway/ClientStream.java
+++ b/gateway/src/main/java/weldcross/gateway/ClientStream.java
@@ -111,7 +111,7 @@
 
   @Override
   void written() {
-    round.tell(number, g -> g.clientWritten(number));
+    round.tell(number, g -> g.pipeline().responsesWritten(number));
   }
 
   @Override
--- /dev/null
+++ b/gateway/src/main/java/weldcross/gateway/EndpointDirectory.java
@@ -0,0 +1,86 @@
+package weldcross.gateway;
+
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import weldcross.discovery.DiscoveredEndpoint;
+import weldcross.routing.EndpointStatus;
+import weldcross.routing.GroupId;
+import weldcross.routing.ServerId;
+import weldcross.routing.ZoneId;
+
+/** The listed endpoints and their groups; passes each endpoint list on to the router. */
+final class EndpointDirectory {
+
+  private final Gateway gateway;
+  private final UnixTime unixTime;
+  private final Map<ServerId, GroupId> groups = new LinkedHashMap<>();
+
+  /** All groups ever listed: one whose members are all gone for a moment is not unknown. */
+  private final Set<GroupId> knownGroups = new HashSet<>();
+
+  EndpointDirectory(Gateway gateway, UnixTime unixTime) {
+    this.gateway = gateway;
+    this.unixTime = unixTime;
+  }
+
+  /**
+   * Takes a list of endpoints.
+   *
+   * @param complete whether endpoints that are not in the list are removed
+   */
+  void listed(boolean complete, List<DiscoveredEndpoint> endpoints) {
+    gateway.router().beginEndpointList(gateway.now(), complete);
+    for (DiscoveredEndpoint endpoint : endpoints) {
+      listed(endpoint);
+    }
+    gateway.router().endEndpointList(gateway.now());
+  }
+
+  private void listed(DiscoveredEndpoint endpoint) {
+    ServerId server = new ServerId(endpoint.id());
+    if (endpoint.address() != null) {
+      gateway.serverConnections().listed(server, endpoint.address());
+    }
+    GroupId group = new GroupId(endpoint.group());
+    if (endpoint.condition() != EndpointStatus.REMOVED || groups.containsKey(server)) {
+      groups.put(server, group);
+      knownGroups.add(group);
+    }
+    gateway
+        .router()
+        .endpointListed(
+            gateway.now(),
+            server,
+            new ZoneId(endpoint.zone()),
+            group,
+            endpoint.condition(),
+            endpoint.upSinceMillis() == 0 ? null : unixTime.sinceStart(endpoint.upSinceMillis()),
+            endpoint.head());
+  }
+
+  /** Forgets an endpoint that left the list; its group stays known. */
+  void remove(ServerId server) {
+    groups.remove(server);
+  }
+
+  /** Returns the group of a listed server; null if the server is not listed. */
+  GroupId groupOf(ServerId server) {
+    return groups.get(server);
+  }
+
+  /** Whether any server of the group was ever listed. */
+  boolean isKnown(GroupId group) {
+    return knownGroups.contains(group);
+  }
+
+  boolean isEmpty() {
+    return groups.isEmpty();
+  }
+
+  int size() {
+    return groups.size();
+  }
+}
--- a/gateway/src/main/java/weldcross/gateway/GatewayProcess.java
+++ b/gateway/src/main/java/weldcross/gateway/GatewayProcess.java
@@ -63,8 +63,8 @@
     if (parts.isEmpty()) {
       loop.post(Gateway::start);
     } else {
-      parts.forEach(gateway::join);
-      ExtensionContext seam = gateway.seam(loop::post);
+      parts.forEach(gateway::addExtension);
+      ExtensionContext seam = ExtensionHost.context(gateway, loop::post);
       loop.post(g -> g.start(seam));
     }
   }
@@ -138,9 +138,9 @@
   synchronized void reload(Supplier<GatewayConfig> reader) {
     try {
       GatewayConfig next = reader.get();
-      loop.post(g -> g.reload(next));
+      loop.post(g -> g.configReload().reload(next));
     } catch (InvalidConfigException e) {
-      loop.post(g -> g.reloadFailed(e.getMessage()));
+      loop.post(g -> g.configReload().failed(e.getMessage()));
     }
   }
 
--- /dev/null
+++ b/gateway/src/main/java/weldcross/gateway/HealthCheckRunner.java
@@ -0,0 +1,71 @@
+package weldcross.gateway;
+
+import java.nio.ByteBuffer;
+import java.util.logging.Logger;
+import weldcross.config.GatewayConfig;
+import weldcross.pgwire.MessageEncoder;
+import weldcross.pgwire.ServerResponse;
+import weldcross.routing.AttemptOutcome;
+import weldcross.routing.ServerId;
+
+/** Sends the health checks that the router asks for and passes on their results. */
+final class HealthCheckRunner {
+
+  private static final String STATISTICS_QUERY = "SHOW stats";
+  private static final String MINIMAL_QUERY = "SELECT 1";
+
+  private static final Logger LOG = Logger.getLogger(HealthCheckRunner.class.getName());
+
+  private final Gateway gateway;
+  private final GatewayConfig config;
+  private final ServerReports reports;
+
+  HealthCheckRunner(Gateway gateway, GatewayConfig config, ServerReports reports) {
+    this.gateway = gateway;
+    this.config = config;
+    this.reports = reports;
+  }
+
+  /** Sends one health check; its result goes to the router. */
+  void send(ServerId server) {
+    LOG.fine(() -> "health check sent: endpoint=" + server.name());
+    gateway.serverConnections().ask(server, new HealthCheck(server));
+  }
+
+  private final class HealthCheck extends ServerRequest {
+    private final ServerId server;
+
+    HealthCheck(ServerId server) {
+      this.server = server;
+    }
+
+    @Override
+    ByteBuffer[] message() {
+      String query = config.reportsByProbe() ? STATISTICS_QUERY : MINIMAL_QUERY;
+      return new ByteBuffer[] {MessageEncoder.query(query)};
+    }
+
+    @Override
+    boolean mayGo() {
+      return true;
+    }
+
+    @Override
+    boolean isBrief() {
+      return true;
+    }
+
+    @Override
+    String tag() {
+      return null;
+    }
+
+    @Override
+    void ended(AttemptOutcome outcome, ServerResponse response) {
+      gateway.router().healthCheckEnded(gateway.now(), server, outcome, aliveSince);
+      if (outcome == AttemptOutcome.OK) {
+        reports.received(server, config.reportsByProbe() ? response.rowText() : response.stats());
+      }
+    }
+  }
+}
--- a/gateway/src/main/java/weldcross/gateway/JitWarmUp.java
+++ b/gateway/src/main/java/weldcross/gateway/JitWarmUp.java
@@ -56,7 +56,7 @@
 
   private void play(List<String> methods, int rpcs) {
     loop.post(Gateway::start);
-    loop.post(g -> g.accepted(ONLY_CLIENT));
+    loop.post(g -> g.clients().accepted(ONLY_CLIENT));
     client.feed(MessageEncoder.startup());
     for (int k = 0; k < rpcs; k++) {
       String comment =
@@ -110,7 +110,7 @@
   @Override
   public void dialServer(long link, InetSocketAddress to) {
     servers.put(link, Streams.server(loop::post, link));
-    loop.post(g -> g.links().up(link));
+    loop.post(g -> g.serverConnections().up(link));
   }
 
   @Override
@@ -120,8 +120,8 @@
 
   @Override
   public void dialDiscovery(long link, InetSocketAddress to) {
-    loop.post(g -> g.list().up(link));
-    loop.post(g -> g.list().answered(link, 200, NOTHING_NEW));
+    loop.post(g -> g.discovery().up(link));
+    loop.post(g -> g.discovery().answered(link, 200, NOTHING_NEW));
   }
 
   @Override
--- a/gateway/src/main/java/weldcross/gateway/MinaTransport.java
+++ b/gateway/src/main/java/weldcross/gateway/MinaTransport.java
@@ -293,7 +293,7 @@
             stream.endListening();
             GatheringIoProcessor.endSending(session);
           }
-          round.tell(g -> g.parted(connection, quiet));
+          round.tell(g -> g.clients().closeDecided(connection, quiet));
         });
   }
 
@@ -336,7 +336,7 @@
     return new Stream() {
       @Override
       void opened() {
-        round.heard(g -> g.links().up(number));
+        round.heard(g -> g.serverConnections().up(number));
       }
 
       @Override
@@ -351,22 +351,22 @@
 
       @Override
       void written() {
-        round.heard(g -> g.links().written(number));
+        round.heard(g -> g.serverConnections().written(number));
       }
 
       @Override
       void gone() {
-        round.heard(g -> g.links().gone(number, reader.rest()));
+        round.heard(g -> g.serverConnections().gone(number, reader.rest()));
       }
 
       @Override
       void notReached() {
-        loop.post(g -> g.links().gone(number, null));
+        loop.post(g -> g.serverConnections().gone(number, null));
       }
 
       @Override
       void dialReset() {
-        loop.post(g -> g.links().dialReset(number));
+        loop.post(g -> g.serverConnections().dialReset(number));
       }
     };
   }
@@ -374,18 +374,18 @@
   private Stream discovery(long number) {
     HttpResponseDecoder reader =
         new HttpResponseDecoder(
-            (status, body) -> loop.post(g -> g.list().answered(number, status, body)));
+            (status, body) -> loop.post(g -> g.discovery().answered(number, status, body)));
     return new Stream() {
       @Override
       void opened() {
-        loop.post(g -> g.list().up(number));
+        loop.post(g -> g.discovery().up(number));
       }
 
       @Override
       void read(ByteBuffer in) throws HttpResponseDecoder.ProtocolException {
         reader.feed(in);
         if (reader.isWithin()) {
-          loop.post(g -> g.list().begun(number));
+          loop.post(g -> g.discovery().begun(number));
         }
       }
 
@@ -394,7 +394,7 @@
         if (!broken) {
           reader.ended();
         }
-        loop.post(g -> g.list().gone(number));
+        loop.post(g -> g.discovery().gone(number));
       }
     };
   }
--- a/gateway/src/main/java/weldcross/gateway/RateLimitedLogger.java
+++ b/gateway/src/main/java/weldcross/gateway/RateLimitedLogger.java
@@ -5,30 +5,29 @@
 import java.util.logging.Logger;
 
 /**
- * Lines about what may happen with every RPC: the first at once, then one a second with a count of
- * the rest.
+ * Logs what may happen with every request: the first message at once, then one a second with a
+ * count of those left out.
  */
 final class RateLimitedLogger {
 
-  private static final Duration APART = Duration.ofSeconds(1);
+  private static final Duration INTERVAL = Duration.ofSeconds(1);
 
   private final Logger log;
-  private Duration next = Duration.ZERO;
-  private int unsaid;
+  private Duration nextAt = Duration.ZERO;
+  private int suppressed;
 
   RateLimitedLogger(Logger log) {
     this.log = log;
   }
 
-  void say(Duration now, Level level, String what) {
-    if (now.compareTo(next) < 0) {
-      unsaid++;
+  /** Logs a message, or counts it if one was logged less than an interval ago. */
+  void log(Duration now, Level level, String message) {
+    if (now.compareTo(nextAt) < 0) {
+      suppressed++;
       return;
     }
-    log.log(
-        level,
-        what + (unsaid == 0 ? "" : " (and " + unsaid + " more of this kind since the last)"));
-    unsaid = 0;
-    next = now.plus(APART);
+    log.log(level, suppressed == 0 ? message : message + " suppressed=" + suppressed);
+    suppressed = 0;
+    nextAt = now.plus(INTERVAL);
   }
 }
--- a/gateway/src/main/java/weldcross/gateway/ReadBatch.java
+++ b/gateway/src/main/java/weldcross/gateway/ReadBatch.java
@@ -34,7 +34,7 @@
 
   synchronized void came(long client) {
     came.add(client);
-    tell(client, g -> g.accepted(client));
+    tell(client, g -> g.clients().accepted(client));
   }
 
   synchronized void went(long client) {
@@ -64,7 +64,7 @@
     }
     List<Long> gone = went.stream().filter(c -> !came.contains(c)).toList();
     if (!gone.isEmpty()) {
-      post.accept(g -> gone.forEach(g::clientGone));
+      post.accept(g -> gone.forEach(g.clients()::disconnected));
     }
     heard.forEach(post);
     heard.clear();
--- a/gateway/src/main/java/weldcross/gateway/ServerConnectionPool.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerConnectionPool.java
@@ -128,7 +128,7 @@
     }
     InetSocketAddress address = addresses.get(server);
     if (links.size() >= most || address == null) {
-      gateway.complain("no descriptor left for a connection to " + server.name());
+      gateway.warn("no descriptor left for a connection to " + server.name());
       gateway.soon(() -> end(question, AttemptOutcome.UNREACHABLE, null));
       return;
     }
@@ -253,7 +253,7 @@
     question.link = null;
     question.aliveSince = link.upSince;
     if (more) {
-      gateway.complain("bytes behind an answer of " + link.server.name());
+      gateway.warn("bytes behind an answer of " + link.server.name());
       remove(link);
     } else {
       rest(link);
@@ -276,7 +276,7 @@
     if (link == null) {
       return;
     }
-    gateway.complain("spoilt by " + link.server.name() + ": " + why);
+    gateway.warn("spoilt by " + link.server.name() + ": " + why);
     ServerRequest question = link.question;
     boolean asked = link.up;
     remove(link);
@@ -292,7 +292,7 @@
     }
     rouse(link);
     if (!link.up) {
-      gateway.complain("no connection to " + link.server.name() + " at " + link.address);
+      gateway.warn("no connection to " + link.server.name() + " at " + link.address);
     }
     ServerRequest question = link.question;
     if (question == null) {
--- a/gateway/src/main/java/weldcross/gateway/Streams.java
+++ b/gateway/src/main/java/weldcross/gateway/Streams.java
@@ -26,48 +26,48 @@
         new ClientMessageDecoder.Sink() {
           @Override
           public void encryptionAsked() {
-            tell.accept(g -> g.encryptionAsked(number));
+            tell.accept(g -> g.pipeline().encryptionRequested(number));
           }
 
           @Override
           public void started() {
-            tell.accept(g -> g.clientStarted(number));
+            tell.accept(g -> g.pipeline().startupReceived(number));
           }
 
           @Override
           public void asked(Statement statement) {
             Duration arrived = clock.get();
-            tell.accept(g -> g.asked(number, statement, arrived));
+            tell.accept(g -> g.pipeline().statementReceived(number, statement, arrived));
           }
 
           @Override
           public void askedNothing() {
-            tell.accept(g -> g.askedNothing(number));
+            tell.accept(g -> g.pipeline().emptyQueryReceived(number));
           }
 
           @Override
           public void askedWrongly(String state, String text) {
-            tell.accept(g -> g.askedWrongly(number, state, text));
+            tell.accept(g -> g.pipeline().invalidStatementReceived(number, state, text));
           }
 
           @Override
           public void begun() {
-            tell.accept(g -> g.clientBegun(number));
+            tell.accept(g -> g.clients().messageBegun(number));
           }
 
           @Override
           public void broke(String state, String text) {
-            tell.accept(g -> g.clientBroke(number, state, text));
+            tell.accept(g -> g.clients().protocolViolated(number, state, text));
           }
 
           @Override
           public void ended() {
-            tell.accept(g -> g.clientEnded(number));
+            tell.accept(g -> g.clients().terminated(number));
           }
 
           @Override
           public void cancelAsked(int process, int secret) {
-            always.accept(g -> g.cancelAsked(number, process, secret));
+            always.accept(g -> g.cancelRequests().received(number, process, secret));
           }
         });
   }
@@ -77,22 +77,22 @@
         new ServerMessageDecoder.Sink() {
           @Override
           public void ready() {
-            tell.accept(g -> g.links().ready(number));
+            tell.accept(g -> g.serverConnections().ready(number));
           }
 
           @Override
           public void answered(ServerResponse answer, boolean more) {
-            tell.accept(g -> g.links().answered(number, answer, more));
+            tell.accept(g -> g.serverConnections().answered(number, answer, more));
           }
 
           @Override
           public void begun() {
-            tell.accept(g -> g.links().begun(number));
+            tell.accept(g -> g.serverConnections().begun(number));
           }
 
           @Override
           public void spoilt(String why) {
-            tell.accept(g -> g.links().spoilt(number, why));
+            tell.accept(g -> g.serverConnections().spoilt(number, why));
           }
         });
   }
--- a/gateway/src/test/java/weldcross/gateway/GatewayProcessTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayProcessTest.java
@@ -394,19 +394,19 @@
       await(log, "STARTING to LISTENING");
       Files.writeString(config, "{\"name\":");
       hangUp(process);
-      await(log, "configuration not taken: NODE_CONFIG");
+      await(log, "configuration reload failed, the one in force stays: reason=NODE_CONFIG");
       Files.writeString(
           config,
           Files.readString(Path.of("deploy/example.json"))
               .replace("127.0.0.1:8500", "127.0.0.1:2")
               .replace("192", "128"));
       hangUp(process);
-      await(log, "configuration read again");
+      await(log, "configuration reloaded");
       await(log, "discovery moves to 127.0.0.1:2");
       process.toHandle().destroy();
       List<String> rest = log.lines().toList();
       assertTrue(rest.stream().anyMatch(l -> l.contains("to DRAINING")), rest.toString());
-      assertTrue(rest.stream().anyMatch(l -> l.contains("stopped: 0 taken")), rest.toString());
+      assertTrue(rest.stream().anyMatch(l -> l.contains("stopped: 0 accepted")), rest.toString());
       assertEquals(0, process.waitFor());
     } finally {
       process.destroyForcibly();
--- a/gateway/src/test/java/weldcross/gateway/GatewayTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayTest.java
@@ -114,14 +114,14 @@
     }
 
     DiscoveryWatcher list() {
-      return gateway.list();
+      return gateway.discovery();
     }
 
     /** Serving, with a discovery that has said that the list of the start holds. */
     static World listed(String... changes) {
       World w = new World(changes);
       w.talking = true;
-      w.tell(g -> g.list().up(w.discovery));
+      w.tell(g -> g.discovery().up(w.discovery));
       w.nothingNew();
       return w;
     }
@@ -146,7 +146,7 @@
           "{\"revision\":1,\"complete\":false,\"members\":[]}".getBytes(StandardCharsets.UTF_8);
       wires.get(discovery).take();
       talkedAt = now;
-      tell(g -> g.list().answered(discovery, 200, text));
+      tell(g -> g.discovery().answered(discovery, 200, text));
     }
 
     void wait(int millis) {
@@ -166,7 +166,7 @@
         Wire wire = wires.get(discovery);
         if (!wire.open && !wire.dropped) {
           wire.open = true;
-          tell(g -> g.list().up(discovery));
+          tell(g -> g.discovery().up(discovery));
         }
         wait(10);
       }
@@ -198,7 +198,7 @@
       wire.open = true;
       wires.put(number, wire);
       wire.fromClient = Streams.client(loop::post, loop::post, () -> now, number);
-      tell(g -> g.accepted(number));
+      tell(g -> g.clients().accepted(number));
       return number;
     }
 
@@ -215,9 +215,9 @@
       while (!unwritten.isEmpty()) {
         long number = unwritten.remove(0);
         if (number > 0) {
-          tell(g -> g.clientWritten(number));
+          tell(g -> g.pipeline().responsesWritten(number));
         } else if (wires.get(number).port == 0) {
-          tell(g -> g.links().written(number));
+          tell(g -> g.serverConnections().written(number));
         }
       }
       unwritten.addAll(stuck);
@@ -271,7 +271,7 @@
             }
           });
       wires.get(client).open = false;
-      tell(g -> g.clientGone(client));
+      tell(g -> g.clients().disconnected(client));
       flush();
     }
 
@@ -327,7 +327,7 @@
     void reload(int port) {
       byte[] terms =
           config("\"discovery\":\"127.0.0.1:1\"", "\"discovery\":\"127.0.0.1:" + port + "\"");
-      tell(g -> g.reload(GatewayConfig.of(ConfigValues.ofJson(terms))));
+      tell(g -> g.configReload().reload(GatewayConfig.of(ConfigValues.ofJson(terms))));
     }
 
     void end(long link) {
@@ -338,7 +338,7 @@
         outOn.get(id).remove(link);
       }
       wire.open = false;
-      tell(g -> g.links().gone(link, wire.reader.rest()));
+      tell(g -> g.serverConnections().gone(link, wire.reader.rest()));
       flush();
     }
 
@@ -401,7 +401,7 @@
         gateway.soon(
             () -> {
               wire.open = true;
-              gateway.links().up(link);
+              gateway.serverConnections().up(link);
             });
       }
     }
@@ -543,10 +543,10 @@
             wire.dropped |= quiet;
             gateway.soon(
                 () -> {
-                  gateway.parted(number, quiet);
+                  gateway.clients().closeDecided(number, quiet);
                   // Told of the end, a usual client ends its side.
                   if (quiet && !stays) {
-                    gateway.clientGone(number);
+                    gateway.clients().disconnected(number);
                   }
                 });
           });
@@ -669,7 +669,7 @@
     w.say(client, MessageEncoder.query(""));
     assertTrue(w.wires.get(client).take().contains("C57P03"));
     assertEquals(Gateway.Phase.LISTENING, w.gateway.phase());
-    w.tell(g -> g.list().up(w.discovery));
+    w.tell(g -> g.discovery().up(w.discovery));
     assertTrue(w.wires.get(w.discovery).take().startsWith("GET /catalog/members HTTP/1.1\r\n"));
     list(w, 41, true, "active");
     w.say(client, MessageEncoder.query(""));
@@ -690,16 +690,16 @@
     assertFalse(first == w.discovery, "dialled again after silence");
     long second = w.discovery;
     byte[] nonsense = "{\"revision\":".getBytes(StandardCharsets.UTF_8);
-    w.tell(g -> g.list().answered(second, 200, nonsense));
+    w.tell(g -> g.discovery().answered(second, 200, nonsense));
     assertTrue(w.wires.get(second).dropped);
     w.wait(300);
     long third = w.discovery;
-    w.tell(g -> g.list().up(third));
-    w.tell(g -> g.list().answered(third, 503, nonsense));
+    w.tell(g -> g.discovery().up(third));
+    w.tell(g -> g.discovery().answered(third, 503, nonsense));
     w.wait(300);
     long fourth = w.discovery;
-    w.tell(g -> g.list().up(fourth));
-    w.tell(g -> g.list().answered(fourth, 200, "{}".getBytes(StandardCharsets.UTF_8)));
+    w.tell(g -> g.discovery().up(fourth));
+    w.tell(g -> g.discovery().answered(fourth, 200, "{}".getBytes(StandardCharsets.UTF_8)));
     assertTrue(w.wires.get(fourth).dropped, "an object without a list in it");
     String id = w.ask(w.connect(), true, 500);
     w.answer(on(w, id), null);
@@ -709,12 +709,12 @@
   @Test
   void discoveryThatClosesAfterEachAnswerIsWatchedOnFromWhereItWas() {
     World w = World.serving();
-    w.tell(g -> g.list().up(w.discovery));
+    w.tell(g -> g.discovery().up(w.discovery));
     list(w, 41, true, "active");
     long before = w.discovery;
-    w.tell(g -> g.list().gone(before));
+    w.tell(g -> g.discovery().gone(before));
     assertFalse(before == w.discovery, "dialled again in the same moment");
-    w.tell(g -> g.list().up(w.discovery));
+    w.tell(g -> g.discovery().up(w.discovery));
     assertTrue(w.wires.get(w.discovery).take().contains("?since=41&"));
   }
 
@@ -722,14 +722,14 @@
   void newAddressOfDiscoveryTakesOverWithItsFirstList() {
     World w = World.serving();
     long old = w.discovery;
-    w.tell(g -> g.list().up(old));
+    w.tell(g -> g.discovery().up(old));
     list(w, 41, true, "active");
     w.reload(2);
     long first = w.discovery;
     w.reload(3);
     long second = w.discovery;
     assertTrue(w.wires.get(first).dropped, "told of two moves in quick succession");
-    w.tell(g -> g.list().up(second));
+    w.tell(g -> g.discovery().up(second));
     assertTrue(
         w.wires.get(second).take().startsWith("GET /catalog/members HTTP"),
         "all of it, lest a " + "change be missed");
@@ -740,7 +740,7 @@
     list(w, 42, true, "leaving");
     assertTrue(w.wires.get(old).dropped);
     assertTrue(w.wires.get(second).take().contains("?since=42&"));
-    w.tell(g -> g.list().gone(old));
+    w.tell(g -> g.discovery().gone(old));
     assertEquals(second, w.discovery, "nothing is asked for at the old address");
   }
 
@@ -748,19 +748,19 @@
   void addressOfDiscoveryThatClosesBeforeTheNewOneTellsIsLeft() {
     World w = World.serving();
     long old = w.discovery;
-    w.tell(g -> g.list().up(old));
+    w.tell(g -> g.discovery().up(old));
     list(w, 41, true, "active");
     w.reload(2);
     long next = w.discovery;
-    w.tell(g -> g.list().gone(old));
+    w.tell(g -> g.discovery().gone(old));
     w.wait(1300);
     assertFalse(w.discovery == next, "the new one is silent and dialled again");
-    w.tell(g -> g.list().up(w.discovery));
+    w.tell(g -> g.discovery().up(w.discovery));
     list(w, 43, true, "active");
     w.reload(2);
     w.reload(1);
     long back = w.discovery;
-    w.tell(g -> g.list().up(back));
+    w.tell(g -> g.discovery().up(back));
     list(w, 44, true, "active");
     assertTrue(w.wires.get(back).take().contains("?since=44&"));
     w.reload(1);
@@ -786,7 +786,7 @@
     w.say(client, MessageEncoder.query(""));
     assertTrue(w.wires.get(client).take().contains("C57P03"), "it is not ready");
     w.wait(100);
-    w.tell(g -> g.list().up(w.discovery));
+    w.tell(g -> g.discovery().up(w.discovery));
     list(w, 2, false, "leaving");
     for (int k = 0; k < 20; k++) {
       w.asked().forEach(l -> w.answer(l, null));
@@ -813,7 +813,7 @@
     assertFalse(w.outOn.containsKey(id));
     w.wait(400);
     assertEquals("53300", w.answers.get(id));
-    w.tell(g -> g.list().up(w.discovery));
+    w.tell(g -> g.discovery().up(w.discovery));
     list(w, 3, true, "leaving");
     w.wait(100);
     w.answerProbes();
@@ -844,7 +844,7 @@
     w.talking = false;
     w.silently(2_600);
     long asked = w.discovery;
-    w.tell(g -> g.list().begun(asked));
+    w.tell(g -> g.discovery().begun(asked));
     w.silently(3_500);
     assertFalse(w.list().stands(), "it may have been told by now");
   }
@@ -857,7 +857,7 @@
     w.silently(4_600);
     assertTrue(w.list().stands(), "it is down");
     long asked = w.discovery;
-    w.tell(g -> g.list().begun(asked));
+    w.tell(g -> g.discovery().begun(asked));
     w.wait(2_100);
     assertFalse(w.list().stands(), "it may have been told by now");
   }
@@ -900,7 +900,7 @@
     slow.forEach(
         l -> {
           w.wires.get(l).open = true;
-          w.tell(g -> g.links().up(l));
+          w.tell(g -> g.serverConnections().up(l));
           w.flush();
         });
     w.wait(60);
@@ -977,10 +977,10 @@
   @Test
   void addressOfDiscoveryThatIsBehindTakesNothingBack() {
     World w = World.serving();
-    w.tell(g -> g.list().up(w.discovery));
+    w.tell(g -> g.discovery().up(w.discovery));
     list(w, 42, true, "leaving");
     w.reload(2);
-    w.tell(g -> g.list().up(w.discovery));
+    w.tell(g -> g.discovery().up(w.discovery));
     list(w, 40, true, "active");
     assertTrue(
         w.wires
@@ -997,7 +997,7 @@
     assertTrue(serversOf(w, 40).contains("s-1"), "what is newer counts");
     list(w, 45, false, "leaving");
     w.reload(3);
-    w.tell(g -> g.list().up(w.discovery));
+    w.tell(g -> g.discovery().up(w.discovery));
     list(w, 5, true, "active");
     w.wait(5_000);
     list(w, 5, false, "active");
@@ -1017,7 +1017,7 @@
     World w = World.serving();
     list(w, 42, true, "active");
     w.reload(2);
-    w.tell(g -> g.list().up(w.discovery));
+    w.tell(g -> g.discovery().up(w.discovery));
     list(w, 7, true, "leaving");
     assertFalse(serversOf(w, 40).contains("s-1"), "sent to a server that drains");
   }
@@ -1046,23 +1046,23 @@
             () -> {
               w.tell(
                   g ->
-                      g.reload(
-                          GatewayConfig.of(
-                              ConfigValues.ofJson(
-                                  config(
-                                      "\"sockets\":1024",
-                                      "\"sockets\":512",
-                                      "\"tryLimit\":10",
-                                      "\"tryLimit\":9",
-                                      "8c1f",
-                                      "8c20")))));
-              w.tell(g -> g.reloadFailed("limits.sockets: found 'x'"));
+                      g.configReload()
+                          .reload(
+                              GatewayConfig.of(
+                                  ConfigValues.ofJson(
+                                      config(
+                                          "\"sockets\":1024",
+                                          "\"sockets\":512",
+                                          "\"tryLimit\":10",
+                                          "\"tryLimit\":9",
+                                          "8c1f",
+                                          "8c20")))));
+              w.tell(g -> g.configReload().failed("limits.sockets: found 'x'"));
             });
     assertEquals(
-        "configuration read again; changed, but not before a restart: limits.sockets, settings",
-        lines.get(0));
+        "configuration reloaded: restart needed for keys=limits.sockets,settings", lines.get(0));
     assertEquals(
-        "configuration not taken: limits.sockets: found 'x'; the terms in force stay",
+        "configuration reload failed, the one in force stays: reason=limits.sockets: found 'x'",
         lines.get(1));
     w.ask(w.connect(), false, 500);
   }
@@ -1159,7 +1159,7 @@
     long link = w.wires.keySet().stream().min(Long::compare).orElseThrow();
     w.leave(client);
     w.wires.get(link).dropped = false;
-    w.tell(g -> g.links().up(link));
+    w.tell(g -> g.serverConnections().up(link));
     assertTrue(w.wires.get(link).dropped);
   }
 
@@ -1185,12 +1185,12 @@
     String id = w.ask(w.connect(), true, 500);
     long before = on(w, id);
     w.answer(before, null);
-    w.tell(g -> g.list().up(w.discovery));
+    w.tell(g -> g.discovery().up(w.discovery));
     String text =
         "{\"revision\":8,\"complete\":false,\"members\":["
             + member(0, "active").replace("7000", "7008")
             + "]}";
-    w.tell(g -> g.list().answered(w.discovery, 200, text.getBytes(StandardCharsets.UTF_8)));
+    w.tell(g -> g.discovery().answered(w.discovery, 200, text.getBytes(StandardCharsets.UTF_8)));
     w.flush();
     assertTrue(w.wires.get(before).dropped);
     assertEquals("s-8", w.wires.get(on(w, w.ask(w.connect(), true, 500))).server);
@@ -1199,7 +1199,7 @@
   @Test
   void drainingServerGetsNothingNew() {
     World w = World.serving();
-    w.tell(g -> g.list().up(w.discovery));
+    w.tell(g -> g.discovery().up(w.discovery));
     list(w, 42, false, "leaving");
     for (int k = 0; k < 20; k++) {
       String id = w.ask(w.connect(), false, 500);
@@ -1282,7 +1282,7 @@
     String id = w.ask(w.connect(), true, 900);
     long link = w.wires.keySet().stream().min(Long::compare).orElseThrow();
     w.silent.clear();
-    w.tell(g -> g.links().dialReset(link));
+    w.tell(g -> g.serverConnections().dialReset(link));
     assertFalse(
         w.gateway.describe().contains("warming-up") || w.gateway.describe().contains("ejected"));
     w.wait(30);
@@ -1334,13 +1334,13 @@
     w.wait(300);
     assertFalse(w.wires.get(link).dropped, "what came in has not been read");
     w.wires.get(link).open = true;
-    w.tell(g -> g.links().up(link));
+    w.tell(g -> g.serverConnections().up(link));
     w.answer(link, null);
     assertEquals("ok", w.answers.get(id));
     w.ask(w.connect(), true, 2000);
     w.wait(400);
     long other = w.wires.keySet().stream().min(Long::compare).orElseThrow();
-    w.tell(g -> g.links().heard(other));
+    w.tell(g -> g.serverConnections().heard(other));
     assertTrue(w.wires.get(other).dropped, "all was read, and it said nothing");
   }
 
@@ -1413,7 +1413,6 @@
     Gateway gateway = World.serving().gateway;
     List<String> lines =
         logged(
-            EventLoop.class,
             () -> {
               loop.lookAtTurn(Thread.currentThread());
               loop.post(
@@ -1512,7 +1511,7 @@
     assertTrue(w.outOn.size() < 60, "some are held");
     Set<String> begun = Set.copyOf(w.outOn.keySet());
     w.left.addAll(clients.keySet());
-    w.tell(g -> clients.values().forEach(g::clientGone));
+    w.tell(g -> clients.values().forEach(g.clients()::disconnected));
     w.wait(50);
     assertEquals(begun, w.outOn.keySet());
   }
@@ -1669,7 +1668,7 @@
                   + ",c=look,d=900,cluster=0 */"));
     }
     w.say(client, burst.flip());
-    assertTrue(w.gateway.describe().contains(" 16 rpcs"), w.gateway.describe());
+    assertTrue(w.gateway.describe().contains(" 16 requests"), w.gateway.describe());
     for (int k = 0; k < 90; k++) {
       w.wait(10);
       w.answerProbes();
@@ -1703,7 +1702,7 @@
   void nothingGrowsWithWhatHasPassed(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     World w = World.serving();
-    w.tell(g -> g.list().up(w.discovery));
+    w.tell(g -> g.discovery().up(w.discovery));
     for (int k = 3; k < 1500; k++) {
       String text =
           "{\"revision\":"
@@ -1719,7 +1718,7 @@
               + ","
               + member(k + 1, "active")
               + "]}";
-      w.tell(g -> g.list().answered(w.discovery, 200, text.getBytes(StandardCharsets.UTF_8)));
+      w.tell(g -> g.discovery().answered(w.discovery, 200, text.getBytes(StandardCharsets.UTF_8)));
       w.flush();
       long client = w.connect();
       for (int n = random.nextInt(4); n >= 0; n--) {
@@ -1736,7 +1735,8 @@
     w.wait(17_300);
     String kept = w.gateway.describe();
     Matcher m =
-        Pattern.compile("(\\d+) clients, (\\d+) rpcs, (\\d+) servers, (\\d+) due;.*").matcher(kept);
+        Pattern.compile("(\\d+) clients, (\\d+) requests, (\\d+) servers, (\\d+) timers;.*")
+            .matcher(kept);
     assertTrue(m.matches(), kept);
     assertTrue(Integer.parseInt(m.group(1)) <= 384 && Integer.parseInt(m.group(2)) == 0, kept);
     assertTrue(Integer.parseInt(m.group(3)) <= 4 && Integer.parseInt(m.group(4)) < 20, kept);
@@ -1898,7 +1898,7 @@
               }
             });
     assertEquals(Gateway.Phase.STOPPED, w.gateway.phase());
-    assertTrue(lines.get(0).startsWith("stopped: 2 taken, 2 ok, 0 pushed back"), lines.toString());
+    assertTrue(lines.get(0).startsWith("stopped: 2 accepted, 2 ok, 0 rejected"), lines.toString());
   }
 
   /**
@@ -1968,7 +1968,7 @@
   void clientThatNeverReadsDoesNotHoldUpAStop() {
     World w = World.serving();
     long client = w.connect();
-    w.tell(g -> g.askedNothing(client));
+    w.tell(g -> g.pipeline().emptyQueryReceived(client));
     w.tell(Gateway::stop);
     w.wait(3000);
     assertEquals(Gateway.Phase.STOPPED, w.gateway.phase());
@@ -1986,16 +1986,13 @@
                 w.wait(100);
               }
             });
-    List<String> turned = lines.stream().filter(l -> l.contains("turned away")).toList();
+    List<String> turned = lines.stream().filter(l -> l.contains("request rejected")).toList();
     assertEquals(3, turned.size(), lines.toString());
-    assertTrue(turned.get(1).endsWith("(and 9 more of this kind since the last)"), turned.get(1));
+    assertTrue(turned.get(1).endsWith(" suppressed=9"), turned.get(1));
   }
 
+  /** Returns what the classes of the gateway's package log meanwhile. */
   private static List<String> logged(Runnable life) {
-    return logged(Gateway.class, life);
-  }
-
-  private static List<String> logged(Class<?> by, Runnable life) {
     List<String> lines = new ArrayList<>();
     Handler handler =
         new StreamHandler() {
@@ -2004,7 +2001,7 @@
             lines.add(record.getMessage());
           }
         };
-    Logger log = Logger.getLogger(by.getName());
+    Logger log = Logger.getLogger(Gateway.class.getPackageName());
     log.addHandler(handler);
     try {
       life.run();
@@ -2032,7 +2029,7 @@
             + ","
             + member(1, phase)
             + "]}";
-    w.tell(g -> g.list().answered(w.discovery, 200, text.getBytes(StandardCharsets.UTF_8)));
+    w.tell(g -> g.discovery().answered(w.discovery, 200, text.getBytes(StandardCharsets.UTF_8)));
     w.flush();
   }
 
--- a/gateway/src/test/java/weldcross/gateway/MultipleDeploymentsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/MultipleDeploymentsTest.java
@@ -48,7 +48,7 @@
   @BeforeEach
   void firstReadsTheOthersConfiguration() {
     byte[] text = GatewayTest.config(OTHER);
-    one.tell(g -> g.reload(GatewayConfig.of(ConfigValues.ofJson(text))));
+    one.tell(g -> g.configReload().reload(GatewayConfig.of(ConfigValues.ofJson(text))));
   }
 
   /** Asks, and returns the client's connection. */
@@ -107,7 +107,7 @@
     long link = statements(other).get(0);
     wire.statement = null;
     wire.open = false;
-    other.tell(g -> g.links().gone(link, wire.reader.rest()));
+    other.tell(g -> g.serverConnections().gone(link, wire.reader.rest()));
     other.flush();
     other.wait(150);
     assertFalse(statements(other).isEmpty(), "an idempotent write goes out again");
--- a/gateway/src/test/java/weldcross/gateway/ReadBatchTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ReadBatchTest.java
@@ -55,7 +55,7 @@
     deliver();
     assertTrue(w.outOn.containsKey("a901"));
     assertTrue(
-        !w.outOn.containsKey("a900") && !w.gateway.describe().contains("2 taken"),
+        !w.outOn.containsKey("a900") && !w.gateway.describe().contains("2 accepted"),
         w.gateway.describe());
   }
 
