--- a/gateway/src/main/java/weldcross/gateway/ClientStream.java
+++ b/gateway/src/main/java/weldcross/gateway/ClientStream.java
@@ -7,115 +7,121 @@
 import weldcross.pgwire.ClientMessageDecoder;
 
 /**
- * A client's stream. While it is not listened to it is read all the same, up to a bound, so that
- * its end is seen; after its last answer what it says is read and left, as a close over what is
- * unread resets the connection and takes that answer back.
+ * A client's stream. While decoding is paused, bytes are read all the same, up to a limit, so that
+ * the client's disconnect is seen. After the last response they are read and discarded, as closing
+ * a socket with unread bytes resets the connection and takes that response back.
  */
 final class ClientStream extends Stream {
 
-  /**
-   * So much of what it sends while it is not listened to is kept; with more, the network has to
-   * wait.
-   */
-  private static final int KEPT = 16_384;
+  /** With more bytes buffered while decoding is paused, reading stops. */
+  private static final int MAX_BUFFERED_BYTES = 16_384;
 
-  /** Of what was kept so much is told at a time, so that it may be stopped again. */
-  private static final int SLICE = 1_024;
+  /** Bytes of the buffer that are decoded at a time, so that decoding can be paused again. */
+  private static final int DECODE_SLICE_BYTES = 1_024;
 
-  /** So much is read of it after its last answer. */
-  private static final int LEFT = 1 << 18;
+  /** With more bytes discarded after the last response, reading stops. */
+  private static final int MAX_DISCARDED_BYTES = 1 << 18;
 
   private final long number;
-  private final ReadBatch round;
+  private final ReadBatch batch;
   private final GatheringIoProcessor processor;
-  private final ClientMessageDecoder reader;
-  private final ArrayDeque<ByteBuffer> kept = new ArrayDeque<>();
-  private int keptBytes, leftBytes;
-  private volatile boolean waits, over;
+  private final ClientMessageDecoder decoder;
+  private final ArrayDeque<ByteBuffer> buffered = new ArrayDeque<>();
+  private int bufferedBytes;
+  private int discardedBytes;
+  private volatile boolean paused;
+  private volatile boolean discarding;
 
+  /**
+   * Creates the stream of an accepted connection.
+   *
+   * @param number of the connection, positive
+   * @param clock the time since the gateway's start
+   */
   ClientStream(
-      long number, ReadBatch round, GatheringIoProcessor processor, Supplier<Duration> clock) {
+      long number, ReadBatch batch, GatheringIoProcessor processor, Supplier<Duration> clock) {
     this.number = number;
-    this.round = round;
+    this.batch = batch;
     this.processor = processor;
-    this.reader = Streams.client(event -> round.tell(number, event), round::tell, clock, number);
+    this.decoder =
+        Streams.client(event -> batch.addForClient(number, event), batch::add, clock, number);
   }
 
   @Override
   void opened() {
-    round.came(number);
+    batch.clientAccepted(number);
   }
 
   @Override
   void read(ByteBuffer in) {
-    if (over) {
-      kept.clear();
-      leftBytes += in.remaining();
-      if (leftBytes > LEFT) {
+    if (discarding) {
+      buffered.clear();
+      discardedBytes += in.remaining();
+      if (discardedBytes > MAX_DISCARDED_BYTES) {
         session.suspendRead();
       }
-    } else if (waits || !kept.isEmpty()) {
-      keptBytes += in.remaining();
-      kept.add(ByteBuffer.allocate(in.remaining()).put(in).flip());
-      if (keptBytes >= KEPT) {
+    } else if (paused || !buffered.isEmpty()) {
+      bufferedBytes += in.remaining();
+      buffered.add(ByteBuffer.allocate(in.remaining()).put(in).flip());
+      if (bufferedBytes >= MAX_BUFFERED_BYTES) {
         session.suspendRead();
       }
     } else {
-      reader.feed(in);
+      decoder.feed(in);
     }
   }
 
-  /** Whether what it says is told; called by the thread that asks. */
+  /** Pauses or resumes decoding; called by the gateway's thread. */
   void listen(boolean on) {
-    waits = !on;
+    paused = !on;
     if (on) {
-      processor.afterReading(this::goOn);
+      processor.afterReading(this::decodeBuffered);
     }
   }
 
-  private void goOn() {
-    ByteBuffer next = waits || over ? null : kept.peek();
+  private void decodeBuffered() {
+    ByteBuffer next = paused || discarding ? null : buffered.peek();
     if (next == null) {
       return;
     }
-    int size = Math.min(SLICE, next.remaining());
+    int size = Math.min(DECODE_SLICE_BYTES, next.remaining());
     try {
-      reader.feed(next.slice(next.position(), size));
+      decoder.feed(next.slice(next.position(), size));
     } catch (RuntimeException e) {
-      // As where it is read by MINA itself: what cannot be read on ends its connection.
-      broken = true;
+      // As where MINA itself calls read: a fault in the decoder closes the connection.
+      connectionFailed = true;
       session.closeNow();
       return;
     }
     next.position(next.position() + size);
-    keptBytes -= size;
+    bufferedBytes -= size;
     if (!next.hasRemaining()) {
-      kept.poll();
+      buffered.poll();
     }
-    if (keptBytes < KEPT) {
+    if (bufferedBytes < MAX_BUFFERED_BYTES) {
       session.resumeRead();
     }
-    processor.afterReading(this::goOn);
+    processor.afterReading(this::decodeBuffered);
   }
 
-  /** Whether it has said no more than so many messages, and nothing of another. */
+  /** Whether no more than so many messages were received, and no byte of another. */
   boolean isQuiet(int messages) {
-    return reader.told() <= messages && !reader.isWithin() && kept.isEmpty();
+    return decoder.told() <= messages && !decoder.isWithin() && buffered.isEmpty();
   }
 
-  /** Nothing that it says from now on counts; called by any thread. */
-  void endListening() {
-    over = true;
+  /** Discards all that is received from now on; may be called from any thread. */
+  void discardInput() {
+    discarding = true;
     session.resumeRead();
   }
 
   @Override
   void written() {
-    round.tell(number, g -> g.pipeline().responsesWritten(number));
+    batch.addForClient(number, g -> g.pipeline().responsesWritten(number));
   }
 
   @Override
-  void gone() {
-    round.went(number);
+  void closed() {
+    batch.clientDisconnected(number);
   }
 }
--- a/gateway/src/main/java/weldcross/gateway/EventLoop.java
+++ b/gateway/src/main/java/weldcross/gateway/EventLoop.java
@@ -9,68 +9,79 @@
 import java.util.logging.Logger;
 import java.util.stream.Collectors;
 
-/**
- * The one thread that makes a gateway's changes: what was posted, in its order, and what is due.
- */
+/** The one thread that makes a gateway's changes: posted events in their order, and timers. */
 final class EventLoop {
 
-  /** A turn that lasts longer is told while it lasts: until it ends nobody is answered. */
-  private static final Duration LONG_TURN = Duration.ofSeconds(2);
+  /** An iteration that takes longer is logged while it lasts: until it ends nobody is answered. */
+  private static final Duration STALL_THRESHOLD = Duration.ofSeconds(2);
 
-  /** Of the place where it stands, so many calls are told. */
-  private static final int PLACE = 8;
+  /** Number of stack frames that are logged of a stalled iteration. */
+  private static final int LOGGED_FRAMES = 8;
 
   private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
 
   private final LinkedBlockingQueue<Gateway.Event> posted = new LinkedBlockingQueue<>();
   private final Supplier<Duration> clock;
 
-  /** When the turn under way began; null between turns. */
-  private volatile Duration turnBegan;
+  /** When the iteration under way began; null between iterations. */
+  private volatile Duration iterationBegan;
 
-  private Duration told;
+  /** The beginning of the last iteration that was logged as stalled; null if none was. */
+  private Duration loggedStall;
 
+  /**
+   * Creates an event loop, which does nothing until it is run.
+   *
+   * @param clock the time since the gateway's start
+   */
   EventLoop(Supplier<Duration> clock) {
     this.clock = clock;
   }
 
+  /** Adds an event; may be called from any thread. */
   void post(Gateway.Event event) {
     posted.add(event);
   }
 
-  /** Makes all changes that have come or are due, without waiting for more. */
+  /** Handles all events that were posted and all timers that are due, without waiting for more. */
   void catchUp(Gateway gateway) {
     for (Gateway.Event event = posted.poll(); event != null; event = posted.poll()) {
       gateway.reduce(clock.get(), event);
     }
-    makeDue(gateway);
+    runDueTimers(gateway);
   }
 
   /**
-   * Tells of the turn under way if it is a long one, once, with the place where its thread stands.
+   * Logs the iteration under way if it takes long, once, with the stack of its thread. Called
+   * periodically, by one other thread.
+   *
+   * @param loopThread the thread that runs the loop
    */
-  void lookAtTurn(Thread turning) {
-    Duration began = turnBegan;
-    if (began != null && !began.equals(told) && clock.get().minus(began).compareTo(LONG_TURN) > 0) {
-      told = began;
-      List<StackTraceElement> place = Arrays.asList(turning.getStackTrace());
-      LOG.warning(
-          () ->
-              "one turn has lasted over "
-                  + LONG_TURN.toMillis()
-                  + " ms, nobody is answered: "
-                  + place.stream()
-                      .limit(PLACE)
-                      .map(StackTraceElement::toString)
-                      .collect(Collectors.joining(" < ")));
+  void logStall(Thread loopThread) {
+    Duration began = iterationBegan;
+    if (began == null
+        || began.equals(loggedStall)
+        || clock.get().minus(began).compareTo(STALL_THRESHOLD) <= 0) {
+      return;
     }
+    loggedStall = began;
+    List<StackTraceElement> stack = Arrays.asList(loopThread.getStackTrace());
+    LOG.warning(
+        () ->
+            "event loop stalled, nobody is answered: overMillis="
+                + STALL_THRESHOLD.toMillis()
+                + " stack="
+                + stack.stream()
+                    .limit(LOGGED_FRAMES)
+                    .map(StackTraceElement::toString)
+                    .collect(Collectors.joining(" < ")));
   }
 
   /**
-   * What is due when this begins, and no more: what asks for itself again waits its turn behind
-   * what comes.
+   * Runs the timers that are due when this begins, and no more: a timer that adds itself again is
+   * run after the events that were posted meanwhile.
    */
-  private void makeDue(Gateway gateway) {
+  private void runDueTimers(Gateway gateway) {
     Duration until = clock.get();
     for (Duration at = until; gateway.reduceNextDue(until, at); ) {
       at = clock.get();
@@ -78,21 +89,23 @@
   }
 
   /**
-   * Returns when the gateway has stopped; a fault in it comes out, as a process that only seems
-   * alive is worse.
+   * Runs until the gateway has stopped. A fault in it is thrown, as a process that only seems alive
+   * is worse than none.
+   *
+   * @throws InterruptedException if the thread is interrupted while it waits for events
    */
   void run(Gateway gateway) throws InterruptedException {
     while (gateway.phase() != Gateway.Phase.STOPPED) {
       Duration next = gateway.nextDue();
       long nanos = next == null ? Long.MAX_VALUE : next.minus(clock.get()).toNanos();
       Gateway.Event event = nanos <= 0 ? posted.poll() : posted.poll(nanos, TimeUnit.NANOSECONDS);
-      turnBegan = clock.get();
-      // What has come already comes before what is due: it may be what was waited for.
+      iterationBegan = clock.get();
+      // Posted events go before timers: an event may be what a timer waited for.
       for (int left = posted.size(); event != null; event = left-- > 0 ? posted.poll() : null) {
         gateway.reduce(clock.get(), event);
       }
-      makeDue(gateway);
-      turnBegan = null;
+      runDueTimers(gateway);
+      iterationBegan = null;
     }
   }
 }
--- a/gateway/src/main/java/weldcross/gateway/GatewayProcess.java
+++ b/gateway/src/main/java/weldcross/gateway/GatewayProcess.java
@@ -20,21 +20,18 @@
 import weldcross.extension.GatewayExtension;
 
 /**
- * One gateway as a process: its clock, its thread, and the signals that end it or have it read its
- * terms.
+ * One gateway as a process: its clock, its threads, and the signals that stop it (TERM, INT) or
+ * have it read its configuration again (HUP).
  */
 public final class GatewayProcess {
 
-  /**
-   * The status of a process that broke, apart from those of a faulty command line or configuration.
-   */
-  private static final int BROKEN = 70;
+  /** Exit status after a fault, distinct from those of a wrong command line or configuration. */
+  private static final int FAULT_STATUS = 70;
 
-  /** RPCs after which what an RPC calls is compiled; the JVM does that after some 200 calls. */
-  private static final int WARM_UP = 200;
+  /** The JVM compiles a method after some 200 calls. */
+  private static final int WARM_UP_REQUESTS = 200;
 
-  /** In milliseconds. */
-  private static final long LOOK_APART = 1000;
+  private static final long STALL_CHECK_INTERVAL_MILLIS = 1000;
 
   private static final Logger LOG = Logger.getLogger(GatewayProcess.class.getName());
 
@@ -42,99 +39,120 @@
   private final MinaTransport transport;
   private final Gateway gateway;
 
-  GatewayProcess(GatewayConfig terms) {
-    this(terms, List.of(), Instant::now);
+  GatewayProcess(GatewayConfig config) {
+    this(config, List.of(), Instant::now);
   }
 
   /**
-   * @param readWall the wall clock, read once
+   * Creates a gateway, which starts when it is served.
+   *
+   * @param extensions in the order of their start
+   * @param wallClock read once
    */
-  GatewayProcess(GatewayConfig terms, List<GatewayExtension> parts, Supplier<Instant> readWall) {
-    // First the zero, then the wall: what passes between the two makes all data look older than it
-    // is.
-    // The other way round it would look fresher, and reads past their bound would go out (rule 5).
+  GatewayProcess(
+      GatewayConfig config, List<GatewayExtension> extensions, Supplier<Instant> wallClock) {
+    // The monotonic clock is read first: what passes between the two readings makes all data look
+    // older than it is. In the other order it would look fresher, and reads past their staleness
+    // bound would be sent.
     long zero = System.nanoTime();
-    Instant wall = readWall.get();
+    Instant wall = wallClock.get();
     Supplier<Duration> clock = () -> Duration.ofNanos(System.nanoTime() - zero);
     loop = new EventLoop(clock);
-    transport = new MinaTransport(loop, clock, terms.sockets() * 3 / 4);
+    // Three quarters of the descriptors are for connections of clients and servers.
+    transport = new MinaTransport(loop, clock, config.sockets() * 3 / 4);
     gateway =
-        new Gateway(terms, transport, Duration.ofSeconds(wall.getEpochSecond(), wall.getNano()));
-    if (parts.isEmpty()) {
+        new Gateway(config, transport, Duration.ofSeconds(wall.getEpochSecond(), wall.getNano()));
+    if (extensions.isEmpty()) {
       loop.post(Gateway::start);
     } else {
-      parts.forEach(gateway::addExtension);
-      ExtensionContext seam = ExtensionHost.context(gateway, loop::post);
-      loop.post(g -> g.start(seam));
+      extensions.forEach(gateway::addExtension);
+      ExtensionContext context = ExtensionHost.context(gateway, loop::post);
+      loop.post(g -> g.start(context));
     }
   }
 
   /**
-   * Serves until the process is asked to end; returns the status to exit with.
+   * Serves without extensions until the process is asked to stop.
    *
-   * @param reader reads the terms, now and whenever the process is told to read them again
-   * @param begun is handed the service before it serves
+   * @param reader reads the configuration, now and at each SIGHUP
+   * @param started is handed the process before it serves
+   * @return the exit status: 0 after a stop, 70 after a fault
+   * @throws InvalidConfigException if the configuration cannot be used at the start
    */
-  public static int run(Supplier<GatewayConfig> reader, Consumer<GatewayProcess> begun) {
-    return run(reader, terms -> List.of(), Instant::now, begun);
+  public static int run(Supplier<GatewayConfig> reader, Consumer<GatewayProcess> started) {
+    return run(reader, config -> List.of(), Instant::now, started);
   }
 
   /**
-   * The same with parts that join.
+   * Serves with extensions until the process is asked to stop.
    *
-   * @param parts makes them of the gateway's terms, once
-   * @param readWall the wall clock, read once
+   * @param reader reads the configuration, now and at each SIGHUP
+   * @param extensions creates the extensions from the gateway's configuration; called once
+   * @param wallClock read once
+   * @param started is handed the process before it serves
+   * @return the exit status: 0 after a stop, 70 after a fault
+   * @throws InvalidConfigException if the configuration cannot be used at the start
    */
   public static int run(
       Supplier<GatewayConfig> reader,
-      Function<GatewayConfig, List<GatewayExtension>> parts,
-      Supplier<Instant> readWall,
-      Consumer<GatewayProcess> begun) {
-    GatewayConfig terms = reader.get();
-    List<GatewayExtension> joining = parts.apply(terms);
-    JitWarmUp.play(terms, WARM_UP);
-    GatewayProcess service = new GatewayProcess(terms, joining, readWall);
-    // Each signal has a thread of its own.
-    if (Signal.handle(new Signal("HUP"), signal -> service.reload(reader))
-        == SignalHandler.SIG_IGN) {
+      Function<GatewayConfig, List<GatewayExtension>> extensions,
+      Supplier<Instant> wallClock,
+      Consumer<GatewayProcess> started) {
+    GatewayConfig config = reader.get();
+    List<GatewayExtension> created = extensions.apply(config);
+    JitWarmUp.play(config, WARM_UP_REQUESTS);
+    GatewayProcess process = new GatewayProcess(config, created, wallClock);
+    process.handleSignals(reader);
+    started.accept(process);
+    return process.serve();
+  }
+
+  private void handleSignals(Supplier<GatewayConfig> reader) {
+    // Each signal is handled on a thread of its own.
+    SignalHandler before = Signal.handle(new Signal("HUP"), signal -> reload(reader));
+    if (before == SignalHandler.SIG_IGN) {
       LOG.warning(
-          "SIGHUP is ignored from the start, as under nohup: a new configuration is not heard of");
+          "SIGHUP is ignored from the start, as under nohup: the configuration cannot be reloaded");
     }
-    // Not a shutdown hook: by then the log is closed already, and the status is that of a killed
-    // process.
-    Signal.handle(new Signal("TERM"), signal -> service.stop());
-    Signal.handle(new Signal("INT"), signal -> service.stop());
-    begun.accept(service);
-    return service.serve();
+    // Not a shutdown hook: by then the log is closed, and the status is that of a killed process.
+    Signal.handle(new Signal("TERM"), signal -> stop());
+    Signal.handle(new Signal("INT"), signal -> stop());
   }
 
-  /** Returns with the status to exit with: when it has stopped, or when it broke. */
+  /** Serves until the gateway has stopped or a fault has ended it; returns the exit status. */
   int serve() {
-    Thread turning = Thread.currentThread();
-    Timer looks = new Timer("turns", true);
-    looks.schedule(
-        new TimerTask() {
-          @Override
-          public void run() {
-            loop.lookAtTurn(turning);
-          }
-        },
-        LOOK_APART,
-        LOOK_APART);
+    Timer stallChecks = startStallChecks(Thread.currentThread());
     try {
       loop.run(gateway);
       transport.end();
       return 0;
     } catch (Throwable e) {
-      // Its sockets end with the process: MINA's end waits for a thread that may be what broke.
-      LOG.log(Level.SEVERE, "the gateway broke", e);
-      return BROKEN;
+      // Its sockets end with the process: MINA's end waits for a thread that may be at fault.
+      LOG.log(Level.SEVERE, "gateway ended by a fault", e);
+      return FAULT_STATUS;
     } finally {
-      looks.cancel();
+      stallChecks.cancel();
     }
   }
 
-  /** One after the other: what is posted last was read last. */
+  private Timer startStallChecks(Thread loopThread) {
+    Timer timer = new Timer("stall-checks", true);
+    timer.schedule(
+        new TimerTask() {
+          @Override
+          public void run() {
+            loop.logStall(loopThread);
+          }
+        },
+        STALL_CHECK_INTERVAL_MILLIS,
+        STALL_CHECK_INTERVAL_MILLIS);
+    return timer;
+  }
+
+  /**
+   * Reads the configuration again. Synchronized so that configurations are posted in the order
+   * read.
+   */
   synchronized void reload(Supplier<GatewayConfig> reader) {
     try {
       GatewayConfig next = reader.get();
@@ -144,11 +162,12 @@
     }
   }
 
+  /** Requests a stop; may be called from any thread. */
   void stop() {
     loop.post(Gateway::stop);
   }
 
-  /** The address that clients connect to, once there is one. */
+  /** Returns the address that clients connect to, completed once the gateway listens. */
   CompletableFuture<InetSocketAddress> listening() {
     return transport.listening();
   }
--- a/gateway/src/main/java/weldcross/gateway/JitWarmUp.java
+++ b/gateway/src/main/java/weldcross/gateway/JitWarmUp.java
@@ -15,64 +15,69 @@
 import weldcross.pgwire.ServerMessageDecoder;
 
 /**
- * Plays RPCs to a gateway of its own in memory, without sockets and on a clock moved by hand,
- * before the real one is ready: the JVM compiles what is called often, and until it has, each RPC
- * costs many times as much.
+ * Has the JVM compile the request path before the real gateway is ready, as each request costs many
+ * times as much until then: plays requests to a gateway of its own in memory, without sockets and
+ * on a clock moved by hand.
  */
 final class JitWarmUp implements Transport {
 
-  private static final Duration APART = Duration.ofMillis(3);
-  private static final long ONLY_CLIENT = 1;
-  private static final byte[] NOTHING_NEW =
+  private static final Duration REQUEST_INTERVAL = Duration.ofMillis(3);
+
+  /** The number of the only client's connection. */
+  private static final long CLIENT = 1;
+
+  /** Length of a typed message's header: the type and a length of four bytes. */
+  private static final int HEADER_BYTES = 5;
+
+  private static final byte[] NO_CHANGES =
       "{\"revision\":0,\"complete\":false,\"members\":[]}".getBytes(StandardCharsets.US_ASCII);
 
-  /** Held, as a logger that nothing holds may lose its level. */
+  /** Kept, as a logger that is not referenced may lose its level. */
   private final Logger log = Logger.getLogger(Gateway.class.getPackageName());
 
   private final EventLoop loop = new EventLoop(() -> this.now);
   private final Map<Long, ServerMessageDecoder> servers = new HashMap<>();
   private final ClientMessageDecoder client =
-      Streams.client(loop::post, loop::post, () -> this.now, ONLY_CLIENT);
+      Streams.client(loop::post, loop::post, () -> this.now, CLIENT);
   private final Gateway gateway;
   private Duration now = Duration.ZERO;
   private int served;
 
-  private JitWarmUp(GatewayConfig terms) {
-    gateway = new Gateway(terms, this, Duration.ZERO);
+  private JitWarmUp(GatewayConfig config) {
+    gateway = new Gateway(config, this, Duration.ZERO);
   }
 
-  /** Returns how many were served. */
-  static int play(GatewayConfig terms, int rpcs) {
-    JitWarmUp warmUp = new JitWarmUp(terms.alone(1, 2, 3, 4));
+  /** Plays pairs of a read and a write, of which one is served; returns how many were served. */
+  static int play(GatewayConfig config, int requests) {
+    JitWarmUp warmUp = new JitWarmUp(config.alone(1, 2, 3, 4));
     Level level = warmUp.log.getLevel();
     warmUp.log.setLevel(Level.OFF);
     try {
-      warmUp.play(terms.methods(), rpcs);
+      warmUp.play(config.methods(), requests);
     } finally {
       warmUp.log.setLevel(level);
     }
     return warmUp.served;
   }
 
-  private void play(List<String> methods, int rpcs) {
+  private void play(List<String> requestClasses, int requests) {
     loop.post(Gateway::start);
-    loop.post(g -> g.clients().accepted(ONLY_CLIENT));
+    loop.post(g -> g.clients().accepted(CLIENT));
     client.feed(MessageEncoder.startup());
-    for (int k = 0; k < rpcs; k++) {
-      String comment =
-          " /* id=" + k + ",c=" + methods.get(k % methods.size()) + ",d=900,cluster=0 */";
-      // One of the two is turned away, as it does not go with the method.
+    for (int k = 0; k < requests; k++) {
+      String requestClass = requestClasses.get(k % requestClasses.size());
+      String comment = " /* id=" + k + ",c=" + requestClass + ",d=900,cluster=0 */";
+      // One of the two is rejected, as it is not of the request class.
       client.feed(
           MessageEncoder.query("SELECT content FROM kv WHERE name = 'k" + k + "'" + comment));
       client.feed(
           MessageEncoder.query(
               "INSERT INTO kv (name, content) VALUES ('k"
                   + k
-                  + "', '\\x00') "
-                  + "RETURNING content"
+                  + "', '\\x00') RETURNING content"
                   + comment));
       loop.catchUp(gateway);
-      now = now.plus(APART);
+      now = now.plus(REQUEST_INTERVAL);
     }
   }
 
@@ -92,25 +97,30 @@
       return true;
     }
     server.ask();
-    // The startup message has no type; of queries the first two letters tell which it is.
-    ByteBuffer text = parts[0].remaining() > 5 ? parts[0].slice(5, 2) : parts[1];
-    long unix = now.toMillis();
-    server.feed(
-        ByteBuffer.wrap(
-            parts[0].get(0) != 'Q'
-                ? MessageEncoder.welcome().array()
-                : text.get(1) == 'H'
-                    ? MessageEncoder.row(
-                        "x0=" + unix / 1000 + "." + unix % 1000 + ",x1=1", "SHOW", unix)
-                    : MessageEncoder.row(
-                        "v", text.get(0) == 'I' ? "INSERT 0 1" : "SELECT 1", unix)));
+    server.feed(ByteBuffer.wrap(response(parts)));
     return true;
   }
 
+  private byte[] response(ByteBuffer... request) {
+    // The startup message has no type.
+    if (request[0].get(0) != 'Q') {
+      return MessageEncoder.welcome().array();
+    }
+    // The first two letters of a query tell which it is.
+    ByteBuffer query =
+        request[0].remaining() > HEADER_BYTES ? request[0].slice(HEADER_BYTES, 2) : request[1];
+    long unixMillis = now.toMillis();
+    if (query.get(1) == 'H') {
+      String report = "x0=" + unixMillis / 1000 + "." + unixMillis % 1000 + ",x1=1";
+      return MessageEncoder.row(report, "SHOW", unixMillis);
+    }
+    return MessageEncoder.row("v", query.get(0) == 'I' ? "INSERT 0 1" : "SELECT 1", unixMillis);
+  }
+
   @Override
-  public void dialServer(long link, InetSocketAddress to) {
-    servers.put(link, Streams.server(loop::post, link));
-    loop.post(g -> g.serverConnections().up(link));
+  public void dialServer(long connection, InetSocketAddress to) {
+    servers.put(connection, Streams.server(loop::post, connection));
+    loop.post(g -> g.serverConnections().up(connection));
   }
 
   @Override
@@ -119,9 +129,9 @@
   }
 
   @Override
-  public void dialDiscovery(long link, InetSocketAddress to) {
-    loop.post(g -> g.discovery().up(link));
-    loop.post(g -> g.discovery().answered(link, 200, NOTHING_NEW));
+  public void dialDiscovery(long connection, InetSocketAddress to) {
+    loop.post(g -> g.discovery().up(connection));
+    loop.post(g -> g.discovery().answered(connection, 200, NO_CHANGES));
   }
 
   @Override
--- a/gateway/src/main/java/weldcross/gateway/MinaTransport.java
+++ b/gateway/src/main/java/weldcross/gateway/MinaTransport.java
@@ -74,7 +74,7 @@
               return thread;
             });
     round = new ReadBatch(loop::post);
-    processor = new GatheringIoProcessor(threads, round::end);
+    processor = new GatheringIoProcessor(threads, round::postAll);
     connector = new NioSocketConnector(threads, processor);
     dials = new CancellableConnector(connector);
     // A dial that is under way holds a descriptor as well.
@@ -161,7 +161,7 @@
             }
 
             @Override
-            void gone() {
+            void closed() {
               if (open.decrementAndGet() == 0) {
                 loop.post(Gateway::warmed);
               }
@@ -239,9 +239,9 @@
         why -> {
           if (why.getClass() == SocketException.class) {
             // Refused, unreachable and overdue have exceptions of their own kind.
-            stream.dialReset();
+            stream.resetOnConnect();
           } else {
-            stream.notReached();
+            stream.connectFailed();
           }
         });
   }
@@ -260,10 +260,10 @@
     Stream stream = (Stream) session.getAttribute(STREAM);
     stream.writing();
     // Where nothing else waits to go out no other thread has to be woken for it.
-    if (stream.unwritten.get() == 0 && GatheringIoProcessor.writeNow(session, parts)) {
+    if (stream.pendingWrites.get() == 0 && GatheringIoProcessor.writeNow(session, parts)) {
       return true;
     }
-    stream.unwritten.incrementAndGet();
+    stream.pendingWrites.incrementAndGet();
     session.write(new CompositeBuffer(parts));
     return false;
   }
@@ -290,10 +290,10 @@
               session == null ? null : (ClientStream) session.getAttribute(STREAM);
           boolean quiet = stream == null || stream.isQuiet(messages);
           if (stream != null && quiet) {
-            stream.endListening();
+            stream.discardInput();
             GatheringIoProcessor.endSending(session);
           }
-          round.tell(g -> g.clients().closeDecided(connection, quiet));
+          round.add(g -> g.clients().closeDecided(connection, quiet));
         });
   }
 
@@ -315,8 +315,8 @@
     IoSession session = sessions.get(connection);
     if (session != null) {
       ClientStream stream = (ClientStream) session.getAttribute(STREAM);
-      stream.endListening();
-      stream.last = true;
+      stream.discardInput();
+      stream.closeAfterWrite = true;
       endIfOut(session, stream);
     }
   }
@@ -326,17 +326,17 @@
    * here.
    */
   private static void endIfOut(IoSession session, Stream stream) {
-    if (stream.last && stream.unwritten.get() == 0) {
+    if (stream.closeAfterWrite && stream.pendingWrites.get() == 0) {
       GatheringIoProcessor.endSending(session);
     }
   }
 
   private Stream server(long number) {
-    ServerMessageDecoder reader = Streams.server(round::heard, number);
+    ServerMessageDecoder reader = Streams.server(round::addForServer, number);
     return new Stream() {
       @Override
       void opened() {
-        round.heard(g -> g.serverConnections().up(number));
+        round.addForServer(g -> g.serverConnections().up(number));
       }
 
       @Override
@@ -351,21 +351,21 @@
 
       @Override
       void written() {
-        round.heard(g -> g.serverConnections().written(number));
+        round.addForServer(g -> g.serverConnections().written(number));
       }
 
       @Override
-      void gone() {
-        round.heard(g -> g.serverConnections().gone(number, reader.rest()));
+      void closed() {
+        round.addForServer(g -> g.serverConnections().gone(number, reader.rest()));
       }
 
       @Override
-      void notReached() {
+      void connectFailed() {
         loop.post(g -> g.serverConnections().gone(number, null));
       }
 
       @Override
-      void dialReset() {
+      void resetOnConnect() {
         loop.post(g -> g.serverConnections().dialReset(number));
       }
     };
@@ -390,8 +390,8 @@
       }
 
       @Override
-      void gone() {
-        if (!broken) {
+      void closed() {
+        if (!connectionFailed) {
           reader.ended();
         }
         loop.post(g -> g.discovery().gone(number));
@@ -419,7 +419,7 @@
     @Override
     public void messageSent(IoSession session, Object message) {
       Stream stream = stream(session);
-      stream.unwritten.decrementAndGet();
+      stream.pendingWrites.decrementAndGet();
       endIfOut(session, stream);
       stream.written();
     }
@@ -427,13 +427,13 @@
     @Override
     public void sessionClosed(IoSession session) {
       sessions.remove((Long) session.getAttribute(NUMBER));
-      stream(session).gone();
+      stream(session).closed();
     }
 
     @Override
     public void exceptionCaught(IoSession session, Throwable cause) {
       // A peer's nonsense, or a broken network: the connection ends and its end is told.
-      stream(session).broken = true;
+      stream(session).connectionFailed = true;
       LOG.fine(() -> "connection ended: " + cause);
       session.closeNow();
     }
--- a/gateway/src/main/java/weldcross/gateway/ReadBatch.java
+++ b/gateway/src/main/java/weldcross/gateway/ReadBatch.java
@@ -7,70 +7,81 @@
 import java.util.function.Consumer;
 
 /**
- * What one round of reading has brought, told as a whole when it ends: first which clients have
- * gone, all of them as one event, then what the servers have said, then the others, each in its
- * order. Told as it is read, what a client asked before it went would be begun for nobody, and so
- * would what is held for the last of many that go together; and a read might be begun before the
- * answer to its session's write that had come earlier, as the sockets of a round are read in no
- * order.
+ * Events of one pass over all readable sockets, posted together when it ends: first the clients
+ * that disconnected, all as one event, then events of servers, then all others, each in its order.
  *
- * <p>Called by the processor's thread; synchronized for the rare end that another thread finds.
+ * <p>Posted as it is read, a request of a client that disconnects in the same pass would be started
+ * for nobody, and so would a request queued for the last of many clients that disconnect together.
+ * And a read could be started before the response to its session's write that was received earlier,
+ * as the sockets of a pass are read in no order.
+ *
+ * <p>Called by the thread that reads; synchronized as connections are rarely closed by others.
  */
 final class ReadBatch {
 
-  private record Told(long client, Gateway.Event event) {}
+  /** Stands for no client: real numbers of clients are positive. */
+  private static final long NO_CLIENT = 0;
+
+  private record ClientEvent(long client, Gateway.Event event) {}
 
   private final Consumer<Gateway.Event> post;
-  private final List<Gateway.Event> heard = new ArrayList<>();
-  private final List<Told> told = new ArrayList<>();
-  private final Set<Long> came = new LinkedHashSet<>(), went = new LinkedHashSet<>();
+  private final List<Gateway.Event> serverEvents = new ArrayList<>();
+  private final List<ClientEvent> otherEvents = new ArrayList<>();
+  private final Set<Long> accepted = new LinkedHashSet<>();
+  private final Set<Long> disconnected = new LinkedHashSet<>();
 
   /**
+   * Creates an empty batch.
+   *
    * @param post takes the events, from any thread
    */
   ReadBatch(Consumer<Gateway.Event> post) {
     this.post = post;
   }
 
-  synchronized void came(long client) {
-    came.add(client);
-    tell(client, g -> g.clients().accepted(client));
+  /** A client's connection was accepted. */
+  synchronized void clientAccepted(long client) {
+    accepted.add(client);
+    addForClient(client, g -> g.clients().accepted(client));
   }
 
-  synchronized void went(long client) {
-    went.add(client);
+  /** A client's connection was closed by the client, or was lost. */
+  synchronized void clientDisconnected(long client) {
+    disconnected.add(client);
   }
 
-  /**
-   * Something that a client has said; it is told to nobody if the client goes in the same round.
-   */
-  synchronized void tell(long client, Gateway.Event event) {
-    told.add(new Told(client, event));
+  /** Adds an event of one client; left out if the client disconnects in the same pass. */
+  synchronized void addForClient(long client, Gateway.Event event) {
+    otherEvents.add(new ClientEvent(client, event));
   }
 
-  /** Something that a server's connection has brought. */
-  synchronized void heard(Gateway.Event event) {
-    heard.add(event);
+  /** Adds an event of a connection to a server. */
+  synchronized void addForServer(Gateway.Event event) {
+    serverEvents.add(event);
   }
 
-  /** Something else, which is told whoever goes. */
-  synchronized void tell(Gateway.Event event) {
-    told.add(new Told(0, event));
+  /** Adds an event that counts whichever client disconnects. */
+  synchronized void add(Gateway.Event event) {
+    otherEvents.add(new ClientEvent(NO_CLIENT, event));
   }
 
-  synchronized void end() {
-    if (went.isEmpty() && heard.isEmpty() && told.isEmpty()) {
+  /** Posts all events of the pass, and begins the next. */
+  synchronized void postAll() {
+    if (disconnected.isEmpty() && serverEvents.isEmpty() && otherEvents.isEmpty()) {
       return;
     }
-    List<Long> gone = went.stream().filter(c -> !came.contains(c)).toList();
+    // Whoever was accepted in the same pass is unknown to the gateway.
+    List<Long> gone = disconnected.stream().filter(client -> !accepted.contains(client)).toList();
     if (!gone.isEmpty()) {
       post.accept(g -> gone.forEach(g.clients()::disconnected));
     }
-    heard.forEach(post);
-    heard.clear();
-    told.stream().filter(t -> !went.contains(t.client)).forEach(t -> post.accept(t.event));
-    told.clear();
-    came.clear();
-    went.clear();
+    serverEvents.forEach(post);
+    serverEvents.clear();
+    otherEvents.stream()
+        .filter(other -> !disconnected.contains(other.client))
+        .forEach(other -> post.accept(other.event));
+    otherEvents.clear();
+    accepted.clear();
+    disconnected.clear();
   }
 }
--- a/gateway/src/main/java/weldcross/gateway/SelfTest.java
+++ b/gateway/src/main/java/weldcross/gateway/SelfTest.java
@@ -1,6 +1,7 @@
 package weldcross.gateway;
 
 import java.io.DataInputStream;
+import java.io.EOFException;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.InetAddress;
@@ -14,65 +15,77 @@
 import weldcross.pgwire.MessageEncoder;
 
 /**
- * One short life of a gateway on loopback ports of its own, with a stand-in for a server and one
- * for discovery: started, asked a few times, told to read its terms again, stopped. The build
- * archives the classes that it loads, as a gateway restarted in mid-day serves nobody while they
- * load; by hand it shows that a configuration starts.
+ * Runs a gateway on loopback ports of its own, with a fake server and a fake discovery: starts it,
+ * sends it some requests, has it reload its configuration and stops it. The build archives the
+ * classes that it loads, as a restarted gateway serves nobody while they load; by hand it shows
+ * that a configuration starts.
  */
 public final class SelfTest {
 
   private static final int ROUNDS = 8;
+  private static final int ACCEPT_BACKLOG = 50;
 
-  /** What a stand-in does with one connection. */
-  private interface Step {
-    void play(DataInputStream in, OutputStream out) throws IOException;
+  /** Serves one connection to a fake. */
+  private interface ConnectionHandler {
+    void handle(DataInputStream in, OutputStream out) throws IOException;
+  }
+
+  private interface IoTask {
+    void run() throws IOException;
   }
 
   private SelfTest() {}
 
-  /** Returns the status with which the gateway ended. */
-  public static int run(GatewayConfig terms) throws IOException {
-    try (ServerSocket server = standIn(SelfTest::serve);
-        ServerSocket discovery = standIn((in, out) -> list(in, out, server.getLocalPort()))) {
-      GatewayConfig alone = terms.alone(discovery.getLocalPort(), server.getLocalPort());
+  /**
+   * Runs the self-test.
+   *
+   * @param config the configuration to start with; its addresses are replaced
+   * @return the exit status of the gateway, see {@link GatewayProcess}
+   * @throws IOException if the fakes cannot listen on the loopback
+   */
+  public static int run(GatewayConfig config) throws IOException {
+    try (ServerSocket server = startFake(SelfTest::serve);
+        ServerSocket discovery =
+            startFake((in, out) -> listEndpoints(in, out, server.getLocalPort()))) {
+      GatewayConfig isolated = config.alone(discovery.getLocalPort(), server.getLocalPort());
       return GatewayProcess.run(
-          () -> alone, service -> new Thread(() -> rehearse(service, alone)).start());
+          () -> isolated, process -> new Thread(() -> exercise(process, isolated)).start());
     }
   }
 
-  private static void rehearse(GatewayProcess service, GatewayConfig terms) {
-    InetSocketAddress at = service.listening().join();
+  private static void exercise(GatewayProcess process, GatewayConfig config) {
+    InetSocketAddress address = process.listening().join();
     for (int round = 0; round < ROUNDS; round++) {
-      try (Socket client = new Socket(at.getAddress(), at.getPort())) {
-        DataInputStream in = new DataInputStream(client.getInputStream());
-        ask(client, in, MessageEncoder.startup());
-        while (ask(client, in, MessageEncoder.query("")) != 'I') {
-          Thread.onSpinWait();
-        }
-        for (String method : terms.methods()) {
-          String comment = " /* id=" + method + ",c=" + method + ",d=900,cluster=0 */";
-          ask(
-              client,
-              in,
-              MessageEncoder.query("SELECT content FROM kv WHERE name = 'k'" + comment));
-          ask(
-              client,
-              in,
-              MessageEncoder.query(
-                  "INSERT INTO kv (name, content) VALUES ('k', '\\x00') "
-                      + "RETURNING content"
-                      + comment));
-        }
+      try (Socket client = new Socket(address.getAddress(), address.getPort())) {
+        sendRequests(client, config);
       } catch (IOException e) {
-        throw new IllegalStateException("the rehearsal broke off", e);
+        throw new IllegalStateException(
+            "self-test: connection to the gateway failed: address=" + address, e);
       }
     }
-    service.reload(() -> terms);
-    service.stop();
+    process.reload(() -> config);
+    process.stop();
+  }
+
+  private static void sendRequests(Socket client, GatewayConfig config) throws IOException {
+    DataInputStream in = new DataInputStream(client.getInputStream());
+    exchange(client, in, MessageEncoder.startup());
+    while (exchange(client, in, MessageEncoder.query("")) != 'I') {
+      Thread.onSpinWait();
+    }
+    for (String requestClass : config.methods()) {
+      String comment = " /* id=" + requestClass + ",c=" + requestClass + ",d=900,cluster=0 */";
+      String read = "SELECT content FROM kv WHERE name = 'k'" + comment;
+      String write =
+          "INSERT INTO kv (name, content) VALUES ('k', '\\x00') RETURNING content" + comment;
+      exchange(client, in, MessageEncoder.query(read));
+      exchange(client, in, MessageEncoder.query(write));
+    }
   }
 
-  /** Reads on to ReadyForQuery; returns the type of the first message. */
-  private static int ask(Socket client, DataInputStream in, ByteBuffer message) throws IOException {
+  /** Sends a message and reads on to ReadyForQuery; returns the type of the first message. */
+  private static int exchange(Socket client, DataInputStream in, ByteBuffer message)
+      throws IOException {
     client.getOutputStream().write(message.array(), message.position(), message.remaining());
     int first = 0;
     byte type;
@@ -84,15 +97,15 @@
     return first;
   }
 
-  private static ServerSocket standIn(Step part) throws IOException {
-    ServerSocket socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    thread(
+  private static ServerSocket startFake(ConnectionHandler handler) throws IOException {
+    ServerSocket socket = new ServerSocket(0, ACCEPT_BACKLOG, InetAddress.getLoopbackAddress());
+    startThread(
         () -> {
           while (true) {
             Socket connection = socket.accept();
-            thread(
+            startThread(
                 () ->
-                    part.play(
+                    handler.handle(
                         new DataInputStream(connection.getInputStream()),
                         connection.getOutputStream()));
           }
@@ -100,27 +113,23 @@
     return socket;
   }
 
-  private interface Steps {
-    void run() throws IOException;
-  }
-
-  private static void thread(Steps steps) {
+  private static void startThread(IoTask task) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                steps.run();
-              } catch (SocketException | java.io.EOFException e) {
+                task.run();
+              } catch (SocketException | EOFException e) {
                 // The other side is done.
               } catch (IOException e) {
-                throw new IllegalStateException(e);
+                throw new IllegalStateException("self-test: a fake failed", e);
               }
             });
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** A primary whose every value is one byte. */
+  /** Serves as a primary whose every value is one byte. */
   private static void serve(DataInputStream in, OutputStream out) throws IOException {
     in.readFully(new byte[in.readInt() - Integer.BYTES]);
     out.write(MessageEncoder.welcome().array());
@@ -137,8 +146,9 @@
     }
   }
 
-  /** The whole list, then a watch in which nothing changes. */
-  private static void list(DataInputStream in, OutputStream out, int server) throws IOException {
+  /** Serves the complete endpoint list, then a watch in which nothing changes. */
+  private static void listEndpoints(DataInputStream in, OutputStream out, int server)
+      throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.indexOf("\r\n\r\n") < 0) {
       head.append((char) in.readByte());
@@ -152,7 +162,7 @@
       out.write(
           ("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
               .getBytes(StandardCharsets.US_ASCII));
-      list(in, out, server);
+      listEndpoints(in, out, server);
     }
     in.readByte();
   }
--- a/gateway/src/main/java/weldcross/gateway/Stream.java
+++ b/gateway/src/main/java/weldcross/gateway/Stream.java
@@ -5,41 +5,43 @@
 import org.apache.mina.core.session.IoSession;
 import weldcross.discovery.HttpResponseDecoder;
 
-/** What reads one connection's stream, on the processor's thread. */
+/** Reads the stream of one connection; called by the processor's thread unless said otherwise. */
 abstract class Stream {
 
-  /** Messages asked for that are not out, and whether none comes after them. */
-  final AtomicInteger unwritten = new AtomicInteger();
+  /** Number of writes that were requested and are not completed. */
+  final AtomicInteger pendingWrites = new AtomicInteger();
 
-  volatile boolean last;
+  /** Whether sending ends when all pending writes are completed. */
+  volatile boolean closeAfterWrite;
 
-  /**
-   * Whether its connection was reset or failed, so that its end is no end of what was being said.
-   */
-  boolean broken;
+  /** Whether the connection was reset or failed, so that its end completes no message. */
+  boolean connectionFailed;
 
   /** Set before anything is read. */
   volatile IoSession session;
 
+  /** The connection is open. */
   abstract void opened();
 
+  /** Bytes were received; the buffer is used again after the call. */
   abstract void read(ByteBuffer in) throws HttpResponseDecoder.ProtocolException;
 
-  /** Called by the thread that asks, before its words are written. */
+  /** A write is about to begin; called by the thread that requested it. */
   void writing() {}
 
-  /** What could not go out at once is out. */
+  /** A write that could not be completed at once is completed. */
   void written() {}
 
-  abstract void gone();
+  /** The connection is closed. */
+  abstract void closed();
 
-  /** Nothing was reached; told by the thread that dialled. */
-  void notReached() {
-    gone();
+  /** The connection could not be opened; called by the connector's thread. */
+  void connectFailed() {
+    closed();
   }
 
-  /** Taken up and ended before it was known here. */
-  void dialReset() {
-    notReached();
+  /** The connection was opened and reset before its session began. */
+  void resetOnConnect() {
+    connectFailed();
   }
 }
--- a/gateway/src/main/java/weldcross/gateway/TimerQueue.java
+++ b/gateway/src/main/java/weldcross/gateway/TimerQueue.java
@@ -5,28 +5,30 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** All that is due later, in the order of its time and, at one time, in the order asked for. */
+/** Timers in the order of their due time and, at one due time, in the order they were added. */
 final class TimerQueue {
 
-  private final TreeMap<Duration, List<Runnable>> dues = new TreeMap<>();
+  private final TreeMap<Duration, List<Runnable>> timers = new TreeMap<>();
 
-  void at(Duration when, Runnable due) {
-    dues.computeIfAbsent(when, w -> new ArrayList<>(1)).add(due);
+  /** Adds a timer. */
+  void at(Duration when, Runnable timer) {
+    timers.computeIfAbsent(when, time -> new ArrayList<>(1)).add(timer);
   }
 
+  /** Returns the number of distinct due times. */
   int size() {
-    return dues.size();
+    return timers.size();
   }
 
-  /** Null where nothing is due. */
+  /** Returns the earliest due time; null if there are no timers. */
   Duration next() {
-    return dues.isEmpty() ? null : dues.firstKey();
+    return timers.isEmpty() ? null : timers.firstKey();
   }
 
-  /** The next that is due by now; null where there is none. */
+  /** Removes and returns the timers of the earliest due time; null if none is due by now. */
   List<Runnable> poll(Duration now) {
-    return dues.isEmpty() || dues.firstKey().compareTo(now) > 0
+    return timers.isEmpty() || timers.firstKey().compareTo(now) > 0
         ? null
-        : dues.pollFirstEntry().getValue();
+        : timers.pollFirstEntry().getValue();
   }
 }
--- a/gateway/src/test/java/weldcross/gateway/GatewayTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayTest.java
@@ -1414,12 +1414,12 @@
     List<String> lines =
         logged(
             () -> {
-              loop.lookAtTurn(Thread.currentThread());
+              loop.logStall(Thread.currentThread());
               loop.post(
                   g -> {
                     clock[0] = Duration.ofSeconds(3);
-                    loop.lookAtTurn(Thread.currentThread());
-                    loop.lookAtTurn(Thread.currentThread());
+                    loop.logStall(Thread.currentThread());
+                    loop.logStall(Thread.currentThread());
                     g.stop();
                     g.at(g.now().plusSeconds(9), () -> {});
                     clock[0] = Duration.ofSeconds(30);
@@ -1429,14 +1429,14 @@
               } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
               }
-              loop.lookAtTurn(Thread.currentThread());
+              loop.logStall(Thread.currentThread());
             });
     assertEquals(
         1,
         lines.stream()
             .filter(
                 l ->
-                    l.startsWith("one turn has lasted over 2000 ms")
+                    l.startsWith("event loop stalled, nobody is answered: overMillis=2000")
                         && l.contains("longTurnIsToldWhileItLasts"))
             .count(),
         lines::toString);
--- a/gateway/src/test/java/weldcross/gateway/ReadBatchTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ReadBatchTest.java
@@ -11,22 +11,23 @@
 import weldcross.pgwire.ClientMessageDecoder;
 import weldcross.pgwire.MessageEncoder;
 
-/** In which order a round of reading is told, on a reducer that shows what it does of it. */
+/** In which order a batch of reading is told, on a reducer that shows what it does of it. */
 class ReadBatchTest {
 
   private final List<Gateway.Event> posted = new ArrayList<>();
-  private final ReadBatch round = new ReadBatch(posted::add);
+  private final ReadBatch batch = new ReadBatch(posted::add);
   private final World w = World.serving();
 
   private void deliver() {
-    round.end();
+    batch.postAll();
     List.copyOf(posted).forEach(w::tell);
     posted.clear();
   }
 
-  /** What it says is told by the round, as a stream on sockets does. */
+  /** What it says is told by the batch, as a stream on sockets does. */
   private ClientMessageDecoder reader(long client) {
-    return Streams.client(event -> round.tell(client, event), round::tell, () -> w.now, client);
+    return Streams.client(
+        event -> batch.addForClient(client, event), batch::add, () -> w.now, client);
   }
 
   private static ByteBuffer read(String id) {
@@ -51,7 +52,7 @@
     other.feed(read("a901"));
     w.deadlines.put("a901", w.now.plusMillis(900));
     w.askedBy.put("a901", stays);
-    round.went(goes);
+    batch.clientDisconnected(goes);
     deliver();
     assertTrue(w.outOn.containsKey("a901"));
     assertTrue(
@@ -63,43 +64,43 @@
   @Test
   void whoGoesIsToldFirstAndTogether() {
     List<String> order = new ArrayList<>();
-    round.tell(7, g -> order.add("said"));
-    round.tell(g -> order.add("a server's word"));
-    round.went(8);
-    round.went(9);
-    round.end();
+    batch.addForClient(7, g -> order.add("said"));
+    batch.add(g -> order.add("a server's word"));
+    batch.clientDisconnected(8);
+    batch.clientDisconnected(9);
+    batch.postAll();
     assertEquals(3, posted.size(), "the two that went, and a word each");
     posted.remove(0);
     posted.forEach(w::tell);
     assertEquals(List.of("said", "a server's word"), order);
     posted.clear();
-    round.end();
+    batch.postAll();
     assertTrue(posted.isEmpty(), "nothing is told twice");
   }
 
   /**
-   * Rule 5: an answer to its session's write and a read of it, found in one round, whichever socket
+   * Rule 5: an answer to its session's write and a read of it, found in one batch, whichever socket
    * comes first.
    */
   @Test
   void whatServersSayIsToldBeforeWhatClientsAsk() {
     List<String> order = new ArrayList<>();
-    round.tell(7, g -> order.add("asked"));
-    round.heard(g -> order.add("answered"));
-    round.heard(g -> order.add("gone"));
-    round.went(8);
-    round.end();
+    batch.addForClient(7, g -> order.add("asked"));
+    batch.addForServer(g -> order.add("answered"));
+    batch.addForServer(g -> order.add("gone"));
+    batch.clientDisconnected(8);
+    batch.postAll();
     posted.remove(0);
     posted.forEach(w::tell);
     assertEquals(List.of("answered", "gone", "asked"), order);
   }
 
-  /** Who came and went in one round leaves nothing behind. */
+  /** Who came and went in one batch leaves nothing behind. */
   @Test
   void whoComesAndGoesInOneRoundIsNobody() {
-    round.came(70);
-    round.went(70);
-    round.came(71);
+    batch.clientAccepted(70);
+    batch.clientDisconnected(70);
+    batch.clientAccepted(71);
     deliver();
     assertTrue(w.gateway.describe().startsWith("1 clients"), w.gateway.describe());
   }
