--- a/gateway/src/main/java/weldcross/cli/WeldcrossCommand.java
+++ b/gateway/src/main/java/weldcross/cli/WeldcrossCommand.java
@@ -12,6 +12,7 @@
 import weldcross.config.ExtensionsConfig;
 import weldcross.config.GatewayConfig;
 import weldcross.config.InvalidConfigException;
+import weldcross.simulator.SimulatorProtocolException;
 import weldcross.simulator.SimulatorSession;
 
 /** The command line: one sub-command a shape that the program can take. */
@@ -44,7 +45,7 @@
         .setExecutionExceptionHandler(
             (fault, line, parsed) -> {
               if (fault instanceof InvalidConfigException
-                  || fault instanceof SimulatorSession.ProtocolException) {
+                  || fault instanceof SimulatorProtocolException) {
                 return ServeCommand.faulty(fault);
               }
               throw fault;
--- /dev/null
+++ b/gateway/src/main/java/weldcross/simulator/SimulatorMessageParser.java
@@ -0,0 +1,195 @@
+package weldcross.simulator;
+
+import java.time.Duration;
+import java.util.HexFormat;
+import weldcross.config.ConfigReader;
+import weldcross.config.ConfigValues;
+import weldcross.config.LoadReport;
+import weldcross.gossip.GossipMessage;
+import weldcross.routing.AttemptOutcome;
+import weldcross.routing.EndpointStatus;
+import weldcross.routing.GroupId;
+import weldcross.routing.RequestId;
+import weldcross.routing.ServerId;
+import weldcross.routing.SessionId;
+import weldcross.routing.ZoneId;
+
+/** Maps lines of the simulator's wire to messages. */
+final class SimulatorMessageParser {
+
+  private static final int CONFIG_FIELD = 3;
+  private static final int MICROS = 1;
+  private static final int MICROS_PER_MILLI = 1000;
+  private static final int CLIENT_RETRY_BIT = 2;
+
+  /** The low bits of a note name the role of the server, the others its position. */
+  private static final int ROLE_MASK = 3;
+
+  private static final int ROLE_PRIMARY = 1;
+  private static final int ROLE_BITS = 2;
+
+  private SimulatorMessageParser() {}
+
+  /** Returns the instance that an event is for, or null for a message that is no event. */
+  static Integer instance(WireLine line) {
+    return switch (line.word()) {
+      case "BATCH", "YOUR_TURN", "ROSTER" -> null;
+      default -> line.integer(1);
+    };
+  }
+
+  /** Whether the line starts an instance. */
+  static boolean isStart(WireLine line) {
+    return line.word().equals("INIT");
+  }
+
+  /**
+   * Parses any line but a row.
+   *
+   * @throws SimulatorProtocolException if it is malformed or of an unknown kind
+   */
+  static SimulatorMessage parse(WireLine line) {
+    return switch (line.word()) {
+      case "BATCH" -> new SimulatorMessage.BatchStart(line.longInteger(1));
+      case "YOUR_TURN" -> new SimulatorMessage.BatchEnd();
+      case "ROSTER" -> new SimulatorMessage.PageStart(line.integer(1), line.integer(2));
+      case "INIT" -> start(line);
+      case "STOP" -> new SimulatorMessage.Stop(line.integer(1));
+      case "DIRECTORY_UPDATE" -> endpointList(line);
+      case "ARRIVAL" -> requestArrival(line);
+      case "SETTLED" -> attemptEnd(line);
+      case "ECHO" -> healthCheckEnd(line);
+      case "CLIENT_LEFT" ->
+          new SimulatorMessage.ClientDisconnect(line.integer(1), new RequestId(line.field(2)));
+      case "ALARM" ->
+          line.field(2).equals(SimulatorActions.TICK)
+              ? new SimulatorMessage.Tick(line.integer(1))
+              : new SimulatorMessage.TimerDue(line.integer(1));
+      case "INBOX" -> gossip(line);
+      case "UNDER_WAY" -> new SimulatorMessage.Ignored(line.integer(1));
+      default -> throw line.fault("unknown message");
+    };
+  }
+
+  private static SimulatorMessage start(WireLine line) {
+    try {
+      ConfigValues config = ConfigValues.ofPairs(line.fields(), CONFIG_FIELD);
+      return new SimulatorMessage.Start(
+          line.integer(1), line.unsignedLong(2), ConfigReader.originMicros(config), config);
+    } catch (NumberFormatException | ArrayIndexOutOfBoundsException e) {
+      throw line.fault("malformed settings, " + e.getMessage());
+    }
+  }
+
+  private static SimulatorMessage endpointList(WireLine line) {
+    return switch (line.field(2)) {
+      case "failed" -> new SimulatorMessage.EndpointListFailed(line.integer(1));
+      case "delta" ->
+          new SimulatorMessage.EndpointListReceived(line.integer(1), false, line.integer(4));
+      default -> new SimulatorMessage.EndpointListReceived(line.integer(1), true, line.integer(4));
+    };
+  }
+
+  private static SimulatorMessage requestArrival(WireLine line) {
+    int flags = line.isAbsent(10) ? 0 : line.integer(10);
+    return new SimulatorMessage.RequestArrival(
+        line.integer(1),
+        new RequestId(line.field(2)),
+        line.integer(5),
+        new GroupId(line.wholePart(8)),
+        line.isAbsent(7) ? null : new SessionId(line.field(7)),
+        line.isAbsent(3) ? Duration.ZERO : line.duration(3, MICROS_PER_MILLI),
+        line.duration(6, MICROS),
+        (flags & CLIENT_RETRY_BIT) != 0);
+  }
+
+  private static SimulatorMessage attemptEnd(WireLine line) {
+    long note = line.isAbsent(5) ? 0 : line.longInteger(5);
+    Boolean primary =
+        (note & ROLE_MASK) == 0 ? null : Boolean.valueOf((note & ROLE_MASK) == ROLE_PRIMARY);
+    return new SimulatorMessage.AttemptEnd(
+        line.integer(1),
+        new RequestId(line.field(2)),
+        line.integer(7),
+        new ServerId(line.field(3)),
+        outcome(line, 6),
+        line.duration(4, MICROS),
+        primary,
+        note >> ROLE_BITS,
+        line.isOne(8),
+        line.isAbsent(9) ? null : line.field(9));
+  }
+
+  private static SimulatorMessage healthCheckEnd(WireLine line) {
+    AttemptOutcome outcome =
+        line.field(3).equals("pass") ? AttemptOutcome.OK : AttemptOutcome.TIMED_OUT;
+    return new SimulatorMessage.HealthCheckEnd(
+        line.integer(1),
+        new ServerId(line.field(4)),
+        outcome,
+        line.isAbsent(5) ? null : line.field(5));
+  }
+
+  private static SimulatorMessage gossip(WireLine line) {
+    ServerId server = gossipedServer(line.field(3));
+    return server == null
+        ? new SimulatorMessage.Ignored(line.integer(1))
+        : new SimulatorMessage.GossipReceived(line.integer(1), server);
+  }
+
+  /** Returns null for a message that is not of this program. */
+  private static ServerId gossipedServer(String hex) {
+    try {
+      return GossipMessage.decode(HexFormat.of().parseHex(hex));
+    } catch (IllegalArgumentException e) {
+      return null;
+    }
+  }
+
+  private static AttemptOutcome outcome(WireLine line, int index) {
+    return switch (line.field(index)) {
+      case "pass" -> AttemptOutcome.OK;
+      case "fault" -> AttemptOutcome.ERROR;
+      case "no_room" -> AttemptOutcome.OVERLOADED;
+      case "too_slow" -> AttemptOutcome.TIMED_OUT;
+      case "no_route" -> AttemptOutcome.UNREACHABLE;
+      case "cut" -> AttemptOutcome.CONNECTION_LOST;
+      case "undone" -> AttemptOutcome.CANCELLED;
+      case "stale_send" -> AttemptOutcome.NOT_SENT;
+      case "none_here" -> AttemptOutcome.INELIGIBLE;
+      default -> throw line.fault("unknown outcome, " + line.field(index));
+    };
+  }
+
+  /** Whether the line is a row of an endpoint page. */
+  static boolean isRow(String line) {
+    return line != null && line.startsWith("ROW ");
+  }
+
+  /**
+   * Parses a row of an endpoint page.
+   *
+   * @throws SimulatorProtocolException if it is malformed
+   */
+  static SimulatorMessage.EndpointRow parseRow(WireLine row) {
+    EndpointStatus status =
+        switch (row.field(5)) {
+          case "on" -> EndpointStatus.ACTIVE;
+          case "fading" -> EndpointStatus.DRAINING;
+          case "off" -> EndpointStatus.REMOVED;
+          default -> throw row.fault("unknown status, " + row.field(5));
+        };
+    return new SimulatorMessage.EndpointRow(
+        new ServerId(row.field(1)),
+        new ZoneId(row.integer(2)),
+        new GroupId(row.wholePart(4)),
+        status,
+        row.isAbsent(7) ? 0 : row.longInteger(7),
+        row.isOne(8));
+  }
+
+  /** Parses the load report that came with an answer or a health check. */
+  static LoadReport report(String text) {
+    return LoadReport.read(text, ':');
+  }
+}
