--- /dev/null
+++ b/gateway/src/test/java/weldcross/routing/ConcurrencyLimiterTest.java
@@ -0,0 +1,101 @@
+package weldcross.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static weldcross.routing.RouterHarness.ms;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import weldcross.routing.RequestClass.Consistency;
+import weldcross.routing.RouterHarness.Answer;
+
+class ConcurrencyLimiterTest {
+
+  /** The limit keeps the rest in the gateway, where requests that became hopeless are rejected. */
+  @Test
+  void slowServerGetsFewerRequestsAndTheRestIsRejected() {
+    RouterHarness harness = RouterHarness.withKnownPrimary();
+    for (int k = 0; k < 1500; k++) {
+      harness.arrive(Consistency.FRESH, 0, Duration.ZERO);
+      harness.advance(ms(10));
+      harness.answerOlderThan(ms(390));
+    }
+    long sent =
+        harness.requests.values().stream()
+            .filter(
+                e ->
+                    e.firstSentAt != null
+                        && e.firstSentAt.compareTo(harness.now.minus(ms(5000))) > 0)
+            .count();
+    assertTrue(sent <= 9, "sent to a slow server in 5 s, fewer than one at a time: " + sent);
+    assertTrue(harness.requests.values().stream().anyMatch(e -> e.answer == Answer.REJECTED));
+  }
+
+  @Test
+  void lostAnswersDoNotCountTowardTheLimit() {
+    RouterHarness harness = RouterHarness.withKnownPrimary();
+    for (int k = 0; k < 300; k++) {
+      String write = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+      harness.advance(ms(10));
+      if (k % 3 < 2) {
+        harness.end(harness.onlyInFlight(write), AttemptOutcome.OK);
+      }
+    }
+    assertTrue(harness.inFlight.size() > 30, "lost and still out: " + harness.inFlight.size());
+  }
+
+  /** A hundred new gateways with one attempt each at a server would overload it. */
+  @Test
+  void initialLimitIsSharedByTheFleet() {
+    int gateways = 80;
+    int sent = 0;
+    for (int g = 0; g < gateways; g++) {
+      RouterHarness harness =
+          RouterHarness.withKnownPrimary(RouterHarness.fleetConfig(gateways, true), g);
+      for (int k = 0; k < 60; k++) {
+        harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+        harness.advance(ms(50));
+        harness.answerOlderThan(ms(300));
+      }
+      sent += harness.requests.values().stream().mapToInt(e -> e.attemptCount).sum();
+    }
+    // Twelve in work at 300 ms each make 120 in 3 s, besides the one that each may try at once.
+    assertTrue(sent > gateways && sent <= 120 + 2 * gateways, "in 3 s: " + sent);
+  }
+
+  @Test
+  void answerWellWithinItsObjectiveEarnsAShortPause() {
+    RouterHarness harness = RouterHarness.withKnownPrimary(RouterHarness.fleetConfig(80, true));
+    String first = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    harness.advance(ms(40));
+    harness.end(harness.onlyInFlight(first), AttemptOutcome.OK);
+    String second = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    harness.advance(ms(150));
+    assertEquals(
+        1, harness.requests.get(second).attemptCount, "a tenth of its soft deadline was taken");
+    harness.advance(ms(230));
+    harness.end(harness.onlyInFlight(second), AttemptOutcome.OK);
+    String third = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    harness.advance(ms(500));
+    assertEquals(0, harness.requests.get(third).attemptCount, "nine tenths were taken");
+  }
+
+  /** What took longer than the clients stayed was too slow. */
+  @Test
+  void clientsThatDisconnectLowerTheLimit() {
+    RouterHarness harness = RouterHarness.withKnownPrimary();
+    List<String> reads = new ArrayList<>();
+    for (int k = 0; k < 400; k++) {
+      reads.add(harness.arrive(Consistency.FRESH, 0, Duration.ZERO));
+      harness.advance(ms(20));
+      harness.disconnect(reads.get(Math.max(0, k - 5)));
+    }
+    assertTrue(
+        reads.subList(200, 400).stream()
+                .filter(r -> harness.requests.get(r).attemptCount > 0)
+                .count()
+            < 60);
+  }
+}
--- /dev/null
+++ b/gateway/src/test/java/weldcross/routing/EndpointRegistryTest.java
@@ -0,0 +1,97 @@
+package weldcross.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static weldcross.routing.RouterHarness.ms;
+
+import java.time.Duration;
+import org.junit.jupiter.api.Test;
+import weldcross.routing.RequestClass.Consistency;
+import weldcross.routing.RequestClass.Effect;
+import weldcross.routing.RequestClass.Scope;
+
+class EndpointRegistryTest {
+
+  /** A server said to drain gets nothing until a new start. */
+  @Test
+  void whereRemovalIsNotBindingRemovedServersServeOnAndDrainingOnesDoNot() {
+    RouterHarness harness = RouterHarness.withKnownPrimary(RouterHarness.fleetConfig(2, false), 7);
+    harness.router.beginEndpointList(harness.now, false);
+    harness.router.endpointListed(
+        harness.now,
+        harness.server(0).id,
+        new ZoneId(0),
+        new GroupId(0),
+        EndpointStatus.REMOVED,
+        null,
+        false);
+    harness.router.endEndpointList(harness.now);
+    assertEquals(
+        "s0",
+        harness
+            .onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO))
+            .server()
+            .id
+            .name());
+    harness.server(0).listedStatus = EndpointStatus.DRAINING;
+    harness.publishEndpointList();
+    harness.server(0).listedStatus = EndpointStatus.ACTIVE;
+    harness.publishEndpointList();
+    assertTrue(
+        harness
+            .requests
+            .get(harness.arrive(Consistency.WRITE, 0, Duration.ZERO))
+            .inFlight
+            .isEmpty());
+    harness.server(0).startedAt = harness.now.minus(RouterHarness.ms(9000));
+    harness.publishEndpointList();
+    assertEquals(
+        "s0",
+        harness
+            .onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO))
+            .server()
+            .id
+            .name());
+  }
+
+  /** Successors come under new names all day; kept, their predecessors would fill the memory. */
+  @Test
+  void removedServersAreForgotten() {
+    RouterHarness harness = RouterHarness.withKnownPrimary();
+    for (int k = 3; k < 1000; k++) {
+      RouterHarness.Server server = new RouterHarness.Server(k, 0);
+      server.listedStatus = EndpointStatus.ACTIVE;
+      server.primary = k % 3 == 0;
+      harness.servers.put(server.id.name(), server);
+      RouterHarness.Server old = harness.server(k - 3);
+      old.listedStatus = EndpointStatus.REMOVED;
+      harness.publishEndpointList();
+      harness.advance(ms(1));
+      harness.report(server, harness.now);
+      harness.advance(ms(300));
+      String write = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+      assertEquals("s" + k / 3 * 3, harness.onlyInFlight(write).server().id.name());
+      harness.advance(ms(2));
+      harness.answerOlderThan(Duration.ZERO);
+    }
+    assertEquals(997, harness.removedCalls);
+    harness.advance(harness.config.slowStartDuration().plus(ms(300)));
+    assertEquals(
+        3,
+        harness.router.describe(harness.now).split("s\\d+ ").length - 1,
+        harness.router.describe(harness.now));
+  }
+
+  @Test
+  void failedListCallIsRepeatedWithBackoff() {
+    RouterHarness harness =
+        new RouterHarness(
+            RouterHarness.config(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, true), 1);
+    assertEquals(1, harness.watchCalls);
+    for (int k = 0; k < 8; k++) {
+      harness.router.endpointListFailed(harness.now);
+      harness.advance(harness.config.maxPollInterval());
+    }
+    assertEquals(9, harness.watchCalls);
+  }
+}
--- /dev/null
+++ b/gateway/src/test/java/weldcross/routing/OutlierDetectorTest.java
@@ -0,0 +1,149 @@
+package weldcross.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static weldcross.routing.RouterHarness.ms;
+
+import java.time.Duration;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import weldcross.routing.RequestClass.Consistency;
+import weldcross.routing.RouterHarness.Answer;
+
+class OutlierDetectorTest {
+
+  @Test
+  void hungServerIsEjectedAndItsReadsAreHedged() {
+    RouterHarness harness = RouterHarness.withKnownPrimary();
+    for (int k = 0; k < 40; k++) {
+      RouterHarness.SentAttempt quick =
+          harness.onlyInFlight(harness.arrive(Consistency.ANY, 0, Duration.ZERO));
+      harness.advance(ms(10));
+      harness.end(quick, AttemptOutcome.OK);
+    }
+    String read = harness.arrive(Consistency.ANY, 0, Duration.ZERO);
+    RouterHarness.Server hung = harness.onlyInFlight(read).server();
+    harness.healthChecks.clear();
+    harness.advance(ms(200));
+    assertEquals(
+        List.of(hung.id),
+        harness.healthChecks.stream().distinct().toList(),
+        "asked whether it lives");
+    harness.router.healthCheckEnded(harness.now, hung.id, AttemptOutcome.TIMED_OUT, null);
+    harness.advance(ms(50));
+    assertEquals(2, harness.requests.get(read).attemptCount);
+    for (int k = 0; k < 6; k++) {
+      assertFalse(
+          hung == harness.onlyInFlight(harness.arrive(Consistency.ANY, 0, Duration.ZERO)).server());
+    }
+  }
+
+  @Test
+  void oneLostConnectionEjectsNoServerAndTwoInARowDo() {
+    RouterHarness harness = RouterHarness.withKnownPrimary();
+    harness.advance(ms(1));
+    harness.end(
+        harness.onlyInFlight(harness.arrive(Consistency.FRESH, 0, Duration.ZERO)),
+        AttemptOutcome.CONNECTION_LOST);
+    String second = harness.arrive(Consistency.FRESH, 0, Duration.ZERO);
+    assertEquals("s0", harness.onlyInFlight(second).server().id.name());
+    harness.end(harness.onlyInFlight(second), AttemptOutcome.CONNECTION_LOST);
+    assertTrue(
+        harness
+            .requests
+            .get(harness.arrive(Consistency.FRESH, 0, Duration.ZERO))
+            .inFlight
+            .isEmpty());
+  }
+
+  /** Where all servers fail alike, none of them is the cause. */
+  @Test
+  void errorsOnAllServersEjectNoMoreThanHalfOfAGroup() {
+    RouterHarness harness = RouterHarness.withKnownPrimary();
+    for (int k = 0; k < 40; k++) {
+      String read =
+          harness.arrive(k % 2 == 0 ? Consistency.ANY : Consistency.FRESH, 0, Duration.ZERO);
+      assertTrue(harness.requests.get(read).attemptCount > 0);
+      harness.end(harness.onlyInFlight(read), AttemptOutcome.ERROR);
+      List.copyOf(harness.inFlight).forEach(s -> harness.end(s, AttemptOutcome.OK));
+      harness.advance(ms(30));
+    }
+  }
+
+  @Test
+  void serverRemovedWhileEjectedComesBackEjected() {
+    RouterHarness harness = RouterHarness.withKnownPrimary();
+    harness.end(
+        harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO)),
+        AttemptOutcome.UNREACHABLE);
+    harness.advance(ms(100));
+    harness.server(0).listedStatus = EndpointStatus.REMOVED;
+    harness.publishEndpointList();
+    List.copyOf(harness.healthChecks).stream()
+        .distinct()
+        .forEach(
+            id ->
+                harness.router.healthCheckEnded(
+                    harness.now,
+                    id,
+                    id.equals(harness.server(0).id) ? AttemptOutcome.TIMED_OUT : AttemptOutcome.OK,
+                    null));
+    harness.advance(ms(1000));
+    assertEquals(1, harness.removedCalls, "the host has nothing to keep");
+    harness.server(0).listedStatus = EndpointStatus.ACTIVE;
+    harness.healthChecks.clear();
+    harness.publishEndpointList();
+    assertTrue(
+        harness.isWarmingUp(0) && harness.hasEjected(), harness.router.describe(harness.now));
+    String write = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    assertEquals(0, harness.requests.get(write).attemptCount);
+    assertTrue(
+        harness.healthChecks.contains(harness.server(0).id), "asked before an RPC is risked");
+  }
+
+  /** One alone proves nothing, as the servers cap health checks. */
+  @Test
+  void oneFailedHealthCheckEjectsNoServerAndTwoInARowDo() {
+    RouterHarness harness = RouterHarness.withKnownPrimary();
+    harness.advance(ms(1));
+    harness.router.healthCheckEnded(
+        harness.now, harness.server(0).id, AttemptOutcome.TIMED_OUT, null);
+    assertEquals(
+        1, harness.requests.get(harness.arrive(Consistency.WRITE, 0, Duration.ZERO)).attemptCount);
+    harness.router.healthCheckEnded(
+        harness.now, harness.server(0).id, AttemptOutcome.TIMED_OUT, null);
+    assertEquals(
+        0, harness.requests.get(harness.arrive(Consistency.WRITE, 0, Duration.ZERO)).attemptCount);
+  }
+
+  @Test
+  void lostIdleConnectionSaysNothingOfItsServer() {
+    RouterHarness harness = RouterHarness.withKnownPrimary();
+    for (int k = 0; k < 6; k++) {
+      String write = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+      harness.end(harness.onlyInFlight(write), AttemptOutcome.IDLE_CONNECTION_LOST);
+      assertEquals(Answer.FAILED, harness.requests.get(write).answer, "it may have run");
+    }
+    harness.healthChecks.clear();
+    harness.router.healthCheckEnded(
+        harness.now, harness.server(0).id, AttemptOutcome.IDLE_CONNECTION_LOST, null);
+    assertEquals(
+        List.of(harness.server(0).id), harness.healthChecks, "asked again on another connection");
+    assertFalse(harness.hasEjected() || harness.isWarmingUp(0));
+  }
+
+  /** Two connections ended at once by a live server: more may follow, but it has not restarted. */
+  @Test
+  void serverThatClosesConnectionsBeforeSendsIsEjectedWithoutSlowStart() {
+    RouterHarness harness = RouterHarness.withKnownPrimary();
+    for (int k = 0; k < 2; k++) {
+      assertFalse(harness.hasEjected());
+      harness.end(
+          harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO)),
+          AttemptOutcome.CLOSED_BEFORE_SEND);
+    }
+    assertTrue(harness.hasEjected());
+    assertFalse(harness.isWarmingUp(0));
+  }
+}
--- /dev/null
+++ b/gateway/src/test/java/weldcross/routing/PrimaryTrackerTest.java
@@ -0,0 +1,59 @@
+package weldcross.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static weldcross.routing.RouterHarness.ms;
+
+import java.time.Duration;
+import org.junit.jupiter.api.Test;
+import weldcross.routing.RequestClass.Consistency;
+
+class PrimaryTrackerTest {
+
+  /** Reports come late, so one that comes in behind an answer may tell of what is over. */
+  @Test
+  void primaryClaimOlderThanAnAnswerIsIgnored() {
+    RouterHarness harness = RouterHarness.withKnownPrimary();
+    RouterHarness.Server former = harness.server(0);
+    RouterHarness.SentAttempt write =
+        harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO));
+    harness.advance(ms(100));
+    Duration claimed = harness.now;
+    harness.advance(ms(100));
+    former.primary = false;
+    harness.end(write, AttemptOutcome.INELIGIBLE);
+    harness.advance(ms(20));
+    harness.router.reported(harness.now, former.id, claimed, true);
+    harness.advance(RouterHarness.STALENESS_BOUND);
+    String read = harness.arrive(Consistency.BOUNDED, 0, Duration.ZERO);
+    harness.advance(ms(60));
+    assertEquals(
+        0, harness.requests.get(read).attemptCount, "the rig knows that nobody holds its bound");
+    former.primary = true;
+    harness.report(former, harness.now);
+    assertEquals(
+        "s0", harness.onlyInFlight(read).server().id.name(), "a claim from after it counts");
+  }
+
+  @Test
+  void replicaClaimOlderThanAPrimaryClaimIsIgnored() {
+    RouterHarness harness = RouterHarness.withKnownPrimary();
+    harness.router.reported(harness.now, harness.server(0).id, harness.now.minus(ms(20)), false);
+    assertEquals(
+        "s0",
+        harness
+            .onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO))
+            .server()
+            .id
+            .name());
+    harness.router.reported(harness.now, harness.server(0).id, harness.now, false);
+    harness.server(0).reportedPrimary = false;
+    harness.router.reported(harness.now, harness.server(1).id, harness.now, true);
+    assertEquals(
+        "s1",
+        harness
+            .onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO))
+            .server()
+            .id
+            .name());
+  }
+}
--- /dev/null
+++ b/gateway/src/test/java/weldcross/routing/SlowStartTest.java
@@ -0,0 +1,289 @@
+package weldcross.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static weldcross.routing.RouterHarness.ms;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import weldcross.routing.RequestClass.Consistency;
+import weldcross.routing.RequestClass.Effect;
+import weldcross.routing.RequestClass.Scope;
+
+class SlowStartTest {
+
+  /** An attempt decided for a warm server is in no slow-start budget. */
+  @Test
+  void attemptForAWarmServerIsNotSentOnceTheServerHasRestarted() {
+    RouterHarness harness = RouterHarness.withKnownPrimary();
+    RouterHarness.SentAttempt read =
+        harness.onlyInFlight(harness.arrive(Consistency.ANY, 0, Duration.ZERO));
+    assertTrue(harness.isStillEligible(read));
+    read.server().startedAt = harness.now;
+    harness.publishEndpointList();
+    assertFalse(harness.isStillEligible(read));
+  }
+
+  @Test
+  void warmingServerGetsNoMoreThanItsBudget() {
+    RouterHarness harness = RouterHarness.withKnownPrimary();
+    for (int k = 0; k < 3000; k++) {
+      if (k == 1500) {
+        harness.server(2).startedAt = harness.now;
+        harness.publishEndpointList();
+        harness.server(2).slowStartSends.clear();
+      }
+      if (k % 20 == 0) {
+        harness.servers.values().forEach(s -> harness.report(s, harness.now));
+      }
+      harness.arrive(Consistency.ANY, 0, Duration.ZERO);
+      harness.advance(ms(2));
+      harness.answerOlderThan(ms(8));
+      Duration startedAt =
+          harness.server(2).startedAt == null ? harness.now : harness.server(2).startedAt;
+      double age = harness.now.minus(startedAt).toMillis() / 6000.0;
+      assertTrue(harness.server(2).slowStartSends.size() <= 2 * (0.25 + 0.75 * age) * 250 * 1.05);
+    }
+    assertFalse(harness.server(2).slowStartSends.isEmpty());
+  }
+
+  /** Many gateways learn of a start at once, each with requests that wait for that server. */
+  @Test
+  void manyGatewaysTogetherKeepTheBudgetOfAWarmingServer() {
+    int gateways = 80;
+    List<RouterHarness> fleet = new ArrayList<>();
+    for (int g = 0; g < gateways; g++) {
+      fleet.add(RouterHarness.withKnownPrimary(RouterHarness.fleetConfig(gateways, true), g));
+    }
+    SplittableRandom random = new SplittableRandom(5);
+    List<Duration> sends = new ArrayList<>();
+    Duration startedAt = fleet.get(0).now.plus(ms(20_000));
+    for (int k = 0; k < 2400; k++) {
+      for (RouterHarness harness : fleet) {
+        boolean falls = harness.now.equals(startedAt.minus(ms(200)));
+        if (falls || harness.now.equals(startedAt)) {
+          harness.server(0).listedStatus = falls ? EndpointStatus.REMOVED : EndpointStatus.ACTIVE;
+          harness.server(0).startedAt = falls ? null : startedAt;
+          harness.publishEndpointList();
+        }
+        // Two writes a second at each gateway; three more wait there when the primary returns.
+        int burst = falls ? 3 : 0;
+        for (int n = random.nextInt(50) == 0 ? burst + 1 : burst; n > 0; n--) {
+          harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+          harness.arrive(Consistency.ANY, 0, Duration.ZERO);
+          harness.arrive(Consistency.ANY, 0, Duration.ZERO);
+        }
+        harness.answerOlderThan(ms(30));
+        harness.advance(ms(10));
+        harness.server(0).slowStartSends.stream()
+            .filter(at -> at.compareTo(harness.now.minus(ms(10))) >= 0)
+            .forEach(sends::add);
+      }
+    }
+    for (Duration from : sends) {
+      long within =
+          sends.stream()
+              .filter(at -> at.compareTo(from) >= 0 && at.compareTo(from.plus(ms(1000))) < 0)
+              .count();
+      double age = from.minus(startedAt).plus(ms(500)).toMillis() / 6000.0;
+      // 160 a second before, at two thirds of what a warm server can do.
+      assertTrue(within <= 2 * Math.min(1, 0.25 + 0.75 * age) * 240, within + " at " + age);
+    }
+    assertTrue(sends.size() > 100, "it does get work: " + sends.size());
+  }
+
+  /**
+   * The configuration names ten gateways; there are eighty with unequal quotas, all just started.
+   */
+  @Test
+  void quotasKeepTheBudgetOfAWarmingServerWhereTheConfiguredFleetSizeIsWrong() {
+    int right = slowStartSends(80, 80, false);
+    int wrong = slowStartSends(80, 10, false);
+    int withQuotas = slowStartSends(80, 10, true);
+    assertTrue(wrong > 2 * right, "what is told matters: " + wrong + " beside " + right);
+    assertTrue(withQuotas <= right * 1.5, withQuotas + " beside " + right);
+  }
+
+  /**
+   * Returns the attempts that new gateways send to one warming server in three overload windows.
+   */
+  private static int slowStartSends(int gateways, int settings, boolean withQuotas) {
+    int sends = 0;
+    for (int g = 0; g < gateways; g++) {
+      RouterHarness harness =
+          RouterHarness.withKnownPrimary(RouterHarness.fleetConfig(settings, true), g);
+      if (withQuotas) {
+        // A third of them have twice the part of the others.
+        harness.router.setQuota((g % 3 == 0 ? 2.0 : 1.0) / (gateways + (gateways + 2) / 3));
+      }
+      harness.server(0).startedAt = harness.now;
+      harness.publishEndpointList();
+      Duration end = harness.now.plus(harness.config.overloadWindow().multipliedBy(3));
+      while (harness.now.compareTo(end) < 0) {
+        harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+        harness.advance(ms(20));
+        sends +=
+            harness.server(0).slowStartSends.stream()
+                .filter(at -> at.compareTo(harness.now.minus(ms(20))) >= 0)
+                .count();
+      }
+    }
+    return sends;
+  }
+
+  /** What answers on what was open before is the same process. */
+  @Test
+  void answerOnAConnectionFromBeforeTakesBackAPresumedRestart() {
+    RouterHarness harness = RouterHarness.withKnownPrimary();
+    RouterHarness.SentAttempt before =
+        harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO));
+    harness.advance(ms(1));
+    harness.end(
+        harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO)),
+        AttemptOutcome.UNREACHABLE);
+    assertTrue(harness.isWarmingUp(0));
+    harness.advance(ms(31));
+    harness.end(before, AttemptOutcome.OK);
+    assertFalse(harness.isWarmingUp(0));
+    assertFalse(harness.hasEjected());
+  }
+
+  /** The last answer may come in just behind the news of the end. */
+  @Test
+  void answerSentBeforeAProcessEndedTakesNoRestartBack() {
+    RouterHarness harness = RouterHarness.withKnownPrimary();
+    RouterHarness.SentAttempt before =
+        harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO));
+    harness.advance(ms(1));
+    harness.end(
+        harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO)),
+        AttemptOutcome.UNREACHABLE);
+    harness.advance(ms(5));
+    harness.end(before, AttemptOutcome.OK);
+    assertTrue(harness.isWarmingUp(0));
+  }
+
+  /** A process that nobody saw start again is spared, though it answers. */
+  @Test
+  void answerOnANewConnectionTakesNoRestartBack() {
+    RouterHarness harness = RouterHarness.withKnownPrimary();
+    Duration before = harness.now;
+    harness.advance(ms(1));
+    harness.end(
+        harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO)),
+        AttemptOutcome.UNREACHABLE);
+    harness.advance(ms(400));
+    harness.router.healthCheckEnded(
+        harness.now, harness.server(0).id, AttemptOutcome.OK, harness.now);
+    assertTrue(harness.isWarmingUp(0));
+    harness.router.healthCheckEnded(harness.now, harness.server(0).id, AttemptOutcome.OK, before);
+    assertFalse(harness.isWarmingUp(0));
+    harness.server(0).startedAt = harness.now;
+    harness.publishEndpointList();
+    harness.router.healthCheckEnded(harness.now, harness.server(0).id, AttemptOutcome.OK, before);
+    assertTrue(harness.isWarmingUp(0), "a start that is listed is one");
+  }
+
+  /**
+   * Unlisted restarts among connections lost on live processes: a server that was found gone is
+   * warming up as long as it truly is, and the others are mostly not.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
+  void restartsAreToldFromLostConnections(long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    RouterHarness harness =
+        RouterHarness.withKnownPrimary(
+            RouterHarness.config(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false), seed);
+    Duration[] down = new Duration[3];
+    Duration[] started = {Duration.ZERO, Duration.ZERO, Duration.ZERO};
+    boolean[] noticed = new boolean[3];
+    int live = 0;
+    int misjudged = 0;
+    for (int step = 0; step < 4000; step++) {
+      int victim = 1 + random.nextInt(2);
+      if (random.nextInt(600) == 0 && down[victim] == null) {
+        down[victim] = harness.now;
+        noticed[victim] = false;
+        for (RouterHarness.SentAttempt sent : List.copyOf(harness.inFlight)) {
+          if (sent.server() == harness.server(victim)) {
+            harness.end(sent, AttemptOutcome.CONNECTION_LOST);
+          }
+        }
+      }
+      for (int k = 1; k < 3; k++) {
+        if (down[k] != null && harness.now.minus(down[k]).compareTo(ms(700)) > 0) {
+          started[k] = harness.now;
+          down[k] = null;
+        }
+      }
+      harness.arrive(
+          random.nextInt(3) == 0 ? Consistency.FRESH : Consistency.ANY, 0, Duration.ZERO);
+      for (RouterHarness.SentAttempt sent : List.copyOf(harness.inFlight)) {
+        int k = harness.server(0) == sent.server() ? 0 : harness.server(1) == sent.server() ? 1 : 2;
+        if (down[k] != null) {
+          noticed[k] = true;
+          harness.end(sent, AttemptOutcome.UNREACHABLE);
+        } else if (sent.at().equals(harness.now) && random.nextInt(50) == 0) {
+          harness.end(
+              sent,
+              random.nextBoolean()
+                  ? AttemptOutcome.UNREACHABLE
+                  : AttemptOutcome.IDLE_CONNECTION_LOST);
+        } else if (sent.at().plus(ms(5 + random.nextInt(40))).compareTo(harness.now) <= 0) {
+          // Over a connection that may have been open for long, but for no longer than its process.
+          Duration open = harness.now.minus(ms(random.nextInt(1500)));
+          harness.end(sent, AttemptOutcome.OK, open.compareTo(started[k]) < 0 ? started[k] : open);
+        }
+      }
+      for (ServerId id : List.copyOf(harness.healthChecks)) {
+        int k = Integer.parseInt(id.name().substring(1));
+        noticed[k] |= down[k] != null;
+        harness.router.healthCheckEnded(
+            harness.now,
+            id,
+            down[k] == null ? AttemptOutcome.OK : AttemptOutcome.TIMED_OUT,
+            down[k] == null ? harness.now : null);
+      }
+      harness.healthChecks.clear();
+      harness.advance(ms(random.nextInt(12)));
+      for (int k = 0; k < 3; k++) {
+        boolean restarted =
+            harness.now.minus(started[k]).compareTo(harness.config.slowStartDuration()) < 0
+                && k > 0
+                && !started[k].isZero();
+        assertTrue(
+            !restarted || !noticed[k] || harness.isWarmingUp(k),
+            "cold, and not known to be: s" + k);
+        live += down[k] == null && !restarted ? 1 : 0;
+        misjudged += down[k] == null && !restarted && harness.isWarmingUp(k) ? 1 : 0;
+      }
+    }
+    assertTrue(misjudged < live / 3, "taken for cold " + misjudged + " of " + live);
+  }
+
+  /** A restart that this gateway cannot see is told by a peer. */
+  @Test
+  void serverThatAPeerCouldNotReachGetsLess() {
+    RouterHarness harness = RouterHarness.withKnownPrimary(RouterHarness.fleetConfig(200, true));
+    harness.end(
+        harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO)),
+        AttemptOutcome.UNREACHABLE);
+    assertEquals(List.of(harness.server(0).id), harness.gossiped);
+    harness.router.gossipReceived(harness.now, new ServerId("nobody"));
+    RouterHarness peer = RouterHarness.withKnownPrimary(RouterHarness.fleetConfig(200, true));
+    peer.router.gossipReceived(peer.now, peer.server(0).id);
+    for (int k = 0; k < 100; k++) {
+      peer.arrive(Consistency.WRITE, 0, Duration.ZERO);
+      peer.advance(ms(1));
+      List.copyOf(peer.inFlight).forEach(s -> peer.end(s, AttemptOutcome.OK));
+    }
+    assertTrue(peer.requests.values().stream().filter(e -> e.attemptCount > 0).count() < 20);
+  }
+}
