--- /dev/null
+++ b/gateway/src/test/java/weldcross/gateway/ConfigReloadTest.java
@@ -0,0 +1,166 @@
+package weldcross.gateway;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import weldcross.config.ConfigValues;
+import weldcross.config.GatewayConfig;
+
+/** A configuration read again while the gateway serves, and discovery that moves with it. */
+class ConfigReloadTest {
+
+  @Test
+  void newDiscoveryAddressTakesOverWithItsFirstList() {
+    GatewayHarness harness = GatewayHarness.serving();
+    long old = harness.discovery;
+    harness.dispatch(g -> g.discovery().up(old));
+    harness.listEndpoints(41, true, "active");
+    harness.reload(2);
+    long first = harness.discovery;
+    harness.reload(3);
+    long second = harness.discovery;
+    assertTrue(harness.connections.get(first).dropped, "told of two moves in quick succession");
+    harness.dispatch(g -> g.discovery().up(second));
+    assertTrue(
+        harness.connections.get(second).takeReceived().startsWith("GET /catalog/members HTTP"),
+        "all of it, lest a " + "change be missed");
+    assertFalse(harness.connections.get(old).dropped, "heard until the new one tells");
+    harness.discovery = old;
+    harness.listEndpoints(42, false, "leaving");
+    harness.discovery = second;
+    harness.listEndpoints(42, true, "leaving");
+    assertTrue(harness.connections.get(old).dropped);
+    assertTrue(harness.connections.get(second).takeReceived().contains("?since=42&"));
+    harness.dispatch(g -> g.discovery().gone(old));
+    assertEquals(second, harness.discovery, "nothing is asked for at the old address");
+  }
+
+  @Test
+  void oldDiscoveryAddressThatClosesFirstIsAbandoned() {
+    GatewayHarness harness = GatewayHarness.serving();
+    long old = harness.discovery;
+    harness.dispatch(g -> g.discovery().up(old));
+    harness.listEndpoints(41, true, "active");
+    harness.reload(2);
+    long next = harness.discovery;
+    harness.dispatch(g -> g.discovery().gone(old));
+    harness.advance(1300);
+    assertFalse(harness.discovery == next, "the new one is silent and dialled again");
+    harness.dispatch(g -> g.discovery().up(harness.discovery));
+    harness.listEndpoints(43, true, "active");
+    harness.reload(2);
+    harness.reload(1);
+    long back = harness.discovery;
+    harness.dispatch(g -> g.discovery().up(back));
+    harness.listEndpoints(44, true, "active");
+    assertTrue(harness.connections.get(back).takeReceived().contains("?since=44&"));
+    harness.reload(1);
+    assertEquals(back, harness.discovery, "nothing changed");
+  }
+
+  @Test
+  void keysThatNeedARestartAreLogged() {
+    GatewayHarness harness = GatewayHarness.serving();
+    List<String> lines =
+        GatewayHarness.logged(
+            () -> {
+              harness.dispatch(
+                  g ->
+                      g.configReload()
+                          .reload(
+                              GatewayConfig.of(
+                                  ConfigValues.ofJson(
+                                      TestConfig.json(
+                                          "\"sockets\":1024",
+                                          "\"sockets\":512",
+                                          "\"tryLimit\":10",
+                                          "\"tryLimit\":9",
+                                          "8c1f",
+                                          "8c20")))));
+              harness.dispatch(g -> g.configReload().failed("limits.sockets: found 'x'"));
+            });
+    assertEquals(
+        "configuration reloaded: restart needed for keys=limits.sockets,settings", lines.get(0));
+    assertEquals(
+        "configuration reload failed, the one in force stays: reason=limits.sockets: found 'x'",
+        lines.get(1));
+    harness.request(harness.connect(), false, 500);
+  }
+
+  /** Rule 3: taken back to a list from before the drain, it sent to the drained server again. */
+  @Test
+  void discoveryAddressThatIsBehindRevertsNothing() {
+    GatewayHarness harness = GatewayHarness.serving();
+    harness.dispatch(g -> g.discovery().up(harness.discovery));
+    harness.listEndpoints(42, true, "leaving");
+    harness.reload(2);
+    harness.dispatch(g -> g.discovery().up(harness.discovery));
+    harness.listEndpoints(40, true, "active");
+    assertTrue(
+        harness
+            .connections
+            .get(harness.discovery)
+            .takeReceived()
+            .endsWith(
+                "since=40&timeout_ms=1500 HTTP/1.1\r\nHost: 127.0.0.1:2"
+                    + "\r\nAccept: application/json\r\n\r\n"),
+        "goes on from where it is");
+    assertFalse(serversOf(harness, 40).contains("s-1"), "sent to a server that drains");
+    harness.listEndpoints(41, false, "active");
+    assertFalse(serversOf(harness, 40).contains("s-1"), "sent to a server that drains");
+    harness.listEndpoints(43, false, "active");
+    assertTrue(serversOf(harness, 40).contains("s-1"), "what is newer counts");
+    harness.listEndpoints(45, false, "leaving");
+    harness.reload(3);
+    harness.dispatch(g -> g.discovery().up(harness.discovery));
+    harness.listEndpoints(5, true, "active");
+    harness.advance(5_000);
+    harness.listEndpoints(5, false, "active");
+    assertTrue(harness.connections.get(harness.discovery).takeReceived().contains("?since=5&"));
+    harness.advance(5_000);
+    harness.listEndpoints(5, false, "active");
+    assertTrue(
+        harness
+            .connections
+            .get(harness.discovery)
+            .takeReceived()
+            .contains("GET /catalog/members HTTP"),
+        "it counts anew");
+    assertFalse(serversOf(harness, 40).contains("s-1"));
+    harness.listEndpoints(5, true, "active");
+    assertTrue(serversOf(harness, 40).contains("s-1"));
+  }
+
+  /** Rule 3: an address that counts otherwise looks behind, and what it says of drains is news. */
+  @Test
+  void drainListedByAnAddressThatSeemsBehindCounts() {
+    GatewayHarness harness = GatewayHarness.serving();
+    harness.listEndpoints(42, true, "active");
+    harness.reload(2);
+    harness.dispatch(g -> g.discovery().up(harness.discovery));
+    harness.listEndpoints(7, true, "leaving");
+    assertFalse(serversOf(harness, 40).contains("s-1"), "sent to a server that drains");
+  }
+
+  private static Set<String> serversOf(GatewayHarness harness, int rpcs) {
+    Set<String> servers = new HashSet<>();
+    long client = harness.connect();
+    for (int k = 0; k < rpcs; k++) {
+      harness.request(client, false, 500);
+      harness
+          .busyConnections()
+          .forEach(
+              l -> {
+                servers.add(harness.connections.get(l).server);
+                harness.answer(l, null);
+              });
+      harness.advance(20);
+    }
+    return servers;
+  }
+}
--- a/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
@@ -78,7 +78,7 @@
 
   private void begin(int sockets) throws Exception {
     byte[] config =
-        GatewayTest.config(
+        TestConfig.json(
             "\"sockets\":1024", "\"sockets\":" + sockets, "\"mayTell\":true", "\"mayTell\":false");
     GatewayConfig terms = GatewayConfig.of(ConfigValues.ofJson(config));
     transport = new MinaTransport(loop, this::clock, sockets * 3 / 4);
--- a/gateway/src/test/java/weldcross/gateway/DiscoveryWatcherTest.java
+++ b/gateway/src/test/java/weldcross/gateway/DiscoveryWatcherTest.java
@@ -18,8 +18,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import weldcross.gateway.GatewayTest.Wire;
-import weldcross.gateway.GatewayTest.World;
 
 /**
  * Rule 3 against a model of two addresses of discovery, late, silent, mute, behind, cut off or
@@ -79,7 +77,7 @@
     final Set<Long> mute = new HashSet<>();
 
     final boolean onRequest;
-    World w;
+    GatewayHarness w;
     Duration before = Duration.ZERO, movedAt = Duration.ofDays(-1);
     int at = 1, sent, held, delivered, refused;
 
@@ -99,7 +97,7 @@
       String members = members(0, known, true);
       byte[] config =
           new String(
-                  GatewayTest.config(
+                  TestConfig.json(
                       "\"revision\":1",
                       "\"revision\":" + known,
                       "127.0.0.1:1\"",
@@ -110,7 +108,7 @@
               .replaceAll(
                   "(\"known\".*?\"members\":\\[).*?(\\]\\},\"settings\")", "$1" + members + "$2")
               .getBytes(StandardCharsets.UTF_8);
-      w = new World(config);
+      w = new GatewayHarness(config);
       mute.clear();
       agents[1].missed.clear();
       agents[2].missed.clear();
@@ -122,7 +120,7 @@
     String members(int since, int until, boolean whole) {
       return java.util.stream.IntStream.range(0, 3)
           .filter(s -> whole || servers.subList(since + 1, until + 1).contains(s))
-          .mapToObj(s -> GatewayTest.member(s, isDraining(s, until) ? "leaving" : "active"))
+          .mapToObj(s -> TestConfig.member(s, isDraining(s, until) ? "leaving" : "active"))
           .collect(Collectors.joining(","));
     }
 
@@ -146,7 +144,7 @@
                 boolean back =
                     told.tailMap(r, false).keySet().stream()
                         .anyMatch(n -> servers.get(n) == s && !drains.get(n));
-                GatewayTest.check(
+                RequestHistory.check(
                     !isDraining(s, r) || back,
                     "rule 3: sent at "
                         + now()
@@ -190,9 +188,12 @@
     Duration overdue(Duration had) {
       Duration latest = had.plus(AFTER_SILENCE);
       for (long link : open()) {
-        Wire wire = w.wires.get(link);
+        FakeConnection wire = w.connections.get(link);
         Matcher m = ASKED.matcher(wire.received);
-        if (wire.port == at && wire.answeredAt != null && m.matches() && m.group(3) != null) {
+        if (wire.discoveryPort == at
+            && wire.answeredAt != null
+            && m.matches()
+            && m.group(3) != null) {
           Duration over =
               before
                   .plus(wire.answeredAt)
@@ -227,11 +228,13 @@
         noteTold();
         begin(1 + random.nextInt(agents[at].has()));
       } else if (kind < 80) {
-        w.ask(w.connect(), random.nextInt(4) == 0, 900);
+        w.request(w.connect(), random.nextInt(4) == 0, 900);
       }
       for (Agent agent : List.of(agents[1], agents[2])) {
         List<Long> toIt =
-            open().stream().filter(l -> agents[w.wires.get(l).port] == agent).toList();
+            open().stream()
+                .filter(l -> agents[w.connections.get(l).discoveryPort] == agent)
+                .toList();
         for (int r = agent.has() + 1;
             !agent.silent && random.nextInt(3) > 0 && r < servers.size();
             r++) {
@@ -243,25 +246,25 @@
       }
       discoverySpeaks();
       if (random.nextInt(3) > 0) {
-        w.asked().forEach(l -> w.answer(l, null));
+        w.busyConnections().forEach(l -> w.answer(l, null));
       }
       for (int k = random.nextInt(30) == 0 ? random.nextInt(150) : 1; k > 0; k--) {
-        w.wait(1 + random.nextInt(100));
+        w.advance(1 + random.nextInt(100));
         discoverySpeaks();
       }
-      held += w.list().stands() ? 0 : 1;
+      held += w.gateway.discovery().stands() ? 0 : 1;
     }
 
     List<Long> open() {
-      return w.wires.entrySet().stream()
-          .filter(e -> e.getValue().port != 0 && !e.getValue().dropped)
+      return w.connections.entrySet().stream()
+          .filter(e -> e.getValue().discoveryPort != 0 && !e.getValue().dropped)
           .map(e -> e.getKey())
           .toList();
     }
 
     void cut(long link) {
-      w.wires.get(link).dropped = true;
-      w.tell(g -> g.discovery().gone(link));
+      w.connections.get(link).dropped = true;
+      w.dispatch(g -> g.discovery().gone(link));
     }
 
     /**
@@ -270,10 +273,10 @@
      */
     void discoverySpeaks() {
       for (long link : open()) {
-        Wire wire = w.wires.get(link);
-        Agent agent = agents[wire.port];
+        FakeConnection wire = w.connections.get(link);
+        Agent agent = agents[wire.discoveryPort];
         Duration stays = wire.open ? CLOSES : Duration.ZERO;
-        if (wire.port != at && now().minus(movedAt).compareTo(stays) >= 0) {
+        if (wire.discoveryPort != at && now().minus(movedAt).compareTo(stays) >= 0) {
           cut(link);
           continue;
         }
@@ -282,7 +285,7 @@
         }
         if (!wire.open) {
           wire.open = true;
-          w.tell(g -> g.discovery().up(link));
+          w.dispatch(g -> g.discovery().up(link));
         }
         for (Matcher m = ASKED.matcher(wire.received);
             !agent.silent && !wire.dropped && m.matches();
@@ -290,8 +293,8 @@
           int since = m.group(2) == null ? -1 : Integer.parseInt(m.group(2));
           if (wire.answeredAt == null && agent.busy && random.nextInt(4) > 0) {
             refused++;
-            wire.take();
-            w.tell(g -> g.discovery().answered(link, 503, new byte[0]));
+            wire.takeReceived();
+            w.dispatch(g -> g.discovery().answered(link, 503, new byte[0]));
             break;
           }
           wire.answeredAt = wire.answeredAt == null ? w.now : wire.answeredAt;
@@ -313,13 +316,13 @@
                   + ",\"members\":["
                   + (since >= agent.has() ? "" : members(Math.max(0, since), agent.has(), whole))
                   + "]}";
-          wire.take();
+          wire.takeReceived();
           wire.answeredAt = w.now;
           delivered = Math.max(delivered, agent.has());
           for (int r = 2; r <= agent.has(); r++) {
             told.merge(r, now(), (a, b) -> a.compareTo(b) < 0 ? a : b);
           }
-          w.tell(g -> g.discovery().answered(link, 200, text.getBytes(StandardCharsets.UTF_8)));
+          w.dispatch(g -> g.discovery().answered(link, 200, text.getBytes(StandardCharsets.UTF_8)));
         }
       }
     }
@@ -357,20 +360,20 @@
     assertTrue(model.held > 0 && model.held < 1_200, "the list lapsed in " + model.held + " steps");
   }
 
-  private static void assertServes(World w, boolean serves) {
-    String id = w.ask(w.connect(), true, 500);
+  private static void assertServes(GatewayHarness w, boolean serves) {
+    String id = w.request(w.connect(), true, 500);
     for (int k = 0; k < 10; k++) {
-      w.asked().forEach(l -> w.answer(l, null));
-      w.wait(10);
+      w.busyConnections().forEach(l -> w.answer(l, null));
+      w.advance(10);
     }
-    assertEquals(serves, "ok".equals(w.answers.get(id)));
+    assertEquals(serves, "ok".equals(w.history.answers.get(id)));
   }
 
-  private static void refuse(World w) {
+  private static void refuse(GatewayHarness w) {
     long link = w.discovery;
-    w.tell(g -> g.discovery().up(link));
-    w.wires.get(link).take();
-    w.tell(g -> g.discovery().answered(link, 503, new byte[0]));
+    w.dispatch(g -> g.discovery().up(link));
+    w.connections.get(link).takeReceived();
+    w.dispatch(g -> g.discovery().answered(link, 503, new byte[0]));
   }
 
   /**
@@ -378,39 +381,39 @@
    */
   @Test
   void discoveryThatRefusesLeavesTheListInForceForAWhile() {
-    World w = World.serving(ON_REQUEST);
-    w.talking = false;
-    w.wait(1_000);
+    GatewayHarness w = GatewayHarness.serving(ON_REQUEST);
+    w.discoveryAnswers = false;
+    w.advance(1_000);
     refuse(w);
-    w.wait(6_000);
+    w.advance(6_000);
     assertServes(w, true);
-    w.wait(2_000);
+    w.advance(2_000);
     assertServes(w, false);
-    while (w.wires.get(w.discovery).dropped) {
-      w.wait(10);
+    while (w.connections.get(w.discovery).dropped) {
+      w.advance(10);
     }
-    w.tell(g -> g.discovery().up(w.discovery));
-    w.nothingNew();
+    w.dispatch(g -> g.discovery().up(w.discovery));
+    w.answerNoChange();
     assertServes(w, true);
   }
 
   /** Hundreds of gateways that ask anew at once, and for all of it, keep a busy discovery busy. */
   @Test
   void whoIsRefusedAsksEverMoreRarelyAndForChangesAlone() {
-    World w = World.serving(ON_REQUEST);
-    w.talking = false;
+    GatewayHarness w = GatewayHarness.serving(ON_REQUEST);
+    w.discoveryAnswers = false;
     int asked = 0;
     long before = 0;
     for (int ms = 0; ms < 10_000; ms += 10) {
       if (w.discovery != before) {
         before = w.discovery;
-        w.tell(g -> g.discovery().up(w.discovery));
-        String call = w.wires.get(before).take();
+        w.dispatch(g -> g.discovery().up(w.discovery));
+        String call = w.connections.get(before).takeReceived();
         assertTrue(asked++ == 0 || call.contains("?since=1&timeout_ms=1 "), call);
         long link = before;
-        w.tell(g -> g.discovery().answered(link, 503, new byte[0]));
+        w.dispatch(g -> g.discovery().answered(link, 503, new byte[0]));
       }
-      w.wait(10);
+      w.advance(10);
     }
     assertTrue(asked >= 5 && asked <= 12, asked + " calls in 10 s");
   }
@@ -418,19 +421,19 @@
   /** Given up and asked for anew, a call loses its place in the line and is worked on in vain. */
   @Test
   void callThatWaitsInLineIsNotGivenUp() {
-    World w = new World(ON_REQUEST);
+    GatewayHarness w = new GatewayHarness(ON_REQUEST);
     long link = w.discovery;
-    w.tell(g -> g.discovery().up(link));
-    w.wait(2_500);
+    w.dispatch(g -> g.discovery().up(link));
+    w.advance(2_500);
     assertEquals(link, w.discovery);
-    w.nothingNew();
-    w.wait(5);
-    w.answerProbes();
+    w.answerNoChange();
+    w.advance(5);
+    w.answerHealthChecks();
     assertServes(w, true);
     // The watch, too, may be answered so long after its wait.
-    w.wait(12_300);
+    w.advance(12_300);
     assertEquals(link, w.discovery);
-    w.wait(1_500);
+    w.advance(1_500);
     assertNotEquals(link, w.discovery, "it is silent");
   }
 }
--- a/gateway/src/test/java/weldcross/gateway/MultipleDeploymentsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/MultipleDeploymentsTest.java
@@ -10,8 +10,6 @@
 import org.junit.jupiter.api.Test;
 import weldcross.config.ConfigValues;
 import weldcross.config.GatewayConfig;
-import weldcross.gateway.GatewayTest.Wire;
-import weldcross.gateway.GatewayTest.World;
 import weldcross.pgwire.MessageEncoder;
 
 /**
@@ -41,24 +39,24 @@
     "\"connectTimeout\":400000"
   };
 
-  private final World one = World.serving();
-  private final World other = World.serving(OTHER);
+  private final GatewayHarness one = GatewayHarness.serving();
+  private final GatewayHarness other = GatewayHarness.serving(OTHER);
   private int named;
 
   @BeforeEach
   void firstReadsTheOthersConfiguration() {
-    byte[] text = GatewayTest.config(OTHER);
-    one.tell(g -> g.configReload().reload(GatewayConfig.of(ConfigValues.ofJson(text))));
+    byte[] text = TestConfig.json(OTHER);
+    one.dispatch(g -> g.configReload().reload(GatewayConfig.of(ConfigValues.ofJson(text))));
   }
 
   /** Asks, and returns the client's connection. */
-  private long ask(World w, boolean write, String method, String tenant) {
+  private long ask(GatewayHarness harness, boolean write, String method, String tenant) {
     String id = "a" + (900 + named++);
-    long client = w.connect();
-    w.deadlines.put(id, w.now.plusMillis(900));
-    w.askedBy.put(id, client);
+    long client = harness.connect();
+    harness.history.deadlines.put(id, harness.now.plusMillis(900));
+    harness.history.clientOf.put(id, client);
     String comment = " /* id=" + id + ",c=" + method + ",d=900,cluster=0,t=" + tenant + " */";
-    w.say(
+    harness.send(
         client,
         MessageEncoder.query(
             write
@@ -67,12 +65,18 @@
     return client;
   }
 
-  private static String answer(World w, long client) {
-    return w.wires.get(client).take().replaceAll("(?s).*\0C(\\w{5})\0M([\\w, ]+)\0.*", "$1 $2");
+  private static String answer(GatewayHarness harness, long client) {
+    return harness
+        .connections
+        .get(client)
+        .takeReceived()
+        .replaceAll("(?s).*\0C(\\w{5})\0M([\\w, ]+)\0.*", "$1 $2");
   }
 
-  private static List<Long> statements(World w) {
-    return w.asked().stream().filter(l -> !w.wires.get(l).statement.startsWith("SHOW")).toList();
+  private static List<Long> statements(GatewayHarness harness) {
+    return harness.busyConnections().stream()
+        .filter(l -> !harness.connections.get(l).statement.startsWith("SHOW"))
+        .toList();
   }
 
   @Test
@@ -83,53 +87,53 @@
     assertEquals("22023 unknown tenant", answer(other, ask(other, false, "browse", "acme")));
     ask(one, false, "look", "acme");
     ask(other, false, "browse", "zeta");
-    for (World w : List.of(one, other)) {
-      assertEquals(1, statements(w).size());
+    for (GatewayHarness harness : List.of(one, other)) {
+      assertEquals(1, statements(harness).size());
     }
-    assertTrue(one.wires.get(statements(one).get(0)).statement.contains("t=acme"));
-    assertTrue(other.wires.get(statements(other).get(0)).statement.contains("t=zeta"));
+    assertTrue(one.connections.get(statements(one).get(0)).statement.contains("t=acme"));
+    assertTrue(other.connections.get(statements(other).get(0)).statement.contains("t=zeta"));
   }
 
   /** What may be sent again at the one may never run twice at the other. */
   @Test
   void effectsStayWithTheirCustomer() {
-    one.writes.add("a900");
+    one.history.writes.add("a900");
     long mine = ask(one, true, "file", "acme");
-    one.end(statements(one).get(0));
+    one.closeByServer(statements(one).get(0));
     assertEquals("58000 failed", answer(one, mine).substring(0, 12));
     assertTrue(statements(one).isEmpty());
     long theirs = ask(other, true, "order", "zeta");
-    Wire wire = other.wires.get(statements(other).get(0));
+    FakeConnection wire = other.connections.get(statements(other).get(0));
     assertTrue(wire.statement.startsWith("INSERT"));
     // The model of the first customer's rules would take a second send for a broken rule.
-    other.mayHaveRun.clear();
-    other.outOn.clear();
+    other.history.mayHaveRun.clear();
+    other.history.openAttempts.clear();
     long link = statements(other).get(0);
     wire.statement = null;
     wire.open = false;
-    other.tell(g -> g.serverConnections().gone(link, wire.reader.rest()));
-    other.flush();
-    other.wait(150);
+    other.dispatch(g -> g.serverConnections().gone(link, wire.serverDecoder.rest()));
+    other.completeWrites();
+    other.advance(150);
     assertFalse(statements(other).isEmpty(), "an idempotent write goes out again");
-    assertEquals("", other.wires.get(theirs).take(), "and is not given up");
+    assertEquals("", other.connections.get(theirs).takeReceived(), "and is not given up");
   }
 
   @Test
   void boundsStayWithTheirCustomer() {
-    for (World w : List.of(one, other)) {
-      w.wait(400);
+    for (GatewayHarness harness : List.of(one, other)) {
+      harness.advance(400);
     }
     ask(one, false, "look", "acme");
-    assertFalse(one.wires.get(statements(one).get(0)).server.equals("s-0"), "within 800 ms");
+    assertFalse(one.connections.get(statements(one).get(0)).server.equals("s-0"), "within 800 ms");
     ask(other, false, "browse", "zeta");
-    other.wait(60);
-    assertEquals("s-0", other.wires.get(statements(other).get(0)).server, "past 150 ms");
+    other.advance(60);
+    assertEquals("s-0", other.connections.get(statements(other).get(0)).server, "past 150 ms");
   }
 
   /** What the one has learnt of servers of the same names the other has to learn by itself. */
   @Test
   void whatIsLearntStaysWithItsCustomer() {
-    World fresh = World.listed(OTHER);
+    GatewayHarness fresh = GatewayHarness.withEndpointList(OTHER);
     ask(fresh, false, "browse", "zeta");
     assertTrue(statements(fresh).isEmpty(), "it knows no position yet");
     assertEquals(Duration.ZERO, fresh.now);
@@ -142,16 +146,17 @@
   void onlyDiscoveryMovesWithAReload() {
     assertEquals(
         List.of("settings"),
-        GatewayConfig.of(ConfigValues.ofJson(GatewayTest.config()))
-            .keysThatDiffer(GatewayConfig.of(ConfigValues.ofJson(GatewayTest.config(OTHER)))));
-    one.silent.addAll(List.of("s-0", "s-1", "s-2"));
-    List.copyOf(one.wires.keySet()).stream()
-        .filter(n -> n < 0 && one.wires.get(n).port == 0 && one.wires.get(n).open)
-        .forEach(one::end);
+        GatewayConfig.of(ConfigValues.ofJson(TestConfig.json()))
+            .keysThatDiffer(GatewayConfig.of(ConfigValues.ofJson(TestConfig.json(OTHER)))));
+    one.unreachable.addAll(List.of("s-0", "s-1", "s-2"));
+    List.copyOf(one.connections.keySet()).stream()
+        .filter(
+            n -> n < 0 && one.connections.get(n).discoveryPort == 0 && one.connections.get(n).open)
+        .forEach(one::closeByServer);
     long client = ask(one, false, "look", "acme");
-    one.wait(900);
+    one.advance(900);
     assertTrue(
-        one.wires.get(client).take().contains("D500\0"),
+        one.connections.get(client).takeReceived().contains("D500\0"),
         "come back after the first customer's time");
   }
 }
--- a/gateway/src/test/java/weldcross/gateway/ReadBatchTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ReadBatchTest.java
@@ -7,7 +7,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import weldcross.gateway.GatewayTest.World;
 import weldcross.pgwire.ClientMessageDecoder;
 import weldcross.pgwire.MessageEncoder;
 
@@ -16,18 +15,18 @@
 
   private final List<Gateway.Event> posted = new ArrayList<>();
   private final ReadBatch batch = new ReadBatch(posted::add);
-  private final World w = World.serving();
+  private final GatewayHarness harness = GatewayHarness.serving();
 
   private void deliver() {
     batch.postAll();
-    List.copyOf(posted).forEach(w::tell);
+    List.copyOf(posted).forEach(harness::dispatch);
     posted.clear();
   }
 
   /** What it says is told by the batch, as a stream on sockets does. */
   private ClientMessageDecoder reader(long client) {
     return Streams.client(
-        event -> batch.addForClient(client, event), batch::add, () -> w.now, client);
+        event -> batch.addForClient(client, event), batch::add, () -> harness.now, client);
   }
 
   private static ByteBuffer read(String id) {
@@ -41,8 +40,8 @@
    */
   @Test
   void whatAClientAskedInTheRoundOfItsEndIsNotBegun() {
-    long goes = w.connect();
-    long stays = w.connect();
+    long goes = harness.connect();
+    long stays = harness.connect();
     reader(goes);
     ClientMessageDecoder one = reader(goes);
     one.feed(MessageEncoder.startup());
@@ -50,14 +49,15 @@
     ClientMessageDecoder other = reader(stays);
     other.feed(MessageEncoder.startup());
     other.feed(read("a901"));
-    w.deadlines.put("a901", w.now.plusMillis(900));
-    w.askedBy.put("a901", stays);
+    harness.history.deadlines.put("a901", harness.now.plusMillis(900));
+    harness.history.clientOf.put("a901", stays);
     batch.clientDisconnected(goes);
     deliver();
-    assertTrue(w.outOn.containsKey("a901"));
+    assertTrue(harness.history.openAttempts.containsKey("a901"));
     assertTrue(
-        !w.outOn.containsKey("a900") && !w.gateway.describe().contains("2 accepted"),
-        w.gateway.describe());
+        !harness.history.openAttempts.containsKey("a900")
+            && !harness.gateway.describe().contains("2 accepted"),
+        harness.gateway.describe());
   }
 
   /** All who go are one event, before anything else: none of them is made room for by another. */
@@ -71,7 +71,7 @@
     batch.postAll();
     assertEquals(3, posted.size(), "the two that went, and a word each");
     posted.remove(0);
-    posted.forEach(w::tell);
+    posted.forEach(harness::dispatch);
     assertEquals(List.of("said", "a server's word"), order);
     posted.clear();
     batch.postAll();
@@ -91,7 +91,7 @@
     batch.clientDisconnected(8);
     batch.postAll();
     posted.remove(0);
-    posted.forEach(w::tell);
+    posted.forEach(harness::dispatch);
     assertEquals(List.of("answered", "gone", "asked"), order);
   }
 
@@ -102,6 +102,6 @@
     batch.clientDisconnected(70);
     batch.clientAccepted(71);
     deliver();
-    assertTrue(w.gateway.describe().startsWith("1 clients"), w.gateway.describe());
+    assertTrue(harness.gateway.describe().startsWith("1 clients"), harness.gateway.describe());
   }
 }
--- /dev/null
+++ b/gateway/src/test/java/weldcross/gateway/RequestPipelineTest.java
@@ -0,0 +1,115 @@
+package weldcross.gateway;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import weldcross.pgwire.MessageEncoder;
+
+/** Order, limits and checks of what clients send. */
+class RequestPipelineTest {
+
+  @Test
+  void rowIsPassedOnUnchanged() {
+    GatewayHarness harness = GatewayHarness.serving();
+    long client = harness.connect();
+    String id = harness.request(client, false, 500);
+    harness.answer(harness.connectionOf(id), null);
+    String value = "v-" + id;
+    assertEquals(
+        new String(ServerMessages.message('T', ServerMessages.COLUMNS), StandardCharsets.ISO_8859_1)
+            + "D"
+            + "\0\0\0"
+            + (char) (10 + value.length())
+            + "\0\1\0\0\0"
+            + (char) value.length()
+            + value
+            + "C\0\0\0\15SELECT 1\0Z\0\0\0\5I",
+        harness.connections.get(client).takeReceived());
+  }
+
+  /** What waits behind another loses no time by it, and no answer overtakes one. */
+  @Test
+  void pipelinedRequestsRunConcurrentlyAndAreAnsweredInOrder() {
+    GatewayHarness harness = GatewayHarness.serving();
+    long client = harness.connect();
+    String first = harness.request(client, false, 900);
+    String second = harness.request(client, false, 900);
+    String third = harness.request(client, false, 900);
+    harness.answer(harness.connectionOf(second), null);
+    assertEquals(Map.of(), harness.history.answers);
+    harness.answer(harness.connectionOf(first), null);
+    harness.answer(harness.connectionOf(third), null);
+    assertEquals(List.of(first, second, third), List.copyOf(harness.history.answers.keySet()));
+  }
+
+  @Test
+  void clientWithTooManyRequestsIsNotReadOn() {
+    GatewayHarness harness = GatewayHarness.serving();
+    long client = harness.connect();
+    List<String> ids = new ArrayList<>();
+    for (int k = 0; k < 20; k++) {
+      ids.add(harness.request(client, false, 5000));
+    }
+    assertTrue(harness.calls.contains("hold " + client));
+    for (int k = 0; k < 12; k++) {
+      harness.busyConnections().stream()
+          .filter(l -> RequestHistory.idOf(harness.connections.get(l).statement) != null)
+          .forEach(l -> harness.answer(l, null));
+      harness.advance(40);
+      harness.answerHealthChecks();
+    }
+    assertTrue(harness.calls.contains("read " + client), harness.history.answers.toString());
+    assertTrue(harness.history.answers.keySet().containsAll(ids));
+  }
+
+  @Test
+  void burstOfStatementsStartsFewAndAnswersAll() {
+    GatewayHarness harness = GatewayHarness.serving();
+    long client = harness.connect();
+    ByteBuffer burst = ByteBuffer.allocate(60_000);
+    for (int k = 0; k < 300; k++) {
+      harness.history.deadlines.put("a" + k, harness.now.plusMillis(900));
+      harness.history.clientOf.put("a" + k, client);
+      burst.put(
+          MessageEncoder.query(
+              "SELECT content FROM kv WHERE name = 'k' /* id=a"
+                  + k
+                  + ",c=look,d=900,cluster=0 */"));
+    }
+    harness.send(client, burst.flip());
+    assertTrue(harness.gateway.describe().contains(" 16 requests"), harness.gateway.describe());
+    for (int k = 0; k < 90; k++) {
+      harness.advance(10);
+      harness.answerHealthChecks();
+    }
+    assertEquals(300, harness.history.answers.size());
+    assertEquals(220, harness.history.answers.values().stream().filter("54000"::equals).count());
+  }
+
+  @ParameterizedTest
+  @CsvSource({"c=look,c=read", "c=look,c=file", "cluster=0,cluster=7", "d=900,'d=900,t=nobody'"})
+  void statementThatNamesTheUnknownIsRejected(String part, String instead) {
+    GatewayHarness harness = GatewayHarness.serving();
+    long client = harness.connect();
+    harness.history.deadlines.put("z", harness.now.plusMillis(900));
+    String text = "SELECT content FROM kv WHERE name = 'k' /* id=z,c=look,d=900,cluster=0 */";
+    harness.send(client, MessageEncoder.query(text.replace(part, instead)));
+    assertTrue(harness.connections.get(client).takeReceived().contains("C22023"));
+    assertTrue(
+        harness.busyConnections().stream()
+            .allMatch(l -> RequestHistory.idOf(harness.connections.get(l).statement) == null));
+    harness.send(client, MessageEncoder.query(text));
+    harness.connectionOf("z");
+    long other = harness.connect();
+    harness.send(other, MessageEncoder.query(text));
+    assertTrue(harness.connections.get(other).takeReceived().contains("C22023"), "an id in use");
+  }
+}
