--- a/gateway/src/test/java/weldcross/gateway/AttemptTrackerTest.java
+++ b/gateway/src/test/java/weldcross/gateway/AttemptTrackerTest.java
@@ -32,7 +32,7 @@
         .forEach(harness::closeByServer);
     harness.advance(740);
     harness.unreachable.addAll(List.of("s-1", "s-2"));
-    String id = harness.request(harness.connect(), false, 1000);
+    final String id = harness.request(harness.connect(), false, 1000);
     harness.advance(60);
     List<Long> slow =
         harness.connections.keySet().stream()
@@ -107,7 +107,7 @@
     long client = harness.connect();
     String write = harness.request(client, true, 1000);
     harness.advance(300);
-    String asked = harness.connections.get(harness.connectionOf(write)).statement;
+    final String asked = harness.connections.get(harness.connectionOf(write)).statement;
     long millis = GatewayHarness.START_UNIX_MILLIS + harness.now.toMillis();
     FakeConnection wire = harness.connections.get(harness.connectionOf(write));
     harness.advance(3);
@@ -123,7 +123,7 @@
     }
     wire.statement = null;
     assertTrue(asked.startsWith("INSERT"));
-    String read = harness.request(client, false, 1000);
+    final String read = harness.request(client, false, 1000);
     List<Long> probes = harness.busyConnections();
     assertFalse(probes.isEmpty(), "a replica is asked where it stands");
     for (long probe : probes) {
@@ -138,10 +138,11 @@
     GatewayHarness harness = GatewayHarness.serving();
     harness.history.writes.add("a0");
     String write = harness.request(harness.connect(), true, 900);
-    long link = harness.connectionOf(write);
-    harness.serverSends(harness.connections.get(link), ByteBuffer.wrap(new byte[] {1, 2, 3, 4, 5}));
+    long connection = harness.connectionOf(write);
+    harness.serverSends(
+        harness.connections.get(connection), ByteBuffer.wrap(new byte[] {1, 2, 3, 4, 5}));
     assertEquals("58000", harness.history.answers.get(write), "an INSERT that may have run");
-    assertTrue(harness.connections.get(link).dropped);
+    assertTrue(harness.connections.get(connection).dropped);
     String read = harness.request(harness.connect(), false, 900);
     long first = harness.connectionOf(read);
     byte[] wrong = ServerMessages.message('T', ServerMessages.COLUMNS);
@@ -189,11 +190,11 @@
                     + "RETURNING content /* id=a0,c=file,d=2000,cluster=0 */"));
     harness.history.clientOf.put("a0", client);
     harness.loop.catchUp(harness.gateway);
-    long link = harness.connectionOf("a0");
+    long connection = harness.connectionOf("a0");
     harness.pendingWrites.clear();
-    harness.connections.get(link).statement = null;
+    harness.connections.get(connection).statement = null;
     harness.history.openAttempts.get("a0").clear();
-    harness.closeByServer(link);
+    harness.closeByServer(connection);
     for (int k = 0; k < 30 && harness.history.openAttempts.get("a0").isEmpty(); k++) {
       harness.advance(50);
       harness.answerHealthChecks();
@@ -239,7 +240,7 @@
       clients.put(harness.request(client, false, 1500), client);
     }
     assertTrue(harness.history.openAttempts.size() < 60, "some are held");
-    Set<String> begun = Set.copyOf(harness.history.openAttempts.keySet());
+    final Set<String> begun = Set.copyOf(harness.history.openAttempts.keySet());
     harness.history.abandoned.addAll(clients.keySet());
     harness.dispatch(g -> clients.values().forEach(g.clients()::disconnected));
     harness.advance(50);
@@ -251,9 +252,9 @@
     GatewayHarness harness = GatewayHarness.serving();
     long client = harness.connect();
     String id = harness.request(client, false, 900);
-    long link = harness.connectionOf(id);
+    long connection = harness.connectionOf(id);
     harness.disconnect(client);
-    assertTrue(harness.connections.get(link).dropped);
+    assertTrue(harness.connections.get(connection).dropped);
   }
 
   @Test
@@ -262,8 +263,8 @@
     harness.history.writes.add("a0");
     long client = harness.connect();
     String id = harness.request(client, true, 900);
-    for (long link : harness.busyConnections()) {
-      harness.answer(link, "53300");
+    for (long connection : harness.busyConnections()) {
+      harness.answer(connection, "53300");
     }
     for (int k = 0; k < 40 && !harness.history.answers.containsKey(id); k++) {
       harness.advance(25);
--- a/gateway/src/test/java/weldcross/gateway/CancelRequestsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/CancelRequestsTest.java
@@ -28,8 +28,8 @@
         ByteBuffer.allocate(16).putInt(16).putInt(80877102).put(welcome, key, 8).flip();
     ByteBuffer guess = cancel.duplicate().order(cancel.order());
     harness.unreachable.addAll(List.of("s-0", "s-1", "s-2"));
-    String first = harness.request(client, false, 900);
-    String second = harness.request(client, false, 900);
+    final String first = harness.request(client, false, 900);
+    final String second = harness.request(client, false, 900);
     ByteBuffer wrong = ByteBuffer.allocate(16).put(guess).putInt(12, cancel.getInt(12) + 1).flip();
     harness.send(harness.accept(), wrong);
     assertEquals(
--- a/gateway/src/test/java/weldcross/gateway/ClientConnectionsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ClientConnectionsTest.java
@@ -51,7 +51,7 @@
     long client = harness.connect();
     String id = harness.request(client, false, 3000);
     String second = harness.request(client, false, 3000);
-    long link = harness.connectionOf(id);
+    final long connection = harness.connectionOf(id);
     harness.answer(harness.connectionOf(second), null);
     harness.send(client, ByteBuffer.wrap(new byte[] {'Q', 127, 0, 0, 0}));
     assertEquals(
@@ -61,7 +61,7 @@
     assertTrue(
         harness.connections.get(client).takeReceived().contains("C08P01")
             && harness.calls.contains("finish " + client));
-    assertTrue(harness.connections.get(link).dropped, "nobody waits for its RPC any more");
+    assertTrue(harness.connections.get(connection).dropped, "nobody waits for its RPC any more");
     harness.advance(300);
     assertTrue(harness.connections.get(client).dropped, "it had a moment to read the error");
   }
@@ -131,7 +131,7 @@
     assertTrue(
         harness.pendingCloses.keySet().containsAll(clients.subList(0, 2)),
         harness.pendingCloses.toString());
-    String id = harness.request(clients.get(0), false, 900);
+    final String id = harness.request(clients.get(0), false, 900);
     harness.finishReads();
     assertTrue(
         harness.connections.get(clients.get(0)).open
--- a/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
@@ -26,9 +26,9 @@
 import weldcross.pgwire.MessageEncoder;
 
 /**
- * Ends of connections on loopback sockets that cross what is still on its way. The reducer turns
- * only when a test says so and its clock is moved by hand, so that each crossing comes by the order
- * of bytes and events.
+ * Closes of connections on loopback sockets that cross what is still on its way. The gateway
+ * handles events only when a test says so and its clock is moved by hand, so that each crossing
+ * comes by the order of bytes and events.
  */
 @Timeout(60)
 class ConnectionCloseTest {
@@ -39,30 +39,27 @@
   private volatile Duration now = Duration.ZERO;
 
   /**
-   * Where it is closed, whoever asks for the time on another thread waits: the processor, at a
-   * statement.
+   * While closed, it holds up whichever other thread reads the clock: the reader, at a statement.
    */
-  private volatile CountDownLatch reading = new CountDownLatch(0);
+  private volatile CountDownLatch readerHold = new CountDownLatch(0);
 
-  private volatile boolean waits;
+  private volatile boolean readerWaits;
   private final EventLoop loop = new EventLoop(this::clock);
   private MinaTransport transport;
   private Gateway gateway;
 
-  /**
-   * MINA waits for ever for the end of what its reading thread served, where that thread is gone.
-   */
-  private boolean broke;
+  /** Whether the reading thread is gone; MINA would wait for ever for the end of its sessions. */
+  private boolean readerEnded;
 
-  private InetSocketAddress at;
+  private InetSocketAddress address;
   private final List<AutoCloseable> open = new ArrayList<>();
-  private int named;
+  private int nextRequest;
 
   private Duration clock() {
-    if (Thread.currentThread() != test && reading.getCount() > 0) {
-      waits = true;
+    if (Thread.currentThread() != test && readerHold.getCount() > 0) {
+      readerWaits = true;
       try {
-        reading.await(20, TimeUnit.SECONDS);
+        readerHold.await(20, TimeUnit.SECONDS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -80,23 +77,23 @@
     byte[] config =
         TestConfig.json(
             "\"sockets\":1024", "\"sockets\":" + sockets, "\"mayTell\":true", "\"mayTell\":false");
-    GatewayConfig terms = GatewayConfig.of(ConfigValues.ofJson(config));
+    GatewayConfig gatewayConfig = GatewayConfig.of(ConfigValues.ofJson(config));
     transport = new MinaTransport(loop, this::clock, sockets * 3 / 4);
-    gateway = new Gateway(terms, transport, Duration.ofHours(500_000));
+    gateway = new Gateway(gatewayConfig, transport, Duration.ofHours(500_000));
     gateway.reduce(now, Gateway::start);
-    at = transport.listening().get(20, TimeUnit.SECONDS);
-    // Its own greeting is over before anything is counted; before it began there are no clients
-    // either.
+    address = transport.listening().get(20, TimeUnit.SECONDS);
+    // Its connection to itself has ended before anything is counted; before that began there are no
+    // clients either.
     until(() -> gateway.isWarm() && clients() == 0);
   }
 
   @AfterEach
   void end() throws Exception {
-    reading.countDown();
+    readerHold.countDown();
     for (AutoCloseable each : open) {
       each.close();
     }
-    if (!broke) {
+    if (!readerEnded) {
       transport.end();
     }
   }
@@ -111,11 +108,8 @@
     } while (!condition.getAsBoolean());
   }
 
-  /**
-   * All that had come in is read and told, and what the reducer asked of the processor before is
-   * done.
-   */
-  private void aRoundIsOver() {
+  /** Waits until all that was received is read and handled, and pending calls are done. */
+  private void finishReading() {
     CountDownLatch read = new CountDownLatch(1);
     transport.processor.afterReading(read::countDown);
     until(() -> read.getCount() == 0);
@@ -135,8 +129,8 @@
   private Socket connect() throws IOException {
     Socket socket = new Socket();
     open.add(socket);
-    int before = clients();
-    socket.connect(at);
+    final int before = clients();
+    socket.connect(address);
     socket.setSoTimeout(20_000);
     send(socket, MessageEncoder.startup());
     until(() -> clients() > before && available(socket) > 5);
@@ -163,26 +157,23 @@
   private ByteBuffer read() {
     return MessageEncoder.query(
         "SELECT content FROM kv WHERE name = 'k' /* id=a"
-            + named++
+            + nextRequest++
             + ",c=look,d=60000,cluster=0 */");
   }
 
-  private void asks(Socket client, int statements) throws IOException {
+  private void sendReads(Socket client, int statements) throws IOException {
     for (int k = 0; k < statements; k++) {
       send(client, read());
     }
   }
 
-  private int taken() {
+  private int acceptedRequests() {
     return Integer.parseInt(gateway.describe().split("; ")[1].split(" ")[0]);
   }
 
-  /**
-   * Rule 1: half of its statement is read, the rest is on its way, and its connection is given up
-   * as silent.
-   */
+  /** Rule 1: half a statement is read and the rest on its way as its connection is closed. */
   @Test
-  void statementOfWhichHalfIsReadKeepsItsConnection() throws Exception {
+  void clientWithHalfAStatementReadIsNotClosed() throws Exception {
     Socket client = connect();
     byte[] statement = read().array();
     moveClock(1_000);
@@ -190,9 +181,9 @@
     // 2 s after it came it has asked nothing; all that it sent by then is read before that is
     // judged.
     moveClock(1_000);
-    aRoundIsOver();
+    finishReading();
     client.getOutputStream().write(statement, 60, statement.length - 60);
-    until(() -> taken() == 1);
+    until(() -> acceptedRequests() == 1);
   }
 
   /**
@@ -200,23 +191,23 @@
    * connection.
    */
   @Test
-  void whatComesBehindTheEndNeitherResetsItNorIsTaken() throws Exception {
+  void bytesAfterTheCloseNeitherResetItNorAreAccepted() throws Exception {
     Socket client = connect();
     moveClock(2_000);
     until(() -> clients() == 0);
-    asks(client, 3);
+    sendReads(client, 3);
     assertEquals(-1, client.getInputStream().read());
-    asks(client, 3);
+    sendReads(client, 3);
     assertEquals(-1, client.getInputStream().read(), "not reset by what came unread");
     loop.catchUp(gateway);
-    assertEquals(0, taken());
+    assertEquals(0, acceptedRequests());
     client.close();
   }
 
   /** Whoever keeps its side open is closed once its time is over. */
   @Test
-  void whoKeepsItsSideOpenLosesItsConnection() throws Exception {
-    Socket client = connect();
+  void clientThatKeepsItsSideOpenIsDropped() throws Exception {
+    final Socket client = connect();
     moveClock(2_000);
     until(() -> clients() == 0);
     moveClock(250);
@@ -237,23 +228,23 @@
    * ended.
    */
   @Test
-  void endOfAClientThatIsNotListenedToIsSeen() throws Exception {
+  void disconnectWhileDecodingIsPausedIsSeen() throws Exception {
     Socket client = connect();
-    asks(client, 40);
-    until(() -> taken() == 16);
+    sendReads(client, 40);
+    until(() -> acceptedRequests() == 16);
     client.close();
     until(() -> clients() == 0);
-    assertEquals(16, taken());
+    assertEquals(16, acceptedRequests());
   }
 
   /**
    * All that a client sends while it is not listened to is asked in the end, however much it is.
    */
   @Test
-  void whatIsKeptOfAClientIsAllAsked() throws Exception {
+  void bufferedStatementsAreAllAccepted() throws Exception {
     Socket client = connect();
     int all = 75;
-    asks(client, all);
+    sendReads(client, all);
     int answered = 0;
     DataInputStream in = new DataInputStream(client.getInputStream());
     long began = System.nanoTime();
@@ -263,9 +254,9 @@
           System.nanoTime() - began < BOUND_NANOS, answered + " answered; " + gateway.describe());
       // What a round brings is begun, or nothing more is: only then does the time of those in work
       // pass.
-      for (int still = 0, before = -1; still < 4; before = taken()) {
-        aRoundIsOver();
-        still = taken() == before ? still + 1 : 0;
+      for (int still = 0, before = -1; still < 4; before = acceptedRequests()) {
+        finishReading();
+        still = acceptedRequests() == before ? still + 1 : 0;
       }
       moveClock(27_100);
       while (available(client) > 0) {
@@ -278,42 +269,42 @@
         }
       }
     }
-    assertEquals(all, taken());
+    assertEquals(all, acceptedRequests());
   }
 
   /** Its statement and its end are read in one go, as after a stall: nothing is begun for it. */
   @Test
-  void statementReadWithItsClientsEndIsNotTaken() throws Exception {
+  void statementReadWithItsClientsDisconnectIsNotAccepted() throws Exception {
     Socket first = connect();
-    Socket leaves = connect();
-    reading = new CountDownLatch(1);
-    asks(first, 1);
-    until(() -> waits);
-    asks(leaves, 1);
+    final Socket leaves = connect();
+    readerHold = new CountDownLatch(1);
+    sendReads(first, 1);
+    until(() -> readerWaits);
+    sendReads(leaves, 1);
     leaves.close();
-    reading.countDown();
-    until(() -> clients() == 1 && taken() > 0);
-    assertEquals(1, taken());
+    readerHold.countDown();
+    until(() -> clients() == 1 && acceptedRequests() > 0);
+    assertEquals(1, acceptedRequests());
   }
 
   /** Rule 1: it came out of every round from then on, and nothing was read any more, of nobody. */
   @Test
-  void faultInATaskOfTheProcessorIsNotTheEndOfAllReading() throws Exception {
+  void faultInAProcessorTaskDoesNotStopReading() throws Exception {
     Socket first = connect();
     transport.processor.afterReading(
         () -> {
           throw new IllegalStateException("a fault of one connection");
         });
-    aRoundIsOver();
-    asks(first, 1);
-    until(() -> taken() == 1);
+    finishReading();
+    sendReads(first, 1);
+    until(() -> acceptedRequests() == 1);
   }
 
   /** Rule 1: without its reading thread a gateway only seems alive; it comes to its end instead. */
   @Test
-  void endOfTheReadingThreadIsTheEndOfTheGateway() throws Exception {
+  void endOfTheReadingThreadEndsTheGateway() throws Exception {
     connect();
-    broke = true;
+    readerEnded = true;
     transport.processor.afterReading(
         () -> {
           throw new StackOverflowError("planted");
@@ -349,13 +340,13 @@
 
   /** Dials that hang hold descriptors too: clients leave room for them, or discovery gets none. */
   @Test
-  void dialsUnderWayCountAgainstWhatClientsMayHold() throws Exception {
+  void pendingConnectsCountAgainstClientLimit() throws Exception {
     end();
     open.clear();
     begin(64);
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       InetSocketAddress to = (InetSocketAddress) full.getLocalSocketAddress();
-      List<Socket> fill = fillUp(to);
+      final List<Socket> fill = fillUp(to);
       // Nobody accepts and the queue is full: these stay on their way.
       for (int k = 0; k < 40; k++) {
         transport.dialServer(-1_000 - k, to);
@@ -363,7 +354,7 @@
       int kept = 0;
       List<Socket> clients = new ArrayList<>();
       for (int k = 0; k < 20; k++) {
-        Socket client = new Socket(at.getAddress(), at.getPort());
+        Socket client = new Socket(address.getAddress(), address.getPort());
         clients.add(client);
       }
       for (Socket client : clients) {
--- a/gateway/src/test/java/weldcross/gateway/GatewayProcessTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayProcessTest.java
@@ -129,7 +129,8 @@
 
     Discovery(Primary primary) throws IOException {
       list =
-          "{\"revision\":7,\"complete\":true,\"members\":[{\"id\":\"s-0\",\"host_port\":\"127.0.0.1:"
+          "{\"revision\":7,\"complete\":true,\"members\":[{\"id\":\"s-0\","
+              + "\"host_port\":\"127.0.0.1:"
               + primary.socket.getLocalPort()
               + "\",\"locality\":\"a\",\"cell\":0,\"phase\":\"active\"}]}";
     }
@@ -156,8 +157,8 @@
     final Socket socket = new Socket();
     final DataInputStream in;
 
-    Client(InetSocketAddress at) throws IOException {
-      socket.connect(at);
+    Client(InetSocketAddress address) throws IOException {
+      socket.connect(address);
       in = new DataInputStream(socket.getInputStream());
       send(MessageEncoder.startup());
       answer();
@@ -187,28 +188,28 @@
     }
   }
 
-  private interface Step {
+  private interface IoTask {
     void run() throws IOException;
   }
 
-  private final List<AutoCloseable> standIns = new ArrayList<>();
-  private int named;
+  private final List<AutoCloseable> fakes = new ArrayList<>();
+  private int nextRequest;
 
   @AfterEach
-  void closeStandIns() throws Exception {
-    for (AutoCloseable each : standIns) {
+  void closeFakes() throws Exception {
+    for (AutoCloseable each : fakes) {
       each.close();
     }
   }
 
   @Test
-  void servesOverLoopbackStopsAndStartsAgain() throws Exception {
+  void gatewayServesOverLoopbackStopsAndStartsAgain() throws Exception {
     Discovery discovery = discovery(new Primary());
     for (int life = 0; life < 2; life++) {
-      GatewayProcess service = new GatewayProcess(terms(discovery));
-      CompletableFuture<Integer> status = CompletableFuture.supplyAsync(service::serve);
-      InetSocketAddress at = service.listening().get(20, TimeUnit.SECONDS);
-      try (Client client = new Client(at)) {
+      GatewayProcess gateway = new GatewayProcess(readConfig(discovery));
+      CompletableFuture<Integer> status = CompletableFuture.supplyAsync(gateway::serve);
+      InetSocketAddress address = gateway.listening().get(20, TimeUnit.SECONDS);
+      try (Client client = new Client(address)) {
         while (!client.ask("").get(0).startsWith("I")) {
           Thread.onSpinWait();
         }
@@ -218,22 +219,22 @@
         assertEquals(List.of('T', 'D', 'C', 'Z'), read.stream().map(m -> m.charAt(0)).toList());
         assertEquals(value, read.get(1).substring(7));
         assertTrue(client.ask("DROP TABLE kv").get(0).contains("C42601"));
-        service.stop();
+        gateway.stop();
         assertEquals(value, read(client).get(1).substring(7), "still served as it drains");
         assertEquals(0, status.get(20, TimeUnit.SECONDS));
         assertEquals(-1, client.in.read());
       }
-      assertThrows(IOException.class, () -> new Client(at));
+      assertThrows(IOException.class, () -> new Client(address));
     }
   }
 
   /** The error reaches a client that goes on sending, and its end comes soon after. */
   @Test
-  void whatCannotBeReadIsToldBeforeTheEndEvenIfMoreKeepsComing() throws Exception {
-    GatewayProcess service = new GatewayProcess(terms(discovery(new Primary())));
-    CompletableFuture.supplyAsync(service::serve);
-    InetSocketAddress at = service.listening().get(20, TimeUnit.SECONDS);
-    try (Client client = new Client(at)) {
+  void malformedMessageIsAnsweredBeforeTheCloseWhileMoreArrives() throws Exception {
+    GatewayProcess gateway = new GatewayProcess(readConfig(discovery(new Primary())));
+    CompletableFuture.supplyAsync(gateway::serve);
+    InetSocketAddress address = gateway.listening().get(20, TimeUnit.SECONDS);
+    try (Client client = new Client(address)) {
       client.send(ByteBuffer.allocate(5).put((byte) 'Q').putInt(60 << 20).flip());
       thread(
           () -> {
@@ -244,31 +245,31 @@
       assertTrue(next(client.in).contains("C08P01"));
       assertEquals(-1, client.in.read());
     }
-    service.stop();
+    gateway.stop();
   }
 
   /**
    * Hundreds that say nothing take no more than their part, and no usual client loses its place.
    */
   @Test
-  void surplusConnectionsAreTurnedAwayWhereTheyAreAccepted() throws Exception {
+  void surplusConnectionsAreClosedByTheAcceptor() throws Exception {
     Primary primary = new Primary();
-    GatewayProcess service =
+    GatewayProcess gateway =
         new GatewayProcess(
             GatewayConfig.of(
                 ConfigValues.ofJson(
                     text(discovery(primary))
                         .replace("1024", "64")
                         .getBytes(StandardCharsets.UTF_8))));
-    CompletableFuture.supplyAsync(service::serve);
-    InetSocketAddress at = service.listening().get(20, TimeUnit.SECONDS);
+    CompletableFuture.supplyAsync(gateway::serve);
+    InetSocketAddress address = gateway.listening().get(20, TimeUnit.SECONDS);
     List<Socket> silent = new ArrayList<>();
-    try (Client usual = new Client(at)) {
+    try (Client usual = new Client(address)) {
       while (!usual.ask("").get(0).startsWith("I")) {
         Thread.onSpinWait();
       }
       for (int k = 0; k < 300; k++) {
-        silent.add(new Socket(at.getAddress(), at.getPort()));
+        silent.add(new Socket(address.getAddress(), address.getPort()));
       }
       assertEquals("D\0\1", write(usual, "0f").get(1).substring(0, 3));
       int open = 0;
@@ -289,18 +290,18 @@
         each.close();
       }
     }
-    assertTrue(isServedWithin(Duration.ofSeconds(20), at), "there is room again");
-    service.stop();
+    assertTrue(isServedWithin(Duration.ofSeconds(20), address), "there is room again");
+    gateway.stop();
   }
 
   /**
    * One that comes before the ends of those before it were read is still one too many, and comes
    * again.
    */
-  private static boolean isServedWithin(Duration time, InetSocketAddress at) {
+  private static boolean isServedWithin(Duration time, InetSocketAddress address) {
     long until = System.nanoTime() + time.toNanos();
     while (System.nanoTime() < until) {
-      try (Client later = new Client(at)) {
+      try (Client later = new Client(address)) {
         if (later.ask("").get(0).startsWith("I")) {
           return true;
         }
@@ -317,27 +318,27 @@
    * keep their place.
    */
   @Test
-  void whoIsClosedAtAcceptingIsToldNothing() throws Exception {
+  void connectionClosedByTheAcceptorGetsNoAnswer() throws Exception {
     Primary primary = new Primary();
-    GatewayProcess service =
+    GatewayProcess gateway =
         new GatewayProcess(
             GatewayConfig.of(
                 ConfigValues.ofJson(
                     text(discovery(primary))
                         .replace("1024", "64")
                         .getBytes(StandardCharsets.UTF_8))));
-    CompletableFuture.supplyAsync(service::serve);
-    InetSocketAddress at = service.listening().get(20, TimeUnit.SECONDS);
+    CompletableFuture.supplyAsync(gateway::serve);
+    InetSocketAddress address = gateway.listening().get(20, TimeUnit.SECONDS);
     List<Client> busy = new ArrayList<>();
     List<Socket> surplus = new ArrayList<>();
     primary.stuck = new CountDownLatch(1);
     try {
-      busy.add(new Client(at));
+      busy.add(new Client(address));
       while (!busy.get(0).ask("").get(0).startsWith("I")) {
         Thread.onSpinWait();
       }
       for (int k = 0; k < 24; k++) {
-        Client client = k == 0 ? busy.get(0) : new Client(at);
+        Client client = k == 0 ? busy.get(0) : new Client(address);
         // Whoever has asked something keeps its place.
         client.ask("");
         client.send(
@@ -350,21 +351,21 @@
           busy.add(client);
         }
       }
-      int untold = 0;
+      int withoutAnswer = 0;
       // All at once: one after the other, on a slow machine, those before have left by then.
       for (int k = 0; k < 200; k++) {
-        surplus.add(new Socket(at.getAddress(), at.getPort()));
+        surplus.add(new Socket(address.getAddress(), address.getPort()));
       }
       for (Socket each : surplus) {
         each.setSoTimeout(5000);
         try {
           each.getOutputStream().write(MessageEncoder.startup().array());
-          untold += each.getInputStream().read() < 0 ? 1 : 0;
+          withoutAnswer += each.getInputStream().read() < 0 ? 1 : 0;
         } catch (IOException e) {
-          untold++;
+          withoutAnswer++;
         }
       }
-      assertTrue(untold > 0, "all were told something");
+      assertTrue(withoutAnswer > 0, "all got an answer");
       primary.stuck.countDown();
       for (Client each : busy) {
         each.answer();
@@ -378,16 +379,15 @@
         each.close();
       }
     }
-    service.stop();
+    gateway.stop();
   }
 
   /**
-   * A process of its own, told by SIGHUP to read its terms, faulty ones first, and ended by
-   * SIGTERM.
+   * A process of its own: a reload at SIGHUP of a faulty configuration, then of a valid one, and a
+   * stop at SIGTERM.
    */
   @Test
-  void processReadsItsTermsAgainAndExitsWithZeroWhenAskedToEnd(@TempDir Path folder)
-      throws Exception {
+  void processReloadsAtSighupAndExitsWithZeroAtSigterm(@TempDir Path folder) throws Exception {
     Path config = folder.resolve("config.json");
     Process process = process(config);
     try (BufferedReader log = process.inputReader()) {
@@ -415,7 +415,7 @@
 
   /** Found as plays under nohup in which discovery moved without its gateways: nothing said why. */
   @Test
-  void processThatCannotHearOfANewConfigurationSaysSo(@TempDir Path folder) throws Exception {
+  void processWithSighupIgnoredLogsIt(@TempDir Path folder) throws Exception {
     Process process =
         process(folder.resolve("config.json"), "sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
     try (BufferedReader log = process.inputReader()) {
@@ -434,7 +434,7 @@
   }
 
   /**
-   * Serves by the example's terms, which it writes there, with a discovery that nobody answers for.
+   * Serves with the example's configuration, written there, and a discovery that does not exist.
    */
   private static Process process(Path config, String... before) throws IOException {
     Files.writeString(
@@ -442,15 +442,15 @@
         Files.readString(Path.of("deploy/example.json"))
             .replace("127.0.0.1:6543", "127.0.0.1:0")
             .replace("127.0.0.1:8500", "127.0.0.1:1"));
-    List<String> words = new ArrayList<>(List.of(before));
-    words.addAll(
+    List<String> command = new ArrayList<>(List.of(before));
+    command.addAll(
         List.of(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
             "-cp",
             System.getProperty("java.class.path"),
             "weldcross.Main",
             "serve"));
-    ProcessBuilder start = new ProcessBuilder(words);
+    ProcessBuilder start = new ProcessBuilder(command);
     start.environment().put("NODE_CONFIG", config.toString());
     return start.redirectErrorStream(true).start();
   }
@@ -465,9 +465,9 @@
                 text(discovery)
                     .replace("127.0.0.1:0", "127.0.0.1:" + primary.socket.getLocalPort())
                     .getBytes(StandardCharsets.UTF_8)));
-    GatewayProcess service = new GatewayProcess(taken);
-    assertFalse(service.serve() == 0);
-    assertTrue(service.listening().isCompletedExceptionally(), "nobody may wait for it in vain");
+    GatewayProcess gateway = new GatewayProcess(taken);
+    assertFalse(gateway.serve() == 0);
+    assertTrue(gateway.listening().isCompletedExceptionally(), "nobody waits for it forever");
   }
 
   private static void hangUp(Process process) throws Exception {
@@ -475,24 +475,25 @@
         0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
   }
 
-  private static void await(BufferedReader log, String words) throws IOException {
+  private static void await(BufferedReader log, String text) throws IOException {
     String line = log.readLine();
-    while (line != null && !line.contains(words)) {
+    while (line != null && !line.contains(text)) {
       line = log.readLine();
     }
-    assertTrue(line != null, "never said: " + words);
+    assertTrue(line != null, "not logged: " + text);
   }
 
-  /** A part that notes what it is called for, and is ready and done when it is told. */
+  /** An extension that records its calls; a test says when it is ready and done. */
   private static final class NotingPart implements GatewayExtension {
     final String name;
-    final List<String> notes;
-    ExtensionContext seam;
-    volatile boolean ready, done;
+    final List<String> calls;
+    ExtensionContext context;
+    volatile boolean ready;
+    volatile boolean done;
 
-    NotingPart(String name, List<String> notes) {
+    NotingPart(String name, List<String> calls) {
       this.name = name;
-      this.notes = notes;
+      this.calls = calls;
     }
 
     @Override
@@ -502,8 +503,8 @@
 
     @Override
     public void start(ExtensionContext given) {
-      seam = given;
-      notes.add(name + " starts");
+      context = given;
+      calls.add(name + " starts");
     }
 
     @Override
@@ -513,12 +514,12 @@
 
     @Override
     public void reloaded() {
-      notes.add(name + " reloaded");
+      calls.add(name + " reloaded");
     }
 
     @Override
     public void drain() {
-      notes.add(name + " drains");
+      calls.add(name + " drains");
     }
 
     @Override
@@ -528,7 +529,7 @@
 
     @Override
     public void stop() {
-      notes.add(name + " stops");
+      calls.add(name + " stops");
     }
 
     @Override
@@ -542,42 +543,42 @@
    * reverse.
    */
   @Test
-  void partsStartHoldReadinessAndTheEndAndStopInReverse() throws Exception {
+  void extensionsStartInOrderHoldReadinessAndStopInReverse() throws Exception {
     Discovery discovery = discovery(new Primary());
-    List<String> notes = Collections.synchronizedList(new ArrayList<>());
-    NotingPart a = new NotingPart("a", notes);
-    NotingPart b = new NotingPart("b", notes);
+    List<String> calls = Collections.synchronizedList(new ArrayList<>());
+    NotingPart a = new NotingPart("a", calls);
+    NotingPart b = new NotingPart("b", calls);
     b.ready = true;
     a.done = true;
-    GatewayProcess service = new GatewayProcess(terms(discovery), List.of(a, b), Instant::now);
-    CompletableFuture<Integer> status = CompletableFuture.supplyAsync(service::serve);
-    InetSocketAddress at = service.listening().get(20, TimeUnit.SECONDS);
-    assertEquals(List.of("a starts", "b starts"), notes);
-    try (Client client = new Client(at)) {
+    GatewayProcess gateway = new GatewayProcess(readConfig(discovery), List.of(a, b), Instant::now);
+    CompletableFuture<Integer> status = CompletableFuture.supplyAsync(gateway::serve);
+    InetSocketAddress address = gateway.listening().get(20, TimeUnit.SECONDS);
+    assertEquals(List.of("a starts", "b starts"), calls);
+    try (Client client = new Client(address)) {
       CountDownLatch listed = new CountDownLatch(1);
       while (listed.getCount() > 0) {
-        assertTrue(client.ask("").get(0).startsWith("E"), "not ready while a part is not");
-        a.seam.post(
+        assertTrue(client.ask("").get(0).startsWith("E"), "not ready while an extension is not");
+        a.context.post(
             () -> {
-              if (a.seam.now().toMillis() > 1500) {
+              if (a.context.now().toMillis() > 1500) {
                 listed.countDown();
               }
             });
       }
       a.ready = true;
-      a.seam.post(a.seam::changed);
+      a.context.post(a.context::changed);
       while (!client.ask("").get(0).startsWith("I")) {
         Thread.onSpinWait();
       }
-      GatewayConfig again = terms(discovery);
-      service.reload(() -> again);
-      service.stop();
+      GatewayConfig again = readConfig(discovery);
+      gateway.reload(() -> again);
+      gateway.stop();
       CountDownLatch waited = new CountDownLatch(1);
-      b.seam.post(() -> b.seam.at(b.seam.now().plusMillis(1500), waited::countDown));
+      b.context.post(() -> b.context.at(b.context.now().plusMillis(1500), waited::countDown));
       assertTrue(waited.await(20, TimeUnit.SECONDS));
-      assertFalse(status.isDone(), "it waits for the part that is not done");
+      assertFalse(status.isDone(), "it waits for the extension that is not done");
       b.done = true;
-      b.seam.post(b.seam::changed);
+      b.context.post(b.context::changed);
       assertEquals(0, status.get(20, TimeUnit.SECONDS));
     }
     assertEquals(
@@ -590,24 +591,27 @@
             "b drains",
             "b stops",
             "a stops"),
-        notes);
+        calls);
   }
 
-  /** What `run` starts loads no class of a part, nor of what parts alone need. */
+  /** What {@code run} starts loads no class of an extension, nor of what only extensions need. */
   @Test
-  void withoutAFileOfTermsNoClassOfAPartIsLoaded(@TempDir Path folder) throws Exception {
+  void plainStartLoadsNoClassOfAnExtension(@TempDir Path folder) throws Exception {
     List<String> plain = loaded(folder, "serve");
     assertTrue(
-        plain.stream().anyMatch(l -> l.contains("weldcross.gateway.Gateway ")), "classes are told");
-    List<String> parts =
+        plain.stream().anyMatch(l -> l.contains("weldcross.gateway.Gateway ")),
+        "classes are logged");
+    List<String> extensionClasses =
         plain.stream()
             .filter(
                 l ->
                     l.matches(
-                        ".*\\b(weldcross\\.(mesh|membership|consensus|control|storage|chaos)\\.|com\\.google\\.protobuf|org\\.tomlj|org\\.antlr"
-                            + "|weldcross\\.cli\\.ExtensionLoader|weldcross\\.config\\.(ExtensionsConfig|TomlConfigParser)).*"))
+                        ".*\\b(weldcross\\.(mesh|membership|consensus|control|storage|chaos)\\."
+                            + "|com\\.google\\.protobuf|org\\.tomlj|org\\.antlr"
+                            + "|weldcross\\.cli\\.ExtensionLoader"
+                            + "|weldcross\\.config\\.(ExtensionsConfig|TomlConfigParser)).*"))
             .toList();
-    assertEquals(List.of(), parts);
+    assertEquals(List.of(), extensionClasses);
     Path with = folder.resolve("parts.toml");
     Files.writeString(
         with,
@@ -655,7 +659,7 @@
 
   private Discovery discovery(Primary primary) throws IOException {
     Discovery discovery = new Discovery(primary);
-    standIns.addAll(List.of(primary, discovery));
+    fakes.addAll(List.of(primary, discovery));
     return discovery;
   }
 
@@ -665,18 +669,18 @@
             + hex
             + "') RETURNING content"
             + " /* id=i"
-            + named++
+            + nextRequest++
             + ",c=entry-write,d=20000,cluster=0 */");
   }
 
   private List<String> read(Client client) throws IOException {
     return client.ask(
         "SELECT content FROM kv WHERE name = 'k' /* id=i"
-            + named++
+            + nextRequest++
             + ",c=entry-read,d=20000,cluster=0 */");
   }
 
-  private static GatewayConfig terms(Discovery discovery) throws IOException {
+  private static GatewayConfig readConfig(Discovery discovery) throws IOException {
     return GatewayConfig.of(ConfigValues.ofJson(text(discovery).getBytes(StandardCharsets.UTF_8)));
   }
 
@@ -686,12 +690,12 @@
         .replace("127.0.0.1:8500", "127.0.0.1:" + discovery.socket.getLocalPort());
   }
 
-  private static void thread(Step step) {
+  private static void thread(IoTask task) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                step.run();
+                task.run();
               } catch (IOException | UncheckedIOException e) {
                 // Closed at the end of the test, or by the gateway.
               }
@@ -720,10 +724,10 @@
         message('C', tag + "\0"));
   }
 
-  private static byte[] concat(byte[]... parts) {
+  private static byte[] concat(byte[]... messages) {
     ByteBuffer all = ByteBuffer.allocate(200_000);
-    for (byte[] part : parts) {
-      all.put(part);
+    for (byte[] each : messages) {
+      all.put(each);
     }
     byte[] bytes = new byte[all.position()];
     all.flip().get(bytes);
--- a/gateway/src/test/java/weldcross/gateway/GatewayTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayTest.java
@@ -48,17 +48,17 @@
       } else if (kind < 27 && !clients.isEmpty()) {
         harness.disconnect(clients.remove(random.nextInt(clients.size())));
       } else if (kind < 70 && !asked.isEmpty()) {
-        long link = asked.get(random.nextInt(asked.size()));
+        long connection = asked.get(random.nextInt(asked.size()));
         int how = random.nextInt(40);
         boolean misses =
-            RequestHistory.idOf(harness.connections.get(link).statement) != null
-                && harness.connections.get(link).statement.startsWith("INSERT")
-                && !harness.connections.get(link).server.equals("s-0");
+            RequestHistory.idOf(harness.connections.get(connection).statement) != null
+                && harness.connections.get(connection).statement.startsWith("INSERT")
+                && !harness.connections.get(connection).server.equals("s-0");
         if (how == 0) {
-          harness.closeByServer(link);
+          harness.closeByServer(connection);
         } else {
           harness.answer(
-              link,
+              connection,
               misses
                   ? "25006"
                   : how == 1 ? "XX000" : how == 2 ? "53300" : how == 3 ? "99999" : null);
--- a/gateway/src/test/java/weldcross/gateway/GracefulShutdownTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GracefulShutdownTest.java
@@ -16,12 +16,12 @@
     GatewayHarness harness = GatewayHarness.serving();
     long busy = harness.connect();
     long idle = harness.connect();
-    String taken = harness.request(busy, false, 2000);
+    final String taken = harness.request(busy, false, 2000);
     harness.dispatch(Gateway::stop);
     harness.advance(300);
     harness.send(idle, MessageEncoder.query(""));
     assertTrue(harness.connections.get(idle).takeReceived().contains("C57P03"), "no longer ready");
-    String late = harness.request(harness.connect(), false, 2000);
+    final String late = harness.request(harness.connect(), false, 2000);
     harness.advance(100);
     assertTrue(harness.listening);
     harness.advance(100);
@@ -71,10 +71,10 @@
   @Test
   void requestThatCrossesACloseInAStopIsToldToGoElsewhere() {
     GatewayHarness harness = GatewayHarness.serving();
-    long client = harness.connect();
+    final long client = harness.connect();
     harness.dispatch(Gateway::stop);
     harness.advance(440);
-    String before = harness.request(harness.connect(), false, 2500);
+    final String before = harness.request(harness.connect(), false, 2500);
     harness.readsDelayed = true;
     harness.advance(20);
     String crosses = harness.request(client, true, 2500);
@@ -94,7 +94,7 @@
   void clientThatKeepsItsSideOpenIsDropped() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.clientsKeepOpen = true;
-    long idle = harness.connect();
+    final long idle = harness.connect();
     harness.dispatch(Gateway::stop);
     harness.advance(460);
     assertEquals(Gateway.Phase.DRAINING, harness.gateway.phase());
--- a/gateway/src/test/java/weldcross/gateway/MultipleDeploymentsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/MultipleDeploymentsTest.java
@@ -13,8 +13,8 @@
 import weldcross.pgwire.MessageEncoder;
 
 /**
- * Two gateways of two customers in one process, the first told to read the other's configuration
- * while it serves: nothing of the one is found in the other.
+ * Two gateways with different configurations in one process, of which the first reloads the other's
+ * while it serves: neither affects the other.
  */
 class MultipleDeploymentsTest {
 
@@ -41,7 +41,7 @@
 
   private final GatewayHarness one = GatewayHarness.serving();
   private final GatewayHarness other = GatewayHarness.serving(OTHER);
-  private int named;
+  private int nextRequest;
 
   @BeforeEach
   void firstReadsTheOthersConfiguration() {
@@ -51,7 +51,7 @@
 
   /** Asks, and returns the client's connection. */
   private long ask(GatewayHarness harness, boolean write, String method, String tenant) {
-    String id = "a" + (900 + named++);
+    String id = "a" + (900 + nextRequest++);
     long client = harness.connect();
     harness.history.deadlines.put(id, harness.now.plusMillis(900));
     harness.history.clientOf.put(id, client);
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void methodsAndTenantsOfTheOneAreUnknownToTheOther() {
+  void requestClassesAndTenantsAreUnknownToOtherDeployments() {
     assertEquals("22023 unknown method", answer(one, ask(one, false, "browse", "acme")));
     assertEquals("22023 unknown tenant", answer(one, ask(one, false, "look", "zeta")));
     assertEquals("22023 unknown method", answer(other, ask(other, false, "look", "zeta")));
@@ -96,22 +96,22 @@
 
   /** What may be sent again at the one may never run twice at the other. */
   @Test
-  void effectsStayWithTheirCustomer() {
+  void effectsStayWithTheirDeployment() {
     one.history.writes.add("a900");
     long mine = ask(one, true, "file", "acme");
     one.closeByServer(statements(one).get(0));
     assertEquals("58000 failed", answer(one, mine).substring(0, 12));
     assertTrue(statements(one).isEmpty());
-    long theirs = ask(other, true, "order", "zeta");
+    final long theirs = ask(other, true, "order", "zeta");
     FakeConnection wire = other.connections.get(statements(other).get(0));
     assertTrue(wire.statement.startsWith("INSERT"));
     // The model of the first customer's rules would take a second send for a broken rule.
     other.history.mayHaveRun.clear();
     other.history.openAttempts.clear();
-    long link = statements(other).get(0);
+    long connection = statements(other).get(0);
     wire.statement = null;
     wire.open = false;
-    other.dispatch(g -> g.serverConnections().gone(link, wire.serverDecoder.rest()));
+    other.dispatch(g -> g.serverConnections().gone(connection, wire.serverDecoder.rest()));
     other.completeWrites();
     other.advance(150);
     assertFalse(statements(other).isEmpty(), "an idempotent write goes out again");
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void boundsStayWithTheirCustomer() {
+  void stalenessBoundsStayWithTheirDeployment() {
     for (GatewayHarness harness : List.of(one, other)) {
       harness.advance(400);
     }
@@ -132,7 +132,7 @@
 
   /** What the one has learnt of servers of the same names the other has to learn by itself. */
   @Test
-  void whatIsLearntStaysWithItsCustomer() {
+  void learnedStateStaysWithItsDeployment() {
     GatewayHarness fresh = GatewayHarness.withEndpointList(OTHER);
     ask(fresh, false, "browse", "zeta");
     assertTrue(statements(fresh).isEmpty(), "it knows no position yet");
@@ -143,7 +143,7 @@
 
   /** What a reload cannot change is said to wait for a restart, and none of it holds before. */
   @Test
-  void onlyDiscoveryMovesWithAReload() {
+  void reloadChangesOnlyTheDiscoveryAddress() {
     assertEquals(
         List.of("settings"),
         GatewayConfig.of(ConfigValues.ofJson(TestConfig.json()))
--- a/gateway/src/test/java/weldcross/gateway/ReadBatchTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ReadBatchTest.java
@@ -10,7 +10,7 @@
 import weldcross.pgwire.ClientMessageDecoder;
 import weldcross.pgwire.MessageEncoder;
 
-/** In which order a batch of reading is told, on a reducer that shows what it does of it. */
+/** The order in which the events of one pass over the sockets are posted. */
 class ReadBatchTest {
 
   private final List<Gateway.Event> posted = new ArrayList<>();
@@ -23,7 +23,7 @@
     posted.clear();
   }
 
-  /** What it says is told by the batch, as a stream on sockets does. */
+  /** Decodes what a client sends into the batch, as a stream on sockets does. */
   private ClientMessageDecoder reader(long client) {
     return Streams.client(
         event -> batch.addForClient(client, event), batch::add, () -> harness.now, client);
@@ -34,14 +34,11 @@
         "SELECT content FROM kv WHERE name = 'k' /* id=" + id + ",c=look,d=900,cluster=0 */");
   }
 
-  /**
-   * A request read in one go with its client's end is for nobody: it was begun, more than 0.1 s
-   * late.
-   */
+  /** Nobody waits for it any more. */
   @Test
-  void whatAClientAskedInTheRoundOfItsEndIsNotBegun() {
+  void requestReadWithItsClientsDisconnectIsNotStarted() {
     long goes = harness.connect();
-    long stays = harness.connect();
+    final long stays = harness.connect();
     reader(goes);
     ClientMessageDecoder one = reader(goes);
     one.feed(MessageEncoder.startup());
@@ -60,22 +57,22 @@
         harness.gateway.describe());
   }
 
-  /** All who go are one event, before anything else: none of them is made room for by another. */
+  /** Lest a request queued for the last of them is started as the first makes room. */
   @Test
-  void whoGoesIsToldFirstAndTogether() {
+  void disconnectsArePostedFirstAsOneEvent() {
     List<String> order = new ArrayList<>();
-    batch.addForClient(7, g -> order.add("said"));
-    batch.add(g -> order.add("a server's word"));
+    batch.addForClient(7, g -> order.add("of a client"));
+    batch.add(g -> order.add("of a server"));
     batch.clientDisconnected(8);
     batch.clientDisconnected(9);
     batch.postAll();
-    assertEquals(3, posted.size(), "the two that went, and a word each");
+    assertEquals(3, posted.size(), "one for both disconnects, and the two others");
     posted.remove(0);
     posted.forEach(harness::dispatch);
-    assertEquals(List.of("said", "a server's word"), order);
+    assertEquals(List.of("of a client", "of a server"), order);
     posted.clear();
     batch.postAll();
-    assertTrue(posted.isEmpty(), "nothing is told twice");
+    assertTrue(posted.isEmpty(), "nothing is posted twice");
   }
 
   /**
@@ -83,7 +80,7 @@
    * comes first.
    */
   @Test
-  void whatServersSayIsToldBeforeWhatClientsAsk() {
+  void serverEventsArePostedBeforeClientEvents() {
     List<String> order = new ArrayList<>();
     batch.addForClient(7, g -> order.add("asked"));
     batch.addForServer(g -> order.add("answered"));
@@ -95,9 +92,9 @@
     assertEquals(List.of("answered", "gone", "asked"), order);
   }
 
-  /** Who came and went in one batch leaves nothing behind. */
+  /** A client accepted and disconnected in one pass leaves nothing behind. */
   @Test
-  void whoComesAndGoesInOneRoundIsNobody() {
+  void clientAcceptedAndDisconnectedInOnePassIsUnknown() {
     batch.clientAccepted(70);
     batch.clientDisconnected(70);
     batch.clientAccepted(71);
--- a/gateway/src/test/java/weldcross/gateway/RequestPipelineTest.java
+++ b/gateway/src/test/java/weldcross/gateway/RequestPipelineTest.java
@@ -42,7 +42,7 @@
     long client = harness.connect();
     String first = harness.request(client, false, 900);
     String second = harness.request(client, false, 900);
-    String third = harness.request(client, false, 900);
+    final String third = harness.request(client, false, 900);
     harness.answer(harness.connectionOf(second), null);
     assertEquals(Map.of(), harness.history.answers);
     harness.answer(harness.connectionOf(first), null);
--- a/gateway/src/test/java/weldcross/gateway/ServerConnectionPoolTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ServerConnectionPoolTest.java
@@ -20,16 +20,16 @@
   void bytesBehindAnAnswerCloseItsConnectionBeforeReuse() {
     GatewayHarness harness = GatewayHarness.serving();
     String first = harness.request(harness.connect(), true, 900);
-    long link = harness.connectionOf(first);
-    harness.answer(link, null);
+    long connection = harness.connectionOf(first);
+    harness.answer(connection, null);
     String second = harness.request(harness.connect(), true, 900);
     assertFalse(
-        link == harness.connectionOf(second),
+        connection == harness.connectionOf(second),
         "too soon to tell whether more comes behind the answer");
     harness.serverSends(
-        harness.connections.get(link),
+        harness.connections.get(connection),
         ByteBuffer.wrap(ServerMessages.message('T', ServerMessages.COLUMNS)));
-    assertTrue(harness.connections.get(link).dropped);
+    assertTrue(harness.connections.get(connection).dropped);
     harness.answer(harness.connectionOf(second), null);
     harness.advance(10);
     assertTrue(
@@ -49,11 +49,11 @@
         .forEach(harness::closeByServer);
     long client = harness.connect();
     harness.request(client, true, 900);
-    long link = harness.connections.keySet().stream().min(Long::compare).orElseThrow();
+    long connection = harness.connections.keySet().stream().min(Long::compare).orElseThrow();
     harness.disconnect(client);
-    harness.connections.get(link).dropped = false;
-    harness.dispatch(g -> g.serverConnections().up(link));
-    assertTrue(harness.connections.get(link).dropped);
+    harness.connections.get(connection).dropped = false;
+    harness.dispatch(g -> g.serverConnections().up(connection));
+    assertTrue(harness.connections.get(connection).dropped);
   }
 
   @Test
@@ -64,12 +64,12 @@
         .filter(n -> n < 0 && "s-0".equals(harness.connections.get(n).server))
         .forEach(harness::closeByServer);
     harness.history.writes.add("a0");
-    String id = harness.request(harness.connect(), true, 900);
-    long link = harness.connections.keySet().stream().min(Long::compare).orElseThrow();
+    final String id = harness.request(harness.connect(), true, 900);
+    long connection = harness.connections.keySet().stream().min(Long::compare).orElseThrow();
     harness.serverSends(
-        harness.connections.get(link),
+        harness.connections.get(connection),
         ByteBuffer.wrap(ServerMessages.message('E', "SFATAL\0C57P03\0\0")));
-    harness.closeByServer(link);
+    harness.closeByServer(connection);
     harness.advance(900);
     assertEquals("53300", harness.history.answers.get(id), "it may not be said to have run");
   }
@@ -119,15 +119,15 @@
     for (int k = 0; k < 60; k++) {
       String id = harness.request(harness.connect(), false, 900);
       harness.answerHealthChecks();
-      long link = harness.connectionOf(id);
-      Duration idled = harness.idleBefore.get(link);
+      long connection = harness.connectionOf(id);
+      Duration idled = harness.idleBefore.get(connection);
       if (idled != null && idled.compareTo(Duration.ofMillis(100)) > 0) {
         lost++;
-        harness.closeByServer(link);
+        harness.closeByServer(connection);
         harness.answerHealthChecks();
-        link = harness.connectionOf(id);
+        connection = harness.connectionOf(id);
       }
-      harness.answer(link, null);
+      harness.answer(connection, null);
       assertEquals("ok", harness.history.answers.get(id));
       harness.advance(130);
     }
@@ -148,10 +148,10 @@
     List.copyOf(harness.connections.keySet()).stream()
         .filter(n -> n < 0 && "s-0".equals(harness.connections.get(n).server))
         .forEach(harness::closeByServer);
-    String id = harness.request(harness.connect(), true, 900);
-    long link = harness.connections.keySet().stream().min(Long::compare).orElseThrow();
+    final String id = harness.request(harness.connect(), true, 900);
+    long connection = harness.connections.keySet().stream().min(Long::compare).orElseThrow();
     harness.unreachable.clear();
-    harness.dispatch(g -> g.serverConnections().dialReset(link));
+    harness.dispatch(g -> g.serverConnections().dialReset(connection));
     assertNoEndpointEjectedOrWarmingUp(harness);
     harness.advance(30);
     harness.answer(harness.connectionOf(id), null);
@@ -162,12 +162,12 @@
   void idleConnectionIsClosedBeforeItsServerClosesIt() {
     GatewayHarness harness = GatewayHarness.serving();
     String id = harness.request(harness.connect(), true, 500);
-    long link = harness.connectionOf(id);
-    harness.answer(link, null);
+    long connection = harness.connectionOf(id);
+    harness.answer(connection, null);
     harness.advance(26_000);
-    assertFalse(harness.connections.get(link).dropped);
+    assertFalse(harness.connections.get(connection).dropped);
     harness.advance(3_000);
-    assertTrue(harness.connections.get(link).dropped, "idle for 29 of 30 s");
+    assertTrue(harness.connections.get(connection).dropped, "idle for 29 of 30 s");
   }
 
   @Test
@@ -178,7 +178,7 @@
     List.copyOf(harness.connections.keySet()).stream()
         .filter(n -> n < 0 && n != harness.discovery && harness.connections.get(n).open)
         .forEach(harness::closeByServer);
-    String id = harness.request(harness.connect(), false, 2000);
+    final String id = harness.request(harness.connect(), false, 2000);
     harness.advance(300);
     harness.answerHealthChecks();
     harness.advance(600);
@@ -196,14 +196,14 @@
     List.copyOf(harness.connections.keySet()).stream()
         .filter(n -> n < 0 && "s-0".equals(harness.connections.get(n).server))
         .forEach(harness::closeByServer);
-    String id = harness.request(harness.connect(), true, 2000);
-    long link = harness.connections.keySet().stream().min(Long::compare).orElseThrow();
+    final String id = harness.request(harness.connect(), true, 2000);
+    long connection = harness.connections.keySet().stream().min(Long::compare).orElseThrow();
     harness.readsDelayed = true;
     harness.advance(300);
-    assertFalse(harness.connections.get(link).dropped, "what came in has not been read");
-    harness.connections.get(link).open = true;
-    harness.dispatch(g -> g.serverConnections().up(link));
-    harness.answer(link, null);
+    assertFalse(harness.connections.get(connection).dropped, "what came in has not been read");
+    harness.connections.get(connection).open = true;
+    harness.dispatch(g -> g.serverConnections().up(connection));
+    harness.answer(connection, null);
     assertEquals("ok", harness.history.answers.get(id));
     harness.request(harness.connect(), true, 2000);
     harness.advance(400);
--- a/gateway/src/test/java/weldcross/gateway/TestConfig.java
+++ b/gateway/src/test/java/weldcross/gateway/TestConfig.java
@@ -48,7 +48,8 @@
             + "\"lateWorth\":0.5}],"
             + "\"familyInfo\":{\"freshness\":[\"bounded\",\"write\"],\"lagAllowed\":[800000,0],"
             + "\"tokenMode\":"
-            + "\"remembered\"},\"invariants\":{\"cold\":17000000,\"coldFrom\":0.29,\"fall\":1000000,"
+            + "\"remembered\"},\"invariants\":{\"cold\":17000000,\"coldFrom\":0.29,"
+            + "\"fall\":1000000,"
             + "\"fallMultiple\":2.0,\"mustAskIn\":10000000},\"nInstances\":2,"
             + "\"report\":{\"source\":\"probe\"},"
             + "\"tenants\":[{\"name\":\"acme\"}],\"zones\":[\"a\"]}}";
