--- a/gateway/src/main/java/weldcross/gateway/Gateway.java
+++ b/gateway/src/main/java/weldcross/gateway/Gateway.java
@@ -274,7 +274,7 @@
   }
 
   /** The code of the request path has been run often enough to be compiled. */
-  void warmed() {
+  void warmUpCompleted() {
     warmedUp = true;
     serveIfReady();
   }
@@ -326,7 +326,7 @@
   /**
    * All that was received on any connection when {@link Transport#hear} was called has been read.
    */
-  void heard(long connection) {
+  void readsCompleted(long connection) {
     if (!discovery.heard(connection)) {
       serverConnections.heard(connection);
     }
--- a/gateway/src/main/java/weldcross/gateway/JitWarmUp.java
+++ b/gateway/src/main/java/weldcross/gateway/JitWarmUp.java
@@ -139,7 +139,7 @@
 
   @Override
   public void greetItself() {
-    loop.post(Gateway::warmed);
+    loop.post(Gateway::warmUpCompleted);
   }
 
   @Override
--- a/gateway/src/main/java/weldcross/gateway/MinaTransport.java
+++ b/gateway/src/main/java/weldcross/gateway/MinaTransport.java
@@ -163,7 +163,7 @@
             @Override
             void closed() {
               if (open.decrementAndGet() == 0) {
-                loop.post(Gateway::warmed);
+                loop.post(Gateway::warmUpCompleted);
               }
             }
           });
@@ -278,7 +278,7 @@
 
   @Override
   public void hear(long connection) {
-    processor.afterReading(() -> loop.post(g -> g.heard(connection)));
+    processor.afterReading(() -> loop.post(g -> g.readsCompleted(connection)));
   }
 
   @Override
--- a/gateway/src/test/java/weldcross/gateway/AttemptTrackerTest.java
+++ b/gateway/src/test/java/weldcross/gateway/AttemptTrackerTest.java
@@ -60,7 +60,7 @@
     assertEquals("ok", harness.history.answers.get(id));
   }
 
-  /** Rule 5: a turn that lasts, or a process that stood still, sends later than it decided. */
+  /** Rule 5: in an event that takes long a read is sent later than it was decided. */
   @Test
   void readInALongEventIsCheckedByTheClock() {
     GatewayHarness harness = GatewayHarness.serving();
@@ -74,10 +74,7 @@
         "only the primary is within the bound when it is sent");
   }
 
-  /**
-   * Rule 5: no time at all since the write was taken for no write at all, and any replica for good
-   * enough.
-   */
+  /** Rule 5: a write at this very moment is a write: no replica is known to have it. */
   @Test
   void readInTheMillisecondOfItsSessionsWriteSeesIt() {
     GatewayHarness harness =
@@ -96,10 +93,7 @@
         "no replica is known to hold it");
   }
 
-  /**
-   * Rule 5: a commit told as a whole millisecond may lie behind a replica that stands within that
-   * one.
-   */
+  /** Rule 5: a commit time in whole milliseconds may be one too early for a replica at it. */
   @Test
   void replicaWithinTheMillisecondOfACommitIsNotFreshEnough() {
     GatewayHarness harness =
@@ -109,7 +103,7 @@
     harness.advance(300);
     final String asked = harness.connections.get(harness.connectionOf(write)).statement;
     long millis = GatewayHarness.START_UNIX_MILLIS + harness.now.toMillis();
-    FakeConnection wire = harness.connections.get(harness.connectionOf(write));
+    FakeConnection connection = harness.connections.get(harness.connectionOf(write));
     harness.advance(3);
     for (byte[] part :
         List.of(
@@ -119,15 +113,15 @@
             ServerMessages.message('S', "mode\0read-write\0"),
             ServerMessages.message('S', "wal_time\0" + millis + "\0"),
             ServerMessages.message('Z', "I"))) {
-      harness.serverSends(wire, ByteBuffer.wrap(part));
+      harness.serverSends(connection, ByteBuffer.wrap(part));
     }
-    wire.statement = null;
+    connection.statement = null;
     assertTrue(asked.startsWith("INSERT"));
     final String read = harness.request(client, false, 1000);
-    List<Long> probes = harness.busyConnections();
-    assertFalse(probes.isEmpty(), "a replica is asked where it stands");
-    for (long probe : probes) {
-      harness.answerRow(probe, "x0=" + new BigDecimal(millis).movePointLeft(3) + ",x1=0", "SHOW");
+    List<Long> checks = harness.busyConnections();
+    assertFalse(checks.isEmpty(), "a replica is asked for its position");
+    for (long check : checks) {
+      harness.answerRow(check, "x0=" + new BigDecimal(millis).movePointLeft(3) + ",x1=0", "SHOW");
     }
     harness.advance(60);
     assertEquals("s-0", harness.connections.get(harness.connectionOf(read)).server);
@@ -150,7 +144,7 @@
     harness.advance(200);
     assertFalse(harness.connections.get(first).dropped);
     harness.advance(60);
-    assertTrue(harness.connections.get(first).dropped, "begun, and nothing more of it");
+    assertTrue(harness.connections.get(first).dropped, "an answer that began and did not go on");
     harness.answer(harness.connectionOf(read), null);
     assertEquals("ok", harness.history.answers.get(read));
   }
@@ -160,14 +154,14 @@
     GatewayHarness harness = GatewayHarness.serving();
     harness.history.writes.add("a0");
     String write = harness.request(harness.connect(), true, 900);
-    FakeConnection wire = harness.connections.get(harness.connectionOf(write));
+    FakeConnection connection = harness.connections.get(harness.connectionOf(write));
     for (byte[] part :
         List.of(
             ServerMessages.message('T', ServerMessages.COLUMNS),
             ServerMessages.message('D', "\0\1\0\0\0\4v-a0"),
             ServerMessages.message('C', "SELECT 1\0"),
             ServerMessages.message('Z', "I"))) {
-      harness.serverSends(wire, ByteBuffer.wrap(part));
+      harness.serverSends(connection, ByteBuffer.wrap(part));
     }
     assertEquals("58000", harness.history.answers.get(write));
   }
@@ -212,10 +206,7 @@
     assertEquals("58000", harness.history.answers.get(id));
   }
 
-  /**
-   * Rule 2: its end was told before it was noted that all of it was out, and a write that may have
-   * run was sent again as one that never went out.
-   */
+  /** Rule 2: a write whose bytes are all sent may have run, so it is not sent again. */
   @Test
   void completedWriteIsKnownBeforeItsConnectionEnds() {
     GatewayHarness harness = GatewayHarness.serving();
@@ -227,10 +218,7 @@
     assertEquals("58000", harness.history.answers.get(id));
   }
 
-  /**
-   * Clients that go together: what is held for the last of them is not begun when the first makes
-   * room.
-   */
+  /** A request queued for the last of them is not started as the first makes room. */
   @Test
   void clientsThatDisconnectTogetherHaveNothingStarted() {
     GatewayHarness harness = GatewayHarness.serving();
@@ -240,11 +228,11 @@
       clients.put(harness.request(client, false, 1500), client);
     }
     assertTrue(harness.history.openAttempts.size() < 60, "some are held");
-    final Set<String> begun = Set.copyOf(harness.history.openAttempts.keySet());
+    final Set<String> sentBefore = Set.copyOf(harness.history.openAttempts.keySet());
     harness.history.abandoned.addAll(clients.keySet());
     harness.dispatch(g -> clients.values().forEach(g.clients()::disconnected));
     harness.advance(50);
-    assertEquals(begun, harness.history.openAttempts.keySet());
+    assertEquals(sentBefore, harness.history.openAttempts.keySet());
   }
 
   @Test
--- a/gateway/src/test/java/weldcross/gateway/CancelRequestsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/CancelRequestsTest.java
@@ -14,7 +14,7 @@
 /** PostgreSQL's CancelRequest. */
 class CancelRequestsTest {
 
-  /** A client that cancels has left what it cancels, and nothing is begun for it any more. */
+  /** Nothing more is sent for a request that is cancelled. */
   @Test
   void cancelRequestEndsTheLongestOpenRequest() {
     GatewayHarness harness = GatewayHarness.serving();
@@ -38,11 +38,11 @@
     harness.send(by, cancel.duplicate());
     assertTrue(
         harness.connections.get(by).dropped && harness.connections.get(by).takeReceived().isEmpty(),
-        "ended without a word");
+        "closed without an answer");
     assertEquals(Map.of(first, "57014"), harness.history.answers);
     assertTrue(
         harness.history.openAttempts.getOrDefault(first, Set.of()).isEmpty(),
-        "its call-out went with it");
+        "its attempt is cancelled");
     harness.send(harness.accept(), cancel.duplicate());
     assertEquals(Map.of(first, "57014", second, "57014"), harness.history.answers);
     harness.send(harness.accept(), cancel.duplicate());
--- a/gateway/src/test/java/weldcross/gateway/ClientConnectionsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ClientConnectionsTest.java
@@ -23,19 +23,19 @@
     long half = harness.accept();
     harness.send(half, ByteBuffer.wrap(new byte[] {0, 0, 0}));
     long started = harness.connect();
-    long begun = harness.connect();
-    harness.send(begun, ByteBuffer.wrap(new byte[] {'Q', 0, 0, 0, 99, 'S'}));
+    long unfinished = harness.connect();
+    harness.send(unfinished, ByteBuffer.wrap(new byte[] {'Q', 0, 0, 0, 99, 'S'}));
     long usual = harness.connect();
     harness.send(usual, MessageEncoder.query(""));
     harness.advance(1900);
-    List<Long> bad = List.of(silent, half, started, begun);
+    List<Long> bad = List.of(silent, half, started, unfinished);
     assertTrue(bad.stream().allMatch(c -> harness.connections.get(c).open));
     harness.advance(200);
     assertTrue(bad.stream().noneMatch(c -> harness.connections.get(c).open));
     assertEquals(
         "",
         harness.connections.get(silent).takeReceived(),
-        "a word would be taken for the answer to a first request");
+        "an error would be taken for the answer to a first request");
     assertTrue(harness.connections.get(usual).open);
     harness.send(usual, ByteBuffer.wrap(new byte[] {'Q', 0, 0, 0, 99, 'S'}));
     harness.advance(2100);
@@ -61,7 +61,8 @@
     assertTrue(
         harness.connections.get(client).takeReceived().contains("C08P01")
             && harness.calls.contains("finish " + client));
-    assertTrue(harness.connections.get(connection).dropped, "nobody waits for its RPC any more");
+    assertTrue(
+        harness.connections.get(connection).dropped, "nobody waits for its request any more");
     harness.advance(300);
     assertTrue(harness.connections.get(client).dropped, "it had a moment to read the error");
   }
@@ -110,10 +111,7 @@
             <= 24);
   }
 
-  /**
-   * Found as RPCs lost on sockets: what had been read when its connection was given up had no
-   * answer.
-   */
+  /** Rule 1: what was read before its connection was closed is answered. */
   @Test
   void requestThatCrossesAnEvictionIsServed() {
     GatewayHarness harness = GatewayHarness.serving("\"sockets\":1024", "\"sockets\":64");
@@ -141,10 +139,7 @@
     assertEquals("ok", harness.history.answers.get(id));
   }
 
-  /**
-   * Found on a day of crowds that ask once and stay: a fifth of all RPCs found no place within 2 s
-   * of rest.
-   */
+  /** Clients that ask once and stay must not keep new ones out. */
   @Test
   void clientsWithOneRequestAreEvictedForNewOnes() {
     GatewayHarness harness = GatewayHarness.serving("\"sockets\":1024", "\"sockets\":64");
@@ -167,7 +162,7 @@
     assertFalse(harness.connections.get(open.get(1)).open, "the longest idle goes first");
   }
 
-  /** Scarce descriptors, crowds that say nothing, and a stop: whatever was read has an answer. */
+  /** Few descriptors, many silent clients and a stop: whatever was read has an answer. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void everyRequestIsAnsweredWhileConnectionsClose(long seed) {
@@ -183,7 +178,7 @@
       } else if (kind < 8) {
         harness.accept();
       } else if (kind < 40 && usual.stream().anyMatch(c -> !harness.history.isWaiting(c))) {
-        // Those that are just given up, where there are any: what was read is told before that is.
+        // Prefers those about to be closed: what was read counts before that.
         List<Long> free = usual.stream().filter(c -> !harness.history.isWaiting(c)).toList();
         List<Long> parting = free.stream().filter(harness.pendingCloses::containsKey).toList();
         List<Long> from = parting.isEmpty() || random.nextBoolean() ? free : parting;
@@ -212,7 +207,7 @@
                 RequestHistory.check(
                     harness.history.answers.containsKey(id), "rule 1: lost " + id));
     assertTrue(
-        harness.connections.values().stream().filter(wire -> wire.dropped).count() > 20,
+        harness.connections.values().stream().filter(connection -> connection.dropped).count() > 20,
         "hardly any ended");
     assertEquals(Gateway.Phase.STOPPED, harness.gateway.phase());
   }
--- a/gateway/src/test/java/weldcross/gateway/ConfigReloadTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ConfigReloadTest.java
@@ -24,12 +24,12 @@
     long first = harness.discovery;
     harness.reload(3);
     long second = harness.discovery;
-    assertTrue(harness.connections.get(first).dropped, "told of two moves in quick succession");
+    assertTrue(harness.connections.get(first).dropped, "two reloads in quick succession");
     harness.dispatch(g -> g.discovery().up(second));
     assertTrue(
         harness.connections.get(second).takeReceived().startsWith("GET /catalog/members HTTP"),
         "all of it, lest a " + "change be missed");
-    assertFalse(harness.connections.get(old).dropped, "heard until the new one tells");
+    assertFalse(harness.connections.get(old).dropped, "kept until the new address answers");
     harness.discovery = old;
     harness.listEndpoints(42, false, "leaving");
     harness.discovery = second;
@@ -92,7 +92,7 @@
     harness.request(harness.connect(), false, 500);
   }
 
-  /** Rule 3: taken back to a list from before the drain, it sent to the drained server again. */
+  /** Rule 3: an older list must not undo a drain. */
   @Test
   void discoveryAddressThatIsBehindRevertsNothing() {
     GatewayHarness harness = GatewayHarness.serving();
@@ -136,7 +136,7 @@
     assertTrue(serversOf(harness, 40).contains("s-1"));
   }
 
-  /** Rule 3: an address that counts otherwise looks behind, and what it says of drains is news. */
+  /** Rule 3: a drain that it lists is news, whatever its revisions. */
   @Test
   void drainListedByAnAddressThatSeemsBehindCounts() {
     GatewayHarness harness = GatewayHarness.serving();
@@ -147,10 +147,10 @@
     assertFalse(serversOf(harness, 40).contains("s-1"), "sent to a server that drains");
   }
 
-  private static Set<String> serversOf(GatewayHarness harness, int rpcs) {
+  private static Set<String> serversOf(GatewayHarness harness, int requests) {
     Set<String> servers = new HashSet<>();
     long client = harness.connect();
-    for (int k = 0; k < rpcs; k++) {
+    for (int k = 0; k < requests; k++) {
       harness.request(client, false, 500);
       harness
           .busyConnections()
--- a/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
@@ -69,7 +69,7 @@
 
   @BeforeEach
   void begin() throws Exception {
-    // Nobody is at the addresses of discovery and servers: what is taken is held.
+    // Discovery and servers do not exist: accepted requests are queued.
     begin(1024);
   }
 
@@ -186,10 +186,7 @@
     until(() -> acceptedRequests() == 1);
   }
 
-  /**
-   * What comes in behind the end of sending is read and left: a close over it would reset the
-   * connection.
-   */
+  /** A close over unread bytes would reset the connection and take back the last answer. */
   @Test
   void bytesAfterTheCloseNeitherResetItNorAreAccepted() throws Exception {
     Socket client = connect();
@@ -204,7 +201,6 @@
     client.close();
   }
 
-  /** Whoever keeps its side open is closed once its time is over. */
   @Test
   void clientThatKeepsItsSideOpenIsDropped() throws Exception {
     final Socket client = connect();
@@ -223,10 +219,7 @@
     assertTrue(reset);
   }
 
-  /**
-   * A client that asked much and is not listened to leaves: what waits was begun for it as others
-   * ended.
-   */
+  /** The rest of its statements is not started. */
   @Test
   void disconnectWhileDecodingIsPausedIsSeen() throws Exception {
     Socket client = connect();
@@ -248,12 +241,11 @@
     int answered = 0;
     DataInputStream in = new DataInputStream(client.getInputStream());
     long began = System.nanoTime();
-    // Sixteen are worked side by side, and pushed back when 0.45 of their time is over.
+    // Sixteen run concurrently, and are rejected when 0.45 of their time is over.
     while (answered < all) {
       assertTrue(
           System.nanoTime() - began < BOUND_NANOS, answered + " answered; " + gateway.describe());
-      // What a round brings is begun, or nothing more is: only then does the time of those in work
-      // pass.
+      // Wait until no more of what was read is started; only then does time pass.
       for (int still = 0, before = -1; still < 4; before = acceptedRequests()) {
         finishReading();
         still = acceptedRequests() == before ? still + 1 : 0;
@@ -272,7 +264,7 @@
     assertEquals(all, acceptedRequests());
   }
 
-  /** Its statement and its end are read in one go, as after a stall: nothing is begun for it. */
+  /** Nobody waits for it any more. */
   @Test
   void statementReadWithItsClientsDisconnectIsNotAccepted() throws Exception {
     Socket first = connect();
@@ -287,7 +279,7 @@
     assertEquals(1, acceptedRequests());
   }
 
-  /** Rule 1: it came out of every round from then on, and nothing was read any more, of nobody. */
+  /** Rule 1: other connections are still read. */
   @Test
   void faultInAProcessorTaskDoesNotStopReading() throws Exception {
     Socket first = connect();
@@ -300,7 +292,7 @@
     until(() -> acceptedRequests() == 1);
   }
 
-  /** Rule 1: without its reading thread a gateway only seems alive; it comes to its end instead. */
+  /** Rule 1: a gateway that reads nothing only seems alive. */
   @Test
   void endOfTheReadingThreadEndsTheGateway() throws Exception {
     connect();
@@ -310,16 +302,17 @@
           throw new StackOverflowError("planted");
         });
     long until = System.nanoTime() + BOUND_NANOS;
-    IllegalStateException told = null;
-    while (told == null && System.nanoTime() < until) {
+    IllegalStateException thrown = null;
+    while (thrown == null && System.nanoTime() < until) {
       try {
         loop.catchUp(gateway);
         Thread.onSpinWait();
       } catch (IllegalStateException e) {
-        told = e;
+        thrown = e;
       }
     }
-    assertTrue(told != null && told.getCause() instanceof StackOverflowError, "told: " + told);
+    assertTrue(
+        thrown != null && thrown.getCause() instanceof StackOverflowError, "thrown: " + thrown);
   }
 
   /** Calls until nobody gets through any more; somebody else may have called there before. */
@@ -338,7 +331,7 @@
     return fill;
   }
 
-  /** Dials that hang hold descriptors too: clients leave room for them, or discovery gets none. */
+  /** Connects that hang hold descriptors, too, and discovery needs some. */
   @Test
   void pendingConnectsCountAgainstClientLimit() throws Exception {
     end();
@@ -368,7 +361,7 @@
         }
         client.close();
       }
-      assertTrue(kept <= 48 - 40, kept + " of 20 clients beside 40 dials of 48");
+      assertTrue(kept <= 48 - 40, kept + " of 20 clients beside 40 pending connects of 48");
       for (Socket each : fill) {
         each.close();
       }
--- a/gateway/src/test/java/weldcross/gateway/EndpointListValidityTest.java
+++ b/gateway/src/test/java/weldcross/gateway/EndpointListValidityTest.java
@@ -51,10 +51,7 @@
     assertTrue(harness.connections.get(harness.discovery).takeReceived().contains("?since=41&"));
   }
 
-  /**
-   * Rule 3: started in the middle of a roll, it sent by the list of its start to a server that
-   * drained since.
-   */
+  /** Rule 3: the initial list may lack a drain. */
   @Test
   void initialListSendsNothingUntilDiscoveryAnswers() {
     GatewayHarness harness = new GatewayHarness();
@@ -83,7 +80,7 @@
     assertEquals(Gateway.Phase.SERVING, harness.gateway.phase());
   }
 
-  /** Rule 3: what discovery should have told counts as told in the end, whether it came or not. */
+  /** Rule 3: a drain that should be listed by now counts as listed. */
   @Test
   void silentDiscoveryEndsTheListOnceADrainMayBeMissed() {
     GatewayHarness harness = GatewayHarness.serving();
@@ -119,10 +116,7 @@
     assertFalse(harness.gateway.discovery().stands());
   }
 
-  /**
-   * Rule 3: half an answer is a word of a discovery that has something to tell, whatever becomes of
-   * the rest.
-   */
+  /** Rule 3: a discovery that begins to answer has something to list. */
   @Test
   void partialDiscoveryAnswerIsNotSilence() {
     GatewayHarness harness = GatewayHarness.serving();
@@ -131,10 +125,10 @@
     long asked = harness.discovery;
     harness.dispatch(g -> g.discovery().begun(asked));
     harness.advanceWithSilentDiscovery(3_500);
-    assertFalse(harness.gateway.discovery().stands(), "it may have been told by now");
+    assertFalse(harness.gateway.discovery().stands(), "a drain may have been listed by now");
   }
 
-  /** The same, where the half comes after it was taken for down. */
+  /** Rule 3: the same after it was taken for down. */
   @Test
   void partialDiscoveryAnswerAfterSilenceEndsTheList() {
     GatewayHarness harness = GatewayHarness.serving();
@@ -144,10 +138,10 @@
     long asked = harness.discovery;
     harness.dispatch(g -> g.discovery().begun(asked));
     harness.advance(2_100);
-    assertFalse(harness.gateway.discovery().stands(), "it may have been told by now");
+    assertFalse(harness.gateway.discovery().stands(), "a drain may have been listed by now");
   }
 
-  /** Rule 3: slow itself it has not read what was said, and must not take that for silence. */
+  /** Rule 3: an answer may be received and not read yet. */
   @Test
   void delayedReadsAreNotTakenForDiscoveryDown() {
     GatewayHarness harness = GatewayHarness.serving();
@@ -155,7 +149,7 @@
     harness.advanceWithSilentDiscovery(2_600);
     harness.readsDelayed = true;
     harness.advanceWithSilentDiscovery(2_500);
-    assertFalse(harness.gateway.discovery().stands(), "it may have been told by now");
+    assertFalse(harness.gateway.discovery().stands(), "a drain may have been listed by now");
   }
 
   @Test
--- a/gateway/src/test/java/weldcross/gateway/EventLoopTest.java
+++ b/gateway/src/test/java/weldcross/gateway/EventLoopTest.java
@@ -34,10 +34,7 @@
     assertEquals(List.of("came", "came", "came", "due"), order);
   }
 
-  /**
-   * Rule 5: of many that were due together the last went by the time of the first; and one that is
-   * always due.
-   */
+  /** Rule 5: a late timer must not act on the time of an earlier one. */
   @Test
   @Timeout(20)
   void eachTimerRunsAtItsOwnTimeAndNoneForEver() {
@@ -62,10 +59,10 @@
     harness.now = harness.now.plusMillis(2);
     harness.loop.catchUp(harness.gateway);
     assertEquals(Duration.ofMillis(50), at.get(1).minus(at.get(0)));
-    assertEquals(1, again[0], "what asks for itself again waits its turn");
+    assertEquals(1, again[0], "a timer that adds itself again waits for the next pass");
   }
 
-  /** A turn without an end is told while it lasts, once, with its place. */
+  /** With the stack of its thread. */
   @Test
   void stalledIterationIsLoggedOnceWhileItLasts() throws InterruptedException {
     Duration[] clock = {Duration.ZERO};
--- a/gateway/src/test/java/weldcross/gateway/GatewayProcessTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayProcessTest.java
@@ -248,9 +248,7 @@
     gateway.stop();
   }
 
-  /**
-   * Hundreds that say nothing take no more than their part, and no usual client loses its place.
-   */
+  /** Hundreds of silent clients take no place of an active one. */
   @Test
   void surplusConnectionsAreClosedByTheAcceptor() throws Exception {
     Primary primary = new Primary();
@@ -276,7 +274,7 @@
       for (Socket each : silent) {
         each.setSoTimeout(1);
         try {
-          // Closed at once, with or without a word.
+          // Closed at once, with or without an answer.
           each.getInputStream().read();
         } catch (SocketTimeoutException e) {
           open++;
@@ -312,11 +310,7 @@
     return false;
   }
 
-  /**
-   * Found as RPCs lost on sockets: whom the acceptor closes is told nothing, as a word from it
-   * crosses their first statement and is taken back by what comes in unread; those with an RPC open
-   * keep their place.
-   */
+  /** An error would cross the first statement and be lost by the reset. */
   @Test
   void connectionClosedByTheAcceptorGetsNoAnswer() throws Exception {
     Primary primary = new Primary();
@@ -339,7 +333,7 @@
       }
       for (int k = 0; k < 24; k++) {
         Client client = k == 0 ? busy.get(0) : new Client(address);
-        // Whoever has asked something keeps its place.
+        // A client that has sent a statement is not evicted.
         client.ask("");
         client.send(
             MessageEncoder.query(
@@ -413,7 +407,7 @@
     }
   }
 
-  /** Found as plays under nohup in which discovery moved without its gateways: nothing said why. */
+  /** Whoever reloads the configuration has to learn that nothing will happen. */
   @Test
   void processWithSighupIgnoredLogsIt(@TempDir Path folder) throws Exception {
     Process process =
@@ -459,13 +453,13 @@
   void addressInUseEndsTheStart() throws Exception {
     Primary primary = new Primary();
     Discovery discovery = discovery(primary);
-    GatewayConfig taken =
+    GatewayConfig config =
         GatewayConfig.of(
             ConfigValues.ofJson(
                 text(discovery)
                     .replace("127.0.0.1:0", "127.0.0.1:" + primary.socket.getLocalPort())
                     .getBytes(StandardCharsets.UTF_8)));
-    GatewayProcess gateway = new GatewayProcess(taken);
+    GatewayProcess gateway = new GatewayProcess(config);
     assertFalse(gateway.serve() == 0);
     assertTrue(gateway.listening().isCompletedExceptionally(), "nobody waits for it forever");
   }
@@ -538,10 +532,7 @@
     }
   }
 
-  /**
-   * Parts start in their order before clients are let in, hold readiness and the end, and stop in
-   * reverse.
-   */
+  /** Before clients are accepted, and with the stop held up as well. */
   @Test
   void extensionsStartInOrderHoldReadinessAndStopInReverse() throws Exception {
     Discovery discovery = discovery(new Primary());
--- a/gateway/src/test/java/weldcross/gateway/GracefulShutdownTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GracefulShutdownTest.java
@@ -16,7 +16,7 @@
     GatewayHarness harness = GatewayHarness.serving();
     long busy = harness.connect();
     long idle = harness.connect();
-    final String taken = harness.request(busy, false, 2000);
+    final String early = harness.request(busy, false, 2000);
     harness.dispatch(Gateway::stop);
     harness.advance(300);
     harness.send(idle, MessageEncoder.query(""));
@@ -31,7 +31,7 @@
     List<String> lines =
         GatewayHarness.logged(
             () -> {
-              for (String id : List.of(taken, late)) {
+              for (String id : List.of(early, late)) {
                 harness.answer(harness.connectionOf(id), null);
                 assertEquals("ok", harness.history.answers.get(id));
               }
@@ -40,10 +40,7 @@
     assertTrue(lines.get(0).startsWith("stopped: 2 accepted, 2 ok, 0 rejected"), lines.toString());
   }
 
-  /**
-   * Rule 1: a stop waits for clients that take their answers slowly for as long as any of them
-   * does.
-   */
+  /** Rule 1: an answer that is on its way is waited for. */
   @Test
   void stopWaitsWhileClientsReadTheirAnswers() {
     GatewayHarness harness = GatewayHarness.serving();
@@ -63,11 +60,7 @@
     assertEquals(Gateway.Phase.STOPPED, harness.gateway.phase());
   }
 
-  /**
-   * Rule 1: read as its connection was to be ended in a stop, an RPC was begun that a server which
-   * hangs would hold until the process is killed. It is told to go elsewhere; what came before is
-   * worked to its end.
-   */
+  /** Rule 1: started now, it might still be open when the process is killed. */
   @Test
   void requestThatCrossesACloseInAStopIsToldToGoElsewhere() {
     GatewayHarness harness = GatewayHarness.serving();
@@ -86,10 +79,7 @@
     assertEquals(Gateway.Phase.STOPPED, harness.gateway.phase());
   }
 
-  /**
-   * Whoever keeps its side open after its connection was ended is not reset at once, and not waited
-   * for long.
-   */
+  /** It is not reset at once, and not waited for long. */
   @Test
   void clientThatKeepsItsSideOpenIsDropped() {
     GatewayHarness harness = GatewayHarness.serving();
--- a/gateway/src/test/java/weldcross/gateway/JitWarmUpTest.java
+++ b/gateway/src/test/java/weldcross/gateway/JitWarmUpTest.java
@@ -5,7 +5,6 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import weldcross.config.ConfigValues;
 import weldcross.config.GatewayConfig;
 
 /** The requests played before the start. */
@@ -13,8 +12,8 @@
 
   @Test
   void warmUpIsServedAndLogsNothing() {
-    GatewayConfig terms = GatewayConfig.of(ConfigValues.ofJson(TestConfig.json()));
-    List<String> lines = GatewayHarness.logged(() -> assertTrue(JitWarmUp.play(terms, 300) > 270));
+    GatewayConfig config = TestConfig.read();
+    List<String> lines = GatewayHarness.logged(() -> assertTrue(JitWarmUp.play(config, 300) > 270));
     assertEquals(List.of(), lines);
   }
 }
--- a/gateway/src/test/java/weldcross/gateway/MultipleDeploymentsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/MultipleDeploymentsTest.java
@@ -103,15 +103,15 @@
     assertEquals("58000 failed", answer(one, mine).substring(0, 12));
     assertTrue(statements(one).isEmpty());
     final long theirs = ask(other, true, "order", "zeta");
-    FakeConnection wire = other.connections.get(statements(other).get(0));
-    assertTrue(wire.statement.startsWith("INSERT"));
+    FakeConnection carrying = other.connections.get(statements(other).get(0));
+    assertTrue(carrying.statement.startsWith("INSERT"));
     // The model of the first customer's rules would take a second send for a broken rule.
     other.history.mayHaveRun.clear();
     other.history.openAttempts.clear();
     long connection = statements(other).get(0);
-    wire.statement = null;
-    wire.open = false;
-    other.dispatch(g -> g.serverConnections().gone(connection, wire.serverDecoder.rest()));
+    carrying.statement = null;
+    carrying.open = false;
+    other.dispatch(g -> g.serverConnections().gone(connection, carrying.serverDecoder.rest()));
     other.completeWrites();
     other.advance(150);
     assertFalse(statements(other).isEmpty(), "an idempotent write goes out again");
--- a/gateway/src/test/java/weldcross/gateway/ServerConnectionPoolTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ServerConnectionPoolTest.java
@@ -108,10 +108,7 @@
     assertEquals(1, used.size());
   }
 
-  /**
-   * Found on a day on which connections that had rested 0.1 s were gone: half of all RPCs were
-   * pushed back.
-   */
+  /** Connections idle for 0.1 s are lost; the pool learns not to use such. */
   @Test
   void idleTimeThatLosesConnectionsIsLearned() {
     GatewayHarness harness = GatewayHarness.serving();
@@ -140,7 +137,7 @@
     assertTrue(open < 9, "those given up are ended: " + open);
   }
 
-  /** Taken up and reset at once: somebody lives there, and nothing ran. */
+  /** A process was there, and nothing ran. */
   @Test
   void resetOnConnectDoesNotEjectTheServer() {
     GatewayHarness harness = GatewayHarness.serving();
@@ -184,7 +181,7 @@
     harness.advance(600);
     assertTrue(
         harness.calls.stream().anyMatch(t -> t.startsWith("tell 7947 s-")),
-        "peers were not told: " + harness.calls);
+        "no gossip was sent: " + harness.calls);
     harness.busyConnections().forEach(l -> harness.answer(l, null));
     assertEquals("ok", harness.history.answers.get(id));
   }
--- a/gateway/src/test/java/weldcross/gateway/ServerReportsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ServerReportsTest.java
@@ -24,7 +24,7 @@
             ",,,",
             "x0=-99,x1=1e99999");
     for (String report : absurd) {
-      harness.busyConnections().forEach(probe -> harness.answerRow(probe, report, "SHOW"));
+      harness.busyConnections().forEach(check -> harness.answerRow(check, report, "SHOW"));
       harness.advance(3000);
     }
     String read = harness.request(harness.connect(), false, 900);
