--- a/gateway/src/main/java/weldcross/cli/ClusterCommand.java
+++ b/gateway/src/main/java/weldcross/cli/ClusterCommand.java
@@ -105,7 +105,7 @@
   private static List<String> lines(String json, Ansi ansi) {
     ConfigValues all = values(json);
     List<String> lines = new ArrayList<>();
-    long age = all.whole("leader_age_ms", -1, -1);
+    long age = all.integer("leader_age_ms", -1, -1);
     lines.add(
         all.text("self")
             + " of "
@@ -141,7 +141,7 @@
         "gateway", "seen", "life", "agreed", "zone", "part", "heard", "link", "votes");
     for (int k = 0; k < all.count("gateways"); k++) {
       ConfigValues one = all.under("gateways." + k);
-      long heard = one.whole("heard_ms", -1, -1);
+      long heard = one.integer("heard_ms", -1, -1);
       String agreed = one.text("agreed");
       table.addRowValues(
           one.text("name"),
--- a/gateway/src/main/java/weldcross/cli/ExtensionLoader.java
+++ b/gateway/src/main/java/weldcross/cli/ExtensionLoader.java
@@ -8,52 +8,65 @@
 import java.util.function.Supplier;
 import weldcross.config.ExtensionsConfig;
 import weldcross.config.GatewayConfig;
+import weldcross.consensus.ConsensusConfig;
 import weldcross.consensus.net.ConsensusExtension;
 import weldcross.control.ControlExtension;
 import weldcross.extension.GatewayExtension;
 import weldcross.membership.net.MembershipExtension;
 import weldcross.mesh.net.MeshExtension;
 
-/** Makes the parts that a file of terms names; loaded only where one is told. */
+/** Creates the extensions that a configuration file names; loaded only if there is such a file. */
 final class ExtensionLoader {
 
   private ExtensionLoader() {}
 
-  static List<GatewayExtension> parts(String file, GatewayConfig gateway) {
-    ExtensionsConfig terms = ExtensionsConfig.read(file, gateway);
-    List<GatewayExtension> parts = new ArrayList<>();
-    if (terms.link() != null) {
-      MeshExtension link =
-          new MeshExtension(terms.link(), terms.places(), terms.directory(), gateway.seed());
-      parts.add(link);
-      MembershipExtension seen = null;
-      if (terms.seen() != null) {
-        seen = new MembershipExtension(terms.seen(), link, gateway.seed());
-        parts.add(seen);
-      }
-      ConsensusExtension agreement = null;
-      if (terms.agreement() != null) {
-        agreement =
-            new ConsensusExtension(
-                terms.agreement(),
-                link,
-                seen,
-                terms.directory(),
-                1.0 / gateway.service().gateways(),
-                gateway.seed());
-        parts.add(agreement);
-        if (terms.control() != null) {
-          parts.add(
-              new ControlExtension(terms.control(), link, seen, agreement, terms.agreement()));
-        }
-      }
+  /**
+   * Creates the extensions of a file, in the order in which they start.
+   *
+   * @param file path of the extensions' TOML file
+   * @param gateway configuration of the gateway
+   * @throws weldcross.config.InvalidConfigException if a value of the file cannot be used
+   */
+  static List<GatewayExtension> load(String file, GatewayConfig gateway) {
+    ExtensionsConfig config = ExtensionsConfig.read(file, gateway);
+    List<GatewayExtension> extensions = new ArrayList<>();
+    if (config.mesh().isEmpty()) {
+      return extensions;
+    }
+    ExtensionsConfig.Mesh meshConfig = config.mesh().get();
+    MeshExtension mesh =
+        new MeshExtension(
+            meshConfig.config(), meshConfig.addresses(), config.directory(), gateway.seed());
+    extensions.add(mesh);
+    if (config.failureDetector().isEmpty()) {
+      return extensions;
+    }
+    MembershipExtension membership =
+        new MembershipExtension(config.failureDetector().get(), mesh, gateway.seed());
+    extensions.add(membership);
+    if (config.consensus().isEmpty()) {
+      return extensions;
     }
-    return parts;
+    ConsensusConfig consensusConfig = config.consensus().get();
+    ConsensusExtension consensus =
+        new ConsensusExtension(
+            consensusConfig,
+            mesh,
+            membership,
+            config.directory(),
+            1.0 / gateway.routing().gateways(),
+            gateway.seed());
+    extensions.add(consensus);
+    config
+        .controlAddress()
+        .map(address -> new ControlExtension(address, mesh, membership, consensus, consensusConfig))
+        .ifPresent(extensions::add);
+    return extensions;
   }
 
   /**
-   * The system's, unless the class path brings another: one that is wrong, say, to see what that
-   * does.
+   * Returns the wall clock: the system's, unless the class path provides another {@link
+   * InstantSource}, such as one with a clock error for a test.
    */
   static Supplier<Instant> wallClock() {
     return ServiceLoader.load(InstantSource.class).findFirst().orElse(InstantSource.system())
--- a/gateway/src/main/java/weldcross/cli/ServeCommand.java
+++ b/gateway/src/main/java/weldcross/cli/ServeCommand.java
@@ -26,12 +26,12 @@
   }
 
   /** The same with the parts that a file of terms names. */
-  static int run(Level level, String with) {
+  static int run(Level level, String extensionsFile) {
     LogFormatter.start(level);
     try {
       return GatewayProcess.run(
           () -> GatewayConfig.read(System.getenv()),
-          terms -> ExtensionLoader.parts(with, terms),
+          config -> ExtensionLoader.load(extensionsFile, config),
           ExtensionLoader.wallClock(),
           service -> {});
     } catch (InvalidConfigException e) {
--- a/gateway/src/main/java/weldcross/config/ConfigReader.java
+++ b/gateway/src/main/java/weldcross/config/ConfigReader.java
@@ -12,98 +12,115 @@
 import weldcross.routing.ZoneId;
 
 /**
- * The one place where start values become terms: names, checks and what holds where a key is
- * absent.
+ * Maps the keys of the settings, which the configuration file and the simulator share, to {@link
+ * RoutingConfig}, with the defaults of absent keys.
  */
 public final class ConfigReader {
 
+  private static final String FRESHNESS = "familyInfo.freshness";
+  private static final String LAG_ALLOWED = "familyInfo.lagAllowed";
+  private static final Duration DEFAULT_MAX_POLL_INTERVAL = Duration.ofSeconds(10);
+  private static final long NANOS_PER_MICRO = 1000;
+
   private ConfigReader() {}
 
   /**
-   * The terms of the service, under the names that the bench's wire and the configuration share.
+   * Reads what the router is configured with.
+   *
+   * @throws InvalidConfigException if a value cannot be used
    */
-  public static RoutingConfig service(ConfigValues told) {
-    List<String> needs = told.list("familyInfo.freshness");
-    List<String> bounds = told.list("familyInfo.lagAllowed");
-    List<RequestClass> rows = new ArrayList<>();
-    for (int k = 0; k < told.count("categories"); k++) {
-      ConfigValues method = told.under("categories." + k);
-      rows.add(
-          new RequestClass(
-              k < needs.size() ? consistency(told, needs.get(k)) : Consistency.ANY,
-              k < bounds.size() ? bound(told, bounds.get(k)) : Duration.ZERO,
-              effect(method),
-              scope(method),
-              method.span("dedupWindow", Duration.ZERO),
-              method.span("target", method.span("deadline", Duration.ZERO)),
-              method.real("worth", 1, 0),
-              method.real("lateWorth", 0, 0)));
-    }
-    boolean tellsWhen = told.flag("bounds.retryAfter", false);
-    boolean onRequest = told.word("discovery", "pushed", "on_request").equals("on_request");
-    boolean carried = told.word("familyInfo.tokenMode", "remembered", "carried").equals("carried");
-    Duration comeBack = told.span("bounds.maxRetryAfter", Duration.ZERO);
+  public static RoutingConfig routing(ConfigValues settings) {
+    boolean sendsRetryAfter = settings.flag("bounds.retryAfter", false);
+    boolean polls = settings.oneOf("discovery", "pushed", "on_request").equals("on_request");
+    boolean tokensCarried =
+        settings.oneOf("familyInfo.tokenMode", "remembered", "carried").equals("carried");
+    Duration maxRetryAfter = settings.micros("bounds.maxRetryAfter", Duration.ZERO);
     return new RoutingConfig(
-        List.copyOf(rows),
-        (int) told.whole("nInstances", 1, 1),
-        new ZoneId((int) told.whole("myZone", 0, 0)),
-        told.flag("bounds.parallelTries", false),
-        (int) told.whole("bounds.tryLimit", 1, 1),
-        told.flag("bounds.mayProbe", false),
-        told.flag("bounds.cancel", false),
-        told.flag("bounds.mayTell", false),
-        tellsWhen ? comeBack : Duration.ZERO,
-        onRequest,
-        told.span("invariants.mustAskIn", Duration.ofSeconds(10)),
-        !told.flag("invariants.removalNotBinding", false),
-        carried,
-        told.real("invariants.coldFrom", 0, 0),
-        told.span("invariants.cold", Duration.ZERO),
-        told.real("invariants.fallMultiple", 1, 0),
-        told.span("invariants.fall", Duration.ZERO));
+        requestClasses(settings),
+        (int) settings.integer("nInstances", 1, 1),
+        new ZoneId((int) settings.integer("myZone", 0, 0)),
+        settings.flag("bounds.parallelTries", false),
+        (int) settings.integer("bounds.tryLimit", 1, 1),
+        settings.flag("bounds.mayProbe", false),
+        settings.flag("bounds.cancel", false),
+        settings.flag("bounds.mayTell", false),
+        sendsRetryAfter ? maxRetryAfter : Duration.ZERO,
+        polls,
+        settings.micros("invariants.mustAskIn", DEFAULT_MAX_POLL_INTERVAL),
+        !settings.flag("invariants.removalNotBinding", false),
+        tokensCarried,
+        settings.decimal("invariants.coldFrom", 0, 0),
+        settings.micros("invariants.cold", Duration.ZERO),
+        settings.decimal("invariants.fallMultiple", 1, 0),
+        settings.micros("invariants.fall", Duration.ZERO));
   }
 
-  /** The clock time in microseconds that positions on the bench's wire are counted from. */
-  public static long originMicros(ConfigValues told) {
-    return told.whole("familyInfo.originTime", 0, Long.MIN_VALUE);
+  /** Returns the Unix time, in microseconds, from which a simulator counts positions. */
+  public static long originMicros(ConfigValues settings) {
+    return settings.integer("familyInfo.originTime", 0, Long.MIN_VALUE);
+  }
+
+  private static List<RequestClass> requestClasses(ConfigValues settings) {
+    List<String> consistencies = settings.list(FRESHNESS);
+    List<String> stalenessBounds = settings.list(LAG_ALLOWED);
+    List<RequestClass> classes = new ArrayList<>();
+    for (int index = 0; index < settings.count("categories"); index++) {
+      ConfigValues category = settings.under("categories." + index);
+      classes.add(
+          new RequestClass(
+              index < consistencies.size()
+                  ? consistency(settings, consistencies.get(index))
+                  : Consistency.ANY,
+              index < stalenessBounds.size()
+                  ? stalenessBound(settings, stalenessBounds.get(index))
+                  : Duration.ZERO,
+              effect(category),
+              scope(category),
+              category.micros("dedupWindow", Duration.ZERO),
+              category.micros("target", category.micros("deadline", Duration.ZERO)),
+              category.decimal("worth", 1, 0),
+              category.decimal("lateWorth", 0, 0)));
+    }
+    return List.copyOf(classes);
   }
 
-  private static Consistency consistency(ConfigValues told, String word) {
-    return switch (word) {
+  private static Consistency consistency(ConfigValues settings, String value) {
+    return switch (value) {
       case "write" -> Consistency.WRITE;
       case "fresh" -> Consistency.FRESH;
       case "session" -> Consistency.SESSION;
       case "bounded" -> Consistency.BOUNDED;
       case "any" -> Consistency.ANY;
       default ->
-          throw told.fault(
-              "familyInfo.freshness", "write, fresh, session, bounded or any for each");
+          throw settings.invalid(FRESHNESS, "write, fresh, session, bounded or any for each");
     };
   }
 
-  private static Duration bound(ConfigValues told, String micros) {
+  private static Duration stalenessBound(ConfigValues settings, String micros) {
     try {
-      return Duration.ofNanos(micros.isEmpty() ? 0 : new BigDecimal(micros).longValue() * 1000);
+      return micros.isEmpty()
+          ? Duration.ZERO
+          : Duration.ofNanos(new BigDecimal(micros).longValue() * NANOS_PER_MICRO);
     } catch (NumberFormatException e) {
-      throw told.fault("familyInfo.lagAllowed", "a time in microseconds for each");
+      throw settings.invalid(LAG_ALLOWED, "a time in microseconds for each");
     }
   }
 
-  private static Effect effect(ConfigValues method) {
-    return switch (method.text("effect", "at_most_once")) {
+  private static Effect effect(ConfigValues category) {
+    return switch (category.text("effect", "at_most_once")) {
       case "idempotent" -> Effect.IDEMPOTENT;
       case "deduplicated" -> Effect.IDEMPOTENT_BY_KEY;
       case "at_most_once" -> Effect.NON_IDEMPOTENT;
-      default -> throw method.fault("effect", "idempotent, deduplicated or at_most_once");
+      default -> throw category.invalid("effect", "idempotent, deduplicated or at_most_once");
     };
   }
 
-  private static Scope scope(ConfigValues method) {
-    return switch (method.text("dedupScope", "cell")) {
+  private static Scope scope(ConfigValues category) {
+    return switch (category.text("dedupScope", "cell")) {
       case "all" -> Scope.ALL;
       case "zone" -> Scope.ZONE;
       case "cell" -> Scope.GROUP;
-      default -> throw method.fault("dedupScope", "all, zone or cell");
+      default -> throw category.invalid("dedupScope", "all, zone or cell");
     };
   }
 }
--- a/gateway/src/main/java/weldcross/config/ConfigValues.java
+++ b/gateway/src/main/java/weldcross/config/ConfigValues.java
@@ -1,9 +1,5 @@
 package weldcross.config;
 
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.core.JsonToken;
-import java.io.IOException;
 import java.math.BigDecimal;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -13,247 +9,233 @@
 import java.util.Map;
 
 /**
- * Values under dotted keys, as the bench's wire writes them; JSON is flattened to the same form, so
- * that both are read by the same checks: a list of plain values is joined by commas, a list of
- * objects has its length under {@code .count} and its items under {@code .0}, {@code .1} and so on.
+ * Text values by dotted keys, with typed and checked access. JSON and TOML are flattened to this
+ * form, in which a simulator sends its settings, so that one set of checks reads all three: a list
+ * of plain values is joined by commas, a list of objects has its length under {@code .count} and
+ * its items under {@code .0}, {@code .1} and so on.
+ *
+ * <p>Every getter throws {@link InvalidConfigException} with the full key if the value is not of
+ * the type, and takes the value for an absent key as {@code defaultValue}.
  */
 public final class ConfigValues {
 
-  private static final JsonFactory JSON = new JsonFactory();
+  /** Ends the key under which the length of a list stands. */
+  static final String COUNT_SUFFIX = ".count";
 
-  private final Map<String, String> pairs;
+  private static final int PORT_LIMIT = 1 << 16;
+  private static final long NANOS_PER_MICRO = 1000;
+
+  private final Map<String, String> values;
+
+  /** Put before every key that is asked for; empty, or ends with a dot. */
   private final String prefix;
 
-  /** Where keys stand in their document; empty where that is not known. */
+  /** Line of each key in its document; empty if lines are not known. */
   private final Map<String, Integer> lines;
 
-  private ConfigValues(Map<String, String> pairs, String prefix) {
-    this(pairs, prefix, Map.of());
-  }
-
-  private ConfigValues(Map<String, String> pairs, String prefix, Map<String, Integer> lines) {
-    this.pairs = pairs;
+  private ConfigValues(Map<String, String> values, String prefix, Map<String, Integer> lines) {
+    this.values = values;
     this.prefix = prefix;
     this.lines = lines;
   }
 
-  /** Values whose lines are known and told in messages. */
-  static ConfigValues ofLines(Map<String, String> pairs, Map<String, Integer> lines) {
-    return new ConfigValues(pairs, "", lines);
+  /** Returns values whose messages name the line of a key. */
+  static ConfigValues withLines(Map<String, String> values, Map<String, Integer> lines) {
+    return new ConfigValues(values, "", lines);
   }
 
-  /** Parts of the form key=value, from the given one on. */
+  /**
+   * Parses parts of the form {@code key=value}.
+   *
+   * @param parts the parts of a line
+   * @param from index of the first one to parse
+   * @throws InvalidConfigException if a part has no key or no equals sign
+   */
   public static ConfigValues ofPairs(String[] parts, int from) {
-    Map<String, String> pairs = new HashMap<>();
-    for (int k = from; k < parts.length; k++) {
-      int eq = parts[k].indexOf('=');
-      if (eq <= 0) {
-        throw new InvalidConfigException(parts[k], "no '='", "key=value");
+    Map<String, String> values = new HashMap<>();
+    for (int index = from; index < parts.length; index++) {
+      int separator = parts[index].indexOf('=');
+      if (separator <= 0) {
+        throw new InvalidConfigException(parts[index], "no '='", "key=value");
       }
-      pairs.put(parts[k].substring(0, eq), parts[k].substring(eq + 1));
+      values.put(parts[index].substring(0, separator), parts[index].substring(separator + 1));
     }
-    return new ConfigValues(pairs, "");
+    return new ConfigValues(values, "", Map.of());
   }
 
+  /**
+   * Parses a JSON object.
+   *
+   * @param text the document in UTF-8
+   * @throws InvalidConfigException if the text is no single JSON object
+   */
   public static ConfigValues ofJson(byte[] text) {
-    Map<String, String> pairs = new HashMap<>();
-    try (JsonParser in = JSON.createParser(text)) {
-      if (in.nextToken() != JsonToken.START_OBJECT) {
-        throw new InvalidConfigException("not a JSON object");
-      }
-      object(in, "", pairs);
-      if (in.nextToken() != null) {
-        throw new InvalidConfigException("not JSON: more after its end");
-      }
-    } catch (IOException e) {
-      throw new InvalidConfigException(
-          "not JSON: " + String.valueOf(e.getMessage()).split("\n")[0]);
-    }
-    return new ConfigValues(pairs, "");
+    return new ConfigValues(JsonConfigParser.parse(text), "", Map.of());
   }
 
-  private static void object(JsonParser in, String path, Map<String, String> into)
-      throws IOException {
-    while (in.nextToken() == JsonToken.FIELD_NAME) {
-      String key = path + in.getCurrentName();
-      value(in, in.nextToken(), key, into);
-    }
+  /** Returns these values, with the given defaults for keys that are absent. */
+  public ConfigValues orElse(Map<String, String> defaults) {
+    Map<String, String> merged = new HashMap<>(defaults);
+    merged.putAll(values);
+    return new ConfigValues(merged, prefix, lines);
   }
 
-  private static void value(JsonParser in, JsonToken token, String key, Map<String, String> into)
-      throws IOException {
-    if (token == JsonToken.START_OBJECT) {
-      object(in, key + ".", into);
-    } else if (token == JsonToken.START_ARRAY) {
-      StringBuilder joined = new StringBuilder();
-      int count = 0;
-      for (JsonToken t = in.nextToken(); t != JsonToken.END_ARRAY; t = in.nextToken()) {
-        boolean plain = t.isScalarValue();
-        if (plain) {
-          joined.append(count == 0 ? "" : ",").append(in.getText());
-        } else {
-          value(in, t, key + "." + count, into);
-        }
-        count++;
-      }
-      into.put(key, joined.toString());
-      into.put(key + ".count", Integer.toString(count));
-    } else if (token != JsonToken.VALUE_NULL) {
-      into.put(key, in.getText());
-    }
-  }
-
-  /** These values, and the given ones for keys that are absent. */
-  public ConfigValues orElse(Map<String, String> absent) {
-    Map<String, String> all = new HashMap<>(absent);
-    all.putAll(pairs);
-    return new ConfigValues(all, prefix, lines);
-  }
-
-  /** The values below a path; messages go on naming keys in full. */
+  /** Returns a view of the values below a path; messages still name keys in full. */
   public ConfigValues under(String path) {
-    return new ConfigValues(pairs, prefix + path + ".", lines);
+    return new ConfigValues(values, prefix + path + ".", lines);
   }
 
+  /** Returns whether the key has a value. */
   public boolean has(String key) {
-    return pairs.containsKey(prefix + key);
+    return values.containsKey(prefix + key);
   }
 
-  public String text(String key, String absent) {
-    return pairs.getOrDefault(prefix + key, absent);
+  /** Returns the value as written, which may be empty. */
+  public String text(String key, String defaultValue) {
+    return values.getOrDefault(prefix + key, defaultValue);
   }
 
+  /** Returns the value as written; throws if it is absent or empty. */
   public String text(String key) {
-    String value = pairs.get(prefix + key);
+    String value = values.get(prefix + key);
     if (value == null || value.isEmpty()) {
-      throw fault(key, "a value");
+      throw invalid(key, "a value");
     }
     return value;
   }
 
-  public boolean flag(String key, boolean absent) {
-    String value = pairs.get(prefix + key);
+  /** Returns a boolean, written as {@code true} or {@code 1}, {@code false} or {@code 0}. */
+  public boolean flag(String key, boolean defaultValue) {
+    String value = values.get(prefix + key);
     if (value == null) {
-      return absent;
+      return defaultValue;
     }
     return switch (value) {
       case "true", "1" -> true;
       case "false", "0" -> false;
-      default -> throw fault(key, "true or false");
+      default -> throw invalid(key, "true or false");
     };
   }
 
-  /** One of the given words; the first where the key is absent. */
-  public String word(String key, String... allowed) {
-    String value = pairs.getOrDefault(prefix + key, allowed[0]);
+  /** Returns one of the allowed values; the first one if the key is absent. */
+  public String oneOf(String key, String... allowed) {
+    String value = values.getOrDefault(prefix + key, allowed[0]);
     if (!List.of(allowed).contains(value)) {
-      throw fault(key, String.join(" or ", allowed));
+      throw invalid(key, String.join(" or ", allowed));
     }
     return value;
   }
 
-  public double real(String key, double absent, double least) {
+  /** Returns a number of at least {@code min}. */
+  public double decimal(String key, double defaultValue, double min) {
     BigDecimal value = number(key);
-    if (value != null && value.doubleValue() < least) {
-      throw fault(key, "a number from " + least + " on");
+    if (value != null && value.doubleValue() < min) {
+      throw invalid(key, "a number from " + min + " on");
     }
-    return value == null ? absent : value.doubleValue();
+    return value == null ? defaultValue : value.doubleValue();
   }
 
-  public long whole(String key, long absent, long least) {
+  /** Returns a number of at least {@code min}, without its fraction. */
+  public long integer(String key, long defaultValue, long min) {
     BigDecimal value = number(key);
-    if (value != null && value.compareTo(BigDecimal.valueOf(least)) < 0) {
-      throw fault(key, "a number from " + least + " on");
+    if (value != null && value.compareTo(BigDecimal.valueOf(min)) < 0) {
+      throw invalid(key, "a number from " + min + " on");
     }
-    return value == null ? absent : value.longValue();
-  }
-
-  /** A time in whole milliseconds. */
-  public Duration millis(String key, Duration absent, long least) {
-    return Duration.ofMillis(whole(key, absent.toMillis(), least));
-  }
-
-  /**
-   * Throws for the first key, by line and name, that is none of these; {@code *} stands for a
-   * number.
-   */
-  public void knowsOnly(List<String> keys) {
-    pairs.keySet().stream()
-        .filter(key -> !key.endsWith(".count"))
-        .filter(key -> !keys.contains(key.replaceAll("\\.\\d+(?=\\.|$)", ".*")))
-        .min(
-            Comparator.comparingInt((String key) -> line(key))
-                .thenComparing(Comparator.naturalOrder()))
-        .ifPresent(
-            key -> {
-              throw new InvalidConfigException(
-                  named(key), "a key that nobody reads", String.join(", ", keys));
-            });
+    return value == null ? defaultValue : value.longValue();
   }
 
-  private int line(String key) {
-    return lines.getOrDefault(key, 0);
+  /** Returns a time that is written in milliseconds, of at least {@code min} of them. */
+  public Duration millis(String key, Duration defaultValue, long min) {
+    return Duration.ofMillis(integer(key, defaultValue.toMillis(), min));
   }
 
-  /** The key, with its line where that is known, or the line of what it would stand in. */
-  private String named(String key) {
-    for (String at = key; !at.isEmpty(); at = at.substring(0, Math.max(0, at.lastIndexOf('.')))) {
-      if (lines.containsKey(at)) {
-        return key + " (line " + lines.get(at) + ")";
-      }
-    }
-    return key;
-  }
-
-  /** A time in microseconds. */
-  public Duration span(String key, Duration absent) {
+  /** Returns a time that is written in microseconds; throws if it is negative. */
+  public Duration micros(String key, Duration defaultValue) {
     BigDecimal value = number(key);
     if (value == null) {
-      return absent;
+      return defaultValue;
     }
-    if (value.signum() < 0 || value.compareTo(BigDecimal.valueOf(Long.MAX_VALUE / 1000)) > 0) {
-      throw fault(key, "a time in microseconds");
+    BigDecimal max = BigDecimal.valueOf(Long.MAX_VALUE / NANOS_PER_MICRO);
+    if (value.signum() < 0 || value.compareTo(max) > 0) {
+      throw invalid(key, "a time in microseconds");
     }
-    return Duration.ofNanos(value.longValue() * 1000);
+    return Duration.ofNanos(value.longValue() * NANOS_PER_MICRO);
   }
 
+  /** Returns the items of a list of plain values; empty if the key is absent. */
   public List<String> list(String key) {
-    String value = pairs.get(prefix + key);
+    String value = values.get(prefix + key);
     return value == null || value.isEmpty() ? List.of() : List.of(value.split(",", -1));
   }
 
+  /** Returns the length of a list; 0 if the key is absent. */
   public int count(String key) {
-    return (int) whole(key + ".count", 0, 0);
+    return (int) integer(key + COUNT_SUFFIX, 0, 0);
   }
 
-  /** An address written as numbers: nothing is ever looked up by name. */
+  /** Returns an IP address with its port; host names are rejected, as none is ever resolved. */
   public InetSocketAddress address(String key) {
     String value = text(key);
     int colon = value.lastIndexOf(':');
     try {
       int port = Integer.parseInt(value.substring(colon + 1));
       String host = value.substring(0, Math.max(0, colon));
-      if (port >= 0 && port < 1 << 16 && host.matches("[0-9.]+|\\[[0-9a-fA-F:.]+\\]")) {
+      if (port >= 0 && port < PORT_LIMIT && host.matches("[0-9.]+|\\[[0-9a-fA-F:.]+\\]")) {
         return new InetSocketAddress(host, port);
       }
     } catch (IllegalArgumentException e) {
-      // Told below like all else that is no address.
+      // Reported below, like any other text that is not an address.
     }
-    throw fault(key, "an address such as 127.0.0.1:6543");
+    throw invalid(key, "an address such as 127.0.0.1:6543");
   }
 
-  public InvalidConfigException fault(String key, String allowed) {
-    String value = pairs.get(prefix + key);
+  /**
+   * Throws for the first key, by line and name, that is not among the known ones.
+   *
+   * @param knownKeys full keys, with {@code *} in place of the index of a list
+   */
+  public void rejectUnknownKeys(List<String> knownKeys) {
+    values.keySet().stream()
+        .filter(key -> !key.endsWith(COUNT_SUFFIX))
+        .filter(key -> !knownKeys.contains(key.replaceAll("\\.\\d+(?=\\.|$)", ".*")))
+        .min(Comparator.comparingInt(this::lineOf).thenComparing(Comparator.naturalOrder()))
+        .ifPresent(
+            key -> {
+              throw new InvalidConfigException(
+                  withLine(key), "a key that nobody reads", String.join(", ", knownKeys));
+            });
+  }
+
+  /** Returns the exception for the value of a key, to be thrown by the caller. */
+  public InvalidConfigException invalid(String key, String allowed) {
+    String value = values.get(prefix + key);
     return new InvalidConfigException(
-        named(prefix + key), value == null ? "nothing" : "'" + value + "'", allowed);
+        withLine(prefix + key), value == null ? "nothing" : "'" + value + "'", allowed);
+  }
+
+  private int lineOf(String key) {
+    return lines.getOrDefault(key, 0);
+  }
+
+  /** Returns the full key with its line, or with the line of the nearest table around it. */
+  private String withLine(String key) {
+    for (String path = key;
+        !path.isEmpty();
+        path = path.substring(0, Math.max(0, path.lastIndexOf('.')))) {
+      if (lines.containsKey(path)) {
+        return key + " (line " + lines.get(path) + ")";
+      }
+    }
+    return key;
   }
 
+  /** Returns null if the key is absent. */
   private BigDecimal number(String key) {
-    String value = pairs.get(prefix + key);
+    String value = values.get(prefix + key);
     try {
       return value == null ? null : new BigDecimal(value);
     } catch (NumberFormatException e) {
-      throw fault(key, "a number");
+      throw invalid(key, "a number");
     }
   }
 }
--- /dev/null
+++ b/gateway/src/main/java/weldcross/config/ExtensionsConfigReader.java
@@ -0,0 +1,279 @@
+package weldcross.config;
+
+import java.net.InetSocketAddress;
+import java.nio.file.InvalidPathException;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+import java.util.stream.Collectors;
+import weldcross.consensus.ConsensusConfig;
+import weldcross.membership.FailureDetectorConfig;
+import weldcross.mesh.MeshConfig;
+import weldcross.mesh.PeerAddresses;
+import weldcross.mesh.PeerName;
+
+/** Maps the keys of the extensions' file to {@link ExtensionsConfig}. */
+final class ExtensionsConfigReader {
+
+  /**
+   * Every key that the file may have, with {@code *} for an index. Other keys are rejected: a
+   * misspelt key would silently leave its default in force.
+   */
+  private static final List<String> KEYS =
+      List.of(
+          "directory",
+          "link.cluster",
+          "link.name",
+          "link.listen",
+          "link.datagrams",
+          "link.peers",
+          "link.peers.*.name",
+          "link.peers.*.call",
+          "link.peers.*.tell",
+          "link.beat_ms",
+          "link.stalled_after_ms",
+          "link.dial_within_ms",
+          "link.shortest_rest_ms",
+          "link.longest_rest_ms",
+          "link.most_waiting",
+          "link.most_kilobytes",
+          "membership.zone",
+          "membership.part",
+          "membership.period_ms",
+          "membership.answer_within_ms",
+          "agreement.voters",
+          "agreement.period_ms",
+          "agreement.share_after_ms",
+          "agreement.trust_disk",
+          "agreement.heartbeat_s",
+          "agreement.silence_s",
+          "control.listen");
+
+  private static final int MAX_VOTERS = 7;
+  private static final int DEFAULT_TRAFFIC_PER_MILLE = 1000;
+  private static final int DEFAULT_MAX_QUEUED = 4096;
+  private static final int DEFAULT_MAX_QUEUED_KIBIBYTES = 4096;
+  private static final int MAX_KIBIBYTES = Integer.MAX_VALUE >> 10;
+
+  private final ConfigValues values;
+  private final ConfigValues link;
+  private final String gatewayName;
+
+  /** In the order of the file. */
+  private final List<PeerName> peers = new ArrayList<>();
+
+  private final Map<PeerName, InetSocketAddress> connectAddresses = new TreeMap<>();
+
+  /** Only of peers that receive datagrams. */
+  private final Map<PeerName, InetSocketAddress> gossipAddresses = new TreeMap<>();
+
+  ExtensionsConfigReader(ConfigValues values, String gatewayName) {
+    this.values = values;
+    this.link = values.under("link");
+    this.gatewayName = gatewayName;
+  }
+
+  ExtensionsConfig read() {
+    values.rejectUnknownKeys(KEYS);
+    Path directory = directory();
+    if (!link.has("cluster") && !link.has("listen")) {
+      rejectTablesThatNeedMesh();
+      return new ExtensionsConfig(
+          directory, Optional.empty(), Optional.empty(), Optional.empty(), controlAddress());
+    }
+    PeerName self = new PeerName(link.text("name", gatewayName));
+    readPeers(self);
+    ExtensionsConfig.Mesh mesh = mesh(self);
+    Optional<FailureDetectorConfig> failureDetector = failureDetector(self);
+    return new ExtensionsConfig(
+        directory,
+        Optional.of(mesh),
+        failureDetector,
+        consensus(self, failureDetector),
+        controlAddress());
+  }
+
+  private Path directory() {
+    try {
+      return Path.of(values.text("directory"));
+    } catch (InvalidPathException e) {
+      throw values.invalid("directory", "the path of a directory");
+    }
+  }
+
+  private void rejectTablesThatNeedMesh() {
+    if (values.has("membership.part") || values.has("membership.period_ms")) {
+      throw values.invalid("link.cluster", "a link, by which gateways are seen");
+    }
+    if (values.has("agreement.voters")) {
+      throw values.invalid("link.cluster", "a link, by which gateways agree");
+    }
+  }
+
+  private void readPeers(PeerName self) {
+    for (int index = 0; index < link.count("peers"); index++) {
+      ConfigValues peer = link.under("peers." + index);
+      PeerName name = new PeerName(peer.text("name"));
+      if (name.equals(self) || peers.contains(name)) {
+        throw peer.invalid("name", "a name that no other gateway has");
+      }
+      peers.add(name);
+      connectAddresses.put(name, peer.address("call"));
+      if (peer.has("tell")) {
+        gossipAddresses.put(name, peer.address("tell"));
+      }
+    }
+  }
+
+  private ExtensionsConfig.Mesh mesh(PeerName self) {
+    Duration heartbeat = link.millis("beat_ms", Duration.ofMillis(250), 10);
+    Duration stalledAfter = link.millis("stalled_after_ms", heartbeat.multipliedBy(6), 10);
+    if (stalledAfter.compareTo(heartbeat.multipliedBy(2)) < 0) {
+      throw link.invalid(
+          "stalled_after_ms", "at least twice beat_ms, as one sign of life may be late");
+    }
+    Duration minBackoff = link.millis("shortest_rest_ms", Duration.ofMillis(100), 1);
+    Duration maxBackoff = link.millis("longest_rest_ms", Duration.ofSeconds(5), 1);
+    if (maxBackoff.compareTo(minBackoff) < 0) {
+      throw link.invalid("longest_rest_ms", "no less than shortest_rest_ms");
+    }
+    MeshConfig config =
+        new MeshConfig(
+            link.text("cluster"),
+            self,
+            List.copyOf(peers),
+            heartbeat,
+            stalledAfter,
+            link.millis("dial_within_ms", Duration.ofSeconds(1), 10),
+            minBackoff,
+            maxBackoff,
+            (int) link.integer("most_waiting", DEFAULT_MAX_QUEUED, 1),
+            maxQueuedBytes());
+    return new ExtensionsConfig.Mesh(config, addresses());
+  }
+
+  private int maxQueuedBytes() {
+    long kibibytes = link.integer("most_kilobytes", DEFAULT_MAX_QUEUED_KIBIBYTES, 1);
+    return (int) Math.min(MAX_KIBIBYTES, kibibytes) << 10;
+  }
+
+  private PeerAddresses addresses() {
+    return new PeerAddresses(
+        link.address("listen"),
+        link.has("datagrams") ? link.address("datagrams") : null,
+        connectAddresses,
+        gossipAddresses);
+  }
+
+  private Optional<FailureDetectorConfig> failureDetector(PeerName self) {
+    ConfigValues membership = values.under("membership");
+    if (!membership.has("part")) {
+      return Optional.empty();
+    }
+    if (gossipAddresses.size() < peers.size()) {
+      throw membership.invalid("part", "only with an address to tell for each of link.peers");
+    }
+    FailureDetectorConfig defaults =
+        FailureDetectorConfig.defaults(
+            self,
+            List.copyOf(peers),
+            membership.text("zone", ""),
+            (int) membership.integer("part", DEFAULT_TRAFFIC_PER_MILLE, 0));
+    Duration period = membership.millis("period_ms", defaults.probeInterval(), 50);
+    Duration answerWithin =
+        membership.millis("answer_within_ms", period.multipliedBy(2).dividedBy(5), 10);
+    if (answerWithin.compareTo(period) >= 0) {
+      throw membership.invalid(
+          "answer_within_ms", "less than period_ms, so that others can still be asked to try");
+    }
+    return Optional.of(
+        new FailureDetectorConfig(
+            self,
+            defaults.peers(),
+            defaults.zone(),
+            defaults.trafficWeight(),
+            period,
+            answerWithin,
+            defaults.indirectProbes(),
+            defaults.minSuspicion(),
+            defaults.maxSuspicionFactor(),
+            defaults.maxUpdatesPerMessage(),
+            defaults.retransmitFactor()));
+  }
+
+  private Optional<ConsensusConfig> consensus(
+      PeerName self, Optional<FailureDetectorConfig> failureDetector) {
+    if (!values.has("agreement.voters")) {
+      return Optional.empty();
+    }
+    FailureDetectorConfig detector =
+        failureDetector.orElseThrow(
+            () ->
+                values.invalid(
+                    "agreement.voters", "only with a [membership], by which proof of ends comes"));
+    ConfigValues agreement = values.under("agreement");
+    List<PeerName> voters = voters(agreement, self);
+    long heartbeatSeconds = agreement.integer("heartbeat_s", 1, 1);
+    long electionTimeoutSeconds = agreement.integer("silence_s", 2, 2);
+    if (electionTimeoutSeconds <= heartbeatSeconds) {
+      throw agreement.invalid("silence_s", "more than heartbeat_s");
+    }
+    return Optional.of(
+        new ConsensusConfig(
+            groupName(voters),
+            self,
+            detector.zone(),
+            detector.trafficWeight(),
+            voters,
+            agreement.millis("period_ms", Duration.ofSeconds(1), 50),
+            agreement.millis("share_after_ms", Duration.ofSeconds(30), 0),
+            agreement.flag("trust_disk", false),
+            Duration.ofSeconds(heartbeatSeconds),
+            Duration.ofSeconds(electionTimeoutSeconds)));
+  }
+
+  /** Returns the voters sorted, so that all gateways have them in one order. */
+  private List<PeerName> voters(ConfigValues agreement, PeerName self) {
+    List<PeerName> voters = new ArrayList<>();
+    for (String each : agreement.list("voters")) {
+      PeerName name = new PeerName(each);
+      if (voters.contains(name) || (!name.equals(self) && !peers.contains(name))) {
+        throw agreement.invalid("voters", "this gateway and those of link.peers, each once");
+      }
+      voters.add(name);
+    }
+    if (voters.size() % 2 == 0 || voters.size() > MAX_VOTERS) {
+      throw agreement.invalid(
+          "voters", "1, 3, 5 or 7 of them, as an even number bears no more losses");
+    }
+    Collections.sort(voters);
+    return List.copyOf(voters);
+  }
+
+  private String groupName(List<PeerName> voters) {
+    return link.text("cluster")
+        + "/"
+        + voters.stream().map(PeerName::name).collect(Collectors.joining(","));
+  }
+
+  /** Requires a loopback address: whoever reaches it may do all that an operator may. */
+  private Optional<InetSocketAddress> controlAddress() {
+    if (!values.has("control.listen")) {
+      return Optional.empty();
+    }
+    if (!values.has("agreement.voters")) {
+      throw values.invalid("control.listen", "only with an [agreement], of which it tells");
+    }
+    InetSocketAddress address = values.address("control.listen");
+    if (!address.getAddress().isLoopbackAddress()) {
+      throw values.invalid(
+          "control.listen", "an address of the loopback, as it asks nobody who they are");
+    }
+    return Optional.of(address);
+  }
+}
--- a/gateway/src/main/java/weldcross/config/GatewayConfig.java
+++ b/gateway/src/main/java/weldcross/config/GatewayConfig.java
@@ -1,11 +1,7 @@
 package weldcross.config;
 
-import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.nio.file.Files;
-import java.nio.file.InvalidPathException;
-import java.nio.file.Path;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,235 +12,196 @@
 import weldcross.routing.RoutingConfig;
 
 /**
- * What one gateway is told at its start.
+ * Configuration of one gateway.
  *
- * @param sockets descriptors that the process may hold
- * @param methods names of the methods, in the order of the service's rows
- * @param peerListen where other gateways' messages arrive; null where there are none
- * @param idleClose a server closes a connection that has been idle for so long
- * @param stopSending a server that drains gets nothing new so long after that was told
- * @param reportsByProbe whether a probe is answered with a load report
- * @param known the server list as this gateway last had it
+ * @param name the gateway's name, unique among gateways
+ * @param listenAddress where clients connect
+ * @param discoveryAddress where the endpoint list comes from
+ * @param seed seed of all random decisions
+ * @param maxDescriptors file descriptors that the process may hold, at least 64
+ * @param routing configuration of the router
+ * @param requestClassNames names of the request classes, in the order of {@link
+ *     RoutingConfig#requestClasses}
+ * @param tenants names of the tenants that are served; empty for any
+ * @param zones names of the zones, in the order of their numbers
+ * @param gossipListenAddress where datagrams of other gateways arrive; null without gossip
+ * @param gossipTargetAddress where datagrams reach all other gateways; null without gossip
+ * @param serverIdleTimeout idle time after which a server closes a connection
+ * @param connectTimeout limit for a connection to a server to come up
+ * @param drainGracePeriod time after the notice of a drain by which requests to that server end
+ * @param healthCheckReportsLoad whether the answer to a health check is a load report
+ * @param lastKnownEndpoints the endpoint list of the previous run; empty if there was none
  */
 public record GatewayConfig(
     String name,
-    InetSocketAddress listen,
-    InetSocketAddress discovery,
+    InetSocketAddress listenAddress,
+    InetSocketAddress discoveryAddress,
     long seed,
-    int sockets,
-    RoutingConfig service,
-    List<String> methods,
+    int maxDescriptors,
+    RoutingConfig routing,
+    List<String> requestClassNames,
     List<String> tenants,
     List<String> zones,
-    InetSocketAddress peerListen,
-    InetSocketAddress peersAll,
-    Duration idleClose,
+    InetSocketAddress gossipListenAddress,
+    InetSocketAddress gossipTargetAddress,
+    Duration serverIdleTimeout,
     Duration connectTimeout,
-    Duration stopSending,
-    boolean reportsByProbe,
-    ConfigValues known) {
+    Duration drainGracePeriod,
+    boolean healthCheckReportsLoad,
+    ConfigValues lastKnownEndpoints) {
 
   /**
-   * Reads the file that the environment names; the environment's own values stand in for absent
-   * keys.
+   * Reads the file that {@code NODE_CONFIG} names; {@code NODE_NAME}, {@code NODE_LISTEN} and
+   * {@code NODE_DISCOVERY} are defaults for its absent keys.
+   *
+   * @param environment the variables of the process
+   * @throws InvalidConfigException if the file or a value in it cannot be used
    */
   public static GatewayConfig read(Map<String, String> environment) {
-    return of(
-        file(environment.getOrDefault("NODE_CONFIG", ""))
-            .orElse(
-                Map.of(
-                    "name", environment.getOrDefault("NODE_NAME", ""),
-                    "listen", environment.getOrDefault("NODE_LISTEN", ""),
-                    "discovery", environment.getOrDefault("NODE_DISCOVERY", ""))));
+    return GatewayConfigReader.fromEnvironment(environment);
   }
 
+  /**
+   * Reads a file.
+   *
+   * @param file path of a JSON document
+   * @throws InvalidConfigException if the file or a value in it cannot be used
+   */
   public static GatewayConfig read(String file) {
-    return of(file(file));
-  }
-
-  private static ConfigValues file(String file) {
-    try {
-      if (!file.isEmpty()) {
-        return ConfigValues.ofJson(Files.readAllBytes(Path.of(file)));
-      }
-    } catch (InvalidConfigException e) {
-      throw new InvalidConfigException(
-          "NODE_CONFIG", "'" + file + "' (" + e.getMessage() + ")", "the path of a JSON object");
-    } catch (IOException | InvalidPathException e) {
-      throw new InvalidConfigException(
-          "NODE_CONFIG",
-          "'" + file + "' (" + e.getClass().getSimpleName() + ")",
-          "the path of a readable file");
-    }
-    throw new InvalidConfigException("NODE_CONFIG", "nothing", "the path of the configuration");
+    return GatewayConfigReader.fromFile(file);
   }
 
-  public static GatewayConfig of(ConfigValues told) {
-    ConfigValues settings = told.under("settings");
-    RoutingConfig service = ConfigReader.service(settings);
-    if (service.requestClasses().isEmpty()) {
-      throw settings.fault("categories", "a list of methods");
-    }
-    List<String> methods = new ArrayList<>();
-    for (int k = 0; k < service.requestClasses().size(); k++) {
-      methods.add(settings.text("categories." + k + ".name"));
-    }
-    List<String> tenants = new ArrayList<>();
-    for (int k = 0; k < settings.count("tenants"); k++) {
-      tenants.add(settings.text("tenants." + k + ".name"));
-    }
-    boolean peers = service.gossip() && told.has("peer_listen");
-    boolean reportsByProbe =
-        settings.word("report.source", "none", "probe", "answers").equals("probe");
-    return new GatewayConfig(
-        told.text("name"),
-        told.address("listen"),
-        told.address("discovery"),
-        seed(told),
-        (int) told.whole("limits.sockets", 1024, 64),
-        service,
-        List.copyOf(methods),
-        List.copyOf(tenants),
-        settings.list("zones"),
-        peers ? told.address("peer_listen") : null,
-        peers ? told.address("peers_all") : null,
-        settings.span("bounds.idleClose", Duration.ofSeconds(30)),
-        settings.span("bounds.connectTimeout", Duration.ofMillis(250)),
-        settings.span("invariants.stopSendingWithin", Duration.ofSeconds(2)),
-        reportsByProbe,
-        told.under("known"));
+  /**
+   * Reads the configuration from values that are parsed already.
+   *
+   * @throws InvalidConfigException if a value cannot be used
+   */
+  public static GatewayConfig of(ConfigValues values) {
+    return GatewayConfigReader.fromValues(values);
   }
 
   /**
-   * The same on loopback ports that the system picks, with a group of servers and a discovery at
-   * those given.
+   * Returns this configuration on loopback ports that the system picks, with another discovery and
+   * one group of known servers.
+   *
+   * @param discoveryPort loopback port of the discovery
+   * @param serverPorts loopback ports of the servers
    */
-  public GatewayConfig alone(int discovery, int... servers) {
-    InetAddress here = InetAddress.getLoopbackAddress();
-    InetSocketAddress free = new InetSocketAddress(here, 0);
-    StringBuilder list =
-        new StringBuilder("revision=0 complete=true members.count=" + servers.length);
-    for (int k = 0; k < servers.length; k++) {
-      String member = " members." + k + ".";
-      list.append(member)
-          .append("id=s-")
-          .append(k)
-          .append(member)
-          .append("cell=0")
-          .append(member)
-          .append("host_port=127.0.0.1:")
-          .append(servers[k])
-          .append(member)
-          .append("phase=active");
-    }
+  public GatewayConfig onLoopback(int discoveryPort, int... serverPorts) {
+    InetAddress loopback = InetAddress.getLoopbackAddress();
+    InetSocketAddress anyPort = new InetSocketAddress(loopback, 0);
+    InetSocketAddress discovery = new InetSocketAddress(loopback, discoveryPort);
     return new GatewayConfig(
         name,
-        free,
-        new InetSocketAddress(here, discovery),
+        anyPort,
+        discovery,
         seed,
-        sockets,
-        service,
-        methods,
+        maxDescriptors,
+        routing,
+        requestClassNames,
         tenants,
         zones,
-        free,
-        new InetSocketAddress(here, discovery),
-        idleClose,
+        anyPort,
+        discovery,
+        serverIdleTimeout,
         connectTimeout,
-        stopSending,
-        reportsByProbe,
-        ConfigValues.ofPairs(list.toString().split(" "), 0));
+        drainGracePeriod,
+        healthCheckReportsLoad,
+        endpointList(serverPorts));
+  }
+
+  private static ConfigValues endpointList(int... serverPorts) {
+    List<String> pairs = new ArrayList<>();
+    pairs.add("revision=0");
+    pairs.add("complete=true");
+    pairs.add("members.count=" + serverPorts.length);
+    for (int index = 0; index < serverPorts.length; index++) {
+      String prefix = "members." + index + ".";
+      pairs.add(prefix + "id=s-" + index);
+      pairs.add(prefix + "cell=0");
+      pairs.add(prefix + "host_port=127.0.0.1:" + serverPorts[index]);
+      pairs.add(prefix + "phase=active");
+    }
+    return ConfigValues.ofPairs(pairs.toArray(new String[0]), 0);
   }
 
   /**
-   * The keys whose new values only a restart brings into force; seed and known list are a start's
-   * own.
+   * Returns the keys whose values differ and take effect only by a restart. The seed and the last
+   * known endpoints are read once at the start and not compared.
+   *
+   * @param next the configuration as it is read now
    */
-  public List<String> keysThatDiffer(GatewayConfig next) {
+  public List<String> keysThatNeedRestart(GatewayConfig next) {
     List<String> keys = new ArrayList<>();
-    differ(keys, "name", name, next.name);
-    differ(keys, "listen", listen, next.listen);
-    differ(keys, "limits.sockets", sockets, next.sockets);
-    differ(keys, "peer_listen", peerListen, next.peerListen);
-    differ(keys, "peers_all", peersAll, next.peersAll);
-    differ(
-        keys,
-        "settings",
-        List.of(
-            service,
-            methods,
-            tenants,
-            zones,
-            idleClose,
-            connectTimeout,
-            stopSending,
-            reportsByProbe),
-        List.of(
-            next.service,
-            next.methods,
-            next.tenants,
-            next.zones,
-            next.idleClose,
-            next.connectTimeout,
-            next.stopSending,
-            next.reportsByProbe));
+    addIfDifferent(keys, "name", name, next.name);
+    addIfDifferent(keys, "listen", listenAddress, next.listenAddress);
+    addIfDifferent(keys, "limits.sockets", maxDescriptors, next.maxDescriptors);
+    addIfDifferent(keys, "peer_listen", gossipListenAddress, next.gossipListenAddress);
+    addIfDifferent(keys, "peers_all", gossipTargetAddress, next.gossipTargetAddress);
+    addIfDifferent(keys, "settings", settings(), next.settings());
     return keys;
   }
 
-  private static void differ(List<String> keys, String key, Object before, Object after) {
+  private List<Object> settings() {
+    return List.of(
+        routing,
+        requestClassNames,
+        tenants,
+        zones,
+        serverIdleTimeout,
+        connectTimeout,
+        drainGracePeriod,
+        healthCheckReportsLoad);
+  }
+
+  private static void addIfDifferent(List<String> keys, String key, Object before, Object after) {
     if (!Objects.equals(before, after)) {
       keys.add(key);
     }
   }
 
-  /** What would be served, for a person to read. */
+  /** Returns a description for an operator: one line for the gateway, one a request class. */
   public String describe() {
-    StringBuilder words =
+    StringBuilder text =
         new StringBuilder("gateway ")
             .append(name)
             .append(" on ")
-            .append(plain(listen))
-            .append(", list from ")
-            .append(plain(discovery))
+            .append(describe(listenAddress))
+            .append(", endpoint list from ")
+            .append(describe(discoveryAddress))
             .append(", ")
-            .append(known.count("members"))
+            .append(lastKnownEndpoints.count("members"))
             .append(" servers known, ")
-            .append(sockets)
+            .append(maxDescriptors)
             .append(" descriptors, one of ")
-            .append(service.gateways())
+            .append(routing.gateways())
             .append(" gateways");
-    for (int k = 0; k < methods.size(); k++) {
-      RequestClass row = service.requestClasses().get(k);
-      words
-          .append("\n  ")
-          .append(methods.get(k))
+    for (int index = 0; index < requestClassNames.size(); index++) {
+      text.append("\n  ")
+          .append(requestClassNames.get(index))
           .append(": ")
-          .append(plain(row.consistency()))
-          .append(
-              row.stalenessBound().isZero() ? "" : " " + row.stalenessBound().toMillis() + " ms")
-          .append(", ")
-          .append(plain(row.effect()))
-          .append(", soft deadline ")
-          .append(row.latencyObjective().toMillis())
-          .append(" ms, utility ")
-          .append(row.priorityWeight());
+          .append(describe(routing.requestClasses().get(index)));
     }
-    return words.toString();
+    return text.toString();
   }
 
-  private static String plain(Enum<?> word) {
-    return word.name().toLowerCase(Locale.ROOT).replace('_', '-');
+  private static String describe(RequestClass requestClass) {
+    Duration stalenessBound = requestClass.stalenessBound();
+    return describe(requestClass.consistency())
+        + (stalenessBound.isZero() ? "" : " " + stalenessBound.toMillis() + " ms")
+        + ", "
+        + describe(requestClass.effect())
+        + ", latency objective "
+        + requestClass.latencyObjective().toMillis()
+        + " ms, priority weight "
+        + requestClass.priorityWeight();
   }
 
-  private static String plain(InetSocketAddress address) {
-    return address.getHostString() + ":" + address.getPort();
+  private static String describe(Enum<?> value) {
+    return value.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  private static long seed(ConfigValues told) {
-    try {
-      return Long.parseUnsignedLong(told.text("seed"), 16);
-    } catch (NumberFormatException e) {
-      throw told.fault("seed", "up to 16 hex digits");
-    }
+  private static String describe(InetSocketAddress address) {
+    return address.getHostString() + ":" + address.getPort();
   }
 }
--- a/gateway/src/main/java/weldcross/config/LoadReport.java
+++ b/gateway/src/main/java/weldcross/config/LoadReport.java
@@ -3,41 +3,48 @@
 import java.math.BigDecimal;
 
 /**
- * What a server's report says of its data, under the names that the terms give.
+ * Load report of one server, limited to the values that routing reads.
  *
- * @param position in seconds; null where it is not told
- * @param primary null where it is not told
+ * @param position replication position in seconds; null if the report does not have it
+ * @param primary whether the server is the primary of its group; null if the report does not say
  */
 public record LoadReport(BigDecimal position, Boolean primary) {
 
-  private static final int LONGEST = 40;
-  private static final int MOST_DIGITS = 11;
+  private static final String POSITION_KEY = "x0";
+  private static final String PRIMARY_KEY = "x1";
+
+  private static final int MAX_NUMBER_LENGTH = 40;
+  private static final int MAX_INTEGER_DIGITS = 11;
 
   /**
-   * @param between what stands between a name and its value
+   * Parses a report of comma-separated pairs; unknown names are skipped.
+   *
+   * @param pairs the report as the server sent it
+   * @param separator the character between a name and its value
+   * @throws NumberFormatException if a value that is read is no number of a plausible size
    */
-  public static LoadReport read(String pairs, char between) {
+  public static LoadReport read(String pairs, char separator) {
     BigDecimal position = null;
     Boolean primary = null;
     for (String pair : pairs.split(",")) {
-      int at = pair.indexOf(between);
-      String name = pair.substring(0, Math.max(0, at)).strip();
-      if (name.equals("x0")) {
-        position = number(pair.substring(at + 1).strip());
-      } else if (name.equals("x1")) {
-        primary = number(pair.substring(at + 1).strip()).signum() > 0;
+      int separatorIndex = pair.indexOf(separator);
+      String name = pair.substring(0, Math.max(0, separatorIndex)).strip();
+      if (name.equals(POSITION_KEY)) {
+        position = number(pair.substring(separatorIndex + 1).strip());
+      } else if (name.equals(PRIMARY_KEY)) {
+        primary = number(pair.substring(separatorIndex + 1).strip()).signum() > 0;
       }
     }
     return new LoadReport(position, primary);
   }
 
-  /**
-   * Of a size that a time can have: exponents make short texts into numbers that fill all memory.
-   */
+  /** Limits the size: with an exponent a short text becomes a number that fills the heap. */
   private static BigDecimal number(String text) {
     BigDecimal value = new BigDecimal(text);
-    int whole = value.precision() - value.scale();
-    if (text.length() > LONGEST || whole > MOST_DIGITS || whole < -LONGEST) {
+    int integerDigits = value.precision() - value.scale();
+    if (text.length() > MAX_NUMBER_LENGTH
+        || integerDigits > MAX_INTEGER_DIGITS
+        || integerDigits < -MAX_NUMBER_LENGTH) {
       throw new NumberFormatException("no number of a report: " + text.length() + " characters");
     }
     return value;
--- a/gateway/src/main/java/weldcross/config/TomlConfigParser.java
+++ b/gateway/src/main/java/weldcross/config/TomlConfigParser.java
@@ -13,63 +13,69 @@
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 
-/** TOML documents as {@link ConfigValues}, whose messages then name the line beside the key. */
+/** Flattens a TOML document to {@link ConfigValues}, whose messages then name lines as well. */
 public final class TomlConfigParser {
 
-  private final Map<String, String> pairs = new HashMap<>();
+  private final Map<String, String> values = new HashMap<>();
   private final Map<String, Integer> lines = new HashMap<>();
 
   private TomlConfigParser() {}
 
   /**
+   * Parses a file.
+   *
    * @param file its path, as the operator gave it
-   * @throws InvalidConfigException where it cannot be read or is no TOML, naming file and line
+   * @throws InvalidConfigException if the file cannot be read or is not TOML; names file and line
    */
   public static ConfigValues read(String file) {
-    TomlParseResult result;
+    TomlParseResult document;
     try {
-      result = Toml.parse(Path.of(file));
+      document = Toml.parse(Path.of(file));
     } catch (IOException | InvalidPathException e) {
       throw new InvalidConfigException(
           file, e.getClass().getSimpleName(), "the path of a readable TOML file");
     }
-    if (result.hasErrors()) {
-      TomlParseError first = result.errors().get(0);
+    if (document.hasErrors()) {
+      TomlParseError first = document.errors().get(0);
       throw new InvalidConfigException(
           file + " (line " + first.position().line() + ")", first.getMessage(), "TOML");
     }
-    TomlConfigParser all = new TomlConfigParser();
-    all.table(result, "");
-    return ConfigValues.ofLines(all.pairs, all.lines);
+    TomlConfigParser parser = new TomlConfigParser();
+    parser.addTable(document, "");
+    return ConfigValues.withLines(parser.values, parser.lines);
   }
 
-  private void table(TomlTable table, String path) {
+  private void addTable(TomlTable table, String prefix) {
     for (String key : table.keySet()) {
-      List<String> at = List.of(key);
-      value(table.get(at), path + key, table.inputPositionOf(at));
+      List<String> path = List.of(key);
+      addValue(table.get(path), prefix + key, table.inputPositionOf(path));
     }
   }
 
-  private void value(Object value, String key, TomlPosition at) {
-    if (at != null) {
-      lines.put(key, at.line());
+  private void addValue(Object value, String key, TomlPosition position) {
+    if (position != null) {
+      lines.put(key, position.line());
     }
     if (value instanceof TomlTable table) {
-      table(table, key + ".");
+      addTable(table, key + ".");
     } else if (value instanceof TomlArray array) {
-      StringBuilder joined = new StringBuilder();
-      for (int k = 0; k < array.size(); k++) {
-        Object item = array.get(k);
-        if (item instanceof TomlTable || item instanceof TomlArray) {
-          value(item, key + "." + k, array.inputPositionOf(k));
-        } else {
-          joined.append(joined.length() == 0 ? "" : ",").append(item);
-        }
-      }
-      pairs.put(key, joined.toString());
-      pairs.put(key + ".count", Integer.toString(array.size()));
+      addArray(array, key);
     } else {
-      pairs.put(key, String.valueOf(value));
+      values.put(key, String.valueOf(value));
+    }
+  }
+
+  private void addArray(TomlArray array, String key) {
+    StringBuilder joined = new StringBuilder();
+    for (int index = 0; index < array.size(); index++) {
+      Object item = array.get(index);
+      if (item instanceof TomlTable || item instanceof TomlArray) {
+        addValue(item, key + "." + index, array.inputPositionOf(index));
+      } else {
+        joined.append(joined.length() == 0 ? "" : ",").append(item);
+      }
     }
+    values.put(key, joined.toString());
+    values.put(key + ConfigValues.COUNT_SUFFIX, Integer.toString(array.size()));
   }
 }
--- a/gateway/src/main/java/weldcross/discovery/DiscoveredEndpoint.java
+++ b/gateway/src/main/java/weldcross/discovery/DiscoveredEndpoint.java
@@ -32,7 +32,7 @@
             case "active" -> EndpointStatus.ACTIVE;
             case "leaving" -> EndpointStatus.DRAINING;
             case "left" -> EndpointStatus.REMOVED;
-            default -> throw entry.fault("phase", "active, leaving or left");
+            default -> throw entry.invalid("phase", "active, leaving or left");
           };
       boolean gone = condition == EndpointStatus.REMOVED;
       members.add(
@@ -40,9 +40,9 @@
               entry.text("id"),
               gone ? null : entry.address("host_port"),
               zones.indexOf(entry.text("locality", "")),
-              (int) entry.whole("cell", 0, 0),
+              (int) entry.integer("cell", 0, 0),
               condition,
-              entry.whole("up_since_ms", 0, 0),
+              entry.integer("up_since_ms", 0, 0),
               entry.text("mode", "").equals("read-write")));
     }
     return members;
--- a/gateway/src/main/java/weldcross/gateway/ConfigReload.java
+++ b/gateway/src/main/java/weldcross/gateway/ConfigReload.java
@@ -29,14 +29,14 @@
 
   /** Applies what can change without a restart and logs the keys that cannot. */
   void reload(GatewayConfig next) {
-    List<String> needRestart = config.keysThatDiffer(next);
+    List<String> needRestart = config.keysThatNeedRestart(next);
     LOG.info(
         () ->
             "configuration reloaded"
                 + (needRestart.isEmpty()
                     ? ""
                     : ": restart needed for keys=" + String.join(",", needRestart)));
-    discovery.moveTo(next.discovery());
+    discovery.moveTo(next.discoveryAddress());
     extensions.reloaded();
   }
 
--- a/gateway/src/main/java/weldcross/gateway/DiscoveryWatcher.java
+++ b/gateway/src/main/java/weldcross/gateway/DiscoveryWatcher.java
@@ -65,10 +65,10 @@
     this.transport = transport;
     this.terms = terms;
     this.grace = terms.connectTimeout().multipliedBy(4);
-    this.onRequest = terms.service().pollEndpointList();
-    this.watch = EndpointListLease.watch(terms.service().maxPollInterval(), onRequest);
+    this.onRequest = terms.routing().pollEndpointList();
+    this.watch = EndpointListLease.watch(terms.routing().maxPollInterval(), onRequest);
     this.patience = EndpointListLease.patience(grace, onRequest);
-    this.term = new EndpointListLease(terms.stopSending(), onRequest);
+    this.term = new EndpointListLease(terms.drainGracePeriod(), onRequest);
     this.random = new SplittableRandom(~terms.seed());
   }
 
@@ -113,10 +113,10 @@
 
   void start() {
     gateway.setEndpointListValid(false);
-    if (terms.known().has("members.count")) {
-      take(terms.known());
+    if (terms.lastKnownEndpoints().has("members.count")) {
+      take(terms.lastKnownEndpoints());
     }
-    current = new Talk(terms.discovery());
+    current = new Talk(terms.discoveryAddress());
     current.dial();
   }
 
@@ -231,7 +231,7 @@
    * behind when a list must have been had counts as the newer count.
    */
   private boolean isBehind(Talk talk, ConfigValues told) {
-    boolean older = told.whole("revision", Long.MAX_VALUE, 0) < revision;
+    boolean older = told.integer("revision", Long.MAX_VALUE, 0) < revision;
     if (!older) {
       talk.behindSince = null;
       return false;
@@ -241,7 +241,7 @@
       LOG.info(() -> "the list there is behind the one held, which stays in force");
     }
     boolean stays =
-        gateway.now().minus(talk.behindSince).compareTo(terms.service().maxPollInterval()) < 0;
+        gateway.now().minus(talk.behindSince).compareTo(terms.routing().maxPollInterval()) < 0;
     if (!stays && !told.flag("complete", false)) {
       talk.askWhole = true;
     }
@@ -258,7 +258,7 @@
         DiscoveredEndpoint.read(told, terms.zones()).stream()
             .filter(m -> m.condition() != EndpointStatus.ACTIVE)
             .toList());
-    return told.whole("revision", -1, 0);
+    return told.integer("revision", -1, 0);
   }
 
   private Talk talk(long number) {
@@ -274,7 +274,7 @@
     told.text("complete");
     told.text("members.count");
     List<DiscoveredEndpoint> members = DiscoveredEndpoint.read(told, terms.zones());
-    long said = told.whole("revision", -1, 0);
+    long said = told.integer("revision", -1, 0);
     boolean whole = told.flag("complete", false);
     if (said != revision && !(members.isEmpty() && !whole)) {
       LOG.info(
--- a/gateway/src/main/java/weldcross/gateway/Gateway.java
+++ b/gateway/src/main/java/weldcross/gateway/Gateway.java
@@ -88,10 +88,10 @@
     UnixTime unixTime = new UnixTime(unixAtStart);
     // Three eighths of the sockets each for clients and servers; the rest is for the process
     // itself, and for connections that are accepted before room is made for them.
-    int maxConnections = config.sockets() * 3 / 8;
+    int maxConnections = config.maxDescriptors() * 3 / 8;
     serverConnections =
         new ServerConnectionPool(
-            this, transport, config.connectTimeout(), config.idleClose(), maxConnections);
+            this, transport, config.connectTimeout(), config.serverIdleTimeout(), maxConnections);
     discovery = new DiscoveryWatcher(this, transport, config);
     endpoints = new EndpointDirectory(this, unixTime);
     ServerReports reports = new ServerReports(this, endpoints, unixTime, config.connectTimeout());
@@ -245,12 +245,12 @@
   /** Starts the gateway without extensions. */
   void start() {
     LOG.info(() -> config.describe().split("\n")[0]);
-    router = new Router(this, config.service(), config.seed());
+    router = new Router(this, config.routing(), config.seed());
     enter(Phase.LISTENING);
-    transport.listen(config.listen());
+    transport.listen(config.listenAddress());
     transport.greetItself();
-    if (config.peerListen() != null) {
-      transport.joinPeers(config.peerListen());
+    if (config.gossipListenAddress() != null) {
+      transport.joinPeers(config.gossipListenAddress());
     }
     discovery.start();
     if (LOG.isLoggable(Level.FINE)) {
@@ -383,8 +383,8 @@
   @Override
   public void gossipUnreachable(ServerId server) {
     byte[] message = GossipMessage.encode(server);
-    if (config.peersAll() != null && message.length <= GossipMessage.MAX_BYTES) {
-      transport.tellPeers(config.peersAll(), message);
+    if (config.gossipTargetAddress() != null && message.length <= GossipMessage.MAX_BYTES) {
+      transport.tellPeers(config.gossipTargetAddress(), message);
     }
   }
 
--- a/gateway/src/main/java/weldcross/gateway/GatewayProcess.java
+++ b/gateway/src/main/java/weldcross/gateway/GatewayProcess.java
@@ -59,7 +59,7 @@
     Supplier<Duration> clock = () -> Duration.ofNanos(System.nanoTime() - zero);
     loop = new EventLoop(clock);
     // Three quarters of the descriptors are for connections of clients and servers.
-    transport = new MinaTransport(loop, clock, config.sockets() * 3 / 4);
+    transport = new MinaTransport(loop, clock, config.maxDescriptors() * 3 / 4);
     gateway =
         new Gateway(config, transport, Duration.ofSeconds(wall.getEpochSecond(), wall.getNano()));
     if (extensions.isEmpty()) {
--- a/gateway/src/main/java/weldcross/gateway/HealthCheckRunner.java
+++ b/gateway/src/main/java/weldcross/gateway/HealthCheckRunner.java
@@ -41,7 +41,7 @@
 
     @Override
     ByteBuffer[] message() {
-      String query = config.reportsByProbe() ? STATISTICS_QUERY : MINIMAL_QUERY;
+      String query = config.healthCheckReportsLoad() ? STATISTICS_QUERY : MINIMAL_QUERY;
       return new ByteBuffer[] {MessageEncoder.query(query)};
     }
 
@@ -64,7 +64,8 @@
     void ended(AttemptOutcome outcome, ServerResponse response) {
       gateway.router().healthCheckEnded(gateway.now(), server, outcome, aliveSince);
       if (outcome == AttemptOutcome.OK) {
-        reports.received(server, config.reportsByProbe() ? response.rowText() : response.stats());
+        reports.received(
+            server, config.healthCheckReportsLoad() ? response.rowText() : response.stats());
       }
     }
   }
--- a/gateway/src/main/java/weldcross/gateway/JitWarmUp.java
+++ b/gateway/src/main/java/weldcross/gateway/JitWarmUp.java
@@ -49,11 +49,11 @@
 
   /** Plays pairs of a read and a write, of which one is served; returns how many were served. */
   static int play(GatewayConfig config, int requests) {
-    JitWarmUp warmUp = new JitWarmUp(config.alone(1, 2, 3, 4));
+    JitWarmUp warmUp = new JitWarmUp(config.onLoopback(1, 2, 3, 4));
     Level level = warmUp.log.getLevel();
     warmUp.log.setLevel(Level.OFF);
     try {
-      warmUp.play(config.methods(), requests);
+      warmUp.play(config.requestClassNames(), requests);
     } finally {
       warmUp.log.setLevel(level);
     }
--- a/gateway/src/main/java/weldcross/gateway/RequestPipeline.java
+++ b/gateway/src/main/java/weldcross/gateway/RequestPipeline.java
@@ -201,7 +201,7 @@
       respond(request, MessageEncoder.error("57P03", "stopping", null));
       return;
     }
-    int requestClass = config.methods().indexOf(statement.method());
+    int requestClass = config.requestClassNames().indexOf(statement.method());
     RequestId id = new RequestId(statement.id());
     GroupId group = new GroupId(statement.group());
     RequestValidator.Result result = validator.check(statement, requestClass, id, group);
@@ -231,7 +231,7 @@
                 + group.number()
                 + " timeLeftMillis="
                 + patience.toMillis());
-    Consistency consistency = config.service().requestClasses().get(requestClass).consistency();
+    Consistency consistency = config.routing().requestClasses().get(requestClass).consistency();
     boolean inSession = consistency == Consistency.WRITE || consistency == Consistency.SESSION;
     gateway
         .router()
--- a/gateway/src/main/java/weldcross/gateway/RequestValidator.java
+++ b/gateway/src/main/java/weldcross/gateway/RequestValidator.java
@@ -75,6 +75,6 @@
   }
 
   private boolean isWrite(int requestClass) {
-    return config.service().requestClasses().get(requestClass).consistency() == Consistency.WRITE;
+    return config.routing().requestClasses().get(requestClass).consistency() == Consistency.WRITE;
   }
 }
