--- a/gateway/src/main/java/weldcross/connections/CancellableConnector.java
+++ b/gateway/src/main/java/weldcross/connections/CancellableConnector.java
@@ -13,128 +13,136 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * Dials on MINA's connector, each of which may be given up at any moment, also in the one in which
- * it comes up.
+ * Connects by MINA's connector, with attempts that can be cancelled at any moment, also in the one
+ * in which they succeed.
  *
- * <p>Against MINA's own cancel: a dial that comes up, or fails, as it is cancelled is counted off
- * twice. From then on the dialling thread takes the last dial under way for none and ends; the next
- * thread finds that dial selected before, so that its select returns at once, says that nothing is
- * new, and looks at nothing: it turns without a rest and no dial comes up. MINA's time limit counts
- * off twice in the same way. Here a dial that is given up has its channel closed and stays in the
- * connector's count, so that its thread never ends too soon; it rests a second at most between two
- * looks, and frees the descriptor at the next. Harmful only where connectors are made in numbers,
- * as such a thread outlives its connector's end.
+ * <p>MINA's own cancel must not be used: an attempt that succeeds or fails while it is cancelled is
+ * counted off twice in the connector. Its thread then takes the last pending attempt for none and
+ * ends; the next thread finds that attempt selected already, so that its select returns at once
+ * without a new key, again and again, and no later attempt succeeds. MINA's time limit counts off
+ * twice in the same way. Here the channel of a cancelled attempt is closed and the attempt stays in
+ * the connector's count, so that the thread never ends too early; the thread frees the descriptor
+ * at its next select, within a second. The thread may outlive its connector, so connectors are not
+ * to be created in large numbers.
  *
- * <p>Called by the thread that owns the connections; what comes of a dial is told by threads of
- * MINA's.
+ * <p>Called by the one thread that owns the connections; results come from threads of MINA.
  */
 public final class CancellableConnector {
 
-  /** One dial, until it is up, has failed or is closed, whichever comes first. */
-  private static final class Dial {
+  /** An attempt, until it has succeeded, failed or been closed, whichever comes first. */
+  private static final class Attempt {
     private SocketChannel channel;
-    private boolean over;
+    private boolean ended;
 
-    synchronized void endBy(Runnable end) {
-      if (!over) {
-        over = true;
-        end.run();
+    synchronized void endWith(Runnable action) {
+      if (!ended) {
+        ended = true;
+        action.run();
       }
     }
 
-    synchronized boolean isOver() {
-      return over;
+    synchronized boolean isEnded() {
+      return ended;
     }
 
     /**
-     * Not before the dialling thread has taken it up: closed in that moment, its descriptor may be
-     * another dial's by the time that it is registered, and that one would never be heard of.
+     * Closes the channel unless the connector's thread has not registered it yet: closed then, its
+     * descriptor may belong to another attempt by the time of the registration, and that attempt
+     * would never be reported.
      */
-    synchronized void closeIfTakenUp() {
-      if (!over && channel.isRegistered()) {
-        over = true;
+    synchronized void closeIfRegistered() {
+      if (!ended && channel.isRegistered()) {
+        ended = true;
         try {
           channel.close();
         } catch (IOException e) {
-          // It was on its way to its end.
+          // The channel is of no use any more, closed or not.
         }
       }
     }
   }
 
   private final NioSocketConnector connector;
-  private final Map<Long, Dial> underWay = new ConcurrentHashMap<>();
+  private final Map<Long, Attempt> pending = new ConcurrentHashMap<>();
 
-  /**
-   * Given up before they were taken up: closed with a later call, if nothing has come of them by
-   * then.
-   */
-  private final ArrayDeque<Dial> unclosed = new ArrayDeque<>();
+  /** Cancelled before their registration; closed by a later call if they have not ended by then. */
+  private final ArrayDeque<Attempt> unclosed = new ArrayDeque<>();
 
   /**
-   * @param connector dials for nobody else, and has no time limit that a dial may reach
+   * Creates a connector on top of MINA's.
+   *
+   * @param connector connects for nobody else, and has no time limit that an attempt may reach
    */
   public CancellableConnector(NioSocketConnector connector) {
     this.connector = connector;
   }
 
   /**
-   * One of the two is called unless the dial is given up before that; one that is given up at once
-   * may come up all the same, and whoever gave it up then ends its session.
+   * Starts to connect. One of the two callbacks is called, unless the attempt is cancelled before.
+   * An attempt that is cancelled at once may succeed all the same; the caller then has to close the
+   * session.
    *
-   * @param number names the dial; not under way yet
-   * @param up called before anything else is told of the session
-   * @param failed called with the reason
+   * @param number identifies the attempt; not pending yet
+   * @param address where to connect to
+   * @param onConnected called before any event of the session
+   * @param onFailure called with the reason
    */
-  public void dial(
-      long number, InetSocketAddress to, Consumer<IoSession> up, Consumer<Throwable> failed) {
-    closeTheUnclosed();
-    Dial dial = new Dial();
-    underWay.put(number, dial);
+  public void connect(
+      long number,
+      InetSocketAddress address,
+      Consumer<IoSession> onConnected,
+      Consumer<Throwable> onFailure) {
+    closeCancelled();
+    Attempt attempt = new Attempt();
+    pending.put(number, attempt);
     ConnectFuture future =
         connector.connect(
-            to,
-            (session, f) ->
-                dial.endBy(
+            address,
+            (session, unused) ->
+                attempt.endWith(
                     () -> {
-                      underWay.remove(number, dial);
-                      up.accept(session);
+                      pending.remove(number, attempt);
+                      onConnected.accept(session);
                     }));
     if (future instanceof AbstractPollingIoConnector<?, ?>.ConnectionRequest request) {
-      dial.channel = (SocketChannel) request.getHandle();
+      attempt.channel = (SocketChannel) request.getHandle();
     }
     future.addListener(
-        f -> {
-          Throwable why = ((ConnectFuture) f).getException();
-          if (why != null) {
-            dial.endBy(
+        completed -> {
+          Throwable cause = ((ConnectFuture) completed).getException();
+          if (cause != null) {
+            attempt.endWith(
                 () -> {
-                  underWay.remove(number, dial);
-                  failed.accept(why);
+                  pending.remove(number, attempt);
+                  onFailure.accept(cause);
                 });
           }
         });
   }
 
-  /** Ends the dial; false where it is up, has failed or is not known. */
-  public boolean giveUp(long number) {
-    closeTheUnclosed();
-    Dial dial = underWay.remove(number);
-    if (dial == null) {
+  /**
+   * Cancels an attempt.
+   *
+   * @return false if it has succeeded or failed already, or is not known
+   */
+  public boolean cancel(long number) {
+    closeCancelled();
+    Attempt attempt = pending.remove(number);
+    if (attempt == null) {
       return false;
     }
-    unclosed.add(dial);
-    closeTheUnclosed();
+    unclosed.add(attempt);
+    closeCancelled();
     return true;
   }
 
-  private void closeTheUnclosed() {
-    unclosed.forEach(Dial::closeIfTakenUp);
-    unclosed.removeIf(Dial::isOver);
+  private void closeCancelled() {
+    unclosed.forEach(Attempt::closeIfRegistered);
+    unclosed.removeIf(Attempt::isEnded);
   }
 
-  /** How many dials are under way, each of which holds a descriptor; from any thread. */
-  public int underWay() {
-    return underWay.size();
+  /** Returns the number of pending attempts, each of which has a descriptor; from any thread. */
+  public int pendingCount() {
+    return pending.size();
   }
 }
--- a/gateway/src/main/java/weldcross/connections/ClientEvictionPolicy.java
+++ b/gateway/src/main/java/weldcross/connections/ClientEvictionPolicy.java
@@ -1,57 +1,83 @@
 package weldcross.connections;
 
 import java.time.Duration;
+import java.util.Optional;
 
 /**
- * Who makes room in a crowd of clients: whoever has asked nothing yet, the first to have come; then
- * who asked once and stayed, then who has rested for a dial's time, the longest idle of each. The
- * others would only come back. Called by the owner of the clients with each of them in the order of
- * their coming; pure.
+ * Chooses the client that is evicted when the connection limit is reached: the first to connect of
+ * those that have sent no request; else of those that have sent one, the one idle for longest; else
+ * of all, the one idle for longest, if that is at least as long as it takes to connect. Any other
+ * client would only connect again.
+ *
+ * <p>An instance serves one choice: the owner of the clients passes all of them, in the order in
+ * which they connected, then asks for the result. Decides only; not thread-safe.
+ *
+ * @param <C> type of the clients
  */
 public final class ClientEvictionPolicy<C> {
 
   private final Duration now;
-  private final Duration dial;
-  private C silent, once, longest;
-  private Duration onceSince, longestSince;
+  private final Duration connectTimeout;
+
+  /** The first client without a request; null if there is none. */
+  private C silent;
+
+  /** Of the clients with one request the one idle for longest; null if there is none. */
+  private C oneRequest;
+
+  private Duration oneRequestIdleSince;
+
+  /** Of all clients the one idle for longest; null if there is none. */
+  private C longestIdle;
+
+  private Duration longestIdleSince;
 
   /**
-   * @param dial how long it takes to come back, so that a rest that was shorter is not worth ending
+   * Creates a choice.
+   *
+   * @param now the current time
+   * @param connectTimeout how long a client may take to come back; a client that has been idle for
+   *     less is not evicted
    */
-  public ClientEvictionPolicy(Duration now, Duration dial) {
+  public ClientEvictionPolicy(Duration now, Duration connectTimeout) {
     this.now = now;
-    this.dial = dial;
+    this.connectTimeout = connectTimeout;
   }
 
   /**
-   * One that is open and is not about to lose its connection.
+   * Adds a client that is connected and not being evicted already.
    *
-   * @param asks what it has asked so far
-   * @param idleSince null while something of it is open
+   * @param client the client
+   * @param requests the number of requests that it has sent
+   * @param idleSince since when nothing of it is in progress; null if something is
    */
-  public void one(C client, int asks, Duration idleSince) {
-    if (asks == 0 && silent == null) {
+  public void consider(C client, int requests, Duration idleSince) {
+    if (requests == 0 && silent == null) {
       silent = client;
     }
     if (idleSince == null) {
       return;
     }
-    if (asks == 1 && (once == null || idleSince.compareTo(onceSince) < 0)) {
-      once = client;
-      onceSince = idleSince;
+    if (requests == 1 && (oneRequest == null || idleSince.compareTo(oneRequestIdleSince) < 0)) {
+      oneRequest = client;
+      oneRequestIdleSince = idleSince;
     }
-    if (longest == null || idleSince.compareTo(longestSince) < 0) {
-      longest = client;
-      longestSince = idleSince;
+    if (longestIdle == null || idleSince.compareTo(longestIdleSince) < 0) {
+      longestIdle = client;
+      longestIdleSince = idleSince;
     }
   }
 
-  /** Who goes; null where nobody does. */
-  public C whoGoes() {
-    return silent != null
-        ? silent
-        : once != null
-            ? once
-            : longest != null && now.minus(longestSince).compareTo(dial) >= 0 ? longest : null;
+  /** Returns the client to evict; empty if all are to stay. */
+  public Optional<C> choose() {
+    if (silent != null) {
+      return Optional.of(silent);
+    }
+    if (oneRequest != null) {
+      return Optional.of(oneRequest);
+    }
+    boolean idleLongEnough =
+        longestIdle != null && now.minus(longestIdleSince).compareTo(connectTimeout) >= 0;
+    return idleLongEnough ? Optional.of(longestIdle) : Optional.empty();
   }
 }
--- a/gateway/src/main/java/weldcross/connections/IdleTimeoutEstimator.java
+++ b/gateway/src/main/java/weldcross/connections/IdleTimeoutEstimator.java
@@ -3,73 +3,73 @@
 import java.time.Duration;
 
 /**
- * Learns how long a kept connection may have rested before it carries the next RPC. Whoever stands
- * between may forget a connection long before either end does; what is asked on it then is lost,
- * and an RPC that must not run twice with it. A pool ({@code
- * weldcross.gateway.ServerConnectionPool}) tells how each use ended and asks before the next; what
- * it has learnt is of all its servers together, as what they share is learnt sooner.
+ * Estimates for how long a pooled connection may be idle before its next request. Middleboxes may
+ * forget a connection long before either end does, and a request sent on it is lost; if that
+ * request must not run twice, it has failed. The pool records how each use ended and asks before
+ * the next one. Uses of all servers count together, as what lies on the way is shared.
  *
- * <p>Against connections that end unseen while they rest; it catches servers that close early as
- * well. It could harm where each use of any connection fails alike, so that new ones are dialled in
- * vain: uses are therefore compared with those of new connections.
+ * <p>Uses of an idle connection are compared with those of new connections, so that failures that
+ * hit every connection alike do not make the pool connect in vain. Decides only; not thread-safe.
  */
 public final class IdleTimeoutEstimator {
 
-  /** Each use counts for so much less with the next one: the last twenty say most of it. */
-  private static final double FADE = 0.95;
+  /** Weight that a use keeps with each later one; about twenty uses dominate the estimate. */
+  private static final double DECAY = 0.95;
 
-  /** Fewer uses than these prove little. */
-  private static final double FEW = 10;
+  /** Weighted number of uses up to which the failure rate is taken to be lower than it is. */
+  private static final double MIN_USES = 10;
 
-  /**
-   * How much more often than a new connection a rested one may fail, as dialling costs time and
-   * work.
-   */
-  private static final double TOLERATED = 0.1;
+  /** Failure rate, beyond that of new connections, that is worth the cost of connecting. */
+  private static final double TOLERATED_EXCESS = 0.1;
 
-  /** Two classes for each doubling of the rest, up to some 18 minutes. */
-  private static final int CLASSES = 41;
+  /** Two classes for each doubling of the idle time, up to some 18 minutes. */
+  private static final int IDLE_CLASSES = 41;
 
-  private final double[] used = new double[CLASSES + 1];
-  private final double[] failed = new double[CLASSES + 1];
+  /** The class of new connections, after those of idle ones. */
+  private static final int NEW_CONNECTION = IDLE_CLASSES;
+
+  private final double[] uses = new double[IDLE_CLASSES + 1];
+  private final double[] failures = new double[IDLE_CLASSES + 1];
 
   /**
-   * Whether an RPC may go out on a connection that has rested so long.
+   * Returns whether a request that must not be lost may be sent on an idle connection.
    *
-   * @param rested not negative
+   * @param idleTime not negative
    */
-  public boolean mayCarry(Duration rested) {
-    return rate(classOf(rested)) <= rate(CLASSES) + TOLERATED;
+  public boolean mayReuse(Duration idleTime) {
+    return failureRate(classOf(idleTime)) <= failureRate(NEW_CONNECTION) + TOLERATED_EXCESS;
   }
 
   /**
-   * @param rested before this use; null for a new connection
+   * Records a request that was answered.
+   *
+   * @param idleTime before the request; null for a new connection
    */
-  public void answered(Duration rested) {
-    count(rested, 0);
+  public void recordAnswered(Duration idleTime) {
+    record(idleTime, 0);
   }
 
   /**
-   * It ended under a question before a word of the answer.
+   * Records a request under which the connection ended before any byte of the response.
    *
-   * @param rested before this use; null for a new connection
+   * @param idleTime before the request; null for a new connection
    */
-  public void lost(Duration rested) {
-    count(rested, 1);
+  public void recordLost(Duration idleTime) {
+    record(idleTime, 1);
   }
 
-  private void count(Duration rested, int failure) {
-    int k = rested == null ? CLASSES : classOf(rested);
-    used[k] = used[k] * FADE + 1;
-    failed[k] = failed[k] * FADE + failure;
+  private void record(Duration idleTime, int failure) {
+    int index = idleTime == null ? NEW_CONNECTION : classOf(idleTime);
+    uses[index] = uses[index] * DECAY + 1;
+    failures[index] = failures[index] * DECAY + failure;
   }
 
-  private double rate(int k) {
-    return failed[k] / Math.max(FEW, used[k]);
+  private double failureRate(int index) {
+    return failures[index] / Math.max(MIN_USES, uses[index]);
   }
 
-  private static int classOf(Duration rested) {
-    double doublings = Math.log((double) (rested.toMillis() + 1)) / Math.log(2);
-    return Math.min(CLASSES - 1, (int) (2 * doublings));
+  private static int classOf(Duration idleTime) {
+    double doublings = Math.log((double) (idleTime.toMillis() + 1)) / Math.log(2);
+    return Math.min(IDLE_CLASSES - 1, (int) (2 * doublings));
   }
 }
--- a/gateway/src/main/java/weldcross/discovery/EndpointListLease.java
+++ b/gateway/src/main/java/weldcross/discovery/EndpointListLease.java
@@ -3,194 +3,216 @@
 import java.time.Duration;
 
 /**
- * How long a server list may be acted on after discovery last spoke, and how it is asked. A drain
- * that was never told binds all the same: what discovery has counts as told at the latest some time
- * after the call that should have brought it, and at once where no call is open and an agent beside
- * the gateway has it. So long, and for the time in which sends must end, the list held is sure to
- * hold all that binds; then no server is known to want anything. Decides only; {@code
- * weldcross.gateway.DiscoveryWatcher} calls it.
+ * Decides for how long an endpoint list may be acted on after the last answer of discovery, and how
+ * discovery is asked. Decides only; {@code weldcross.gateway.DiscoveryWatcher} does the I/O.
  *
- * <p>A list on request comes from one service that all gateways share, at which calls wait in line
- * and are refused where the line is long: a call given up early, or asked for at once again, is
- * work for it that serves nobody.
+ * <p>A drain binds a gateway even if its notice never arrived. What discovery knows counts as
+ * notified at the latest {@link #NOTICE_DEADLINE} after the request that should have brought it;
+ * without an open request, and with an agent beside the gateway that knows it, it counts at once.
+ * Until then, and for the grace period in which requests to a draining server end, the list is
+ * certain to have all that binds. After that no server is known to accept requests.
+ *
+ * <p>Discovery has two forms. It is an agent beside the gateway that answers at once, or it is
+ * polled: one service that all gateways share, at which requests queue and are rejected if the
+ * queue is long. A request to the latter that is abandoned early, or repeated at once, costs the
+ * service work that serves nobody.
+ *
+ * <p>Times are durations since the start of the process. Not thread-safe.
  */
 public final class EndpointListLease {
 
   /**
-   * What discovery has, and could be asked for, counts as told after this time, whatever became of
-   * the calls. From the protocol, which allows more to a watch that waits longer, but not once it
-   * was given up.
+   * What discovery knows, and could be asked for, counts as notified after this time, whatever
+   * became of the requests. From the protocol, which allows more to a watch that waits longer, but
+   * not once it was abandoned.
    */
-  private static final Duration TOLD_AT_LATEST = Duration.ofSeconds(6);
+  private static final Duration NOTICE_DEADLINE = Duration.ofSeconds(6);
 
   /**
-   * A watch waits for this part of that time: each one is a call, but the shorter it is the longer
-   * is the list known to hold all that binds once discovery goes down.
+   * A watch waits for this fraction of that time: each one is a request, but the shorter it is, the
+   * longer is the list certain to have all that binds once discovery goes down.
    */
-  private static final int WATCH_PART = 4;
+  private static final int WATCH_DIVISOR = 4;
 
-  /**
-   * So much longer than it waits for news a call may take, as others are before it. From the
-   * protocol.
-   */
-  private static final Duration MOST_IN_LINE = Duration.ofSeconds(2);
+  /** Longest time that a request may spend in the queue of a polled service. From the protocol. */
+  private static final Duration MAX_QUEUE_TIME = Duration.ofSeconds(2);
 
-  /** Calls that fail lie at most so many connect timeouts apart. */
-  private static final int MOST_REST = 8;
+  /** Longest backoff between failed requests to a polled service, in connect timeouts. */
+  private static final int MAX_BACKOFF_FACTOR = 8;
 
   /**
-   * What an address has that discovery moved to counts as told so long after the move. From the
+   * What a new address of discovery knows counts as notified so long after the move to it. From the
    * protocol.
    */
-  private static final Duration AFTER_MOVE = Duration.ofSeconds(4);
+  private static final Duration NOTICE_DEADLINE_AFTER_MOVE = Duration.ofSeconds(4);
+
+  /** A request later than this after the last answer starts a new watch. From the protocol. */
+  private static final Duration WATCH_GAP = Duration.ofMillis(200);
+
+  private final Duration drainGracePeriod;
+  private final boolean polled;
+
+  /** When the lease expires, a move apart; null before the first answer. */
+  private Duration expiry;
 
-  /** A call that comes later than this after the last answer is a new watch. From the protocol. */
-  private static final Duration SAME_WATCH = Duration.ofMillis(200);
+  private Duration lastAnswer;
 
-  private final Duration stopSending;
-  private final boolean onRequest;
-  private Duration end, lastWord, endByWord;
+  /** When the lease would expire counted from the last answer alone. */
+  private Duration expiryByAnswer;
 
-  /** Whether the list stands by its last word, as discovery was found to say nothing. */
-  private boolean byWord;
+  /** Whether the lease runs from the last answer, as discovery was found to be down. */
+  private boolean discoveryDown;
 
-  /** Until when the new address has to speak; null where discovery is not on the move. */
-  private Duration moveEnds;
+  /** When the lease expires unless the new address answers; null if discovery does not move. */
+  private Duration moveExpiry;
 
   /**
-   * @param stopSending within this time after a drain was told sends to its server end; not
-   *     negative
-   * @param onRequest whether discovery is one service for all, of which the list has to be asked
+   * Creates a lease without a list.
+   *
+   * @param drainGracePeriod time after the notice of a drain by which requests to that server end;
+   *     not negative
+   * @param polled whether discovery is one service that all gateways poll
    */
-  public EndpointListLease(Duration stopSending, boolean onRequest) {
-    this.stopSending = stopSending;
-    this.onRequest = onRequest;
+  public EndpointListLease(Duration drainGracePeriod, boolean polled) {
+    this.drainGracePeriod = drainGracePeriod;
+    this.polled = polled;
   }
 
   /**
-   * How long a watch may wait for news. Where calls cost nothing so short that one that fell silent
-   * is found, and the list asked for anew, well before what it missed counts as told; where all
-   * gateways share what answers them no longer than the service allows between two calls, as what a
-   * silent one missed counts only when its wait is over.
+   * Returns for how long a watch may wait for changes. With an agent, so short that a silent one is
+   * noticed, and the list requested anew, well before what the watch missed counts as notified.
+   * With a polled service, no longer than the interval between two polls: what a silent watch
+   * missed counts only after its wait.
    *
-   * @param maxPollInterval how long a gateway without a watch may go without asking
+   * @param maxPollInterval longest time that a gateway without a watch may go without a request
+   * @param polled whether discovery is one service that all gateways poll
    */
-  public static Duration watch(Duration maxPollInterval, boolean onRequest) {
-    Duration part = TOLD_AT_LATEST.dividedBy(WATCH_PART), most = maxPollInterval.dividedBy(2);
-    return onRequest ? maxPollInterval : part.compareTo(most) < 0 ? part : most;
+  public static Duration watchTimeout(Duration maxPollInterval, boolean polled) {
+    if (polled) {
+      return maxPollInterval;
+    }
+    Duration fraction = NOTICE_DEADLINE.dividedBy(WATCH_DIVISOR);
+    Duration max = maxPollInterval.dividedBy(2);
+    return fraction.compareTo(max) < 0 ? fraction : max;
   }
 
-  /** How long an answer may take beyond what its call waits for, before that is given up. */
-  public static Duration patience(Duration grace, boolean onRequest) {
-    return onRequest ? MOST_IN_LINE.plus(grace) : grace;
+  /**
+   * Returns how long an answer may take, beyond the wait of its request, before that is abandoned.
+   *
+   * @param grace how long an answer may take without a queue
+   * @param polled whether discovery is one service that all gateways poll
+   */
+  public static Duration answerTimeout(Duration grace, boolean polled) {
+    return polled ? MAX_QUEUE_TIME.plus(grace) : grace;
   }
 
   /**
-   * How long nothing is asked after calls that failed: ever longer where all gateways ask the same
-   * service, and not for all alike, or those that were refused together come again together.
+   * Returns the backoff after failed requests. With a polled service it grows with each failure and
+   * has jitter, so that gateways that were rejected together do not return together.
    *
-   * @param failures how many failed in a row, at least one
-   * @param silent whether the last one was given up, and so took its time
-   * @param luck in [0, 1), a gateway's own
+   * @param failures how many requests failed in a row, at least one
+   * @param timedOut whether the last one timed out, and so has waited already
+   * @param connectTimeout limit for a connection to come up
+   * @param random a number in [0, 1), different for each gateway
    */
-  public Duration rest(int failures, boolean silent, Duration connectTimeout, double luck) {
-    if (!onRequest) {
-      return silent ? Duration.ZERO : connectTimeout;
+  public Duration backoff(int failures, boolean timedOut, Duration connectTimeout, double random) {
+    if (!polled) {
+      return timedOut ? Duration.ZERO : connectTimeout;
     }
-    long times = Math.min(MOST_REST, 1L << Math.min(failures, Integer.SIZE));
-    return Duration.ofNanos((long) (connectTimeout.toNanos() * times * (1 + luck) / 2));
+    long factor = Math.min(MAX_BACKOFF_FACTOR, 1L << Math.min(failures, Integer.SIZE));
+    return Duration.ofNanos((long) (connectTimeout.toNanos() * factor * (1 + random) / 2));
   }
 
   /**
-   * Discovery spoke, and a call is written to it in this same moment.
+   * Renews the lease: discovery answered, and the next request is sent in the same moment.
    *
-   * @param waits how long that call may wait for news
+   * @param now the current time
+   * @param requestTimeout for how long that request may wait for changes
    */
-  public void spoke(Duration now, Duration waits) {
-    Duration silent = waits.plus(MOST_IN_LINE);
-    lastWord = now;
-    endByWord =
-        now.plus(silent.compareTo(TOLD_AT_LATEST) > 0 ? silent : TOLD_AT_LATEST).plus(stopSending);
-    end = endByWord;
-    byWord = false;
+  public void answered(Duration now, Duration requestTimeout) {
+    Duration silence = requestTimeout.plus(MAX_QUEUE_TIME);
+    Duration deadline = silence.compareTo(NOTICE_DEADLINE) > 0 ? silence : NOTICE_DEADLINE;
+    lastAnswer = now;
+    expiryByAnswer = now.plus(deadline).plus(drainGracePeriod);
+    expiry = expiryByAnswer;
+    discoveryDown = false;
   }
 
   /**
-   * Some of an answer has come: there is something to be told, which binds from now on even if the
-   * rest never comes.
+   * Notes that an answer began to arrive: there is a change, which binds from now on even if the
+   * rest of the answer never comes.
    */
-  public void begun(Duration now) {
-    Duration lapses = now.plus(stopSending);
-    if (endByWord != null && lapses.compareTo(endByWord) < 0) {
-      endByWord = lapses;
-      end = byWord ? lapses : end;
+  public void answerStarted(Duration now) {
+    Duration limit = now.plus(drainGracePeriod);
+    if (expiryByAnswer != null && limit.compareTo(expiryByAnswer) < 0) {
+      expiryByAnswer = limit;
+      expiry = discoveryDown ? limit : expiry;
     }
   }
 
   /**
-   * A call that an agent beside the gateway answers at once, if it has any list, was written some
-   * time ago, all that has come in since was read, and there was nothing: discovery is down, learns
-   * nothing and has nothing that it could have told. Only a watch that had fallen silent before may
-   * have missed what it had before, so the list stands as long as what such a one missed cannot
-   * count: as after the last word. Where the list has lapsed, as no call could be made, the agent
-   * may have had news in between.
+   * Notes that discovery is down: a request that an agent answers at once, if it has any list, was
+   * sent some time ago, everything that arrived since was read, and there was no answer. An agent
+   * that is down learns nothing, so it has nothing to notify. Only a watch that had become silent
+   * before may have missed something, so the lease runs as long as what such a watch missed cannot
+   * count: from the last answer. A lease that has expired is not revived, as the agent may have had
+   * changes while no request could be sent.
    */
-  public void nothingCame(Duration now) {
-    if (!onRequest && stands(now)) {
-      end = endByWord;
-      byWord = true;
+  public void discoveryFoundDown(Duration now) {
+    if (!polled && isValid(now)) {
+      expiry = expiryByAnswer;
+      discoveryDown = true;
     }
   }
 
   /**
-   * There was no call open on which discovery could speak. On request what it had before may have
-   * been missed as well, by a call that was silent before it ended: the time of its last word
-   * counts then, and what a watch is allowed that waits no more.
+   * Notes that no request was open on which discovery could answer. With a polled service, earlier
+   * changes may have been missed as well, by a request that was silent before it ended: then the
+   * time of the last answer counts, and what is allowed to a watch that no longer waits.
    *
-   * @param since from when; it speaks, or this holds for good
+   * @param since since when; until the next answer
    */
-  public void unheard(Duration since) {
-    Duration lapses =
-        onRequest && lastWord != null
-            ? lastWord.plus(TOLD_AT_LATEST).plus(stopSending)
-            : since.plus(stopSending);
-    if (end != null && lapses.compareTo(end) < 0) {
-      end = lapses;
-      byWord = false;
+  public void disconnected(Duration since) {
+    Duration limit =
+        polled && lastAnswer != null
+            ? lastAnswer.plus(NOTICE_DEADLINE).plus(drainGracePeriod)
+            : since.plus(drainGracePeriod);
+    if (expiry != null && limit.compareTo(expiry) < 0) {
+      expiry = limit;
+      discoveryDown = false;
     }
   }
 
   /**
-   * Discovery is at another address from now on, which has not spoken yet; the one before may go on
-   * to speak.
+   * Notes that discovery has moved to another address, which has not answered yet; the old one may
+   * go on to answer.
    */
   public void moved(Duration now) {
-    moveEnds = now.plus(AFTER_MOVE).plus(stopSending);
+    moveExpiry = now.plus(NOTICE_DEADLINE_AFTER_MOVE).plus(drainGracePeriod);
   }
 
-  /** The address that it moved to has spoken, or is the one before after all. */
-  public void arrived() {
-    moveEnds = null;
+  /** Notes that the new address has answered, or that discovery is at the old one after all. */
+  public void moveCompleted() {
+    moveExpiry = null;
   }
 
   /**
-   * Whether a call made so long after the last answer begins a new watch, before which changes may
-   * be missed.
+   * Returns whether a request so long after the last answer starts a new watch, before which
+   * changes may have been missed.
    */
   public static boolean isNewWatch(Duration sinceAnswer) {
-    return sinceAnswer.compareTo(SAME_WATCH) > 0;
+    return sinceAnswer.compareTo(WATCH_GAP) > 0;
   }
 
-  /** Whether the list held is sure to hold all that binds now. */
-  public boolean stands(Duration now) {
-    return end != null && now.compareTo(end()) < 0;
+  /** Returns whether the list is certain to have all that binds now. */
+  public boolean isValid(Duration now) {
+    return expiry != null && now.compareTo(expiresAt()) < 0;
   }
 
-  /**
-   * When that ends if discovery does not speak; null where it never has, as before a process's
-   * first list.
-   */
-  public Duration end() {
-    return end == null || moveEnds == null || end.compareTo(moveEnds) < 0 ? end : moveEnds;
+  /** Returns when the lease expires unless discovery answers; null before the first answer. */
+  public Duration expiresAt() {
+    return expiry == null || moveExpiry == null || expiry.compareTo(moveExpiry) < 0
+        ? expiry
+        : moveExpiry;
   }
 }
--- a/gateway/src/main/java/weldcross/discovery/HttpResponseDecoder.java
+++ b/gateway/src/main/java/weldcross/discovery/HttpResponseDecoder.java
@@ -6,20 +6,33 @@
 import java.util.Locale;
 
 /**
- * Responses of HTTP/1.1, however the stream is split: by length, in chunks, or up to the end of the
- * connection.
+ * Decodes HTTP/1.1 responses from a stream in pieces of any size. A body ends by its length, by its
+ * last chunk, or with the connection. Interim responses (1xx) are skipped.
  */
 public final class HttpResponseDecoder {
 
-  private static final int LONGEST_LINE = 8_192;
-  private static final int LONGEST_BODY = 4 << 20;
+  private static final int MAX_LINE_LENGTH = 8_192;
+  private static final int MAX_BODY_LENGTH = 4 << 20;
+  private static final int MAX_STATUS = 999;
+  private static final int FIRST_FINAL_STATUS = 200;
+  private static final int NO_CONTENT = 204;
+  private static final int NOT_MODIFIED = 304;
+  private static final int DECIMAL = 10;
+  private static final int HEX = 16;
 
-  /** Takes each response whole. */
+  /** Receives responses. */
   public interface Sink {
+
+    /**
+     * Receives a whole response.
+     *
+     * @param status the status code
+     * @param body the body, without any transfer coding
+     */
     void response(int status, byte[] body);
   }
 
-  /** Bytes that are no response; the connection cannot be read on. */
+  /** Thrown for bytes that are no response; the connection is of no further use. */
   public static final class ProtocolException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -42,135 +55,170 @@
   private final Sink sink;
   private final ByteArrayOutputStream line = new ByteArrayOutputStream();
   private ByteArrayOutputStream body = new ByteArrayOutputStream();
-  private State part = State.STATUS;
+  private State state = State.STATUS;
   private int status;
-  private int left;
-  private boolean chunked, sized;
 
+  /** Bytes that are still to come of the body, or of its current chunk. */
+  private int remaining;
+
+  private boolean chunked;
+  private boolean hasLength;
+
+  /** Creates a decoder for one connection. */
   public HttpResponseDecoder(Sink sink) {
     this.sink = sink;
   }
 
+  /**
+   * Decodes the next bytes of the stream.
+   *
+   * @throws ProtocolException if they are no response, or one that is too long
+   */
   public void feed(ByteBuffer in) throws ProtocolException {
     while (in.hasRemaining()) {
-      if (part == State.BODY || part == State.CHUNK) {
-        byte[] some = new byte[Math.min(left, in.remaining())];
-        in.get(some);
-        body.writeBytes(some);
-        left -= some.length;
-        if (left == 0 && part == State.BODY) {
-          done();
-        } else if (left == 0) {
-          part = State.CHUNK_END;
-        }
-        continue;
-      }
-      if (part == State.BODY_TO_END) {
-        if (in.remaining() > LONGEST_BODY - body.size()) {
-          throw new ProtocolException("a body without an end");
-        }
-        byte[] rest = new byte[in.remaining()];
-        in.get(rest);
-        body.writeBytes(rest);
-        continue;
-      }
-      byte b = in.get();
-      if (b != '\n') {
-        line.write(b);
-        if (line.size() > LONGEST_LINE) {
-          throw new ProtocolException("a line without an end");
-        }
-        continue;
+      switch (state) {
+        case BODY, CHUNK -> readSizedBody(in);
+        case BODY_TO_END -> readBodyToEnd(in);
+        default -> readLineByte(in.get());
       }
-      String text = line.toString(StandardCharsets.ISO_8859_1).stripTrailing();
-      line.reset();
-      line(text);
     }
   }
 
   /**
-   * The connection has ended in order, which ends a body that named no length; after a reset
-   * nothing is whole.
+   * Ends the stream after an orderly close, which also ends a body without a length. Not to be
+   * called after a reset, as the body may lack its end then.
    */
-  public void ended() {
-    if (part == State.BODY_TO_END) {
-      done();
+  public void endOfStream() {
+    if (state == State.BODY_TO_END) {
+      completeResponse();
     }
   }
 
-  /** Whether a response has begun and is not whole. */
-  public boolean isWithin() {
-    return part != State.STATUS || line.size() > 0;
+  /** Returns whether a response has begun and is not whole. */
+  public boolean isInResponse() {
+    return state != State.STATUS || line.size() > 0;
   }
 
-  private void line(String text) throws ProtocolException {
-    switch (part) {
-      case STATUS -> {
-        String[] words = text.split(" ", 3);
-        if (words.length < 2 || !words[0].startsWith("HTTP/1.")) {
-          throw new ProtocolException("no status line: " + text);
-        }
-        status = number(words[1], 10, 999);
-        left = 0;
-        chunked = false;
-        sized = false;
-        part = State.HEADERS;
-      }
-      case HEADERS -> {
-        if (text.isEmpty()) {
-          afterHeaders();
-          return;
-        }
-        int colon = text.indexOf(':');
-        String name = text.substring(0, Math.max(0, colon)).toLowerCase(Locale.ROOT);
-        String value = text.substring(colon + 1).strip();
-        if (name.equals("content-length")) {
-          left = number(value, 10, LONGEST_BODY);
-          sized = true;
-        } else if (name.equals("transfer-encoding")) {
-          chunked = value.equalsIgnoreCase("chunked");
-        }
-      }
-      case CHUNK_SIZE -> {
-        left = number(text.split(";")[0].strip(), 16, LONGEST_BODY - body.size());
-        part = left == 0 ? State.TRAILERS : State.CHUNK;
+  private void readSizedBody(ByteBuffer in) {
+    byte[] bytes = new byte[Math.min(remaining, in.remaining())];
+    in.get(bytes);
+    body.writeBytes(bytes);
+    remaining -= bytes.length;
+    if (remaining > 0) {
+      return;
+    }
+    if (state == State.BODY) {
+      completeResponse();
+    } else {
+      state = State.CHUNK_END;
+    }
+  }
+
+  private void readBodyToEnd(ByteBuffer in) throws ProtocolException {
+    if (in.remaining() > MAX_BODY_LENGTH - body.size()) {
+      throw new ProtocolException("a body without an end");
+    }
+    byte[] bytes = new byte[in.remaining()];
+    in.get(bytes);
+    body.writeBytes(bytes);
+  }
+
+  private void readLineByte(byte next) throws ProtocolException {
+    if (next != '\n') {
+      line.write(next);
+      if (line.size() > MAX_LINE_LENGTH) {
+        throw new ProtocolException("a line without an end");
       }
-      case CHUNK_END -> part = State.CHUNK_SIZE;
+      return;
+    }
+    String text = line.toString(StandardCharsets.ISO_8859_1).stripTrailing();
+    line.reset();
+    readLine(text);
+  }
+
+  private void readLine(String text) throws ProtocolException {
+    switch (state) {
+      case STATUS -> readStatusLine(text);
+      case HEADERS -> readHeader(text);
+      case CHUNK_SIZE -> readChunkSize(text);
+      case CHUNK_END -> state = State.CHUNK_SIZE;
       case TRAILERS -> {
         if (text.isEmpty()) {
-          done();
+          completeResponse();
         }
       }
-      default -> throw new IllegalStateException(part.name());
+      default -> throw new IllegalStateException(state.name());
+    }
+  }
+
+  private void readStatusLine(String text) throws ProtocolException {
+    String[] fields = text.split(" ", 3);
+    if (fields.length < 2 || !fields[0].startsWith("HTTP/1.")) {
+      throw new ProtocolException("no status line: " + text);
     }
+    status = number(fields[1], DECIMAL, MAX_STATUS);
+    remaining = 0;
+    chunked = false;
+    hasLength = false;
+    state = State.HEADERS;
   }
 
-  private void afterHeaders() {
-    boolean without = status < 200 || status == 204 || status == 304;
-    part = chunked ? State.CHUNK_SIZE : sized || without ? State.BODY : State.BODY_TO_END;
-    if (part == State.BODY && left == 0) {
-      done();
+  private void readHeader(String text) throws ProtocolException {
+    if (text.isEmpty()) {
+      endHeaders();
+      return;
+    }
+    int colon = text.indexOf(':');
+    String name = text.substring(0, Math.max(0, colon)).toLowerCase(Locale.ROOT);
+    String value = text.substring(colon + 1).strip();
+    if (name.equals("content-length")) {
+      remaining = number(value, DECIMAL, MAX_BODY_LENGTH);
+      hasLength = true;
+    } else if (name.equals("transfer-encoding")) {
+      chunked = value.equalsIgnoreCase("chunked");
     }
   }
 
-  private void done() {
-    byte[] whole = body.toByteArray();
+  private void endHeaders() {
+    boolean hasNoBody =
+        status < FIRST_FINAL_STATUS || status == NO_CONTENT || status == NOT_MODIFIED;
+    if (chunked) {
+      state = State.CHUNK_SIZE;
+    } else if (hasLength || hasNoBody) {
+      state = State.BODY;
+    } else {
+      state = State.BODY_TO_END;
+    }
+    if (state == State.BODY && remaining == 0) {
+      completeResponse();
+    }
+  }
+
+  private void readChunkSize(String text) throws ProtocolException {
+    int extension = text.indexOf(';');
+    String size = extension < 0 ? text : text.substring(0, extension);
+    remaining = number(size.strip(), HEX, MAX_BODY_LENGTH - body.size());
+    state = remaining == 0 ? State.TRAILERS : State.CHUNK;
+  }
+
+  private void completeResponse() {
+    byte[] bytes = body.toByteArray();
     body = new ByteArrayOutputStream();
-    part = State.STATUS;
-    // 100 Continue and the like come before the response that counts.
-    if (status >= 200) {
-      sink.response(status, whole);
+    state = State.STATUS;
+    // Interim responses, such as 100 Continue, precede the one that counts.
+    if (status >= FIRST_FINAL_STATUS) {
+      sink.response(status, bytes);
     }
   }
 
-  private static int number(String text, int radix, int most) throws ProtocolException {
+  private static int number(String text, int radix, int max) throws ProtocolException {
     try {
       int value = Integer.parseInt(text, radix);
-      if (value >= 0 && value <= most) {
+      if (value >= 0 && value <= max) {
         return value;
       }
     } catch (NumberFormatException e) {
-      // Told below like all else that is no such number.
+      // Reported below, like a number out of range.
     }
     throw new ProtocolException("no usable number: " + text);
   }
--- a/gateway/src/main/java/weldcross/gateway/AttemptTracker.java
+++ b/gateway/src/main/java/weldcross/gateway/AttemptTracker.java
@@ -98,15 +98,15 @@
                 + " endpoint="
                 + server.name());
     if (deadline.compareTo(gateway.now()) <= 0) {
-      gateway.serverConnections().drop(attempt, AttemptOutcome.NOT_SENT);
+      gateway.serverConnections().abort(attempt, AttemptOutcome.NOT_SENT);
       return;
     }
-    gateway.serverConnections().ask(server, attempt);
+    gateway.serverConnections().send(server, attempt);
     gateway.at(
         deadline,
         () -> {
-          if (!attempt.over) {
-            gateway.serverConnections().drop(attempt, AttemptOutcome.TIMED_OUT);
+          if (!attempt.done) {
+            gateway.serverConnections().abort(attempt, AttemptOutcome.TIMED_OUT);
           }
         });
   }
@@ -114,8 +114,8 @@
   /** Stops waiting for an attempt, if it has not ended. */
   void cancel(RequestId id, int number) {
     RoutedRequest request = requests.get(id);
-    if (request != null && !request.attempts.get(number).over) {
-      gateway.serverConnections().drop(request.attempts.get(number), AttemptOutcome.CANCELLED);
+    if (request != null && !request.attempts.get(number).done) {
+      gateway.serverConnections().abort(request.attempts.get(number), AttemptOutcome.CANCELLED);
     }
   }
 
@@ -202,33 +202,33 @@
     @Override
     ByteBuffer[] message() {
       long timeLeft = deadline.minus(transport.now()).toMillis();
-      return request.statement.withWait(Math.max(1, timeLeft));
+      return request.statement.withTimeout(Math.max(1, timeLeft));
     }
 
     /** By the clock: an event may take long, and a staleness bound counts from the send. */
     @Override
-    boolean mayGo() {
+    boolean maySend() {
       return gateway.router().isStillEligible(transport.now(), request.id, number);
     }
 
     @Override
-    boolean isBrief() {
+    boolean isAnsweredPromptly() {
       return false;
     }
 
     @Override
-    String tag() {
-      return request.statement.tag();
+    String commandTag() {
+      return request.statement.commandTag();
     }
 
     @Override
-    void ended(AttemptOutcome outcome, ServerResponse response) {
+    void completed(AttemptOutcome outcome, ServerResponse response) {
       request.openAttempts--;
       Duration took = gateway.now().minus(sentAt);
       logEnd(outcome, took);
       if (outcome == AttemptOutcome.OK && !request.answered) {
         served++;
-        answer(request, response.forClient());
+        answer(request, response.toClientMessages());
       }
       Duration position = positionOf(response);
       Boolean primary = response == null ? null : response.primary();
@@ -242,11 +242,11 @@
               server,
               outcome,
               took,
-              aliveSince,
+              connectedSince,
               primary,
               position,
               request.answered);
-      reports.received(server, response == null ? null : response.stats());
+      reports.received(server, response == null ? null : response.loadReport());
       forgetIfDone(request);
     }
 
--- a/gateway/src/main/java/weldcross/gateway/ClientConnections.java
+++ b/gateway/src/main/java/weldcross/gateway/ClientConnections.java
@@ -107,8 +107,9 @@
         .filter(client -> !client.closePending)
         .forEach(
             client ->
-                policy.one(client, client.statements, client.isIdle() ? client.idleSince : null));
-    ClientConnection evicted = policy.whoGoes();
+                policy.consider(
+                    client, client.statements, client.isIdle() ? client.idleSince : null));
+    ClientConnection evicted = policy.choose().orElse(null);
     if (evicted != null) {
       closeIfQuiet(evicted);
     }
@@ -143,7 +144,7 @@
 
   /** A client sent Terminate. */
   void terminated(long number) {
-    transport.drop(number);
+    transport.closeNow(number);
     disconnected(number);
   }
 
@@ -180,7 +181,7 @@
     if (!client.closePending) {
       client.closePending = true;
       closePending++;
-      transport.part(client.number, client.messages);
+      transport.closeIfQuiet(client.number, client.messages);
     }
   }
 
@@ -232,7 +233,7 @@
   /** Ends sending once all is written; the client has some time to read it. */
   private void closeAfterWrite(ClientConnection client) {
     remove(client);
-    transport.finish(client.number);
+    transport.closeGracefully(client.number);
     linger(client);
   }
 
@@ -242,7 +243,7 @@
     gateway.at(
         gateway.now().plus(connectTimeout),
         () -> {
-          transport.drop(client.number);
+          transport.closeNow(client.number);
           lingering.remove(client.number);
           gateway.shutdown().stopIfDone();
         });
--- a/gateway/src/main/java/weldcross/gateway/ClientStream.java
+++ b/gateway/src/main/java/weldcross/gateway/ClientStream.java
@@ -106,7 +106,7 @@
 
   /** Whether no more than so many messages were received, and no byte of another. */
   boolean isQuiet(int messages) {
-    return decoder.told() <= messages && !decoder.isWithin() && buffered.isEmpty();
+    return decoder.messageCount() <= messages && !decoder.isInMessage() && buffered.isEmpty();
   }
 
   /** Discards all that is received from now on; may be called from any thread. */
--- a/gateway/src/main/java/weldcross/gateway/DiscoveryWatcher.java
+++ b/gateway/src/main/java/weldcross/gateway/DiscoveryWatcher.java
@@ -66,8 +66,8 @@
     this.terms = terms;
     this.grace = terms.connectTimeout().multipliedBy(4);
     this.onRequest = terms.routing().pollEndpointList();
-    this.watch = EndpointListLease.watch(terms.routing().maxPollInterval(), onRequest);
-    this.patience = EndpointListLease.patience(grace, onRequest);
+    this.watch = EndpointListLease.watchTimeout(terms.routing().maxPollInterval(), onRequest);
+    this.patience = EndpointListLease.answerTimeout(grace, onRequest);
     this.term = new EndpointListLease(terms.drainGracePeriod(), onRequest);
     this.random = new SplittableRandom(~terms.seed());
   }
@@ -76,14 +76,14 @@
    * Whether the list holds all that binds: not before discovery's first word, nor when it was
    * silent for long.
    */
-  boolean stands() {
+  boolean isListValid() {
     return stands;
   }
 
   /** Tells when that changes, and looks again when it may. */
   private void judgeTerm() {
     boolean before = stands;
-    stands = term.stands(gateway.now());
+    stands = term.isValid(gateway.now());
     if (before && !stands) {
       LOG.warning(
           "discovery has been silent for so long that drains may be owed: nothing goes to any "
@@ -92,7 +92,7 @@
     if (before != stands) {
       gateway.setEndpointListValid(stands);
     }
-    Duration end = term.end();
+    Duration end = term.expiresAt();
     if (stands && (looksAt == null || end.compareTo(looksAt) < 0)) {
       looksAt = end;
       gateway.at(
@@ -107,7 +107,7 @@
   }
 
   private void unheard(Duration since) {
-    term.unheard(since);
+    term.disconnected(since);
     judgeTerm();
   }
 
@@ -137,15 +137,15 @@
       term.moved(gateway.now());
       next.dial();
     } else {
-      term.arrived();
+      term.moveCompleted();
     }
     judgeTerm();
   }
 
-  void up(long number) {
+  void connected(long number) {
     Talk talk = talk(number);
     if (talk == null) {
-      transport.drop(number);
+      transport.closeNow(number);
     } else {
       talk.up = true;
       if (talk.lostAt != null && EndpointListLease.isNewWatch(gateway.now().minus(talk.lostAt))) {
@@ -159,7 +159,7 @@
   }
 
   /** All that had come in on all connections when it was asked for is read and told. */
-  boolean heard(long number) {
+  boolean pendingReadsDone(long number) {
     Talk talk = talk(number);
     if (talk != null) {
       talk.heard();
@@ -168,14 +168,14 @@
   }
 
   /** Some of an answer has come, and the rest of it not yet. */
-  void begun(long number) {
+  void responseStarted(long number) {
     Talk talk = talk(number);
     if (talk != null) {
       talk.begun();
     }
   }
 
-  void gone(long number) {
+  void closed(long number) {
     Talk talk = talk(number);
     if (talk != null && talk.answered && talk.isLast()) {
       // It closes after an answer, as it may; what it told so far is held, so nothing is missed if
@@ -188,7 +188,7 @@
     }
   }
 
-  void answered(long number, int status, byte[] text) {
+  void responseReceived(long number, int status, byte[] text) {
     Talk talk = talk(number);
     if (talk == null) {
       return;
@@ -213,14 +213,14 @@
       }
       current = next;
       next = null;
-      term.arrived();
+      term.moveCompleted();
       LOG.info("the list comes from the new address");
     }
     if (failing) {
       failing = false;
       LOG.info("the list is watched again");
     }
-    term.spoke(gateway.now(), talk.ask());
+    term.answered(gateway.now(), talk.ask());
     judgeTerm();
   }
 
@@ -256,7 +256,7 @@
     gateway.listed(
         false,
         DiscoveredEndpoint.read(told, terms.zones()).stream()
-            .filter(m -> m.condition() != EndpointStatus.ACTIVE)
+            .filter(m -> m.status() != EndpointStatus.ACTIVE)
             .toList());
     return told.integer("revision", -1, 0);
   }
@@ -332,7 +332,7 @@
       up = false;
       answered = false;
       link = gateway.nextNumber();
-      transport.dialDiscovery(link, address);
+      transport.connectToDiscovery(link, address);
       expectWithin(grace);
     }
 
@@ -363,7 +363,7 @@
             () -> {
               if (asked == expected) {
                 doubted = asked;
-                transport.hear(link);
+                transport.afterPendingReads(link);
               }
             });
       }
@@ -387,7 +387,7 @@
      */
     void heard() {
       if (doubted == asked && begun != asked && isLast() && this == current) {
-        term.nothingCame(gateway.now());
+        term.discoveryFoundDown(gateway.now());
         expectWithin(watch);
         judgeTerm();
       }
@@ -396,7 +396,7 @@
     void begun() {
       if (begun != asked) {
         begun = asked;
-        term.begun(gateway.now());
+        term.answerStarted(gateway.now());
         judgeTerm();
       }
     }
@@ -428,7 +428,8 @@
       end();
       if (isLast()) {
         long ended = asked;
-        Duration rest = term.rest(++failures, silent, terms.connectTimeout(), random.nextDouble());
+        Duration rest =
+            term.backoff(++failures, silent, terms.connectTimeout(), random.nextDouble());
         gateway.at(
             gateway.now().plus(rest),
             () -> {
@@ -447,7 +448,7 @@
       // Down for a while it learns nothing: only while it speaks does being behind show that it
       // counts anew.
       behindSince = null;
-      transport.drop(link);
+      transport.closeNow(link);
       link = 0;
     }
   }
--- a/gateway/src/main/java/weldcross/gateway/EndpointDirectory.java
+++ b/gateway/src/main/java/weldcross/gateway/EndpointDirectory.java
@@ -42,10 +42,10 @@
   private void listed(DiscoveredEndpoint endpoint) {
     ServerId server = new ServerId(endpoint.id());
     if (endpoint.address() != null) {
-      gateway.serverConnections().listed(server, endpoint.address());
+      gateway.serverConnections().setAddress(server, endpoint.address());
     }
     GroupId group = new GroupId(endpoint.group());
-    if (endpoint.condition() != EndpointStatus.REMOVED || groups.containsKey(server)) {
+    if (endpoint.status() != EndpointStatus.REMOVED || groups.containsKey(server)) {
       groups.put(server, group);
       knownGroups.add(group);
     }
@@ -56,9 +56,11 @@
             server,
             new ZoneId(endpoint.zone()),
             group,
-            endpoint.condition(),
-            endpoint.upSinceMillis() == 0 ? null : unixTime.sinceStart(endpoint.upSinceMillis()),
-            endpoint.head());
+            endpoint.status(),
+            endpoint.startedAtMillis() == 0
+                ? null
+                : unixTime.sinceStart(endpoint.startedAtMillis()),
+            endpoint.primary());
   }
 
   /** Forgets an endpoint that left the list; its group stays known. */
--- a/gateway/src/main/java/weldcross/gateway/Gateway.java
+++ b/gateway/src/main/java/weldcross/gateway/Gateway.java
@@ -248,9 +248,9 @@
     router = new Router(this, config.routing(), config.seed());
     enter(Phase.LISTENING);
     transport.listen(config.listenAddress());
-    transport.greetItself();
+    transport.warmUp();
     if (config.gossipListenAddress() != null) {
-      transport.joinPeers(config.gossipListenAddress());
+      transport.listenForGossip(config.gossipListenAddress());
     }
     discovery.start();
     if (LOG.isLoggable(Level.FINE)) {
@@ -267,7 +267,7 @@
     if (phase == Phase.LISTENING
         && warmedUp
         && !endpoints.isEmpty()
-        && discovery.stands()
+        && discovery.isListValid()
         && extensions.isReady()) {
       enter(Phase.SERVING);
     }
@@ -324,11 +324,12 @@
   // ---- What others report
 
   /**
-   * All that was received on any connection when {@link Transport#hear} was called has been read.
+   * All that was received on any connection when {@link Transport#afterPendingReads} was called has
+   * been read.
    */
   void heard(long connection) {
-    if (!discovery.heard(connection)) {
-      serverConnections.heard(connection);
+    if (!discovery.pendingReadsDone(connection)) {
+      serverConnections.pendingReadsDone(connection);
     }
   }
 
@@ -384,13 +385,13 @@
   public void gossipUnreachable(ServerId server) {
     byte[] message = GossipMessage.encode(server);
     if (config.gossipTargetAddress() != null && message.length <= GossipMessage.MAX_BYTES) {
-      transport.tellPeers(config.gossipTargetAddress(), message);
+      transport.sendGossip(config.gossipTargetAddress(), message);
     }
   }
 
   @Override
   public void endpointRemoved(ServerId server) {
-    serverConnections.forget(server);
+    serverConnections.removeServer(server);
     endpoints.remove(server);
   }
 
--- a/gateway/src/main/java/weldcross/gateway/HealthCheckRunner.java
+++ b/gateway/src/main/java/weldcross/gateway/HealthCheckRunner.java
@@ -29,7 +29,7 @@
   /** Sends one health check; its result goes to the router. */
   void send(ServerId server) {
     LOG.fine(() -> "health check sent: endpoint=" + server.name());
-    gateway.serverConnections().ask(server, new HealthCheck(server));
+    gateway.serverConnections().send(server, new HealthCheck(server));
   }
 
   private final class HealthCheck extends ServerRequest {
@@ -46,26 +46,26 @@
     }
 
     @Override
-    boolean mayGo() {
+    boolean maySend() {
       return true;
     }
 
     @Override
-    boolean isBrief() {
+    boolean isAnsweredPromptly() {
       return true;
     }
 
     @Override
-    String tag() {
+    String commandTag() {
       return null;
     }
 
     @Override
-    void ended(AttemptOutcome outcome, ServerResponse response) {
-      gateway.router().healthCheckEnded(gateway.now(), server, outcome, aliveSince);
+    void completed(AttemptOutcome outcome, ServerResponse response) {
+      gateway.router().healthCheckEnded(gateway.now(), server, outcome, connectedSince);
       if (outcome == AttemptOutcome.OK) {
         reports.received(
-            server, config.healthCheckReportsLoad() ? response.rowText() : response.stats());
+            server, config.healthCheckReportsLoad() ? response.rowText() : response.loadReport());
       }
     }
   }
--- a/gateway/src/main/java/weldcross/gateway/JitWarmUp.java
+++ b/gateway/src/main/java/weldcross/gateway/JitWarmUp.java
@@ -96,7 +96,7 @@
     if (server == null) {
       return true;
     }
-    server.ask();
+    server.expectResponse();
     server.feed(ByteBuffer.wrap(response(parts)));
     return true;
   }
@@ -104,7 +104,7 @@
   private byte[] response(ByteBuffer... request) {
     // The startup message has no type.
     if (request[0].get(0) != 'Q') {
-      return MessageEncoder.welcome().array();
+      return MessageEncoder.sessionReady().array();
     }
     // The first two letters of a query tell which it is.
     ByteBuffer query =
@@ -118,27 +118,27 @@
   }
 
   @Override
-  public void dialServer(long connection, InetSocketAddress to) {
+  public void connectToServer(long connection, InetSocketAddress to) {
     servers.put(connection, Streams.server(loop::post, connection));
-    loop.post(g -> g.serverConnections().up(connection));
+    loop.post(g -> g.serverConnections().connected(connection));
   }
 
   @Override
-  public void drop(long connection) {
+  public void closeNow(long connection) {
     servers.remove(connection);
   }
 
   @Override
-  public void dialDiscovery(long connection, InetSocketAddress to) {
-    loop.post(g -> g.discovery().up(connection));
-    loop.post(g -> g.discovery().answered(connection, 200, NO_CHANGES));
+  public void connectToDiscovery(long connection, InetSocketAddress to) {
+    loop.post(g -> g.discovery().connected(connection));
+    loop.post(g -> g.discovery().responseReceived(connection, 200, NO_CHANGES));
   }
 
   @Override
   public void listen(InetSocketAddress at) {}
 
   @Override
-  public void greetItself() {
+  public void warmUp() {
     loop.post(Gateway::warmed);
   }
 
@@ -146,20 +146,20 @@
   public void stopListening() {}
 
   @Override
-  public void joinPeers(InetSocketAddress at) {}
+  public void listenForGossip(InetSocketAddress at) {}
 
   @Override
-  public void tellPeers(InetSocketAddress to, byte[] message) {}
+  public void sendGossip(InetSocketAddress to, byte[] message) {}
 
   @Override
-  public void read(long connection, boolean on) {}
+  public void setReading(long connection, boolean on) {}
 
   @Override
-  public void hear(long connection) {}
+  public void afterPendingReads(long connection) {}
 
   @Override
-  public void part(long connection, int messages) {}
+  public void closeIfQuiet(long connection, int messages) {}
 
   @Override
-  public void finish(long connection) {}
+  public void closeGracefully(long connection) {}
 }
--- a/gateway/src/main/java/weldcross/gateway/MinaTransport.java
+++ b/gateway/src/main/java/weldcross/gateway/MinaTransport.java
@@ -83,7 +83,7 @@
             threads,
             processor,
             mostOpen,
-            () -> connector.getManagedSessionCount() + dials.underWay());
+            () -> connector.getManagedSessionCount() + dials.pendingCount());
     set(acceptor.getSessionConfig());
     set(connector.getSessionConfig());
     acceptor.setReuseAddress(true);
@@ -136,7 +136,7 @@
   }
 
   @Override
-  public void greetItself() {
+  public void warmUp() {
     AtomicInteger open = new AtomicInteger(GREETERS);
     for (int k = 0; k < GREETERS; k++) {
       long number = Long.MIN_VALUE + k;
@@ -156,7 +156,7 @@
               if (--left > 0) {
                 write(number, MessageEncoder.query(""));
               } else {
-                drop(number);
+                closeNow(number);
               }
             }
 
@@ -177,7 +177,7 @@
   }
 
   @Override
-  public void joinPeers(InetSocketAddress at) {
+  public void listenForGossip(InetSocketAddress at) {
     peersFrom = at;
     peers = new NioDatagramAcceptor();
     peers.setHandler(
@@ -210,17 +210,17 @@
   }
 
   @Override
-  public void tellPeers(InetSocketAddress to, byte[] message) {
+  public void sendGossip(InetSocketAddress to, byte[] message) {
     peers.newSession(to, peersFrom).write(IoBuffer.wrap(message));
   }
 
   @Override
-  public void dialServer(long link, InetSocketAddress to) {
+  public void connectToServer(long link, InetSocketAddress to) {
     dial(link, to, server(link));
   }
 
   @Override
-  public void dialDiscovery(long link, InetSocketAddress to) {
+  public void connectToDiscovery(long link, InetSocketAddress to) {
     dial(link, to, discovery(link));
   }
 
@@ -232,7 +232,7 @@
   }
 
   private void dial(long number, InetSocketAddress to, Stream stream) {
-    dials.dial(
+    dials.connect(
         number,
         to,
         session -> carry(session, number, stream),
@@ -269,7 +269,7 @@
   }
 
   @Override
-  public void read(long connection, boolean on) {
+  public void setReading(long connection, boolean on) {
     IoSession session = sessions.get(connection);
     if (session != null) {
       ((ClientStream) session.getAttribute(STREAM)).listen(on);
@@ -277,12 +277,12 @@
   }
 
   @Override
-  public void hear(long connection) {
+  public void afterPendingReads(long connection) {
     processor.afterReading(() -> loop.post(g -> g.heard(connection)));
   }
 
   @Override
-  public void part(long connection, int messages) {
+  public void closeIfQuiet(long connection, int messages) {
     processor.afterReading(
         () -> {
           IoSession session = sessions.get(connection);
@@ -298,8 +298,8 @@
   }
 
   @Override
-  public void drop(long connection) {
-    dials.giveUp(connection);
+  public void closeNow(long connection) {
+    dials.cancel(connection);
     IoSession session = sessions.remove(connection);
     if (session != null) {
       // A second call-out must not overtake the end of the first; clients have nothing that could.
@@ -311,7 +311,7 @@
   }
 
   @Override
-  public void finish(long connection) {
+  public void closeGracefully(long connection) {
     IoSession session = sessions.get(connection);
     if (session != null) {
       ClientStream stream = (ClientStream) session.getAttribute(STREAM);
@@ -336,12 +336,12 @@
     return new Stream() {
       @Override
       void opened() {
-        round.addForServer(g -> g.serverConnections().up(number));
+        round.addForServer(g -> g.serverConnections().connected(number));
       }
 
       @Override
       void writing() {
-        reader.ask();
+        reader.expectResponse();
       }
 
       @Override
@@ -356,17 +356,17 @@
 
       @Override
       void closed() {
-        round.addForServer(g -> g.serverConnections().gone(number, reader.rest()));
+        round.addForServer(g -> g.serverConnections().closed(number, reader.partialResponse()));
       }
 
       @Override
       void connectFailed() {
-        loop.post(g -> g.serverConnections().gone(number, null));
+        loop.post(g -> g.serverConnections().closed(number, null));
       }
 
       @Override
       void resetOnConnect() {
-        loop.post(g -> g.serverConnections().dialReset(number));
+        loop.post(g -> g.serverConnections().connectionReset(number));
       }
     };
   }
@@ -374,27 +374,27 @@
   private Stream discovery(long number) {
     HttpResponseDecoder reader =
         new HttpResponseDecoder(
-            (status, body) -> loop.post(g -> g.discovery().answered(number, status, body)));
+            (status, body) -> loop.post(g -> g.discovery().responseReceived(number, status, body)));
     return new Stream() {
       @Override
       void opened() {
-        loop.post(g -> g.discovery().up(number));
+        loop.post(g -> g.discovery().connected(number));
       }
 
       @Override
       void read(ByteBuffer in) throws HttpResponseDecoder.ProtocolException {
         reader.feed(in);
-        if (reader.isWithin()) {
-          loop.post(g -> g.discovery().begun(number));
+        if (reader.isInResponse()) {
+          loop.post(g -> g.discovery().responseStarted(number));
         }
       }
 
       @Override
       void closed() {
         if (!connectionFailed) {
-          reader.ended();
+          reader.endOfStream();
         }
-        loop.post(g -> g.discovery().gone(number));
+        loop.post(g -> g.discovery().closed(number));
       }
     };
   }
--- a/gateway/src/main/java/weldcross/gateway/RequestPipeline.java
+++ b/gateway/src/main/java/weldcross/gateway/RequestPipeline.java
@@ -61,7 +61,7 @@
 
   /** A client asked for an encrypted connection, which there is none of. */
   void encryptionRequested(long number) {
-    enqueue(number, request -> respond(request, MessageEncoder.noEncryption()));
+    enqueue(number, request -> respond(request, MessageEncoder.encryptionRefused()));
   }
 
   /** A client sent its startup message. */
@@ -69,7 +69,8 @@
     enqueue(
         number,
         request ->
-            respond(request, MessageEncoder.welcome((int) number, request.client.cancelSecret)));
+            respond(
+                request, MessageEncoder.sessionReady((int) number, request.client.cancelSecret)));
   }
 
   /** A client sent an empty query, which asks whether requests can be routed. */
@@ -125,7 +126,7 @@
     startNext(client);
     if (!client.waiting.isEmpty() && !client.readPaused && !client.closed) {
       client.readPaused = true;
-      transport.read(number, false);
+      transport.setReading(number, false);
     }
   }
 
@@ -143,7 +144,7 @@
     writeResponses(client);
     if (client.readPaused && client.waiting.isEmpty() && !client.closed) {
       client.readPaused = false;
-      transport.read(client.number, true);
+      transport.setReading(client.number, true);
     }
   }
 
@@ -201,7 +202,7 @@
       respond(request, MessageEncoder.error("57P03", "stopping", null));
       return;
     }
-    int requestClass = config.requestClassNames().indexOf(statement.method());
+    int requestClass = config.requestClassNames().indexOf(statement.requestClass());
     RequestId id = new RequestId(statement.id());
     GroupId group = new GroupId(statement.group());
     RequestValidator.Result result = validator.check(statement, requestClass, id, group);
@@ -212,7 +213,7 @@
       respond(request, MessageEncoder.error(result.sqlState, result.text, null));
       return;
     }
-    Duration timeLeft = arrived.plusMillis(statement.waitMillis()).minus(gateway.now());
+    Duration timeLeft = arrived.plusMillis(statement.timeoutMillis()).minus(gateway.now());
     Duration patience = timeLeft.isNegative() ? Duration.ZERO : timeLeft;
     RoutedRequest routed = new RoutedRequest(id, request, statement, gateway.now().plus(patience));
     route(routed, requestClass, group, patience);
@@ -226,7 +227,7 @@
             "request accepted: request="
                 + request.id.name()
                 + " class="
-                + statement.method()
+                + statement.requestClass()
                 + " group="
                 + group.number()
                 + " timeLeftMillis="
@@ -243,12 +244,12 @@
             inSession ? new SessionId(statement.key()) : null,
             timeSinceWrite(statement),
             patience,
-            statement.isRepeat());
+            statement.isRetry());
   }
 
   /** Returns the time since the write that a read has to see; zero if it names none. */
   private Duration timeSinceWrite(Statement statement) {
-    long after = statement.afterMillis();
+    long after = statement.lastWriteMillis();
     if (after == 0) {
       return Duration.ZERO;
     }
--- a/gateway/src/main/java/weldcross/gateway/RequestValidator.java
+++ b/gateway/src/main/java/weldcross/gateway/RequestValidator.java
@@ -66,7 +66,7 @@
       return Result.UNKNOWN_TENANT;
     }
     if (!endpoints.isKnown(group)) {
-      return discovery.stands() ? Result.UNKNOWN_GROUP : Result.NOT_READY;
+      return discovery.isListValid() ? Result.UNKNOWN_GROUP : Result.NOT_READY;
     }
     if (attempts.find(id) != null) {
       return Result.DUPLICATE_ID;
--- a/gateway/src/main/java/weldcross/gateway/SelfTest.java
+++ b/gateway/src/main/java/weldcross/gateway/SelfTest.java
@@ -132,7 +132,7 @@
   /** Serves as a primary whose every value is one byte. */
   private static void serve(DataInputStream in, OutputStream out) throws IOException {
     in.readFully(new byte[in.readInt() - Integer.BYTES]);
-    out.write(MessageEncoder.welcome().array());
+    out.write(MessageEncoder.sessionReady().array());
     while (true) {
       in.readByte();
       byte[] text = new byte[in.readInt() - Integer.BYTES];
--- a/gateway/src/main/java/weldcross/gateway/ServerConnectionPool.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerConnectionPool.java
@@ -83,14 +83,14 @@
   }
 
   /** A server that moved keeps its name; what is open to its old address is used no more. */
-  void listed(ServerId server, InetSocketAddress address) {
+  void setAddress(ServerId server, InetSocketAddress address) {
     InetSocketAddress before = addresses.put(server, address);
     if (before != null && !before.equals(address)) {
       List.copyOf(idle.getOrDefault(server, NONE)).forEach(this::remove);
     }
   }
 
-  void forget(ServerId server) {
+  void removeServer(ServerId server) {
     addresses.remove(server);
     ArrayDeque<Link> unused = idle.remove(server);
     if (unused != null) {
@@ -98,7 +98,7 @@
     }
   }
 
-  void ask(ServerId server, ServerRequest question) {
+  void send(ServerId server, ServerRequest question) {
     ArrayDeque<Link> unused = idle.getOrDefault(server, NONE);
     Link link = unused.peekFirst();
     if (link != null && gateway.now().minus(link.idleSince).compareTo(settle) < 0) {
@@ -108,13 +108,13 @@
     }
     Duration rested = link == null ? null : gateway.now().minus(link.idleSince);
     if (link != null && rested.compareTo(settle) >= 0) {
-      if (!question.mayGo()) {
+      if (!question.maySend()) {
         gateway.soon(() -> end(question, AttemptOutcome.NOT_SENT, null));
         return;
       }
       // What may be asked again tries whatever there is, so that it is learnt when all is well
       // again.
-      if (question.isBrief() || rests.mayCarry(rested)) {
+      if (question.isAnsweredPromptly() || rests.mayReuse(rested)) {
         rouse(link);
         link.rested = rested;
         carry(link, question);
@@ -135,7 +135,7 @@
     Link dialled = new Link(gateway.nextNumber(), server, address);
     links.put(dialled.number, dialled);
     carry(dialled, question);
-    transport.dialServer(dialled.number, address);
+    transport.connectToServer(dialled.number, address);
     expect(dialled);
   }
 
@@ -151,14 +151,14 @@
         () -> {
           if (link.step == step) {
             link.doubted = step;
-            transport.hear(link.number);
+            transport.afterPendingReads(link.number);
           }
         });
     gateway.at(gateway.now().plus(connectTimeout.multipliedBy(2)), () -> silent(link, step));
   }
 
-  /** All that came in until {@link Transport#hear} was asked for has been read. */
-  void heard(long number) {
+  /** All that came in until {@link Transport#afterPendingReads} was asked for has been read. */
+  void pendingReadsDone(long number) {
     Link link = links.get(number);
     if (link != null) {
       silent(link, link.doubted);
@@ -170,25 +170,25 @@
       return;
     }
     if (!link.up) {
-      transport.drop(link.number);
+      transport.closeNow(link.number);
       link.reached = false;
-      gone(link.number, null);
+      closed(link.number, null);
     } else if (link.begun) {
-      spoilt(link.number, "an answer that does not end");
+      protocolError(link.number, "an answer that does not end");
     } else if (link.question != null) {
-      drop(link.question, AttemptOutcome.TIMED_OUT);
+      abort(link.question, AttemptOutcome.TIMED_OUT);
     }
   }
 
   /** Stops waiting: the connection ends with it, so that nothing of it comes back. */
-  void drop(ServerRequest question, AttemptOutcome outcome) {
+  void abort(ServerRequest question, AttemptOutcome outcome) {
     if (question.link != null) {
       remove(question.link);
     }
     gateway.soon(() -> end(question, outcome, null));
   }
 
-  void up(long number) {
+  void connected(long number) {
     Link link = links.get(number);
     if (link != null) {
       link.step++;
@@ -196,19 +196,19 @@
       write(link, MessageEncoder.startup());
     } else {
       // Given up as it came up: nobody would ever end it.
-      transport.drop(number);
+      transport.closeNow(number);
     }
   }
 
   /** The server welcomed this gateway; what is sent before that it may not read. */
-  void ready(long number) {
+  void sessionReady(long number) {
     Link link = links.get(number);
     if (link != null) {
       link.step++;
       link.up = true;
       link.upSince = gateway.now();
       ServerRequest question = link.question;
-      if (question.mayGo()) {
+      if (question.maySend()) {
         write(link, question.message());
         return;
       }
@@ -227,7 +227,7 @@
   }
 
   private void allOut(Link link) {
-    if (!link.up || (link.question != null && link.question.isBrief())) {
+    if (!link.up || (link.question != null && link.question.isAnsweredPromptly())) {
       expect(link);
     }
   }
@@ -236,7 +236,7 @@
    * @param more whether bytes came behind it: the answer counts, its connection is of no further
    *     use
    */
-  void answered(long number, ServerResponse answer, boolean more) {
+  void responseReceived(long number, ServerResponse answer, boolean more) {
     Link link = links.get(number);
     if (link == null || link.question == null) {
       return;
@@ -244,14 +244,14 @@
     ServerRequest question = link.question;
     link.step++;
     link.begun = false;
-    if (answer.state() == null && !answer.isServed(question.tag())) {
-      spoilt(number, "a row that is completed as no such statement is");
+    if (answer.sqlState() == null && !answer.isComplete(question.commandTag())) {
+      protocolError(number, "a row that is completed as no such statement is");
       return;
     }
-    rests.answered(link.rested);
+    rests.recordAnswered(link.rested);
     link.question = null;
     question.link = null;
-    question.aliveSince = link.upSince;
+    question.connectedSince = link.upSince;
     if (more) {
       gateway.warn("bytes behind an answer of " + link.server.name());
       remove(link);
@@ -262,7 +262,7 @@
   }
 
   /** An answer that does not go on is none; its connection would be waited for in vain. */
-  void begun(long number) {
+  void responseStarted(long number) {
     Link link = links.get(number);
     if (link != null && link.question != null) {
       link.begun = true;
@@ -271,7 +271,7 @@
   }
 
   /** Nothing of what was read counts, and nothing more of it is read. */
-  void spoilt(long number, String why) {
+  void protocolError(long number, String why) {
     Link link = links.get(number);
     if (link == null) {
       return;
@@ -285,7 +285,7 @@
     }
   }
 
-  void gone(long number, ServerResponse rest) {
+  void closed(long number, ServerResponse rest) {
     Link link = links.remove(number);
     if (link == null) {
       return;
@@ -300,7 +300,7 @@
     }
     question.link = null;
     AttemptOutcome told =
-        rest != null && (rest.isServed(question.tag()) || rest.state() != null)
+        rest != null && (rest.isComplete(question.commandTag()) || rest.sqlState() != null)
             ? outcome(rest)
             : null;
     if (told != null && (link.up || told == AttemptOutcome.OVERLOADED)) {
@@ -314,7 +314,7 @@
   private AttemptOutcome lost(Link link) {
     boolean kept = link.rested != null && !link.begun;
     if (link.up && !link.begun) {
-      rests.lost(link.rested);
+      rests.recordLost(link.rested);
     }
     if (link.up && link.unwritten == 0) {
       return kept ? AttemptOutcome.IDLE_CONNECTION_LOST : AttemptOutcome.CONNECTION_LOST;
@@ -328,19 +328,19 @@
   /**
    * A dial was taken up by somebody and ended at once, which a place without a process cannot do.
    */
-  void dialReset(long number) {
+  void connectionReset(long number) {
     Link link = links.get(number);
     if (link != null) {
       link.reached = true;
-      gone(number, null);
+      closed(number, null);
     }
   }
 
   private static AttemptOutcome outcome(ServerResponse answer) {
-    if (answer.state() == null) {
+    if (answer.sqlState() == null) {
       return AttemptOutcome.OK;
     }
-    return switch (answer.state()) {
+    return switch (answer.sqlState()) {
       case "25006", "72000" -> AttemptOutcome.INELIGIBLE;
       case "53300" -> AttemptOutcome.OVERLOADED;
       default -> AttemptOutcome.ERROR;
@@ -348,9 +348,9 @@
   }
 
   private void end(ServerRequest question, AttemptOutcome outcome, ServerResponse answer) {
-    if (!question.over) {
-      question.over = true;
-      question.ended(outcome, answer);
+    if (!question.done) {
+      question.done = true;
+      question.completed(outcome, answer);
     }
   }
 
@@ -432,6 +432,6 @@
       link.question.link = null;
       link.question = null;
     }
-    transport.drop(link.number);
+    transport.closeNow(link.number);
   }
 }
--- a/gateway/src/main/java/weldcross/gateway/Streams.java
+++ b/gateway/src/main/java/weldcross/gateway/Streams.java
@@ -29,48 +29,48 @@
     return new ClientMessageDecoder(
         new ClientMessageDecoder.Sink() {
           @Override
-          public void encryptionAsked() {
+          public void encryptionRequested() {
             post.accept(g -> g.pipeline().encryptionRequested(number));
           }
 
           @Override
-          public void started() {
+          public void startupReceived() {
             post.accept(g -> g.pipeline().startupReceived(number));
           }
 
           @Override
-          public void asked(Statement statement) {
+          public void statementReceived(Statement statement) {
             Duration arrived = clock.get();
             post.accept(g -> g.pipeline().statementReceived(number, statement, arrived));
           }
 
           @Override
-          public void askedNothing() {
+          public void emptyQueryReceived() {
             post.accept(g -> g.pipeline().emptyQueryReceived(number));
           }
 
           @Override
-          public void askedWrongly(String state, String text) {
+          public void statementRejected(String state, String text) {
             post.accept(g -> g.pipeline().invalidStatementReceived(number, state, text));
           }
 
           @Override
-          public void begun() {
+          public void messageStarted() {
             post.accept(g -> g.clients().messageBegun(number));
           }
 
           @Override
-          public void broke(String state, String text) {
+          public void protocolError(String state, String text) {
             post.accept(g -> g.clients().protocolViolated(number, state, text));
           }
 
           @Override
-          public void ended() {
+          public void terminated() {
             post.accept(g -> g.clients().terminated(number));
           }
 
           @Override
-          public void cancelAsked(int process, int secret) {
+          public void cancelRequested(int process, int secret) {
             postAlways.accept(g -> g.cancelRequests().received(number, process, secret));
           }
         });
@@ -86,22 +86,22 @@
         new ServerMessageDecoder.Sink() {
           @Override
           public void ready() {
-            post.accept(g -> g.serverConnections().ready(number));
+            post.accept(g -> g.serverConnections().sessionReady(number));
           }
 
           @Override
-          public void answered(ServerResponse answer, boolean more) {
-            post.accept(g -> g.serverConnections().answered(number, answer, more));
+          public void responseReceived(ServerResponse answer, boolean more) {
+            post.accept(g -> g.serverConnections().responseReceived(number, answer, more));
           }
 
           @Override
-          public void begun() {
-            post.accept(g -> g.serverConnections().begun(number));
+          public void responseStarted() {
+            post.accept(g -> g.serverConnections().responseStarted(number));
           }
 
           @Override
-          public void spoilt(String why) {
-            post.accept(g -> g.serverConnections().spoilt(number, why));
+          public void protocolError(String why) {
+            post.accept(g -> g.serverConnections().protocolError(number, why));
           }
         });
   }
--- a/gateway/src/main/java/weldcross/gateway/Transport.java
+++ b/gateway/src/main/java/weldcross/gateway/Transport.java
@@ -22,16 +22,16 @@
    * Talks to itself as a client, so that its sockets are quick before others use them; told when
    * done.
    */
-  void greetItself();
+  void warmUp();
 
   void stopListening();
 
   /** Hears other gateways at this address and speaks to them from it. */
-  void joinPeers(InetSocketAddress at);
+  void listenForGossip(InetSocketAddress at);
 
-  void dialServer(long link, InetSocketAddress to);
+  void connectToServer(long link, InetSocketAddress to);
 
-  void dialDiscovery(long link, InetSocketAddress to);
+  void connectToDiscovery(long link, InetSocketAddress to);
 
   /**
    * Writes the parts as one, from where they are; they must not change afterwards.
@@ -41,15 +41,15 @@
   boolean write(long connection, ByteBuffer... parts);
 
   /** Reads on, or lets what comes wait in the network. */
-  void read(long connection, boolean on);
+  void setReading(long connection, boolean on);
 
   /**
    * Tells, by an event, once all that has come in by now on any connection has been read and told.
    */
-  void hear(long connection);
+  void afterPendingReads(long connection);
 
   /** Ends a connection before anything that is asked for later. */
-  void drop(long connection);
+  void closeNow(long connection);
 
   /**
    * Ends sending to a client if no more than so many messages of it have been read and none has
@@ -57,10 +57,10 @@
    * What comes later is read and left, so that its connection is not reset under what it has not
    * read yet, until it is dropped.
    */
-  void part(long connection, int messages);
+  void closeIfQuiet(long connection, int messages);
 
   /** Ends sending once all that was written to it is out; what comes later is read and left. */
-  void finish(long connection);
+  void closeGracefully(long connection);
 
-  void tellPeers(InetSocketAddress to, byte[] message);
+  void sendGossip(InetSocketAddress to, byte[] message);
 }
--- a/gateway/src/main/java/weldcross/mesh/net/MinaMeshTransport.java
+++ b/gateway/src/main/java/weldcross/mesh/net/MinaMeshTransport.java
@@ -179,7 +179,7 @@
   // ---- What is asked for
 
   void dial(long number, PeerName to) {
-    dials.dial(
+    dials.connect(
         number,
         places.calls().get(to),
         session -> {
@@ -195,7 +195,7 @@
     seam.at(
         seam.now().plus(terms.dialWithin()),
         () -> {
-          if (dials.giveUp(number)) {
+          if (dials.cancel(number)) {
             links.dialFailed(seam.now(), number, false);
           }
         });
@@ -264,7 +264,7 @@
   }
 
   void drop(long number) {
-    dials.giveUp(number);
+    dials.cancel(number);
     IoSession session = sessions.remove(number);
     if (session != null) {
       session.closeNow();
--- a/gateway/src/main/java/weldcross/pgwire/FrameDecoder.java
+++ b/gateway/src/main/java/weldcross/pgwire/FrameDecoder.java
@@ -3,107 +3,159 @@
 import java.nio.ByteBuffer;
 
 /**
- * Cuts a stream into messages, however it is split. A message that lies whole in what was read is
- * handed on as a slice of it, in place; only one that is split is gathered, once, in a buffer of
- * its own size.
+ * Cuts a stream into messages. A message that lies whole in what was read is passed on as a slice
+ * of it, without a copy; only a message that is split is copied, once, to a buffer of its size.
  */
 public final class FrameDecoder {
 
-  /** The largest value is 64 KiB, in hex twice that, with a head. */
-  public static final int LONGEST = 2 * 65_536 + 8_192;
+  /** Largest length that a message may have, in bytes: a value of 64 KiB in hex and a header. */
+  public static final int MAX_LENGTH = 2 * 65_536 + 8_192;
 
-  private static final int LONGEST_START = 10_000;
-
-  /** Type of the messages before the start of a session, which carry none. */
+  /** Type of messages before the start of a session, which have no type byte. */
   public static final byte UNTYPED = 0;
 
+  /** Version 3.0 of the protocol, as a startup message has it. */
   static final int VERSION_3 = 3 << 16;
-  private static final int HEAD = 5;
 
-  /** Takes each message whole, head included; the body starts at {@link #body}. */
-  public interface Sink {
-    void message(byte type, ByteBuffer whole) throws ProtocolException;
+  private static final int MAX_STARTUP_LENGTH = 10_000;
+  private static final int LENGTH_SIZE = Integer.BYTES;
+  private static final int TYPED_HEADER_SIZE = 1 + LENGTH_SIZE;
+
+  /** A length counts itself, and before the session a code as well. */
+  private static final int MIN_LENGTH = LENGTH_SIZE;
 
-    /** Called first, when no more than its type and length are known. */
-    default void head(byte type, int length) throws ProtocolException {}
+  private static final int MIN_STARTUP_LENGTH = 2 * LENGTH_SIZE;
+
+  /** Receives messages. An exception from it ends the decoding. */
+  public interface Sink {
 
-    /** What there is of a message that is split, up to the buffer's position. */
-    default void part(ByteBuffer soFar) throws ProtocolException {}
+    /**
+     * Receives a whole message.
+     *
+     * @param type the type byte, or {@link #UNTYPED}
+     * @param message the message with its header; the body starts at {@link #bodyOffset}
+     * @throws ProtocolException if the message is not allowed here
+     */
+    void message(byte type, ByteBuffer message) throws ProtocolException;
+
+    /**
+     * Receives the header of a message, before anything else of it.
+     *
+     * @param type the type byte, or {@link #UNTYPED}
+     * @param length length in bytes, without the type
+     * @throws ProtocolException if such a message is not allowed here
+     */
+    default void header(byte type, int length) throws ProtocolException {}
+
+    /**
+     * Receives what has arrived of a message that is split.
+     *
+     * @param soFar the message up to the buffer's position
+     * @throws ProtocolException if the message is not allowed here
+     */
+    default void partialMessage(ByteBuffer soFar) throws ProtocolException {}
   }
 
   private boolean untyped;
-  private final ByteBuffer head = ByteBuffer.allocate(HEAD);
-  private ByteBuffer split;
+  private final ByteBuffer header = ByteBuffer.allocate(TYPED_HEADER_SIZE);
+
+  /** The message that is being put together; null if none is. */
+  private ByteBuffer partial;
 
   /**
-   * @param untyped whether the stream begins with a message without a type, as a client's does
+   * Creates a decoder for one stream.
+   *
+   * @param untyped whether the stream begins with messages without a type, as that of a client does
    */
   public FrameDecoder(boolean untyped) {
     this.untyped = untyped;
   }
 
-  public static int body(byte type) {
-    return type == UNTYPED ? HEAD - 1 : HEAD;
+  /** Returns the offset, in bytes, of the body in a message of a type. */
+  public static int bodyOffset(byte type) {
+    return type == UNTYPED ? LENGTH_SIZE : TYPED_HEADER_SIZE;
   }
 
+  /**
+   * Decodes the next bytes of the stream.
+   *
+   * @throws ProtocolException if a length is not allowed, or from the sink; the stream is of no
+   *     further use then
+   */
   public void feed(ByteBuffer in, Sink sink) throws ProtocolException {
     while (in.hasRemaining()) {
-      if (split == null && head.position() == 0 && in.remaining() >= headSize()) {
-        int size = size(in, in.position(), sink);
-        if (in.remaining() >= size) {
-          ByteBuffer whole = in.slice(in.position(), size);
-          in.position(in.position() + size);
-          hand(whole, sink);
-          continue;
-        }
-      }
-      if (split == null) {
-        move(in, head, headSize() - head.position());
-        if (head.position() < headSize()) {
-          return;
-        }
-        split = ByteBuffer.allocate(size(head, 0, sink));
-        split.put(head.flip());
-        head.clear();
-      }
-      move(in, split, split.remaining());
-      if (!split.hasRemaining()) {
-        ByteBuffer whole = split.flip();
-        split = null;
-        hand(whole, sink);
-      } else {
-        sink.part(split);
+      if (!passOnInPlace(in, sink)) {
+        collect(in, sink);
       }
     }
   }
 
-  /** Whether a message has begun and is not whole. */
-  public boolean isWithin() {
-    return split != null || head.position() > 0;
+  /** Returns whether a message began, and its rest is still to come. */
+  public boolean isInMessage() {
+    return partial != null || header.position() > 0;
+  }
+
+  /** Passes the next message on without a copy; returns false if it does not lie whole in here. */
+  private boolean passOnInPlace(ByteBuffer in, Sink sink) throws ProtocolException {
+    if (isInMessage() || in.remaining() < headerSize()) {
+      return false;
+    }
+    int size = messageSize(in, in.position(), sink);
+    if (in.remaining() < size) {
+      return false;
+    }
+    ByteBuffer message = in.slice(in.position(), size);
+    in.position(in.position() + size);
+    passOn(message, sink);
+    return true;
+  }
+
+  /** Copies what there is of a message that is split, and passes it on once it is whole. */
+  private void collect(ByteBuffer in, Sink sink) throws ProtocolException {
+    if (partial == null) {
+      copy(in, header, headerSize() - header.position());
+      if (header.position() < headerSize()) {
+        return;
+      }
+      partial = ByteBuffer.allocate(messageSize(header, 0, sink));
+      partial.put(header.flip());
+      header.clear();
+    }
+    copy(in, partial, partial.remaining());
+    if (partial.hasRemaining()) {
+      sink.partialMessage(partial);
+    } else {
+      ByteBuffer message = partial.flip();
+      partial = null;
+      passOn(message, sink);
+    }
   }
 
-  private void hand(ByteBuffer whole, Sink sink) throws ProtocolException {
-    byte type = untyped ? UNTYPED : whole.get(0);
-    // Requests for encryption are turned down, after which the session starts like any other.
-    untyped = untyped && whole.getInt(HEAD - 1) != VERSION_3;
-    sink.message(type, whole);
+  private void passOn(ByteBuffer message, Sink sink) throws ProtocolException {
+    byte type = untyped ? UNTYPED : message.get(0);
+    // After a request for encryption, which is refused, the session starts like any other.
+    untyped = untyped && message.getInt(LENGTH_SIZE) != VERSION_3;
+    sink.message(type, message);
   }
 
-  private int headSize() {
-    return untyped ? HEAD - 1 : HEAD;
+  private int headerSize() {
+    return untyped ? LENGTH_SIZE : TYPED_HEADER_SIZE;
   }
 
-  private int size(ByteBuffer from, int at, Sink sink) throws ProtocolException {
-    int length = from.getInt(at + headSize() - 4);
-    if (length < (untyped ? 8 : 4) || length > (untyped ? LONGEST_START : LONGEST)) {
-      throw new ProtocolException("08P01", "message of length " + length);
+  /** Returns the size of a message in bytes, header included, from its header. */
+  private int messageSize(ByteBuffer from, int offset, Sink sink) throws ProtocolException {
+    int length = from.getInt(offset + headerSize() - LENGTH_SIZE);
+    int min = untyped ? MIN_STARTUP_LENGTH : MIN_LENGTH;
+    int max = untyped ? MAX_STARTUP_LENGTH : MAX_LENGTH;
+    if (length < min || length > max) {
+      throw new ProtocolException(SqlState.PROTOCOL_VIOLATION, "message of length " + length);
     }
-    sink.head(untyped ? UNTYPED : from.get(at), length);
-    return length + headSize() - 4;
+    sink.header(untyped ? UNTYPED : from.get(offset), length);
+    return length + headerSize() - LENGTH_SIZE;
   }
 
-  private static void move(ByteBuffer from, ByteBuffer to, int most) {
-    int count = Math.min(most, from.remaining());
+  private static void copy(ByteBuffer from, ByteBuffer to, int limit) {
+    int count = Math.min(limit, from.remaining());
     to.put(from.slice(from.position(), count));
     from.position(from.position() + count);
   }
--- a/gateway/src/main/java/weldcross/pgwire/MessageEncoder.java
+++ b/gateway/src/main/java/weldcross/pgwire/MessageEncoder.java
@@ -4,94 +4,126 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** The few messages that a gateway words itself, to clients and to servers. */
+/** Encodes the messages that a gateway writes itself, to clients and to servers. */
 public final class MessageEncoder {
 
-  private static final byte[] READY = message('Z', "I");
+  private static final int HEADER_SIZE = 1 + Integer.BYTES;
+  private static final byte[] READY_FOR_QUERY = message('Z', "I");
+
+  /** One text column of any length, without a table. */
+  private static final String ROW_DESCRIPTION = "\0\1content" + "\0".repeat(19);
 
   private MessageEncoder() {}
 
-  /**
-   * Authentication passed, what drivers want to be told, and ready; to be cancelled with no key.
-   */
-  public static ByteBuffer welcome() {
-    return welcome(0, 0);
+  /** Returns the answer to a startup message, with a key that cancels nothing. */
+  public static ByteBuffer sessionReady() {
+    return sessionReady(0, 0);
   }
 
-  /** The same with the key by which its statements may be cancelled from another connection. */
-  public static ByteBuffer welcome(int process, int secret) {
-    byte[] key =
-        ByteBuffer.allocate(13).put((byte) 'K').putInt(12).putInt(process).putInt(secret).array();
+  /**
+   * Returns the answer to a startup message: authentication passed, the parameters that drivers
+   * need, and ready for queries.
+   *
+   * @param processId identifies the session in a request to cancel its statement
+   * @param secretKey the key that such a request must have
+   */
+  public static ByteBuffer sessionReady(int processId, int secretKey) {
+    byte[] backendKeyData =
+        ByteBuffer.allocate(HEADER_SIZE + 2 * Integer.BYTES)
+            .put((byte) 'K')
+            .putInt(3 * Integer.BYTES)
+            .putInt(processId)
+            .putInt(secretKey)
+            .array();
     return join(
         message('R', "\0\0\0\0"),
         message('S', "server_version\0" + "15.0\0"),
         message('S', "client_encoding\0UTF8\0"),
         message('S', "standard_conforming_strings\0on\0"),
-        key,
-        READY);
+        backendKeyData,
+        READY_FOR_QUERY);
   }
 
-  /** No to a request for encryption. */
-  public static ByteBuffer noEncryption() {
+  /** Returns the refusal of a request for encryption. */
+  public static ByteBuffer encryptionRefused() {
     return ByteBuffer.wrap(new byte[] {'N'});
   }
 
+  /** Returns the answer to a query without a statement. */
   public static ByteBuffer emptyQuery() {
-    return join(message('I', ""), READY);
+    return join(message('I', ""), READY_FOR_QUERY);
   }
 
+  /** Returns ReadyForQuery alone, which ends every answer. */
   public static ByteBuffer ready() {
-    return ByteBuffer.wrap(READY);
+    return ByteBuffer.wrap(READY_FOR_QUERY);
   }
 
   /**
-   * @param detail the field D; null for none
+   * Returns an error after which the session goes on.
+   *
+   * @param sqlState the SQLSTATE, of five characters
+   * @param message the reason
+   * @param detail the detail field; null for none
    */
-  public static ByteBuffer error(String state, String text, String detail) {
-    return join(error("ERROR", state, text, detail), READY);
+  public static ByteBuffer error(String sqlState, String message, String detail) {
+    return join(error("ERROR", sqlState, message, detail), READY_FOR_QUERY);
   }
 
-  /** After this the connection ends. */
-  public static ByteBuffer fatal(String state, String text) {
-    return join(error("FATAL", state, text, null));
+  /**
+   * Returns an error after which the connection ends.
+   *
+   * @param sqlState the SQLSTATE, of five characters
+   * @param message the reason
+   */
+  public static ByteBuffer fatal(String sqlState, String message) {
+    return join(error("FATAL", sqlState, message, null));
   }
 
-  /** A row as a server gives it, with its role and position: for stand-ins. */
-  public static byte[] row(String value, String tag, long positionMillis) {
+  /**
+   * Returns the answer of a primary with one row; a fake server in tests and warm-up sends it.
+   *
+   * @param value the row's value
+   * @param commandTag how the command is completed
+   * @param positionMillis the server's position, as Unix time in milliseconds
+   */
+  public static byte[] row(String value, String commandTag, long positionMillis) {
     byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
-    byte[] data =
-        ByteBuffer.allocate(11 + bytes.length)
+    byte[] dataRow =
+        ByteBuffer.allocate(ServerResponse.ROW_HEADER_SIZE + bytes.length)
             .put((byte) 'D')
-            .putInt(10 + bytes.length)
+            .putInt(ServerResponse.ROW_HEADER_SIZE - 1 + bytes.length)
             .putShort((short) 1)
             .putInt(bytes.length)
             .put(bytes)
             .array();
     return join(
-            message('T', "\0\1content" + "\0".repeat(19)),
-            data,
-            message('C', tag + "\0"),
+            message('T', ROW_DESCRIPTION),
+            dataRow,
+            message('C', commandTag + "\0"),
             message('S', "mode\0read-write\0"),
             message('S', "wal_time\0" + positionMillis + "\0"),
-            READY)
+            READY_FOR_QUERY)
         .array();
   }
 
-  /** The start of a session at a server. */
+  /** Returns the startup message with which a session at a server begins. */
   public static ByteBuffer startup() {
-    byte[] body = "user\0backend\0database\0store\0\0".getBytes(StandardCharsets.US_ASCII);
-    return ByteBuffer.allocate(8 + body.length)
-        .putInt(8 + body.length)
+    byte[] parameters = "user\0backend\0database\0store\0\0".getBytes(StandardCharsets.US_ASCII);
+    int length = 2 * Integer.BYTES + parameters.length;
+    return ByteBuffer.allocate(length)
+        .putInt(length)
         .putInt(FrameDecoder.VERSION_3)
-        .put(body)
+        .put(parameters)
         .flip();
   }
 
+  /** Returns a simple query. */
   public static ByteBuffer query(String text) {
     return join(message('Q', text + "\0"));
   }
 
-  private static byte[] error(String severity, String state, String text, String detail) {
+  private static byte[] error(String severity, String sqlState, String message, String detail) {
     return message(
         'E',
         "S"
@@ -99,9 +131,9 @@
             + "\0V"
             + severity
             + "\0C"
-            + state
+            + sqlState
             + "\0M"
-            + text
+            + message
             + "\0"
             + (detail == null ? "" : "D" + detail + "\0")
             + "\0");
@@ -109,18 +141,18 @@
 
   private static byte[] message(char type, String body) {
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-    return ByteBuffer.allocate(5 + bytes.length)
+    return ByteBuffer.allocate(HEADER_SIZE + bytes.length)
         .put((byte) type)
-        .putInt(4 + bytes.length)
+        .putInt(Integer.BYTES + bytes.length)
         .put(bytes)
         .array();
   }
 
   private static ByteBuffer join(byte[]... messages) {
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
-    for (byte[] m : messages) {
-      all.writeBytes(m);
+    ByteArrayOutputStream joined = new ByteArrayOutputStream();
+    for (byte[] message : messages) {
+      joined.writeBytes(message);
     }
-    return ByteBuffer.wrap(all.toByteArray());
+    return ByteBuffer.wrap(joined.toByteArray());
   }
 }
--- a/gateway/src/main/java/weldcross/pgwire/ProtocolException.java
+++ b/gateway/src/main/java/weldcross/pgwire/ProtocolException.java
@@ -1,20 +1,19 @@
 package weldcross.pgwire;
 
-/**
- * Bytes that are not of the protocol, or a statement that is not of the given form, with its
- * SQLSTATE.
- */
+/** Thrown for bytes that violate the protocol, and for statements that are not served. */
 public final class ProtocolException extends Exception {
   private static final long serialVersionUID = 1;
 
-  private final String state;
+  private final String sqlState;
 
-  ProtocolException(String state, String message) {
+  /** Has no stack trace: any client can cause it, as often as it likes. */
+  ProtocolException(String sqlState, String message) {
     super(message, null, false, false);
-    this.state = state;
+    this.sqlState = sqlState;
   }
 
-  public String state() {
-    return state;
+  /** Returns the SQLSTATE, of five characters, that a client is to be told. */
+  public String sqlState() {
+    return sqlState;
   }
 }
--- a/gateway/src/main/java/weldcross/pgwire/ServerMessageDecoder.java
+++ b/gateway/src/main/java/weldcross/pgwire/ServerMessageDecoder.java
@@ -3,118 +3,135 @@
 import java.nio.ByteBuffer;
 
 /**
- * The stream from a server: the start of the session, then one answer for each thing it was asked.
- * What does not belong to an answer, before, within or behind it, spoils the stream for good, as
- * nobody can tell any more what the next bytes answer.
+ * Decodes the stream of a server: the start of the session, then one response to each request.
+ * Bytes that belong to no response make the stream unusable for good, as the request that later
+ * bytes answer is then unknown.
+ *
+ * <p>One thread feeds; {@link #expectResponse} may be called by another one.
  */
 public final class ServerMessageDecoder implements FrameDecoder.Sink {
 
-  /** What a server's stream tells. */
+  /** Receives what a server sends. */
   public interface Sink {
-    /** It has welcomed the session and takes queries. */
+
+    /** The server opened the session and takes queries. */
     void ready();
 
     /**
-     * @param more whether there are bytes behind it, so that the stream is of no further use
+     * A response is whole.
+     *
+     * @param response the response
+     * @param hasTrailingBytes whether bytes follow it, so that the stream is of no further use
      */
-    void answered(ServerResponse answer, boolean more);
+    void responseReceived(ServerResponse response, boolean hasTrailingBytes);
 
-    /** An answer has begun to arrive, and the rest of it is still to come. */
-    void begun();
+    /** A response began, and its rest is still to come. */
+    void responseStarted();
 
-    /** Bytes that belong to no answer, or an answer that cannot be one: nothing of it counts. */
-    void spoilt(String why);
+    /**
+     * The stream is of no further use; nothing of the current response counts.
+     *
+     * @param reason what is wrong with the stream
+     */
+    void protocolError(String reason);
   }
 
   private final FrameDecoder frames = new FrameDecoder(false);
   private final Sink sink;
-  private ServerResponse answer = new ServerResponse();
-  private boolean started, spoilt, begun, welcomed;
-  private ServerResponse whole;
+  private ServerResponse response = new ServerResponse();
+  private boolean sessionStarted;
+  private boolean readyPending;
+  private boolean responseStarted;
+  private boolean broken;
+
+  /** The response that became whole in this call; null if none did. */
+  private ServerResponse complete;
 
-  /** Set by the thread that asks, taken back by the one that reads. */
-  private volatile boolean asked;
+  /** Set by the thread that writes requests, cleared by the one that feeds. */
+  private volatile boolean responseExpected;
 
+  /** Creates a decoder for one connection. */
   public ServerMessageDecoder(Sink sink) {
     this.sink = sink;
   }
 
-  /** Something is asked; called before it is written. */
-  public void ask() {
-    asked = true;
+  /** Allows one response; to be called before a request, or the startup message, is written. */
+  public void expectResponse() {
+    responseExpected = true;
   }
 
+  /** Decodes the next bytes of the stream; they are ignored once the stream is unusable. */
   public void feed(ByteBuffer in) {
-    if (spoilt || !in.hasRemaining()) {
+    if (broken || !in.hasRemaining()) {
       return;
     }
     try {
-      if (!asked) {
-        throw new ProtocolException("08P01", "bytes that nobody asked for");
+      if (!responseExpected) {
+        throw new ProtocolException(SqlState.PROTOCOL_VIOLATION, "bytes that nobody asked for");
       }
       frames.feed(in, this);
     } catch (ProtocolException e) {
-      spoilt = true;
-      // A good answer stays good, whatever comes behind it.
-      if (whole == null) {
-        sink.spoilt(e.getMessage());
+      broken = true;
+      // A whole response stays good, whatever follows it.
+      if (complete == null) {
+        sink.protocolError(e.getMessage());
       }
     }
-    spoilt |= !asked && frames.isWithin();
-    tell();
+    broken |= !responseExpected && frames.isInMessage();
+    notifySink();
   }
 
-  /** Told last, as it may be asked again in the same moment. */
-  private void tell() {
-    if (whole != null) {
-      ServerResponse done = whole;
-      whole = null;
-      begun = false;
-      sink.answered(done, spoilt);
-    } else if (welcomed) {
-      welcomed = false;
-      if (!spoilt) {
+  /** Comes last, as the sink may write the next request from within the call. */
+  private void notifySink() {
+    if (complete != null) {
+      ServerResponse received = complete;
+      complete = null;
+      responseStarted = false;
+      sink.responseReceived(received, broken);
+    } else if (readyPending) {
+      readyPending = false;
+      if (!broken) {
         sink.ready();
       }
-    } else if (started && !begun && !spoilt) {
-      begun = true;
-      sink.begun();
+    } else if (sessionStarted && !responseStarted && !broken) {
+      responseStarted = true;
+      sink.responseStarted();
     }
   }
 
-  /** What there is of an answer when the stream ends. */
-  public ServerResponse rest() {
-    return spoilt || frames.isWithin() ? new ServerResponse() : answer;
+  /** Returns what arrived of a response when the stream ends; empty if it cannot be used. */
+  public ServerResponse partialResponse() {
+    return broken || frames.isInMessage() ? new ServerResponse() : response;
   }
 
   @Override
-  public void head(byte type, int length) throws ProtocolException {
-    if (!asked) {
-      throw new ProtocolException("08P01", "bytes behind an answer");
+  public void header(byte type, int length) throws ProtocolException {
+    if (!responseExpected) {
+      throw new ProtocolException(SqlState.PROTOCOL_VIOLATION, "bytes behind an answer");
     }
-    ServerResponse.checkHead(type, length);
+    ServerResponse.checkHeader(type, length);
   }
 
   @Override
-  public void part(ByteBuffer soFar) throws ProtocolException {
-    if (soFar.get(0) == 'D' && soFar.position() >= ServerResponse.ROW_HEAD) {
+  public void partialMessage(ByteBuffer soFar) throws ProtocolException {
+    if (soFar.get(0) == 'D' && soFar.position() >= ServerResponse.ROW_HEADER_SIZE) {
       ServerResponse.checkRow(soFar, soFar.limit());
     }
   }
 
   @Override
   public void message(byte type, ByteBuffer message) throws ProtocolException {
-    if (!started && (type == 'R' || type == 'K' || type == 'S' || type == 'N')) {
+    if (!sessionStarted && (type == 'R' || type == 'K' || type == 'S' || type == 'N')) {
       return;
     }
-    if (!started && type == 'Z') {
-      started = true;
-      welcomed = true;
-      asked = false;
-    } else if (answer.take(type, message)) {
-      asked = false;
-      whole = answer;
-      answer = new ServerResponse();
+    if (!sessionStarted && type == 'Z') {
+      sessionStarted = true;
+      readyPending = true;
+      responseExpected = false;
+    } else if (response.add(type, message)) {
+      responseExpected = false;
+      complete = response;
+      response = new ServerResponse();
     }
   }
 }
--- a/gateway/src/main/java/weldcross/pgwire/ServerResponse.java
+++ b/gateway/src/main/java/weldcross/pgwire/ServerResponse.java
@@ -4,201 +4,230 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * What a server has said to one query so far; the messages that make up its row stay as they were
- * read.
+ * The response of a server to one query, as far as it has arrived. The messages of its row stay as
+ * they were read, and go to the client in that form.
  */
 public final class ServerResponse {
 
-  private ByteBuffer columns;
-  private ByteBuffer row;
-  private ByteBuffer complete;
-  private String state;
-  private Boolean primary;
-  private long position;
-  private String stats;
+  /** Size in bytes of what precedes a row's value: type, length, column count, value length. */
+  static final int ROW_HEADER_SIZE = 11;
 
-  /**
-   * Type, length, number of columns and length of the first: all that stands before a row's value.
-   */
-  static final int ROW_HEAD = 11;
+  private static final int HEADER_SIZE = FrameDecoder.bodyOffset((byte) 'T');
+  private static final int COLUMN_COUNT_OFFSET = HEADER_SIZE;
+  private static final int COLUMN_NAME_OFFSET = COLUMN_COUNT_OFFSET + Short.BYTES;
+  private static final int VALUE_LENGTH_OFFSET = COLUMN_COUNT_OFFSET + Short.BYTES;
+
+  /** Size in bytes of what follows a column's name in a row description. */
+  private static final int COLUMN_ATTRIBUTES_SIZE = 18;
 
-  /** What a message may have at most: only a row is long. */
-  private static final int LONGEST_TEXT = 4_096;
+  /** Largest length, in bytes, of messages other than rows. */
+  private static final int MAX_TEXT_LENGTH = 4_096;
 
-  private static final int COLUMN_TAIL = 18;
+  private static final int READY_LENGTH = 5;
+  private static final int SQL_STATE_LENGTH = 5;
+  private static final int MAX_POSITION_DIGITS = 15;
+
+  private ByteBuffer rowDescription;
+  private ByteBuffer row;
+  private ByteBuffer commandComplete;
+  private String sqlState;
+  private Boolean primary;
+  private long positionMillis;
+  private String loadReport;
+
+  /** Creates a response of which nothing has arrived. */
+  ServerResponse() {}
 
   /**
-   * Tells early what can be no answer: a length that does not fit would swallow all that follows.
+   * Rejects a header that no response has, as a wrong length would swallow all bytes that follow.
    */
-  static void checkHead(byte type, int length) throws ProtocolException {
-    boolean fits =
+  static void checkHeader(byte type, int length) throws ProtocolException {
+    boolean valid =
         switch (type) {
-          case 'D' -> length >= ROW_HEAD - 1;
-          case 'Z' -> length == 5;
-          case 'T', 'C', 'E', 'S', 'N', 'R', 'K' -> length <= LONGEST_TEXT;
+          case 'D' -> length >= ROW_HEADER_SIZE - 1;
+          case 'Z' -> length == READY_LENGTH;
+          case 'T', 'C', 'E', 'S', 'N', 'R', 'K' -> length <= MAX_TEXT_LENGTH;
           default -> false;
         };
-    if (!fits) {
-      throw new ProtocolException(
-          "08P01", "message of type " + type + " and length " + length + " from a server");
+    if (!valid) {
+      throw violation("message of type " + type + " and length " + length + " from a server");
     }
   }
 
-  /** One column, and its value fills the message. */
+  /** Rejects a row that is not of one column whose value fills the message. */
   static void checkRow(ByteBuffer message, int size) throws ProtocolException {
-    if (message.getShort(5) != 1 || message.getInt(7) != size - ROW_HEAD) {
-      throw new ProtocolException(
-          "08P01",
-          "row of "
-              + message.getShort(5)
-              + " columns with a value of "
-              + message.getInt(7)
-              + " bytes in "
-              + size);
+    short columns = message.getShort(COLUMN_COUNT_OFFSET);
+    int valueLength = message.getInt(VALUE_LENGTH_OFFSET);
+    if (columns != 1 || valueLength != size - ROW_HEADER_SIZE) {
+      throw violation(
+          "row of " + columns + " columns with a value of " + valueLength + " bytes in " + size);
     }
   }
 
-  /** Takes one message; true once the answer is whole, that is with ReadyForQuery. */
-  boolean take(byte type, ByteBuffer whole) throws ProtocolException {
+  /** Adds one message; returns true if the response is whole, that is with ReadyForQuery. */
+  boolean add(byte type, ByteBuffer message) throws ProtocolException {
     switch (type) {
       case 'T' -> {
-        inOrder(columns == null && state == null);
-        checkColumns(whole);
-        columns = whole;
+        requireOrder(rowDescription == null && sqlState == null);
+        checkRowDescription(message);
+        rowDescription = message;
       }
       case 'D' -> {
-        inOrder(columns != null && row == null && state == null);
-        checkRow(whole, whole.limit());
-        row = whole;
+        requireOrder(rowDescription != null && row == null && sqlState == null);
+        checkRow(message, message.limit());
+        row = message;
       }
       case 'C' -> {
-        inOrder(row != null && complete == null && state == null);
-        complete = whole;
+        requireOrder(row != null && commandComplete == null && sqlState == null);
+        commandComplete = message;
       }
       case 'E' -> {
-        inOrder(state == null);
-        state = field(whole, 'C');
+        requireOrder(sqlState == null);
+        sqlState = sqlState(message);
       }
-      case 'S' -> parameter(whole);
+      case 'S' -> readParameter(message);
       case 'N' -> {
-        // A notice says nothing that is read here.
+        // A notice has nothing that is read here.
       }
       case 'Z' -> {
-        inOrder(whole.get(5) == 'I' && (state != null || complete != null));
+        boolean ended = sqlState != null || commandComplete != null;
+        requireOrder(message.get(HEADER_SIZE) == 'I' && ended);
         return true;
       }
-      default ->
-          throw new ProtocolException("08P01", "message of type " + (char) type + " from a server");
+      default -> throw violation("message of type " + (char) type + " from a server");
     }
     return false;
   }
 
-  private static void inOrder(boolean is) throws ProtocolException {
-    if (!is) {
-      throw new ProtocolException("08P01", "message out of its order from a server");
+  private static void requireOrder(boolean inOrder) throws ProtocolException {
+    if (!inOrder) {
+      throw violation("message out of its order from a server");
     }
   }
 
-  private static void checkColumns(ByteBuffer whole) throws ProtocolException {
-    if (whole.limit() < 7
-        || whole.getShort(5) != 1
-        || end(whole, 7) + 1 + COLUMN_TAIL != whole.limit()) {
-      throw new ProtocolException("08P01", "no description of one column from a server");
+  private static void checkRowDescription(ByteBuffer message) throws ProtocolException {
+    if (message.limit() < COLUMN_NAME_OFFSET
+        || message.getShort(COLUMN_COUNT_OFFSET) != 1
+        || indexOfZero(message, COLUMN_NAME_OFFSET) + 1 + COLUMN_ATTRIBUTES_SIZE
+            != message.limit()) {
+      throw violation("no description of one column from a server");
     }
   }
 
-  /** Whether there is a whole row, ended as such a statement ends. */
-  public boolean isServed(String tag) {
-    return state == null
-        && complete != null
-        && (tag == null
-            || (complete.limit() == 6 + tag.length()
-                && text(complete, 5, complete.limit()).equals(tag + "\0")));
+  /**
+   * Returns whether the statement was carried out.
+   *
+   * @param commandTag the tag with which it must be completed; null for any
+   */
+  public boolean isComplete(String commandTag) {
+    if (sqlState != null || commandComplete == null) {
+      return false;
+    }
+    return commandTag == null
+        || (commandComplete.limit() == HEADER_SIZE + commandTag.length() + 1
+            && text(commandComplete, HEADER_SIZE, commandComplete.limit())
+                .equals(commandTag + "\0"));
   }
 
-  /** The row as its client gets it: untouched, then ready. */
-  public ByteBuffer[] forClient() {
-    return new ByteBuffer[] {columns, row, complete, MessageEncoder.ready()};
+  /**
+   * Returns the messages for the client: the row as it was read, then ReadyForQuery. To be called
+   * only if {@link #isComplete}.
+   */
+  public ByteBuffer[] toClientMessages() {
+    return new ByteBuffer[] {rowDescription, row, commandComplete, MessageEncoder.ready()};
   }
 
-  /** The SQLSTATE of an error; null where there was none. */
-  public String state() {
-    return state;
+  /** Returns the SQLSTATE of an error; null if there was none. */
+  public String sqlState() {
+    return sqlState;
   }
 
-  /** Null where the server said nothing of its role. */
+  /** Returns whether the server is the primary; null if it did not say. */
   public Boolean primary() {
     return primary;
   }
 
-  /** Unix time in milliseconds; 0 where the server said none. */
+  /** Returns the server's position as Unix time in milliseconds; 0 if it sent none. */
   public long positionMillis() {
-    return position;
+    return positionMillis;
   }
 
-  /** The load report: beside a row, or as the row of a probe; null where there is none. */
-  public String stats() {
-    return stats;
+  /** Returns the load report that came beside the row; null if there was none. */
+  public String loadReport() {
+    return loadReport;
   }
 
-  /** The one value of the row as text, for what a gateway itself has asked. */
+  /** Returns the value of the row as text; empty if there is no row. */
   public String rowText() {
-    int length = row == null || row.limit() < 11 ? -1 : row.getInt(7);
-    return length < 0 || 11 + length > row.limit() ? "" : text(row, 11, 11 + length);
+    int length =
+        row == null || row.limit() < ROW_HEADER_SIZE ? -1 : row.getInt(VALUE_LENGTH_OFFSET);
+    return length < 0 || ROW_HEADER_SIZE + length > row.limit()
+        ? ""
+        : text(row, ROW_HEADER_SIZE, ROW_HEADER_SIZE + length);
   }
 
-  /** One that cannot be read says nothing, and spoils nothing: the answer beside it may be good. */
-  private void parameter(ByteBuffer whole) {
-    String[] words = text(whole, FrameDecoder.body((byte) 'S'), whole.limit()).split("\0", -1);
-    if (words.length != 3 || !words[2].isEmpty()) {
+  /** Ignores a parameter that cannot be read: the row beside it may be good. */
+  private void readParameter(ByteBuffer message) {
+    String[] fields = text(message, HEADER_SIZE, message.limit()).split("\0", -1);
+    if (fields.length != 3 || !fields[2].isEmpty()) {
       return;
     }
-    switch (words[0]) {
-      case "mode" ->
-          primary =
-              words[1].equals("read-write")
-                  ? Boolean.TRUE
-                  : words[1].equals("read-only") ? Boolean.FALSE : primary;
-      case "wal_time" -> position = isNumber(words[1]) ? Long.parseLong(words[1]) : position;
-      case "stats" -> stats = words[1];
+    String value = fields[1];
+    switch (fields[0]) {
+      case "mode" -> readMode(value);
+      case "wal_time" -> positionMillis = isNumber(value) ? Long.parseLong(value) : positionMillis;
+      case "stats" -> loadReport = value;
       default -> {
         // Parameters of the session itself; nothing here depends on them.
       }
     }
   }
 
+  private void readMode(String mode) {
+    if (mode.equals("read-write")) {
+      primary = Boolean.TRUE;
+    } else if (mode.equals("read-only")) {
+      primary = Boolean.FALSE;
+    }
+  }
+
   private static boolean isNumber(String text) {
     return !text.isEmpty()
-        && text.length() < 16
+        && text.length() <= MAX_POSITION_DIGITS
         && text.chars().allMatch(c -> c >= '0' && c <= '9');
   }
 
-  private static String field(ByteBuffer whole, char wanted) throws ProtocolException {
-    int at = FrameDecoder.body((byte) 'E');
-    String found = "";
-    while (at < whole.limit() && whole.get(at) != 0) {
-      int end = end(whole, at + 1);
-      found = whole.get(at) == wanted ? text(whole, at + 1, end) : found;
+  /** Returns the code field of an error; throws if there is none. */
+  private static String sqlState(ByteBuffer error) throws ProtocolException {
+    int at = HEADER_SIZE;
+    String code = "";
+    while (at < error.limit() && error.get(at) != 0) {
+      int end = indexOfZero(error, at + 1);
+      code = error.get(at) == 'C' ? text(error, at + 1, end) : code;
       at = end + 1;
     }
-    if (found.length() != 5 || at != whole.limit() - 1) {
-      throw new ProtocolException("08P01", "no error with a code from a server");
+    if (code.length() != SQL_STATE_LENGTH || at != error.limit() - 1) {
+      throw violation("no error with a code from a server");
     }
-    return found;
+    return code;
   }
 
-  private static int end(ByteBuffer whole, int from) throws ProtocolException {
-    for (int at = from; at < whole.limit(); at++) {
-      if (whole.get(at) == 0) {
+  private static int indexOfZero(ByteBuffer message, int from) throws ProtocolException {
+    for (int at = from; at < message.limit(); at++) {
+      if (message.get(at) == 0) {
         return at;
       }
     }
-    throw new ProtocolException("08P01", "text without an end from a server");
+    throw violation("text without an end from a server");
   }
 
-  private static String text(ByteBuffer whole, int from, int to) {
+  private static String text(ByteBuffer message, int from, int to) {
     byte[] bytes = new byte[to - from];
-    whole.get(from, bytes);
+    message.get(from, bytes);
     return new String(bytes, StandardCharsets.UTF_8);
   }
+
+  private static ProtocolException violation(String message) {
+    return new ProtocolException(SqlState.PROTOCOL_VIOLATION, message);
+  }
 }
--- a/gateway/src/main/java/weldcross/pgwire/Statement.java
+++ b/gateway/src/main/java/weldcross/pgwire/Statement.java
@@ -4,8 +4,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One RPC as its client wrote it: a read or write of one key with a comment that says the rest.
- * Only the head's fields become text; the value stays where it was read, and goes out from there.
+ * A statement as its client wrote it: a read or write of one key, with a comment that has the
+ * request's metadata. Only the key and the comment's fields become text; the value stays in the
+ * buffer in which it was read and is sent on from there.
  */
 public final class Statement {
 
@@ -15,224 +16,263 @@
   private static final byte[] VALUE = ascii("', '\\x");
   private static final byte[] WRITE_END = ascii("') RETURNING content /* ");
   private static final byte[] END = ascii(" */\0");
+  private static final int HEADER_SIZE = FrameDecoder.bodyOffset((byte) 'Q');
+  private static final int HEX = 16;
 
-  private final ByteBuffer whole;
+  private final ByteBuffer message;
+
+  /** Index of the next byte to parse. */
   private int at;
-  private int waitFrom;
-  private int waitTo;
+
+  private int timeoutStart;
+  private int timeoutEnd;
   private boolean write;
   private String key;
   private String id;
-  private String method;
+  private String requestClass;
   private String tenant;
-  private String repeat;
+  private String retry;
   private int group;
-  private long waitMillis;
-  private long afterMillis;
+  private long timeoutMillis;
+  private long lastWriteMillis;
 
-  private Statement(ByteBuffer whole, int at) {
-    this.whole = whole;
-    this.at = at;
+  private Statement(ByteBuffer message) {
+    this.message = message;
+    this.at = HEADER_SIZE;
   }
 
   /**
-   * Whether a query's message holds no statement at all, by which a gateway is asked if it is
-   * ready.
+   * Returns whether a query has no statement; clients send such to ask whether a gateway serves.
    */
   public static boolean isEmpty(ByteBuffer query) {
-    return query.limit() == FrameDecoder.body((byte) 'Q') + 1;
+    return query.limit() == HEADER_SIZE + 1;
   }
 
   /**
-   * @param query the whole message, whose body starts at {@link FrameReader#body}
+   * Parses a query.
+   *
+   * @param query the whole message, whose body starts at {@link FrameDecoder#bodyOffset}; must not
+   *     change afterwards
+   * @throws ProtocolException if the query is not of one of the two forms served, or its comment
+   *     lacks a field
    */
   public static Statement read(ByteBuffer query) throws ProtocolException {
-    Statement s = new Statement(query, FrameDecoder.body((byte) 'Q'));
-    s.write = !s.skip(READ);
-    if (s.write && !s.skip(WRITE)) {
-      throw new ProtocolException("42601", "neither of the two statements served here");
-    }
-    s.key = s.upTo('\'');
-    if (s.write) {
-      s.expect(VALUE);
-      s.hex();
-      s.expect(WRITE_END);
-    } else {
-      s.expect(READ_END);
-    }
-    s.comment();
-    s.expect(END);
-    if (s.at != query.limit()) {
-      throw new ProtocolException("42601", "text after the statement");
-    }
-    return s;
+    Statement statement = new Statement(query);
+    statement.parse();
+    return statement;
   }
 
+  /** Returns whether this writes its key; else it reads it. */
   public boolean isWrite() {
     return write;
   }
 
-  /** How a server completes it. */
-  public String tag() {
+  /** Returns the tag with which a server completes this. */
+  public String commandTag() {
     return write ? "INSERT 0 1" : "SELECT 1";
   }
 
+  /** Returns the key that is read or written. */
   public String key() {
     return key;
   }
 
+  /** Returns the client's identifier of the request; a retry has that of the first attempt. */
   public String id() {
     return id;
   }
 
-  public String method() {
-    return method;
+  /** Returns the name of the request class. */
+  public String requestClass() {
+    return requestClass;
   }
 
-  /** Null where the client names none. */
+  /** Returns the tenant; null if the client names none. */
   public String tenant() {
     return tenant;
   }
 
+  /** Returns the number of the group of servers that has the key. */
   public int group() {
     return group;
   }
 
-  /** Milliseconds from the client's send for which it waits. */
-  public long waitMillis() {
-    return waitMillis;
+  /** Returns how long the client waits for an answer, in milliseconds from its send. */
+  public long timeoutMillis() {
+    return timeoutMillis;
   }
 
-  /** Unix time in milliseconds of the session's last commit; 0 where the client names none. */
-  public long afterMillis() {
-    return afterMillis;
+  /** Returns the Unix time in milliseconds of the session's last write; 0 if it names none. */
+  public long lastWriteMillis() {
+    return lastWriteMillis;
   }
 
-  public boolean isRepeat() {
-    return "1".equals(repeat);
+  /** Returns whether the client sent this before. */
+  public boolean isRetry() {
+    return "1".equals(retry);
   }
 
-  /** The message with another wait, all else untouched: heads written anew, the rest in place. */
-  public ByteBuffer[] withWait(long millis) {
+  /** Returns the message with another timeout: a new header and number, the rest in place. */
+  public ByteBuffer[] withTimeout(long millis) {
     byte[] digits = ascii(Long.toString(millis));
-    int length = whole.limit() - 1 - (waitTo - waitFrom) + digits.length;
-    ByteBuffer head = ByteBuffer.allocate(5).put((byte) 'Q').putInt(length).flip();
+    int length = message.limit() - 1 - (timeoutEnd - timeoutStart) + digits.length;
+    ByteBuffer header = ByteBuffer.allocate(HEADER_SIZE).put((byte) 'Q').putInt(length).flip();
     return new ByteBuffer[] {
-      head,
-      whole.slice(5, waitFrom - 5),
+      header,
+      message.slice(HEADER_SIZE, timeoutStart - HEADER_SIZE),
       ByteBuffer.wrap(digits),
-      whole.slice(waitTo, whole.limit() - waitTo)
+      message.slice(timeoutEnd, message.limit() - timeoutEnd)
     };
   }
 
-  private void comment() throws ProtocolException {
-    String cluster = null;
-    String wait = null;
-    String after = null;
-    while (true) {
-      String name = upTo('=');
-      int from = at;
-      while (at < whole.limit() && isPlain(whole.get(at))) {
+  private void parse() throws ProtocolException {
+    write = !skip(READ);
+    if (write && !skip(WRITE)) {
+      throw syntaxError("neither of the two statements served here");
+    }
+    key = plainTextUntil('\'');
+    if (write) {
+      expect(VALUE);
+      skipHexValue();
+      expect(WRITE_END);
+    } else {
+      expect(READ_END);
+    }
+    parseComment();
+    expect(END);
+    if (at != message.limit()) {
+      throw syntaxError("text after the statement");
+    }
+  }
+
+  private void parseComment() throws ProtocolException {
+    String groupDigits = null;
+    String timeoutDigits = null;
+    String lastWriteDigits = null;
+    do {
+      String name = plainTextUntil('=');
+      at++;
+      int start = at;
+      while (at < message.limit() && isPlain(message.get(at))) {
         at++;
       }
-      String value = text(from, at);
+      String value = text(start, at);
       switch (name) {
         case "id" -> id = once(name, id, value);
-        case "c" -> method = once(name, method, value);
+        case "c" -> requestClass = once(name, requestClass, value);
         case "t" -> tenant = once(name, tenant, value);
-        case "cluster" -> cluster = once(name, cluster, value);
-        case "after" -> after = once(name, after, value);
-        case "r" -> repeat = once(name, repeat, value);
+        case "cluster" -> groupDigits = once(name, groupDigits, value);
+        case "after" -> lastWriteDigits = once(name, lastWriteDigits, value);
+        case "r" -> retry = once(name, retry, value);
         case "d" -> {
-          wait = once(name, wait, value);
-          waitFrom = from;
-          waitTo = at;
+          timeoutDigits = once(name, timeoutDigits, value);
+          timeoutStart = start;
+          timeoutEnd = at;
         }
         default -> {
-          // Goes on to the server as it is, like the rest of the comment.
+          // Sent on to the server unread, like the rest of the comment.
         }
       }
-      if (at >= whole.limit() || whole.get(at) != ',') {
-        break;
-      }
-      at++;
+    } while (skipComma());
+    if (id == null || id.isEmpty() || requestClass == null) {
+      throw invalidParameter("the comment must name id and c");
     }
-    if (id == null || id.isEmpty() || method == null) {
-      throw new ProtocolException("22023", "the comment must name id and c");
+    group = (int) number("cluster", groupDigits, Integer.MAX_VALUE);
+    timeoutMillis = number("d", timeoutDigits, Integer.MAX_VALUE);
+    lastWriteMillis =
+        lastWriteDigits == null || lastWriteDigits.isEmpty()
+            ? 0
+            : number("after", lastWriteDigits, Long.MAX_VALUE);
+  }
+
+  private boolean skipComma() {
+    if (at >= message.limit() || message.get(at) != ',') {
+      return false;
     }
-    group = (int) number("cluster", cluster, Integer.MAX_VALUE);
-    waitMillis = number("d", wait, Integer.MAX_VALUE);
-    afterMillis = after == null || after.isEmpty() ? 0 : number("after", after, Long.MAX_VALUE);
+    at++;
+    return true;
   }
 
   private static String once(String name, String before, String value) throws ProtocolException {
     if (before != null) {
-      throw new ProtocolException("22023", name + " stands twice in the comment");
+      throw invalidParameter(name + " stands twice in the comment");
     }
     return value;
   }
 
-  private static long number(String name, String digits, long most) throws ProtocolException {
+  private static long number(String name, String digits, long max) throws ProtocolException {
     try {
       long value = digits == null ? -1 : Long.parseLong(digits);
-      if (value >= 0 && value <= most) {
+      if (value >= 0 && value <= max) {
         return value;
       }
     } catch (NumberFormatException e) {
-      // Told below like all else that is no such number.
+      // Reported below, like a number out of range.
     }
-    throw new ProtocolException("22023", name + " must be a whole number");
+    throw invalidParameter(name + " must be a whole number");
   }
 
-  private void hex() throws ProtocolException {
-    int from = at;
-    while (at < whole.limit() && Character.digit(whole.get(at), 16) >= 0) {
+  private void skipHexValue() throws ProtocolException {
+    int start = at;
+    while (at < message.limit() && Character.digit(message.get(at), HEX) >= 0) {
       at++;
     }
-    if ((at - from) % 2 != 0) {
-      throw new ProtocolException("22023", "the value must be whole bytes in hex");
+    if ((at - start) % 2 != 0) {
+      throw invalidParameter("the value must be whole bytes in hex");
     }
   }
 
-  private String upTo(char end) throws ProtocolException {
-    int from = at;
-    while (at < whole.limit() && isPlain(whole.get(at)) && whole.get(at) != end) {
+  /** Returns the text before the next {@code end}, at which parsing goes on. */
+  private String plainTextUntil(char end) throws ProtocolException {
+    int start = at;
+    while (at < message.limit() && isPlain(message.get(at)) && message.get(at) != end) {
       at++;
     }
-    if (at == from || at >= whole.limit() || whole.get(at) != end) {
-      throw new ProtocolException("42601", "a name ended by " + end + " was expected");
+    if (at == start || at >= message.limit() || message.get(at) != end) {
+      throw syntaxError("a name ended by " + end + " was expected");
     }
-    String text = text(from, at);
-    at += end == '=' ? 1 : 0;
-    return text;
+    return text(start, at);
   }
 
-  /** What a name or value may be made of: nothing that could end it, escape it or split it. */
-  private static boolean isPlain(byte b) {
-    return b > ' ' && b < 127 && b != '\'' && b != '\\' && b != ',' && b != '*';
+  /** Returns whether a name or value may have this byte: nothing that ends, escapes or splits. */
+  private static boolean isPlain(byte value) {
+    return value > ' '
+        && value < 127
+        && value != '\''
+        && value != '\\'
+        && value != ','
+        && value != '*';
   }
 
   private String text(int from, int to) {
     byte[] bytes = new byte[to - from];
-    whole.get(from, bytes);
+    message.get(from, bytes);
     return new String(bytes, StandardCharsets.US_ASCII);
   }
 
   private void expect(byte[] literal) throws ProtocolException {
     if (!skip(literal)) {
-      throw new ProtocolException("42601", "not a statement served here");
+      throw syntaxError("not a statement served here");
     }
   }
 
   private boolean skip(byte[] literal) {
-    if (whole.limit() - at < literal.length
-        || !whole.slice(at, literal.length).equals(ByteBuffer.wrap(literal))) {
+    if (message.limit() - at < literal.length
+        || !message.slice(at, literal.length).equals(ByteBuffer.wrap(literal))) {
       return false;
     }
     at += literal.length;
     return true;
   }
 
+  private static ProtocolException syntaxError(String message) {
+    return new ProtocolException(SqlState.SYNTAX_ERROR, message);
+  }
+
+  private static ProtocolException invalidParameter(String message) {
+    return new ProtocolException(SqlState.INVALID_PARAMETER_VALUE, message);
+  }
+
   private static byte[] ascii(String text) {
     return text.getBytes(StandardCharsets.US_ASCII);
   }
--- a/gateway/src/test/java/weldcross/connections/CancellableConnectorTest.java
+++ b/gateway/src/test/java/weldcross/connections/CancellableConnectorTest.java
@@ -24,24 +24,23 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Dials over loopback sockets, given up in the instants in which something is owed to the next
- * ones.
+ * Attempts over loopback sockets that are cancelled at the moments at which MINA miscounts them.
  */
 @Timeout(60)
 class CancellableConnectorTest {
 
-  private final NioSocketConnector connector = new NioSocketConnector(1);
-  private final CancellableConnector dials = new CancellableConnector(connector);
-  private final LinkedBlockingQueue<IoSession> up = new LinkedBlockingQueue<>();
+  private final NioSocketConnector minaConnector = new NioSocketConnector(1);
+  private final CancellableConnector connector = new CancellableConnector(minaConnector);
+  private final LinkedBlockingQueue<IoSession> connected = new LinkedBlockingQueue<>();
   private final LinkedBlockingQueue<Throwable> failed = new LinkedBlockingQueue<>();
   private ServerSocket server;
-  private InetSocketAddress at;
+  private InetSocketAddress address;
 
   @BeforeEach
   void listen() throws IOException {
-    connector.setHandler(new IoHandlerAdapter());
+    minaConnector.setHandler(new IoHandlerAdapter());
     server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-    at = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
+    address = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
     Thread accepting =
         new Thread(
             () -> {
@@ -60,81 +59,81 @@
   @AfterEach
   void end() throws IOException {
     server.close();
-    connector.dispose();
+    minaConnector.dispose();
   }
 
-  private void comesUpAndEnds(long number) throws InterruptedException {
-    dials.dial(number, at, up::add, failed::add);
-    endWhatIsUp("dial " + number);
+  private void connectAndClose(long number) throws InterruptedException {
+    connector.connect(number, address, connected::add, failed::add);
+    closeConnected("attempt " + number);
   }
 
-  private void endWhatIsUp(String which) throws InterruptedException {
-    IoSession session = up.poll(20, TimeUnit.SECONDS);
-    assertNotNull(session, which + " did not come up, failed " + failed);
+  private void closeConnected(String attempt) throws InterruptedException {
+    IoSession session = connected.poll(20, TimeUnit.SECONDS);
+    assertNotNull(session, attempt + " did not connect, failed " + failed);
     session.closeNow();
   }
 
   /**
-   * Found as gateways that stood still: counted off twice, the next dial was left by the dialling
-   * thread.
+   * An attempt that MINA counts off twice makes its thread leave the next one: the gateway stalls.
    */
   @Test
-  void dialGivenUpAsItComesUpLeavesNoOtherBehind() throws InterruptedException {
+  void cancelWhileConnectingSucceedsKeepsLaterAttemptsWorking() throws InterruptedException {
     for (long k = 1; k <= 20; k++) {
       long number = k;
-      dials.dial(
+      connector.connect(
           number,
-          at,
+          address,
           session -> {
-            assertFalse(dials.giveUp(number), "it is up");
-            up.add(session);
+            assertFalse(connector.cancel(number), "it is connected");
+            connected.add(session);
           },
           failed::add);
-      endWhatIsUp("dial " + k);
-      comesUpAndEnds(-k);
+      closeConnected("attempt " + k);
+      connectAndClose(-k);
     }
   }
 
-  /** Given up on its way, before the dialling thread has taken it up or after. */
+  /** Cancelled before or after its registration with the connector thread. */
   @Test
-  void dialsGivenUpAtOnceLeaveTheNextItsWay() throws InterruptedException {
-    List<IoSession> crossed = Collections.synchronizedList(new ArrayList<>());
+  void cancelAtOnceKeepsLaterAttemptsWorking() throws InterruptedException {
+    List<IoSession> cancelledButConnected = Collections.synchronizedList(new ArrayList<>());
     for (long k = 1; k <= 300; k++) {
-      dials.dial(k, at, crossed::add, failed::add);
-      dials.giveUp(k);
-      assertFalse(dials.giveUp(k), "once");
-      comesUpAndEnds(-k);
+      connector.connect(k, address, cancelledButConnected::add, failed::add);
+      connector.cancel(k);
+      assertFalse(connector.cancel(k), "cancelled already");
+      connectAndClose(-k);
     }
     assertEquals(List.of(), List.copyOf(failed));
-    assertEquals(0, dials.underWay());
-    synchronized (crossed) {
-      crossed.forEach(IoSession::closeNow);
+    assertEquals(0, connector.pendingCount());
+    synchronized (cancelledButConnected) {
+      cancelledButConnected.forEach(IoSession::closeNow);
     }
   }
 
-  /** What no server takes up stays under way until it is given up; others come up meanwhile. */
+  /** An attempt that nobody accepts stays pending until it is cancelled; others succeed. */
   @Test
-  void dialThatHangsHoldsUpNoOther() throws Exception {
+  void hangingAttemptDoesNotDelayOthers() throws Exception {
     List<Socket> queued = new ArrayList<>();
-    try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      InetSocketAddress there = new InetSocketAddress(deaf.getInetAddress(), deaf.getLocalPort());
+    try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      InetSocketAddress fullAddress =
+          new InetSocketAddress(full.getInetAddress(), full.getLocalPort());
       try {
         while (true) {
           Socket next = new Socket();
           queued.add(next);
-          next.connect(there, 200);
+          next.connect(fullAddress, 200);
         }
       } catch (IOException e) {
-        // Its queue is full.
+        // The backlog is full.
       }
-      dials.dial(1, there, up::add, failed::add);
+      connector.connect(1, fullAddress, connected::add, failed::add);
       for (long k = 2; k < 10; k++) {
-        comesUpAndEnds(k);
+        connectAndClose(k);
       }
-      assertEquals(1, dials.underWay());
-      assertTrue(dials.giveUp(1));
-      assertEquals(0, dials.underWay());
-      comesUpAndEnds(10);
+      assertEquals(1, connector.pendingCount());
+      assertTrue(connector.cancel(1));
+      assertEquals(0, connector.pendingCount());
+      connectAndClose(10);
       assertEquals(List.of(), List.copyOf(failed));
     } finally {
       for (Socket each : queued) {
@@ -144,10 +143,10 @@
   }
 
   @Test
-  void refusedDialIsToldAndCannotBeGivenUp() throws Exception {
+  void refusedAttemptIsReportedAndCannotBeCancelled() throws Exception {
     server.close();
-    dials.dial(1, at, up::add, failed::add);
+    connector.connect(1, address, connected::add, failed::add);
     assertNotNull(failed.poll(20, TimeUnit.SECONDS));
-    assertFalse(dials.giveUp(1));
+    assertFalse(connector.cancel(1));
   }
 }
--- a/gateway/src/test/java/weldcross/discovery/DiscoveryTest.java
+++ b/gateway/src/test/java/weldcross/discovery/DiscoveryTest.java
@@ -24,7 +24,7 @@
           + "\"flavor\":\"m2\",\"cell\":3,\"phase\":\"leaving\",\"size\":1.0,\"up_since_ms\":17}";
 
   @Test
-  void responsesReadTheSameInPiecesOfAnySize() throws HttpResponseDecoder.ProtocolException {
+  void responsesDecodeTheSameInPiecesOfAnySize() throws HttpResponseDecoder.ProtocolException {
     String stream =
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nServer: x\r\n\r\nhello"
             + "HTTP/1.1 100 Continue\r\n\r\n"
@@ -47,21 +47,21 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
       })
-  void whatIsNoResponseIsToldSo(String stream) {
+  void bytesThatAreNoResponseAreRejected(String stream) {
     assertThrows(HttpResponseDecoder.ProtocolException.class, () -> read(stream, null));
   }
 
   @Test
-  void lineWithoutAnEndIsNotKept() {
+  void lineWithoutEndIsRejected() {
     assertThrows(HttpResponseDecoder.ProtocolException.class, () -> read("H".repeat(10_000), null));
   }
 
   @Test
-  void entriesAreReadWithTheirZonesPlace() {
+  void entryIsReadWithZoneIndex() {
     DiscoveredEndpoint m = members(ENTRY).get(0);
     assertEquals(
         List.of("s-1", 1, 3, EndpointStatus.DRAINING, 17L),
-        List.of(m.id(), m.zone(), m.group(), m.condition(), m.upSinceMillis()));
+        List.of(m.id(), m.zone(), m.group(), m.status(), m.startedAtMillis()));
     assertEquals(6543, m.address().getPort());
     assertTrue(members().isEmpty());
   }
@@ -77,8 +77,8 @@
         "\"cell\":3|\"cell\":\"x\"|members.1.cell",
         "17|-1|members.1.up_since_ms"
       })
-  void oneFaultyEntrySpoilsTheList(String part, String instead, String key) {
-    String faulty = ENTRY.replace(part, instead == null ? "" : instead);
+  void invalidEntryRejectsWholeList(String part, String replacement, String key) {
+    String faulty = ENTRY.replace(part, replacement == null ? "" : replacement);
     InvalidConfigException fault =
         assertThrows(InvalidConfigException.class, () -> members(ENTRY, faulty));
     assertTrue(fault.getMessage().startsWith(key + ": found "), fault.getMessage());
@@ -95,19 +95,19 @@
    * An answer without a length is whole when its connection ends in order, and never after a reset.
    */
   @Test
-  void answerWithoutALengthEndsWithItsConnection() throws HttpResponseDecoder.ProtocolException {
+  void bodyWithoutLengthEndsWithConnection() throws HttpResponseDecoder.ProtocolException {
     List<String> got = new ArrayList<>();
-    HttpResponseDecoder reader =
+    HttpResponseDecoder decoder =
         new HttpResponseDecoder(
             (status, body) -> got.add(status + " " + new String(body, StandardCharsets.UTF_8)));
     for (String part :
         List.of("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n{\"rev", "ision\":4}")) {
-      reader.feed(ByteBuffer.wrap(part.getBytes(StandardCharsets.ISO_8859_1)));
+      decoder.feed(ByteBuffer.wrap(part.getBytes(StandardCharsets.ISO_8859_1)));
       assertTrue(got.isEmpty(), "nobody has said that it is whole");
     }
-    reader.ended();
+    decoder.endOfStream();
     assertEquals(List.of("200 {\"revision\":4}"), got);
-    reader.ended();
+    decoder.endOfStream();
     assertEquals(1, got.size());
     HttpResponseDecoder endless = new HttpResponseDecoder((status, body) -> got.add("endless"));
     endless.feed(ByteBuffer.wrap("HTTP/1.1 200 OK\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1)));
@@ -123,14 +123,14 @@
   private static List<String> read(String stream, SplittableRandom random)
       throws HttpResponseDecoder.ProtocolException {
     List<String> got = new ArrayList<>();
-    HttpResponseDecoder reader =
+    HttpResponseDecoder decoder =
         new HttpResponseDecoder(
             (status, body) -> got.add(status + " " + new String(body, StandardCharsets.UTF_8)));
     byte[] bytes = stream.getBytes(StandardCharsets.ISO_8859_1);
     for (int from = 0; from < bytes.length; ) {
       int size =
           random == null ? bytes.length : Math.min(bytes.length - from, 1 + random.nextInt(7));
-      reader.feed(ByteBuffer.wrap(bytes, from, size));
+      decoder.feed(ByteBuffer.wrap(bytes, from, size));
       from += size;
     }
     return got;
--- a/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
@@ -358,7 +358,7 @@
       List<Socket> fill = fillUp(to);
       // Nobody accepts and the queue is full: these stay on their way.
       for (int k = 0; k < 40; k++) {
-        transport.dialServer(-1_000 - k, to);
+        transport.connectToServer(-1_000 - k, to);
       }
       int kept = 0;
       List<Socket> clients = new ArrayList<>();
@@ -382,7 +382,7 @@
         each.close();
       }
       for (int k = 0; k < 40; k++) {
-        transport.drop(-1_000 - k);
+        transport.closeNow(-1_000 - k);
       }
     }
   }
--- a/gateway/src/test/java/weldcross/gateway/DiscoveryWatcherTest.java
+++ b/gateway/src/test/java/weldcross/gateway/DiscoveryWatcherTest.java
@@ -249,7 +249,7 @@
         w.wait(1 + random.nextInt(100));
         discoverySpeaks();
       }
-      held += w.list().stands() ? 0 : 1;
+      held += w.list().isListValid() ? 0 : 1;
     }
 
     List<Long> open() {
@@ -261,7 +261,7 @@
 
     void cut(long link) {
       w.wires.get(link).dropped = true;
-      w.tell(g -> g.discovery().gone(link));
+      w.tell(g -> g.discovery().closed(link));
     }
 
     /**
@@ -282,7 +282,7 @@
         }
         if (!wire.open) {
           wire.open = true;
-          w.tell(g -> g.discovery().up(link));
+          w.tell(g -> g.discovery().connected(link));
         }
         for (Matcher m = ASKED.matcher(wire.received);
             !agent.silent && !wire.dropped && m.matches();
@@ -291,7 +291,7 @@
           if (wire.answeredAt == null && agent.busy && random.nextInt(4) > 0) {
             refused++;
             wire.take();
-            w.tell(g -> g.discovery().answered(link, 503, new byte[0]));
+            w.tell(g -> g.discovery().responseReceived(link, 503, new byte[0]));
             break;
           }
           wire.answeredAt = wire.answeredAt == null ? w.now : wire.answeredAt;
@@ -319,7 +319,9 @@
           for (int r = 2; r <= agent.has(); r++) {
             told.merge(r, now(), (a, b) -> a.compareTo(b) < 0 ? a : b);
           }
-          w.tell(g -> g.discovery().answered(link, 200, text.getBytes(StandardCharsets.UTF_8)));
+          w.tell(
+              g ->
+                  g.discovery().responseReceived(link, 200, text.getBytes(StandardCharsets.UTF_8)));
         }
       }
     }
@@ -368,9 +370,9 @@
 
   private static void refuse(World w) {
     long link = w.discovery;
-    w.tell(g -> g.discovery().up(link));
+    w.tell(g -> g.discovery().connected(link));
     w.wires.get(link).take();
-    w.tell(g -> g.discovery().answered(link, 503, new byte[0]));
+    w.tell(g -> g.discovery().responseReceived(link, 503, new byte[0]));
   }
 
   /**
@@ -389,7 +391,7 @@
     while (w.wires.get(w.discovery).dropped) {
       w.wait(10);
     }
-    w.tell(g -> g.discovery().up(w.discovery));
+    w.tell(g -> g.discovery().connected(w.discovery));
     w.nothingNew();
     assertServes(w, true);
   }
@@ -404,11 +406,11 @@
     for (int ms = 0; ms < 10_000; ms += 10) {
       if (w.discovery != before) {
         before = w.discovery;
-        w.tell(g -> g.discovery().up(w.discovery));
+        w.tell(g -> g.discovery().connected(w.discovery));
         String call = w.wires.get(before).take();
         assertTrue(asked++ == 0 || call.contains("?since=1&timeout_ms=1 "), call);
         long link = before;
-        w.tell(g -> g.discovery().answered(link, 503, new byte[0]));
+        w.tell(g -> g.discovery().responseReceived(link, 503, new byte[0]));
       }
       w.wait(10);
     }
@@ -420,7 +422,7 @@
   void callThatWaitsInLineIsNotGivenUp() {
     World w = new World(ON_REQUEST);
     long link = w.discovery;
-    w.tell(g -> g.discovery().up(link));
+    w.tell(g -> g.discovery().connected(link));
     w.wait(2_500);
     assertEquals(link, w.discovery);
     w.nothingNew();
--- a/gateway/src/test/java/weldcross/gateway/GatewayTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayTest.java
@@ -121,7 +121,7 @@
     static World listed(String... changes) {
       World w = new World(changes);
       w.talking = true;
-      w.tell(g -> g.discovery().up(w.discovery));
+      w.tell(g -> g.discovery().connected(w.discovery));
       w.nothingNew();
       return w;
     }
@@ -146,7 +146,7 @@
           "{\"revision\":1,\"complete\":false,\"members\":[]}".getBytes(StandardCharsets.UTF_8);
       wires.get(discovery).take();
       talkedAt = now;
-      tell(g -> g.discovery().answered(discovery, 200, text));
+      tell(g -> g.discovery().responseReceived(discovery, 200, text));
     }
 
     void wait(int millis) {
@@ -166,7 +166,7 @@
         Wire wire = wires.get(discovery);
         if (!wire.open && !wire.dropped) {
           wire.open = true;
-          tell(g -> g.discovery().up(discovery));
+          tell(g -> g.discovery().connected(discovery));
         }
         wait(10);
       }
@@ -338,7 +338,7 @@
         outOn.get(id).remove(link);
       }
       wire.open = false;
-      tell(g -> g.serverConnections().gone(link, wire.reader.rest()));
+      tell(g -> g.serverConnections().closed(link, wire.reader.partialResponse()));
       flush();
     }
 
@@ -377,7 +377,7 @@
     }
 
     @Override
-    public void greetItself() {
+    public void warmUp() {
       gateway.soon(gateway::warmed);
     }
 
@@ -387,12 +387,12 @@
     }
 
     @Override
-    public void joinPeers(InetSocketAddress at) {
+    public void listenForGossip(InetSocketAddress at) {
       told.add("join " + at.getPort());
     }
 
     @Override
-    public void dialServer(long link, InetSocketAddress to) {
+    public void connectToServer(long link, InetSocketAddress to) {
       Wire wire = new Wire();
       wire.server = "s-" + (to.getPort() - 7000);
       wires.put(link, wire);
@@ -401,7 +401,7 @@
         gateway.soon(
             () -> {
               wire.open = true;
-              gateway.serverConnections().up(link);
+              gateway.serverConnections().connected(link);
             });
       }
     }
@@ -409,7 +409,7 @@
     final Set<String> silent = new HashSet<>();
 
     @Override
-    public void dialDiscovery(long link, InetSocketAddress to) {
+    public void connectToDiscovery(long link, InetSocketAddress to) {
       discovery = link;
       wires.put(link, new Wire());
       wires.get(link).port = to.getPort();
@@ -438,10 +438,10 @@
       if (connection > 0 || wire.port != 0) {
         wire.received.append(text);
       } else if (text.startsWith("Q")) {
-        wire.reader.ask();
+        wire.reader.expectResponse();
         sent(connection, wire, text.substring(5));
       } else {
-        wire.reader.ask();
+        wire.reader.expectResponse();
         wire.reader.feed(ByteBuffer.wrap(message('Z', "I")));
       }
       return atOnce;
@@ -506,19 +506,19 @@
     final Set<String> writes = new HashSet<>();
 
     @Override
-    public void read(long connection, boolean on) {
+    public void setReading(long connection, boolean on) {
       told.add((on ? "read " : "hold ") + connection);
     }
 
     @Override
-    public void hear(long connection) {
+    public void afterPendingReads(long connection) {
       if (!behind) {
         gateway.soon(() -> gateway.heard(connection));
       }
     }
 
     @Override
-    public void part(long connection, int messages) {
+    public void closeIfQuiet(long connection, int messages) {
       parting.put(connection, messages);
       if (!behind) {
         gateway.soon(this::partNow);
@@ -538,7 +538,9 @@
           (number, messages) -> {
             Wire wire = wires.get(number);
             boolean quiet =
-                !wire.open || (wire.fromClient.told() <= messages && !wire.fromClient.isWithin());
+                !wire.open
+                    || (wire.fromClient.messageCount() <= messages
+                        && !wire.fromClient.isInMessage());
             wire.open &= !quiet;
             wire.dropped |= quiet;
             gateway.soon(
@@ -567,7 +569,7 @@
     final Set<Long> ended = new HashSet<>();
 
     @Override
-    public void drop(long connection) {
+    public void closeNow(long connection) {
       ended.add(connection);
       Wire wire = wires.get(connection);
       if (wire == null) {
@@ -583,13 +585,13 @@
     }
 
     @Override
-    public void finish(long connection) {
+    public void closeGracefully(long connection) {
       wires.get(connection).open = false;
       told.add("finish " + connection);
     }
 
     @Override
-    public void tellPeers(InetSocketAddress to, byte[] message) {
+    public void sendGossip(InetSocketAddress to, byte[] message) {
       told.add("tell " + to.getPort() + " " + new String(message, StandardCharsets.UTF_8));
     }
 
@@ -669,7 +671,7 @@
     w.say(client, MessageEncoder.query(""));
     assertTrue(w.wires.get(client).take().contains("C57P03"));
     assertEquals(Gateway.Phase.LISTENING, w.gateway.phase());
-    w.tell(g -> g.discovery().up(w.discovery));
+    w.tell(g -> g.discovery().connected(w.discovery));
     assertTrue(w.wires.get(w.discovery).take().startsWith("GET /catalog/members HTTP/1.1\r\n"));
     list(w, 41, true, "active");
     w.say(client, MessageEncoder.query(""));
@@ -690,16 +692,16 @@
     assertFalse(first == w.discovery, "dialled again after silence");
     long second = w.discovery;
     byte[] nonsense = "{\"revision\":".getBytes(StandardCharsets.UTF_8);
-    w.tell(g -> g.discovery().answered(second, 200, nonsense));
+    w.tell(g -> g.discovery().responseReceived(second, 200, nonsense));
     assertTrue(w.wires.get(second).dropped);
     w.wait(300);
     long third = w.discovery;
-    w.tell(g -> g.discovery().up(third));
-    w.tell(g -> g.discovery().answered(third, 503, nonsense));
+    w.tell(g -> g.discovery().connected(third));
+    w.tell(g -> g.discovery().responseReceived(third, 503, nonsense));
     w.wait(300);
     long fourth = w.discovery;
-    w.tell(g -> g.discovery().up(fourth));
-    w.tell(g -> g.discovery().answered(fourth, 200, "{}".getBytes(StandardCharsets.UTF_8)));
+    w.tell(g -> g.discovery().connected(fourth));
+    w.tell(g -> g.discovery().responseReceived(fourth, 200, "{}".getBytes(StandardCharsets.UTF_8)));
     assertTrue(w.wires.get(fourth).dropped, "an object without a list in it");
     String id = w.ask(w.connect(), true, 500);
     w.answer(on(w, id), null);
@@ -709,12 +711,12 @@
   @Test
   void discoveryThatClosesAfterEachAnswerIsWatchedOnFromWhereItWas() {
     World w = World.serving();
-    w.tell(g -> g.discovery().up(w.discovery));
+    w.tell(g -> g.discovery().connected(w.discovery));
     list(w, 41, true, "active");
     long before = w.discovery;
-    w.tell(g -> g.discovery().gone(before));
+    w.tell(g -> g.discovery().closed(before));
     assertFalse(before == w.discovery, "dialled again in the same moment");
-    w.tell(g -> g.discovery().up(w.discovery));
+    w.tell(g -> g.discovery().connected(w.discovery));
     assertTrue(w.wires.get(w.discovery).take().contains("?since=41&"));
   }
 
@@ -722,14 +724,14 @@
   void newAddressOfDiscoveryTakesOverWithItsFirstList() {
     World w = World.serving();
     long old = w.discovery;
-    w.tell(g -> g.discovery().up(old));
+    w.tell(g -> g.discovery().connected(old));
     list(w, 41, true, "active");
     w.reload(2);
     long first = w.discovery;
     w.reload(3);
     long second = w.discovery;
     assertTrue(w.wires.get(first).dropped, "told of two moves in quick succession");
-    w.tell(g -> g.discovery().up(second));
+    w.tell(g -> g.discovery().connected(second));
     assertTrue(
         w.wires.get(second).take().startsWith("GET /catalog/members HTTP"),
         "all of it, lest a " + "change be missed");
@@ -740,7 +742,7 @@
     list(w, 42, true, "leaving");
     assertTrue(w.wires.get(old).dropped);
     assertTrue(w.wires.get(second).take().contains("?since=42&"));
-    w.tell(g -> g.discovery().gone(old));
+    w.tell(g -> g.discovery().closed(old));
     assertEquals(second, w.discovery, "nothing is asked for at the old address");
   }
 
@@ -748,19 +750,19 @@
   void addressOfDiscoveryThatClosesBeforeTheNewOneTellsIsLeft() {
     World w = World.serving();
     long old = w.discovery;
-    w.tell(g -> g.discovery().up(old));
+    w.tell(g -> g.discovery().connected(old));
     list(w, 41, true, "active");
     w.reload(2);
     long next = w.discovery;
-    w.tell(g -> g.discovery().gone(old));
+    w.tell(g -> g.discovery().closed(old));
     w.wait(1300);
     assertFalse(w.discovery == next, "the new one is silent and dialled again");
-    w.tell(g -> g.discovery().up(w.discovery));
+    w.tell(g -> g.discovery().connected(w.discovery));
     list(w, 43, true, "active");
     w.reload(2);
     w.reload(1);
     long back = w.discovery;
-    w.tell(g -> g.discovery().up(back));
+    w.tell(g -> g.discovery().connected(back));
     list(w, 44, true, "active");
     assertTrue(w.wires.get(back).take().contains("?since=44&"));
     w.reload(1);
@@ -786,7 +788,7 @@
     w.say(client, MessageEncoder.query(""));
     assertTrue(w.wires.get(client).take().contains("C57P03"), "it is not ready");
     w.wait(100);
-    w.tell(g -> g.discovery().up(w.discovery));
+    w.tell(g -> g.discovery().connected(w.discovery));
     list(w, 2, false, "leaving");
     for (int k = 0; k < 20; k++) {
       w.asked().forEach(l -> w.answer(l, null));
@@ -813,7 +815,7 @@
     assertFalse(w.outOn.containsKey(id));
     w.wait(400);
     assertEquals("53300", w.answers.get(id));
-    w.tell(g -> g.discovery().up(w.discovery));
+    w.tell(g -> g.discovery().connected(w.discovery));
     list(w, 3, true, "leaving");
     w.wait(100);
     w.answerProbes();
@@ -829,9 +831,9 @@
     World w = World.serving();
     w.talking = false;
     w.wait(4_000);
-    assertTrue(w.list().stands());
+    assertTrue(w.list().isListValid());
     w.wait(600);
-    assertFalse(w.list().stands());
+    assertFalse(w.list().isListValid());
   }
 
   /**
@@ -844,9 +846,9 @@
     w.talking = false;
     w.silently(2_600);
     long asked = w.discovery;
-    w.tell(g -> g.discovery().begun(asked));
+    w.tell(g -> g.discovery().responseStarted(asked));
     w.silently(3_500);
-    assertFalse(w.list().stands(), "it may have been told by now");
+    assertFalse(w.list().isListValid(), "it may have been told by now");
   }
 
   /** The same, where the half comes after it was taken for down. */
@@ -855,11 +857,11 @@
     World w = World.serving();
     w.talking = false;
     w.silently(4_600);
-    assertTrue(w.list().stands(), "it is down");
+    assertTrue(w.list().isListValid(), "it is down");
     long asked = w.discovery;
-    w.tell(g -> g.discovery().begun(asked));
+    w.tell(g -> g.discovery().responseStarted(asked));
     w.wait(2_100);
-    assertFalse(w.list().stands(), "it may have been told by now");
+    assertFalse(w.list().isListValid(), "it may have been told by now");
   }
 
   /** Rule 3: slow itself it has not read what was said, and must not take that for silence. */
@@ -870,7 +872,7 @@
     w.silently(2_600);
     w.behind = true;
     w.silently(2_500);
-    assertFalse(w.list().stands(), "it may have been told by now");
+    assertFalse(w.list().isListValid(), "it may have been told by now");
   }
 
   /**
@@ -900,7 +902,7 @@
     slow.forEach(
         l -> {
           w.wires.get(l).open = true;
-          w.tell(g -> g.serverConnections().up(l));
+          w.tell(g -> g.serverConnections().connected(l));
           w.flush();
         });
     w.wait(60);
@@ -977,10 +979,10 @@
   @Test
   void addressOfDiscoveryThatIsBehindTakesNothingBack() {
     World w = World.serving();
-    w.tell(g -> g.discovery().up(w.discovery));
+    w.tell(g -> g.discovery().connected(w.discovery));
     list(w, 42, true, "leaving");
     w.reload(2);
-    w.tell(g -> g.discovery().up(w.discovery));
+    w.tell(g -> g.discovery().connected(w.discovery));
     list(w, 40, true, "active");
     assertTrue(
         w.wires
@@ -997,7 +999,7 @@
     assertTrue(serversOf(w, 40).contains("s-1"), "what is newer counts");
     list(w, 45, false, "leaving");
     w.reload(3);
-    w.tell(g -> g.discovery().up(w.discovery));
+    w.tell(g -> g.discovery().connected(w.discovery));
     list(w, 5, true, "active");
     w.wait(5_000);
     list(w, 5, false, "active");
@@ -1017,7 +1019,7 @@
     World w = World.serving();
     list(w, 42, true, "active");
     w.reload(2);
-    w.tell(g -> g.discovery().up(w.discovery));
+    w.tell(g -> g.discovery().connected(w.discovery));
     list(w, 7, true, "leaving");
     assertFalse(serversOf(w, 40).contains("s-1"), "sent to a server that drains");
   }
@@ -1159,7 +1161,7 @@
     long link = w.wires.keySet().stream().min(Long::compare).orElseThrow();
     w.leave(client);
     w.wires.get(link).dropped = false;
-    w.tell(g -> g.serverConnections().up(link));
+    w.tell(g -> g.serverConnections().connected(link));
     assertTrue(w.wires.get(link).dropped);
   }
 
@@ -1185,12 +1187,15 @@
     String id = w.ask(w.connect(), true, 500);
     long before = on(w, id);
     w.answer(before, null);
-    w.tell(g -> g.discovery().up(w.discovery));
+    w.tell(g -> g.discovery().connected(w.discovery));
     String text =
         "{\"revision\":8,\"complete\":false,\"members\":["
             + member(0, "active").replace("7000", "7008")
             + "]}";
-    w.tell(g -> g.discovery().answered(w.discovery, 200, text.getBytes(StandardCharsets.UTF_8)));
+    w.tell(
+        g ->
+            g.discovery()
+                .responseReceived(w.discovery, 200, text.getBytes(StandardCharsets.UTF_8)));
     w.flush();
     assertTrue(w.wires.get(before).dropped);
     assertEquals("s-8", w.wires.get(on(w, w.ask(w.connect(), true, 500))).server);
@@ -1199,7 +1204,7 @@
   @Test
   void drainingServerGetsNothingNew() {
     World w = World.serving();
-    w.tell(g -> g.discovery().up(w.discovery));
+    w.tell(g -> g.discovery().connected(w.discovery));
     list(w, 42, false, "leaving");
     for (int k = 0; k < 20; k++) {
       String id = w.ask(w.connect(), false, 500);
@@ -1282,7 +1287,7 @@
     String id = w.ask(w.connect(), true, 900);
     long link = w.wires.keySet().stream().min(Long::compare).orElseThrow();
     w.silent.clear();
-    w.tell(g -> g.serverConnections().dialReset(link));
+    w.tell(g -> g.serverConnections().connectionReset(link));
     assertFalse(
         w.gateway.describe().contains("warming-up") || w.gateway.describe().contains("ejected"));
     w.wait(30);
@@ -1334,13 +1339,13 @@
     w.wait(300);
     assertFalse(w.wires.get(link).dropped, "what came in has not been read");
     w.wires.get(link).open = true;
-    w.tell(g -> g.serverConnections().up(link));
+    w.tell(g -> g.serverConnections().connected(link));
     w.answer(link, null);
     assertEquals("ok", w.answers.get(id));
     w.ask(w.connect(), true, 2000);
     w.wait(400);
     long other = w.wires.keySet().stream().min(Long::compare).orElseThrow();
-    w.tell(g -> g.serverConnections().heard(other));
+    w.tell(g -> g.serverConnections().pendingReadsDone(other));
     assertTrue(w.wires.get(other).dropped, "all was read, and it said nothing");
   }
 
@@ -1702,7 +1707,7 @@
   void nothingGrowsWithWhatHasPassed(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     World w = World.serving();
-    w.tell(g -> g.discovery().up(w.discovery));
+    w.tell(g -> g.discovery().connected(w.discovery));
     for (int k = 3; k < 1500; k++) {
       String text =
           "{\"revision\":"
@@ -1718,7 +1723,10 @@
               + ","
               + member(k + 1, "active")
               + "]}";
-      w.tell(g -> g.discovery().answered(w.discovery, 200, text.getBytes(StandardCharsets.UTF_8)));
+      w.tell(
+          g ->
+              g.discovery()
+                  .responseReceived(w.discovery, 200, text.getBytes(StandardCharsets.UTF_8)));
       w.flush();
       long client = w.connect();
       for (int n = random.nextInt(4); n >= 0; n--) {
@@ -2029,7 +2037,10 @@
             + ","
             + member(1, phase)
             + "]}";
-    w.tell(g -> g.discovery().answered(w.discovery, 200, text.getBytes(StandardCharsets.UTF_8)));
+    w.tell(
+        g ->
+            g.discovery()
+                .responseReceived(w.discovery, 200, text.getBytes(StandardCharsets.UTF_8)));
     w.flush();
   }
 
--- a/gateway/src/test/java/weldcross/gateway/MultipleDeploymentsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/MultipleDeploymentsTest.java
@@ -107,7 +107,7 @@
     long link = statements(other).get(0);
     wire.statement = null;
     wire.open = false;
-    other.tell(g -> g.serverConnections().gone(link, wire.reader.rest()));
+    other.tell(g -> g.serverConnections().closed(link, wire.reader.partialResponse()));
     other.flush();
     other.wait(150);
     assertFalse(statements(other).isEmpty(), "an idempotent write goes out again");
--- a/gateway/src/test/java/weldcross/pgwire/PgWireTest.java
+++ b/gateway/src/test/java/weldcross/pgwire/PgWireTest.java
@@ -32,17 +32,17 @@
     int begun;
 
     @Override
-    public void encryptionAsked() {
+    public void encryptionRequested() {
       words.add("encryption");
     }
 
     @Override
-    public void started() {
+    public void startupReceived() {
       words.add("started");
     }
 
     @Override
-    public void asked(Statement s) {
+    public void statementReceived(Statement s) {
       words.add(
           "asked "
               + s.id()
@@ -51,36 +51,36 @@
               + " "
               + s.isWrite()
               + " "
-              + text(s.withWait(77)).hashCode());
+              + text(s.withTimeout(77)).hashCode());
     }
 
     @Override
-    public void askedNothing() {
+    public void emptyQueryReceived() {
       words.add("nothing");
     }
 
     @Override
-    public void askedWrongly(String state, String text) {
+    public void statementRejected(String state, String text) {
       words.add("wrong " + state);
     }
 
     @Override
-    public void begun() {
+    public void messageStarted() {
       begun++;
     }
 
     @Override
-    public void broke(String state, String text) {
+    public void protocolError(String state, String text) {
       words.add("broke " + state);
     }
 
     @Override
-    public void ended() {
+    public void terminated() {
       words.add("ended");
     }
 
     @Override
-    public void cancelAsked(int process, int secret) {
+    public void cancelRequested(int process, int secret) {
       words.add("cancel " + process + " " + secret);
     }
   }
@@ -127,7 +127,7 @@
     /** Welcomed, asked, and told these bytes in pieces. */
     static Told of(byte[] stream, SplittableRandom random) {
       Told told = new Told();
-      told.reader.ask();
+      told.reader.expectResponse();
       told.reader.feed(
           ByteBuffer.wrap(
               bytes(
@@ -139,14 +139,14 @@
     }
 
     void hear(byte[] stream, SplittableRandom random) {
-      reader.ask();
+      reader.expectResponse();
       pieces(stream, random).forEach(reader::feed);
     }
 
     /** What was passed on as served; nothing of a row that cannot be told to be whole may be. */
     List<String> served() {
       return answers.stream()
-          .filter(a -> a.isServed("SELECT 1"))
+          .filter(a -> a.isComplete("SELECT 1"))
           .map(ServerResponse::rowText)
           .toList();
     }
@@ -157,12 +157,12 @@
     }
 
     @Override
-    public void answered(ServerResponse a, boolean more) {
+    public void responseReceived(ServerResponse a, boolean more) {
       answers.add(a);
       words.add(
-          a.isServed("SELECT 1")
+          a.isComplete("SELECT 1")
               + " "
-              + a.state()
+              + a.sqlState()
               + " "
               + a.rowText()
               + " "
@@ -173,12 +173,12 @@
     }
 
     @Override
-    public void begun() {
+    public void responseStarted() {
       words.add("begun");
     }
 
     @Override
-    public void spoilt(String why) {
+    public void protocolError(String why) {
       words.add("spoilt");
     }
   }
@@ -212,7 +212,7 @@
     Told told = Told.of(served("v\0w"), null);
     assertArrayEquals(
         bytes(message('T', COLUMNS), row("v\0w"), message('C', "SELECT 1\0"), message('Z', "I")),
-        bytes(told.answers.get(0).forClient()));
+        bytes(told.answers.get(0).toClientMessages()));
   }
 
   /**
@@ -314,7 +314,7 @@
       for (long wait : new long[] {1, 480, 123_456}) {
         assertEquals(
             new String(query(text.replace("d=480", "d=" + wait)), StandardCharsets.ISO_8859_1),
-            text(s.withWait(wait)));
+            text(s.withTimeout(wait)));
       }
     }
   }
@@ -324,13 +324,13 @@
     Statement s = Statement.read(ByteBuffer.wrap(query(READ)));
     assertEquals(
         List.of("9b1f", "basket", "acme", "7f3a"),
-        List.of(s.id(), s.method(), s.tenant(), s.key()));
+        List.of(s.id(), s.requestClass(), s.tenant(), s.key()));
     assertEquals(
         List.of(2L, 480L, 1767225600123L),
-        List.of((long) s.group(), s.waitMillis(), s.afterMillis()));
-    assertFalse(s.isWrite() || s.isRepeat());
+        List.of((long) s.group(), s.timeoutMillis(), s.lastWriteMillis()));
+    assertFalse(s.isWrite() || s.isRetry());
     assertTrue(
-        Statement.read(ByteBuffer.wrap(query(READ.replace("d=480", "r=1,d=480")))).isRepeat());
+        Statement.read(ByteBuffer.wrap(query(READ.replace("d=480", "r=1,d=480")))).isRetry());
   }
 
   @ParameterizedTest
@@ -364,7 +364,7 @@
     String text = READ.replace(part, instead == null ? "" : instead);
     ProtocolException fault =
         assertThrows(ProtocolException.class, () -> Statement.read(ByteBuffer.wrap(query(text))));
-    assertEquals(state, fault.state(), text);
+    assertEquals(state, fault.sqlState(), text);
   }
 
   @ParameterizedTest
@@ -421,7 +421,7 @@
   @Test
   void whatCannotBeReadOnEndsTheStream() {
     byte[] tooLong =
-        ByteBuffer.allocate(5).put((byte) 'Q').putInt(FrameDecoder.LONGEST + 1).array();
+        ByteBuffer.allocate(5).put((byte) 'Q').putInt(FrameDecoder.MAX_LENGTH + 1).array();
     byte[] tooShort = ByteBuffer.allocate(5).put((byte) 'Q').putInt(3).array();
     for (byte[] bad : List.of(tooLong, tooShort, message('?', ""))) {
       assertEquals(List.of("started", "broke 08P01"), hear(bytes(start(), bad, query(READ)), null));
