--- a/chaos/src/test/java/weldcross/chaos/FaultInjectorTest.java
+++ b/chaos/src/test/java/weldcross/chaos/FaultInjectorTest.java
@@ -295,7 +295,7 @@
         assertTrue(position(ground, "s2") > 0);
         Fault kill = fault(Fault.Kind.SERVER_KILL, "s1", "", "");
         havoc.begin(kill);
-        logs(ground.gateway("n0"), 0, "no connection to s1");
+        logs(ground.gateway("n0"), 0, "connection failed: endpoint=s1");
         havoc.end(kill, LAG);
         havoc.end(lag, LAG);
       }
--- a/gateway/src/main/java/weldcross/gateway/ClientStream.java
+++ b/gateway/src/main/java/weldcross/gateway/ClientStream.java
@@ -75,7 +75,7 @@
   void listen(boolean on) {
     paused = !on;
     if (on) {
-      processor.afterReading(this::decodeBuffered);
+      processor.afterPendingReads(this::decodeBuffered);
     }
   }
 
@@ -101,7 +101,7 @@
     if (bufferedBytes < MAX_BUFFERED_BYTES) {
       session.resumeRead();
     }
-    processor.afterReading(this::decodeBuffered);
+    processor.afterPendingReads(this::decodeBuffered);
   }
 
   /** Whether no more than so many messages were received, and no byte of another. */
--- a/gateway/src/main/java/weldcross/gateway/CompositeBuffer.java
+++ b/gateway/src/main/java/weldcross/gateway/CompositeBuffer.java
@@ -7,25 +7,31 @@
 import org.apache.mina.core.buffer.IoBufferWrapper;
 
 /**
- * Several buffers that MINA takes for one, and {@link GatheringIoProcessor} writes by one call,
- * uncopied.
+ * Several buffers that MINA takes for one and that {@link GatheringIoProcessor} writes by one call,
+ * without a copy.
  */
 class CompositeBuffer extends IoBufferWrapper {
 
   private final ByteBuffer[] parts;
 
+  /**
+   * Creates a buffer over the given ones, whose positions move as it is written.
+   *
+   * @param parts at least one
+   */
   CompositeBuffer(ByteBuffer... parts) {
     super(IoBuffer.wrap(parts[0]));
     this.parts = parts;
   }
 
+  /** Writes as much as the channel takes; returns the number of bytes. */
   long writeTo(GatheringByteChannel channel) throws IOException {
     return channel.write(parts);
   }
 
   /**
-   * MINA writes a duplicate of what it is given, and a wrapper's duplicate is one of its first part
-   * alone.
+   * Returns this: MINA writes a duplicate of what it is given, and the inherited method would
+   * duplicate the first part alone.
    */
   @Override
   public IoBuffer duplicate() {
@@ -34,11 +40,11 @@
 
   @Override
   public int remaining() {
-    int left = 0;
+    int remaining = 0;
     for (ByteBuffer part : parts) {
-      left += part.remaining();
+      remaining += part.remaining();
     }
-    return left;
+    return remaining;
   }
 
   @Override
--- a/gateway/src/main/java/weldcross/gateway/ConnectionLimitAcceptor.java
+++ b/gateway/src/main/java/weldcross/gateway/ConnectionLimitAcceptor.java
@@ -10,37 +10,44 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /**
- * Accepts clients up to a number of open connections of all kinds. Those beyond it are closed where
- * they are accepted, before anything of them is read: they cost no session, no event and no
- * descriptor, however fast they come again. They are told nothing: a word that came before their
- * first request would be taken for its answer, and what they sent meanwhile takes it back on its
- * way.
+ * Accepts clients up to a limit of open connections of all kinds. A client beyond it is closed as
+ * it is accepted, before anything of it is read: it costs no session, no event and no lasting
+ * descriptor, however fast it returns. It is sent no error: a message before its first request
+ * would be taken for the answer to that, and what it sends meanwhile would reset the connection.
  */
 final class ConnectionLimitAcceptor extends NioSocketAcceptor {
 
-  private final AtomicInteger open = new AtomicInteger();
-  private final int most;
-  private final IntSupplier others;
+  private final AtomicInteger accepted = new AtomicInteger();
+  private final int maxConnections;
+  private final IntSupplier otherConnections;
 
   /**
-   * @param others how many connections that were not accepted here are open
+   * Creates an acceptor.
+   *
+   * @param executor provides its thread
+   * @param processor reads and writes its sessions
+   * @param maxConnections limit for accepted and other connections together
+   * @param otherConnections number of open connections that were not accepted here
    */
   ConnectionLimitAcceptor(
-      Executor executor, IoProcessor<NioSession> processor, int most, IntSupplier others) {
+      Executor executor,
+      IoProcessor<NioSession> processor,
+      int maxConnections,
+      IntSupplier otherConnections) {
     super(executor, processor);
-    this.most = most;
-    this.others = others;
+    this.maxConnections = maxConnections;
+    this.otherConnections = otherConnections;
   }
 
-  /** A connection that was accepted has ended. */
-  void ended() {
-    open.decrementAndGet();
+  /** Notes that an accepted connection was closed. */
+  void connectionClosed() {
+    accepted.decrementAndGet();
   }
 
   @Override
   protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel handle)
       throws Exception {
-    if (open.get() + others.getAsInt() >= most) {
+    if (accepted.get() + otherConnections.getAsInt() >= maxConnections) {
       SocketChannel surplus = handle.accept();
       if (surplus != null) {
         surplus.close();
@@ -49,7 +56,7 @@
     }
     NioSession session = super.accept(processor, handle);
     if (session != null) {
-      open.incrementAndGet();
+      accepted.incrementAndGet();
     }
     return session;
   }
--- a/gateway/src/main/java/weldcross/gateway/GatheringIoProcessor.java
+++ b/gateway/src/main/java/weldcross/gateway/GatheringIoProcessor.java
@@ -16,59 +16,62 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /**
- * MINA writes one buffer at a time; this is the least that makes it gather, and tell how far it has
- * read. The channel behind a session is not to be had from it, but the selector's key knows both.
+ * MINA's processor with gathering writes and with tasks that run once pending reads are done. MINA
+ * itself writes one buffer at a time and does not show the channel of a session; the selector's key
+ * knows both.
  */
 final class GatheringIoProcessor extends NioProcessor {
 
   private static final Logger LOG = Logger.getLogger(GatheringIoProcessor.class.getName());
   private static final String CHANNEL = "channel";
 
-  private final Runnable roundEnds;
-  private final Queue<Runnable> waiting = new ConcurrentLinkedQueue<>();
+  private final Runnable onBatchRead;
 
-  /** Those that waited before the round of reading that is under way. */
-  private final ArrayDeque<Runnable> round = new ArrayDeque<>();
+  /** Tasks for the end of the batch of reads after the current one. */
+  private final Queue<Runnable> submitted = new ConcurrentLinkedQueue<>();
+
+  /** Tasks for the end of the current batch of reads. */
+  private final ArrayDeque<Runnable> due = new ArrayDeque<>();
 
   /**
-   * @param roundEnds called, on its own thread, when all that one round found ready has been read
+   * Creates a processor with one thread.
+   *
+   * @param executor provides the thread
+   * @param onBatchRead called, on that thread, when everything was read that one select found
    */
-  GatheringIoProcessor(Executor executor, Runnable roundEnds) {
+  GatheringIoProcessor(Executor executor, Runnable onBatchRead) {
     super(executor);
-    this.roundEnds = roundEnds;
+    this.onBatchRead = onBatchRead;
   }
 
-  /** Runs this, on its own thread, once all that has come in by now has been read. */
-  void afterReading(Runnable then) {
-    waiting.add(then);
+  /** Runs a task, on this processor's thread, once everything that has arrived by now was read. */
+  void afterPendingReads(Runnable task) {
+    submitted.add(task);
     wakeup();
   }
 
   @Override
   protected int select(long timeout) throws Exception {
-    roundEnds.run();
-    for (Runnable next = round.poll(); next != null; next = round.poll()) {
-      runApart(next);
+    onBatchRead.run();
+    for (Runnable task = due.poll(); task != null; task = due.poll()) {
+      runIsolated(task);
     }
-    roundEnds.run();
-    for (Runnable next = waiting.poll(); next != null; next = waiting.poll()) {
-      round.add(next);
+    onBatchRead.run();
+    for (Runnable task = submitted.poll(); task != null; task = submitted.poll()) {
+      due.add(task);
     }
-    if (!round.isEmpty()) {
+    if (!due.isEmpty()) {
       wakeup();
     }
     return super.select(timeout);
   }
 
-  /**
-   * Against a fault in one task, which would come out of every round from then on: nothing would be
-   * read any more, of nobody. What it was to do is left undone.
-   */
-  private static void runApart(Runnable task) {
+  /** Keeps an exception of one task from this thread, which reads all connections. */
+  private static void runIsolated(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
-      LOG.log(Level.SEVERE, "a task between two rounds of reading failed", e);
+      LOG.log(Level.SEVERE, "task after pending reads failed", e);
     }
   }
 
@@ -83,22 +86,19 @@
     }
   }
 
-  /**
-   * Tells the other side at once that nothing more comes: a session's own close waits for its
-   * thread.
-   */
-  static void endSending(IoSession session) {
+  /** Half-closes at once; the session's own close waits for the processor's thread. */
+  static void shutdownOutput(IoSession session) {
     SocketChannel channel = (SocketChannel) session.getAttribute(CHANNEL);
     try {
       if (channel != null) {
         channel.shutdownOutput();
       }
     } catch (IOException e) {
-      // Already ended from the other side.
+      // Closed by the other side.
     }
   }
 
-  /** True if all of it went out; what did not is what the parts have left. */
+  /** Returns whether everything was sent; else the parts have the rest. */
   static boolean writeNow(IoSession session, ByteBuffer... parts) {
     SocketChannel channel = (SocketChannel) session.getAttribute(CHANNEL);
     try {
@@ -106,15 +106,15 @@
         channel.write(parts);
       }
     } catch (IOException e) {
-      // Ended by the other side, which is told where it is read.
+      // Closed by the other side, which is reported by the next read.
     }
     return !parts[parts.length - 1].hasRemaining();
   }
 
   @Override
   protected int write(NioSession session, IoBuffer buffer, int length) throws IOException {
-    return buffer instanceof CompositeBuffer gathered
-        ? (int) gathered.writeTo((SocketChannel) session.getAttribute(CHANNEL))
+    return buffer instanceof CompositeBuffer composite
+        ? (int) composite.writeTo((SocketChannel) session.getAttribute(CHANNEL))
         : super.write(session, buffer, length);
   }
 }
--- a/gateway/src/main/java/weldcross/gateway/MinaTransport.java
+++ b/gateway/src/main/java/weldcross/gateway/MinaTransport.java
@@ -5,168 +5,149 @@
 import java.net.SocketException;
 import java.nio.ByteBuffer;
 import java.time.Duration;
-import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Supplier;
-import java.util.logging.Level;
-import java.util.logging.Logger;
-import org.apache.mina.core.buffer.IoBuffer;
-import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.SocketSessionConfig;
-import org.apache.mina.transport.socket.nio.NioDatagramAcceptor;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 import weldcross.connections.CancellableConnector;
-import weldcross.discovery.HttpResponseDecoder;
-import weldcross.gossip.GossipMessage;
-import weldcross.pgwire.MessageEncoder;
-import weldcross.pgwire.ServerMessageDecoder;
-import weldcross.routing.ServerId;
 
-/** Performs the effects on Apache MINA; its threads only parse what comes and post it. */
+/** The transport on Apache MINA, whose threads only decode what arrives and post it as events. */
 final class MinaTransport implements Transport {
 
-  private static final Logger LOG = Logger.getLogger(MinaTransport.class.getName());
-  private static final String STREAM = "stream";
-  private static final String NUMBER = "number";
   private static final int BACKLOG = 512;
+  private static final int MIN_READ_BUFFER_BYTES = 512;
+  private static final int READ_BUFFER_BYTES = 1024;
 
-  /** Both ends are this process, so that 100 words make 200 calls, after which the JVM compiles. */
-  private static final int GREETERS = 16;
+  /**
+   * Both ends are in this process, so that 160 reads make 320 calls: the JVM compiles after 200.
+   */
+  private static final int WARM_UP_CONNECTIONS = 16;
 
-  private static final int GREETINGS = 10;
+  private static final int WARM_UP_READS = 10;
 
   private final EventLoop loop;
   private final Supplier<Duration> clock;
-  private final ReadBatch round;
-  private final Map<Long, IoSession> sessions = new ConcurrentHashMap<>();
+  private final ReadBatch batch;
+  private final ConcurrentHashMap<Long, IoSession> sessions = new ConcurrentHashMap<>();
+  private final StreamHandler handler = new StreamHandler(sessions);
 
-  /** Seen in this package so that tests can wait for a round of it. */
+  /** Visible so that tests can wait for one of its batches. */
   final GatheringIoProcessor processor;
 
   private final ConnectionLimitAcceptor acceptor;
-  private final NioSocketConnector connector;
-  private final CancellableConnector dials;
+  private final NioSocketConnector minaConnector;
+  private final CancellableConnector connector;
   private final CompletableFuture<InetSocketAddress> listening = new CompletableFuture<>();
-  private NioDatagramAcceptor peers;
-  private InetSocketAddress peersFrom;
 
-  MinaTransport(EventLoop loop, Supplier<Duration> clock, int mostOpen) {
+  /** Null without gossip. */
+  private GossipSocket gossip;
+
+  /**
+   * Creates a transport without connections.
+   *
+   * @param loop takes the events
+   * @param clock time since the start of the process
+   * @param maxConnections limit for open connections and those that are coming up
+   */
+  MinaTransport(EventLoop loop, Supplier<Duration> clock, int maxConnections) {
     this.loop = loop;
     this.clock = clock;
-    ExecutorService threads =
-        Executors.newCachedThreadPool(
-            task -> {
-              Thread thread = new Thread(task);
-              thread.setDaemon(true);
-              // Against a gateway that only seems alive: what ends one of these threads comes out
-              // of the one that serves.
-              thread.setUncaughtExceptionHandler(
-                  (t, e) ->
-                      loop.post(
-                          g -> {
-                            throw new IllegalStateException("thread " + t.getName() + " ended", e);
-                          }));
-              return thread;
-            });
-    round = new ReadBatch(loop::post);
-    processor = new GatheringIoProcessor(threads, round::postAll);
-    connector = new NioSocketConnector(threads, processor);
-    dials = new CancellableConnector(connector);
-    // A dial that is under way holds a descriptor as well.
+    ExecutorService threads = threads(loop);
+    batch = new ReadBatch(loop::post);
+    processor = new GatheringIoProcessor(threads, batch::postAll);
+    minaConnector = new NioSocketConnector(threads, processor);
+    connector = new CancellableConnector(minaConnector);
+    // A connection that is coming up has a descriptor as well.
     acceptor =
         new ConnectionLimitAcceptor(
             threads,
             processor,
-            mostOpen,
-            () -> connector.getManagedSessionCount() + dials.pendingCount());
-    set(acceptor.getSessionConfig());
-    set(connector.getSessionConfig());
+            maxConnections,
+            () -> minaConnector.getManagedSessionCount() + connector.pendingCount());
+    configure(acceptor.getSessionConfig());
+    configure(minaConnector.getSessionConfig());
     acceptor.setReuseAddress(true);
     acceptor.setBacklog(BACKLOG);
-    acceptor.setHandler(
-        new Handler() {
-          @Override
-          public void sessionCreated(IoSession session) {
-            long number = session.getId();
-            carry(session, number, new ClientStream(number, round, processor, clock));
-          }
+    acceptor.setHandler(clientHandler());
+    minaConnector.setHandler(handler);
+  }
 
-          @Override
-          public void sessionClosed(IoSession session) {
-            acceptor.ended();
-            super.sessionClosed(session);
-          }
+  /**
+   * Returns daemon threads whose uncaught exceptions end the event loop: without one of them the
+   * gateway would only seem to be alive.
+   */
+  private static ExecutorService threads(EventLoop loop) {
+    return Executors.newCachedThreadPool(
+        task -> {
+          Thread thread = new Thread(task);
+          thread.setDaemon(true);
+          thread.setUncaughtExceptionHandler(
+              (ended, cause) ->
+                  loop.post(
+                      gateway -> {
+                        throw new IllegalStateException(
+                            "thread " + ended.getName() + " ended", cause);
+                      }));
+          return thread;
         });
-    connector.setHandler(new Handler());
   }
 
-  private static void set(SocketSessionConfig config) {
+  private static void configure(SocketSessionConfig config) {
     config.setTcpNoDelay(true);
-    config.setMinReadBufferSize(512);
-    config.setReadBufferSize(1024);
+    config.setMinReadBufferSize(MIN_READ_BUFFER_BYTES);
+    config.setReadBufferSize(READ_BUFFER_BYTES);
+  }
+
+  private StreamHandler clientHandler() {
+    return new StreamHandler(sessions) {
+      @Override
+      public void sessionCreated(IoSession session) {
+        long number = session.getId();
+        attach(session, number, new ClientStream(number, batch, processor, clock));
+      }
+
+      @Override
+      public void sessionClosed(IoSession session) {
+        acceptor.connectionClosed();
+        super.sessionClosed(session);
+      }
+    };
   }
 
+  /** Returns the address that clients connect to, once it is bound. */
   CompletableFuture<InetSocketAddress> listening() {
     return listening;
   }
 
-  /** Nothing is asked for after this. */
+  /** Closes everything; nothing may be called after this. */
   void end() {
     acceptor.dispose();
-    connector.dispose();
-    if (peers != null) {
-      peers.dispose();
+    minaConnector.dispose();
+    if (gossip != null) {
+      gossip.close();
     }
   }
 
   @Override
-  public void listen(InetSocketAddress at) {
+  public Duration now() {
+    return clock.get();
+  }
+
+  // ---- Listening and connecting
+
+  @Override
+  public void listen(InetSocketAddress address) {
     try {
-      acceptor.bind(at);
+      acceptor.bind(address);
       listening.complete(acceptor.getLocalAddress());
     } catch (IOException e) {
       listening.completeExceptionally(e);
-      throw cannotListen(at, e);
-    }
-  }
-
-  @Override
-  public void warmUp() {
-    AtomicInteger open = new AtomicInteger(GREETERS);
-    for (int k = 0; k < GREETERS; k++) {
-      long number = Long.MIN_VALUE + k;
-      dial(
-          number,
-          acceptor.getLocalAddress(),
-          new Stream() {
-            private int left = GREETINGS;
-
-            @Override
-            void opened() {
-              write(number, MessageEncoder.startup());
-            }
-
-            @Override
-            void read(ByteBuffer in) {
-              if (--left > 0) {
-                write(number, MessageEncoder.query(""));
-              } else {
-                closeNow(number);
-              }
-            }
-
-            @Override
-            void closed() {
-              if (open.decrementAndGet() == 0) {
-                loop.post(Gateway::warmed);
-              }
-            }
-          });
+      throw cannotListen(address, e);
     }
   }
 
@@ -177,68 +158,61 @@
   }
 
   @Override
-  public void listenForGossip(InetSocketAddress at) {
-    peersFrom = at;
-    peers = new NioDatagramAcceptor();
-    peers.setHandler(
-        new IoHandlerAdapter() {
-          @Override
-          public void messageReceived(IoSession session, Object message) {
-            IoBuffer in = (IoBuffer) message;
-            byte[] bytes = new byte[in.remaining()];
-            in.get(bytes);
-            ServerId server = GossipMessage.decode(bytes);
-            if (server != null) {
-              loop.post(g -> g.gossipReceived(server));
-            }
-          }
-
-          @Override
-          public void exceptionCaught(IoSession session, Throwable cause) {
-            LOG.log(Level.FINE, "message between gateways", cause);
-          }
-        });
+  public void listenForGossip(InetSocketAddress address) {
     try {
-      peers.bind(at);
+      gossip = new GossipSocket(address, server -> loop.post(g -> g.gossipReceived(server)));
     } catch (IOException e) {
-      throw cannotListen(at, e);
+      throw cannotListen(address, e);
     }
   }
 
-  private static IllegalStateException cannotListen(InetSocketAddress at, IOException why) {
-    return new IllegalStateException("cannot listen on " + at + ": " + why.getMessage(), why);
+  private static IllegalStateException cannotListen(InetSocketAddress address, IOException cause) {
+    return new IllegalStateException(
+        "cannot listen on " + address + ": " + cause.getMessage(), cause);
   }
 
   @Override
-  public void sendGossip(InetSocketAddress to, byte[] message) {
-    peers.newSession(to, peersFrom).write(IoBuffer.wrap(message));
+  public void sendGossip(InetSocketAddress address, byte[] message) {
+    gossip.send(address, message);
   }
 
   @Override
-  public void connectToServer(long link, InetSocketAddress to) {
-    dial(link, to, server(link));
+  public void warmUp() {
+    AtomicInteger open = new AtomicInteger(WARM_UP_CONNECTIONS);
+    Runnable onClosed =
+        () -> {
+          if (open.decrementAndGet() == 0) {
+            loop.post(Gateway::warmed);
+          }
+        };
+    for (int index = 0; index < WARM_UP_CONNECTIONS; index++) {
+      long number = Long.MIN_VALUE + index;
+      connect(
+          number,
+          acceptor.getLocalAddress(),
+          new WarmUpStream(number, this, WARM_UP_READS, onClosed));
+    }
   }
 
   @Override
-  public void connectToDiscovery(long link, InetSocketAddress to) {
-    dial(link, to, discovery(link));
+  public void connectToServer(long connection, InetSocketAddress address) {
+    connect(connection, address, new ServerStream(connection, batch, loop));
   }
 
-  private void carry(IoSession session, long number, Stream stream) {
-    stream.session = session;
-    session.setAttribute(NUMBER, number);
-    session.setAttribute(STREAM, stream);
-    sessions.put(number, session);
+  @Override
+  public void connectToDiscovery(long connection, InetSocketAddress address) {
+    connect(connection, address, new DiscoveryStream(connection, loop));
   }
 
-  private void dial(long number, InetSocketAddress to, Stream stream) {
-    dials.connect(
+  private void connect(long number, InetSocketAddress address, Stream stream) {
+    connector.connect(
         number,
-        to,
-        session -> carry(session, number, stream),
-        why -> {
-          if (why.getClass() == SocketException.class) {
-            // Refused, unreachable and overdue have exceptions of their own kind.
+        address,
+        session -> handler.attach(session, number, stream),
+        cause -> {
+          // Refused, unreachable and timed out have subclasses of their own; what remains is a
+          // reset.
+          if (cause.getClass() == SocketException.class) {
             stream.resetOnConnect();
           } else {
             stream.connectFailed();
@@ -246,10 +220,7 @@
         });
   }
 
-  @Override
-  public Duration now() {
-    return clock.get();
-  }
+  // ---- Connections
 
   @Override
   public boolean write(long connection, ByteBuffer... parts) {
@@ -257,9 +228,9 @@
     if (session == null) {
       return false;
     }
-    Stream stream = (Stream) session.getAttribute(STREAM);
+    Stream stream = StreamHandler.streamOf(session);
     stream.writing();
-    // Where nothing else waits to go out no other thread has to be woken for it.
+    // If nothing else waits to be sent, no other thread has to be woken for it.
     if (stream.pendingWrites.get() == 0 && GatheringIoProcessor.writeNow(session, parts)) {
       return true;
     }
@@ -269,173 +240,71 @@
   }
 
   @Override
-  public void setReading(long connection, boolean on) {
+  public void setReading(long connection, boolean reading) {
     IoSession session = sessions.get(connection);
     if (session != null) {
-      ((ClientStream) session.getAttribute(STREAM)).listen(on);
+      clientStreamOf(session).listen(reading);
     }
   }
 
   @Override
   public void afterPendingReads(long connection) {
-    processor.afterReading(() -> loop.post(g -> g.heard(connection)));
-  }
-
-  @Override
-  public void closeIfQuiet(long connection, int messages) {
-    processor.afterReading(
-        () -> {
-          IoSession session = sessions.get(connection);
-          ClientStream stream =
-              session == null ? null : (ClientStream) session.getAttribute(STREAM);
-          boolean quiet = stream == null || stream.isQuiet(messages);
-          if (stream != null && quiet) {
-            stream.discardInput();
-            GatheringIoProcessor.endSending(session);
-          }
-          round.add(g -> g.clients().closeDecided(connection, quiet));
-        });
+    processor.afterPendingReads(() -> loop.post(gateway -> gateway.heard(connection)));
   }
 
   @Override
   public void closeNow(long connection) {
-    dials.cancel(connection);
+    connector.cancel(connection);
     IoSession session = sessions.remove(connection);
     if (session != null) {
-      // A second call-out must not overtake the end of the first; clients have nothing that could.
+      // The end of one attempt must reach a server before a later attempt does; clients have
+      // nothing that could overtake.
       if (connection < 0) {
-        GatheringIoProcessor.endSending(session);
+        GatheringIoProcessor.shutdownOutput(session);
       }
       session.closeNow();
     }
   }
 
   @Override
-  public void closeGracefully(long connection) {
-    IoSession session = sessions.get(connection);
-    if (session != null) {
-      ClientStream stream = (ClientStream) session.getAttribute(STREAM);
-      stream.discardInput();
-      stream.closeAfterWrite = true;
-      endIfOut(session, stream);
-    }
+  public void closeIfQuiet(long connection, int messages) {
+    processor.afterPendingReads(
+        () -> {
+          boolean quiet = shutdownIfQuiet(sessions.get(connection), messages);
+          batch.add(gateway -> gateway.clients().closeDecided(connection, quiet));
+        });
   }
 
   /**
-   * What came in unread would, at a close, take back what was written last; so only sending ends
-   * here.
+   * Returns whether the connection is quiet, or closed already.
+   *
+   * @param session null if the connection is closed
    */
-  private static void endIfOut(IoSession session, Stream stream) {
-    if (stream.closeAfterWrite && stream.pendingWrites.get() == 0) {
-      GatheringIoProcessor.endSending(session);
-    }
-  }
-
-  private Stream server(long number) {
-    ServerMessageDecoder reader = Streams.server(round::addForServer, number);
-    return new Stream() {
-      @Override
-      void opened() {
-        round.addForServer(g -> g.serverConnections().connected(number));
-      }
-
-      @Override
-      void writing() {
-        reader.expectResponse();
-      }
-
-      @Override
-      void read(ByteBuffer in) {
-        reader.feed(in);
-      }
-
-      @Override
-      void written() {
-        round.addForServer(g -> g.serverConnections().written(number));
-      }
-
-      @Override
-      void closed() {
-        round.addForServer(g -> g.serverConnections().closed(number, reader.partialResponse()));
-      }
-
-      @Override
-      void connectFailed() {
-        loop.post(g -> g.serverConnections().closed(number, null));
-      }
-
-      @Override
-      void resetOnConnect() {
-        loop.post(g -> g.serverConnections().connectionReset(number));
-      }
-    };
-  }
-
-  private Stream discovery(long number) {
-    HttpResponseDecoder reader =
-        new HttpResponseDecoder(
-            (status, body) -> loop.post(g -> g.discovery().responseReceived(number, status, body)));
-    return new Stream() {
-      @Override
-      void opened() {
-        loop.post(g -> g.discovery().connected(number));
-      }
-
-      @Override
-      void read(ByteBuffer in) throws HttpResponseDecoder.ProtocolException {
-        reader.feed(in);
-        if (reader.isInResponse()) {
-          loop.post(g -> g.discovery().responseStarted(number));
-        }
-      }
-
-      @Override
-      void closed() {
-        if (!connectionFailed) {
-          reader.endOfStream();
-        }
-        loop.post(g -> g.discovery().closed(number));
-      }
-    };
-  }
-
-  /** The events of all connections, handed to the stream that each carries. */
-  private class Handler extends IoHandlerAdapter {
-
-    private Stream stream(IoSession session) {
-      return (Stream) session.getAttribute(STREAM);
-    }
-
-    @Override
-    public void sessionOpened(IoSession session) {
-      stream(session).opened();
-    }
-
-    @Override
-    public void messageReceived(IoSession session, Object message) throws Exception {
-      stream(session).read(((IoBuffer) message).buf());
+  private static boolean shutdownIfQuiet(IoSession session, int messages) {
+    if (session == null) {
+      return true;
     }
-
-    @Override
-    public void messageSent(IoSession session, Object message) {
-      Stream stream = stream(session);
-      stream.pendingWrites.decrementAndGet();
-      endIfOut(session, stream);
-      stream.written();
+    ClientStream stream = clientStreamOf(session);
+    if (!stream.isQuiet(messages)) {
+      return false;
     }
+    stream.discardInput();
+    GatheringIoProcessor.shutdownOutput(session);
+    return true;
+  }
 
-    @Override
-    public void sessionClosed(IoSession session) {
-      sessions.remove((Long) session.getAttribute(NUMBER));
-      stream(session).closed();
+  @Override
+  public void closeGracefully(long connection) {
+    IoSession session = sessions.get(connection);
+    if (session != null) {
+      ClientStream stream = clientStreamOf(session);
+      stream.discardInput();
+      stream.closeAfterWrite = true;
+      StreamHandler.shutdownIfSent(session, stream);
     }
+  }
 
-    @Override
-    public void exceptionCaught(IoSession session, Throwable cause) {
-      // A peer's nonsense, or a broken network: the connection ends and its end is told.
-      stream(session).connectionFailed = true;
-      LOG.fine(() -> "connection ended: " + cause);
-      session.closeNow();
-    }
+  private static ClientStream clientStreamOf(IoSession session) {
+    return (ClientStream) StreamHandler.streamOf(session);
   }
 }
--- a/gateway/src/main/java/weldcross/gateway/ServerConnectionPool.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerConnectionPool.java
@@ -3,10 +3,7 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.time.Duration;
-import java.util.ArrayDeque;
 import java.util.HashMap;
-import java.util.LinkedHashSet;
-import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import weldcross.connections.IdleTimeoutEstimator;
@@ -16,422 +13,449 @@
 import weldcross.routing.ServerId;
 
 /**
- * The reducer's connections to servers: each carries one question at a time, then waits for the
- * next.
+ * The connections to servers. Each carries one request at a time and is then idle until the next.
+ * Called by the event loop alone.
  */
 final class ServerConnectionPool {
 
-  /** One connection. */
-  static final class Link {
-    final long number;
-    final ServerId server;
-    final InetSocketAddress address;
-    ServerRequest question;
-    boolean reached, up, begun;
+  /** A connection is closed here this fraction of the server's idle timeout before the server. */
+  private static final int IDLE_MARGIN_DIVISOR = 8;
 
-    /** Messages of which not every byte is known to be out. */
-    int unwritten;
+  /** A connection is to be quiet for this fraction of the connect timeout before it is reused. */
+  private static final int SETTLE_DIVISOR = 64;
 
-    /** Counts how far it has come: what was expected of an earlier step is expected no more. */
-    int step, doubted = -1;
-
-    /**
-     * Since when it was welcomed, since when it rests, and how long it had rested before this
-     * question.
-     */
-    Duration upSince, idleSince, rested;
-
-    Link(long number, ServerId server, InetSocketAddress address) {
-      this.number = number;
-      this.server = server;
-      this.address = address;
-    }
+  /** Number of connections to one server, for the log. */
+  private static final class Usage {
+    private int open;
+    private int busy;
   }
 
-  private static final ArrayDeque<Link> NONE = new ArrayDeque<>();
-
   private final Gateway gateway;
   private final Transport transport;
   private final Duration connectTimeout;
-  private final Duration idleFor;
-  private final int most;
-
-  /** A connection is quiet for so long before it carries the next question. */
-  private final Duration settle;
-
-  private final IdleTimeoutEstimator rests = new IdleTimeoutEstimator();
+  private final Duration idleTimeout;
+  private final Duration settleTime;
+  private final int maxConnections;
+  private final IdleTimeoutEstimator idleTimeoutEstimator = new IdleTimeoutEstimator();
   private final Map<ServerId, InetSocketAddress> addresses = new HashMap<>();
-  private final Map<ServerId, ArrayDeque<Link>> idle = new HashMap<>();
-  private final Map<Long, Link> links = new HashMap<>();
-
-  /** All that are idle, the longest idle first. */
-  private final LinkedHashSet<Link> resting = new LinkedHashSet<>();
-
-  private boolean tiring;
+  private final Map<Long, ServerConnection> connections = new HashMap<>();
+  private final IdleConnections idle = new IdleConnections();
+  private boolean idleTimerSet;
 
   /**
-   * @param idleClose after which a server closes; a connection is given up here before that
+   * Creates an empty pool.
+   *
+   * @param gateway the owner, which provides time and timers
+   * @param transport what connects and writes
+   * @param connectTimeout limit for a connection to come up, and for each step of its session
+   * @param serverIdleTimeout idle time after which a server closes a connection
+   * @param maxConnections limit for open connections and those that are coming up
    */
   ServerConnectionPool(
-      Gateway gateway, Transport transport, Duration connectTimeout, Duration idleClose, int most) {
+      Gateway gateway,
+      Transport transport,
+      Duration connectTimeout,
+      Duration serverIdleTimeout,
+      int maxConnections) {
     this.gateway = gateway;
     this.transport = transport;
     this.connectTimeout = connectTimeout;
-    this.idleFor = idleClose.minus(idleClose.dividedBy(8));
-    this.most = most;
-    this.settle = connectTimeout.dividedBy(64);
+    this.idleTimeout = serverIdleTimeout.minus(serverIdleTimeout.dividedBy(IDLE_MARGIN_DIVISOR));
+    this.settleTime = connectTimeout.dividedBy(SETTLE_DIVISOR);
+    this.maxConnections = maxConnections;
   }
 
-  /** A server that moved keeps its name; what is open to its old address is used no more. */
+  // ---- Endpoints
+
+  /** Sets the address of a server; idle connections to a former address are closed. */
   void setAddress(ServerId server, InetSocketAddress address) {
     InetSocketAddress before = addresses.put(server, address);
     if (before != null && !before.equals(address)) {
-      List.copyOf(idle.getOrDefault(server, NONE)).forEach(this::remove);
+      idle.of(server).forEach(this::close);
     }
   }
 
+  /** Removes a server; connections that carry a request stay until it is answered. */
   void removeServer(ServerId server) {
     addresses.remove(server);
-    ArrayDeque<Link> unused = idle.remove(server);
-    if (unused != null) {
-      List.copyOf(unused).forEach(this::remove);
+    idle.of(server).forEach(this::close);
+  }
+
+  // ---- Requests
+
+  /** Sends a request on an idle connection, or on a new one. */
+  void send(ServerId server, ServerRequest request) {
+    ServerConnection settled = settledConnection(server);
+    if (settled == null) {
+      connect(server, request);
+      return;
+    }
+    if (!request.maySend()) {
+      gateway.soon(() -> complete(request, AttemptOutcome.NOT_SENT, null));
+      return;
     }
+    Duration idleTime = gateway.now().minus(settled.idleSince);
+    // A health check may be repeated, so it uses any connection; thus it is learnt when idle
+    // connections are good again.
+    if (request.isAnsweredPromptly() || idleTimeoutEstimator.mayReuse(idleTime)) {
+      idle.remove(settled);
+      settled.idleTime = idleTime;
+      assign(settled, request);
+      write(settled, request.message());
+      return;
+    }
+    close(idle.leastRecent(server));
+    connect(server, request);
+  }
+
+  /**
+   * Returns the idle connection to reuse; null if none has been quiet for long enough. Bytes that
+   * do not belong to a response come right after it, so only a quiet connection is safe.
+   */
+  private ServerConnection settledConnection(ServerId server) {
+    Duration quietSince = gateway.now().minus(settleTime);
+    ServerConnection connection = idle.mostRecent(server);
+    if (connection != null && connection.idleSince.compareTo(quietSince) > 0) {
+      connection = idle.leastRecent(server);
+    }
+    return connection != null && connection.idleSince.compareTo(quietSince) <= 0
+        ? connection
+        : null;
   }
 
-  void send(ServerId server, ServerRequest question) {
-    ArrayDeque<Link> unused = idle.getOrDefault(server, NONE);
-    Link link = unused.peekFirst();
-    if (link != null && gateway.now().minus(link.idleSince).compareTo(settle) < 0) {
-      // What comes behind an answer comes right behind it: the one that has been quiet longest is
-      // safe.
-      link = unused.peekLast();
-    }
-    Duration rested = link == null ? null : gateway.now().minus(link.idleSince);
-    if (link != null && rested.compareTo(settle) >= 0) {
-      if (!question.maySend()) {
-        gateway.soon(() -> end(question, AttemptOutcome.NOT_SENT, null));
-        return;
-      }
-      // What may be asked again tries whatever there is, so that it is learnt when all is well
-      // again.
-      if (question.isAnsweredPromptly() || rests.mayReuse(rested)) {
-        rouse(link);
-        link.rested = rested;
-        carry(link, question);
-        write(link, question.message());
-        return;
-      }
-      remove(unused.peekLast());
-    }
-    if (links.size() >= most && !resting.isEmpty()) {
-      remove(resting.iterator().next());
+  private void connect(ServerId server, ServerRequest request) {
+    if (connections.size() >= maxConnections && !idle.isEmpty()) {
+      close(idle.longestIdle());
     }
     InetSocketAddress address = addresses.get(server);
-    if (links.size() >= most || address == null) {
-      gateway.warn("no descriptor left for a connection to " + server.name());
-      gateway.soon(() -> end(question, AttemptOutcome.UNREACHABLE, null));
+    if (connections.size() >= maxConnections || address == null) {
+      gateway.warn("no descriptor for a connection: endpoint=" + server.name());
+      gateway.soon(() -> complete(request, AttemptOutcome.UNREACHABLE, null));
       return;
     }
-    Link dialled = new Link(gateway.nextNumber(), server, address);
-    links.put(dialled.number, dialled);
-    carry(dialled, question);
-    transport.connectToServer(dialled.number, address);
-    expect(dialled);
+    ServerConnection connection = new ServerConnection(gateway.nextNumber(), server, address);
+    connections.put(connection.number, connection);
+    assign(connection, request);
+    transport.connectToServer(connection.number, address);
+    startTimeout(connection);
   }
 
+  /** Ends a request; its connection is closed with it, so that no response comes any more. */
+  void abort(ServerRequest request, AttemptOutcome outcome) {
+    if (request.connection != null) {
+      close(request.connection);
+    }
+    gateway.soon(() -> complete(request, outcome, null));
+  }
+
+  private static void assign(ServerConnection connection, ServerRequest request) {
+    connection.request = request;
+    request.connection = connection;
+  }
+
+  private static void complete(
+      ServerRequest request, AttemptOutcome outcome, ServerResponse response) {
+    if (!request.done) {
+      request.done = true;
+      request.completed(outcome, response);
+    }
+  }
+
+  // ---- Timeouts
+
   /**
-   * The other side has the time of a dial for its next word. Whoever is silent for so long is given
-   * up, but not before all is read that it may have said meanwhile: a gateway short of processor
-   * time would take its own slowness for that of all servers.
+   * Gives the server the connect timeout for its next step. The step fails only after everything
+   * was read that arrived in that time: a gateway short of processor time would otherwise take its
+   * own delay for that of all servers.
    */
-  private void expect(Link link) {
-    int step = ++link.step;
+  private void startTimeout(ServerConnection connection) {
+    int step = ++connection.step;
     gateway.at(
         gateway.now().plus(connectTimeout),
         () -> {
-          if (link.step == step) {
-            link.doubted = step;
-            transport.afterPendingReads(link.number);
+          if (connection.step == step) {
+            connection.overdueStep = step;
+            transport.afterPendingReads(connection.number);
           }
         });
-    gateway.at(gateway.now().plus(connectTimeout.multipliedBy(2)), () -> silent(link, step));
+    gateway.at(
+        gateway.now().plus(connectTimeout.multipliedBy(2)), () -> timedOut(connection, step));
   }
 
-  /** All that came in until {@link Transport#afterPendingReads} was asked for has been read. */
+  /** Everything that had arrived at {@link Transport#afterPendingReads} was read and posted. */
   void pendingReadsDone(long number) {
-    Link link = links.get(number);
-    if (link != null) {
-      silent(link, link.doubted);
+    ServerConnection connection = connections.get(number);
+    if (connection != null) {
+      timedOut(connection, connection.overdueStep);
     }
   }
 
-  private void silent(Link link, int step) {
-    if (link.step != step || !links.containsKey(link.number)) {
+  private void timedOut(ServerConnection connection, int step) {
+    if (connection.step != step || !connections.containsKey(connection.number)) {
       return;
     }
-    if (!link.up) {
-      transport.closeNow(link.number);
-      link.reached = false;
-      closed(link.number, null);
-    } else if (link.begun) {
-      protocolError(link.number, "an answer that does not end");
-    } else if (link.question != null) {
-      abort(link.question, AttemptOutcome.TIMED_OUT);
+    if (!connection.sessionReady) {
+      transport.closeNow(connection.number);
+      connection.accepted = false;
+      closed(connection.number, null);
+    } else if (connection.responseStarted) {
+      protocolError(connection.number, "an answer that does not end");
+    } else if (connection.request != null) {
+      abort(connection.request, AttemptOutcome.TIMED_OUT);
     }
   }
 
-  /** Stops waiting: the connection ends with it, so that nothing of it comes back. */
-  void abort(ServerRequest question, AttemptOutcome outcome) {
-    if (question.link != null) {
-      remove(question.link);
-    }
-    gateway.soon(() -> end(question, outcome, null));
-  }
+  // ---- Events of connections
 
+  /** A connection was accepted by its server. */
   void connected(long number) {
-    Link link = links.get(number);
-    if (link != null) {
-      link.step++;
-      link.reached = true;
-      write(link, MessageEncoder.startup());
+    ServerConnection connection = connections.get(number);
+    if (connection != null) {
+      connection.step++;
+      connection.accepted = true;
+      write(connection, MessageEncoder.startup());
     } else {
-      // Given up as it came up: nobody would ever end it.
+      // Cancelled as it came up: nobody else closes it.
       transport.closeNow(number);
     }
   }
 
-  /** The server welcomed this gateway; what is sent before that it may not read. */
+  /** The server opened the session; it may ignore what is sent before. */
   void sessionReady(long number) {
-    Link link = links.get(number);
-    if (link != null) {
-      link.step++;
-      link.up = true;
-      link.upSince = gateway.now();
-      ServerRequest question = link.question;
-      if (question.maySend()) {
-        write(link, question.message());
-        return;
-      }
-      link.question = null;
-      question.link = null;
-      rest(link);
-      end(question, AttemptOutcome.NOT_SENT, null);
+    ServerConnection connection = connections.get(number);
+    if (connection == null) {
+      return;
     }
+    connection.step++;
+    connection.sessionReady = true;
+    connection.readySince = gateway.now();
+    ServerRequest request = connection.request;
+    if (request.maySend()) {
+      write(connection, request.message());
+      return;
+    }
+    connection.request = null;
+    request.connection = null;
+    release(connection);
+    complete(request, AttemptOutcome.NOT_SENT, null);
   }
 
+  /** A message that could not be sent at once is sent. */
   void written(long number) {
-    Link link = links.get(number);
-    if (link != null && --link.unwritten == 0) {
-      allOut(link);
+    ServerConnection connection = connections.get(number);
+    if (connection != null && --connection.unsentMessages == 0) {
+      allSent(connection);
     }
   }
 
-  private void allOut(Link link) {
-    if (!link.up || (link.question != null && link.question.isAnsweredPromptly())) {
-      expect(link);
+  private void allSent(ServerConnection connection) {
+    boolean prompt = connection.request != null && connection.request.isAnsweredPromptly();
+    if (!connection.sessionReady || prompt) {
+      startTimeout(connection);
     }
   }
 
   /**
-   * @param more whether bytes came behind it: the answer counts, its connection is of no further
-   *     use
+   * The response to the current request is whole.
+   *
+   * @param hasTrailingBytes whether bytes follow it: the response counts, its connection is of no
+   *     further use
    */
-  void responseReceived(long number, ServerResponse answer, boolean more) {
-    Link link = links.get(number);
-    if (link == null || link.question == null) {
+  void responseReceived(long number, ServerResponse response, boolean hasTrailingBytes) {
+    ServerConnection connection = connections.get(number);
+    if (connection == null || connection.request == null) {
       return;
     }
-    ServerRequest question = link.question;
-    link.step++;
-    link.begun = false;
-    if (answer.sqlState() == null && !answer.isComplete(question.commandTag())) {
+    ServerRequest request = connection.request;
+    connection.step++;
+    connection.responseStarted = false;
+    if (response.sqlState() == null && !response.isComplete(request.commandTag())) {
       protocolError(number, "a row that is completed as no such statement is");
       return;
     }
-    rests.recordAnswered(link.rested);
-    link.question = null;
-    question.link = null;
-    question.connectedSince = link.upSince;
-    if (more) {
-      gateway.warn("bytes behind an answer of " + link.server.name());
-      remove(link);
+    idleTimeoutEstimator.recordAnswered(connection.idleTime);
+    connection.request = null;
+    request.connection = null;
+    request.connectedSince = connection.readySince;
+    if (hasTrailingBytes) {
+      gateway.warn("bytes after a response: endpoint=" + connection.server.name());
+      close(connection);
     } else {
-      rest(link);
+      release(connection);
     }
-    end(question, outcome(answer), answer);
+    complete(request, outcome(response), response);
   }
 
-  /** An answer that does not go on is none; its connection would be waited for in vain. */
+  /** A response began; it has to end in time, as the connection is blocked until then. */
   void responseStarted(long number) {
-    Link link = links.get(number);
-    if (link != null && link.question != null) {
-      link.begun = true;
-      expect(link);
+    ServerConnection connection = connections.get(number);
+    if (connection != null && connection.request != null) {
+      connection.responseStarted = true;
+      startTimeout(connection);
     }
   }
 
-  /** Nothing of what was read counts, and nothing more of it is read. */
-  void protocolError(long number, String why) {
-    Link link = links.get(number);
-    if (link == null) {
+  /** The stream is of no further use, and nothing of a response counts. */
+  void protocolError(long number, String reason) {
+    ServerConnection connection = connections.get(number);
+    if (connection == null) {
       return;
     }
-    gateway.warn("spoilt by " + link.server.name() + ": " + why);
-    ServerRequest question = link.question;
-    boolean asked = link.up;
-    remove(link);
-    if (question != null) {
-      end(question, asked ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.UNREACHABLE, null);
+    gateway.warn("protocol error: endpoint=" + connection.server.name() + " reason=" + reason);
+    ServerRequest request = connection.request;
+    boolean sessionReady = connection.sessionReady;
+    close(connection);
+    if (request != null) {
+      complete(
+          request,
+          sessionReady ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.UNREACHABLE,
+          null);
     }
   }
 
-  void closed(long number, ServerResponse rest) {
-    Link link = links.remove(number);
-    if (link == null) {
+  /**
+   * A connection ended, or did not come up.
+   *
+   * @param partialResponse what had arrived of the response; null if it did not come up
+   */
+  void closed(long number, ServerResponse partialResponse) {
+    ServerConnection connection = connections.remove(number);
+    if (connection == null) {
       return;
     }
-    rouse(link);
-    if (!link.up) {
-      gateway.warn("no connection to " + link.server.name() + " at " + link.address);
+    idle.remove(connection);
+    if (!connection.sessionReady) {
+      gateway.warn(
+          "connection failed: endpoint="
+              + connection.server.name()
+              + " address="
+              + connection.address);
     }
-    ServerRequest question = link.question;
-    if (question == null) {
+    ServerRequest request = connection.request;
+    if (request == null) {
       return;
     }
-    question.link = null;
-    AttemptOutcome told =
-        rest != null && (rest.isComplete(question.commandTag()) || rest.sqlState() != null)
-            ? outcome(rest)
-            : null;
-    if (told != null && (link.up || told == AttemptOutcome.OVERLOADED)) {
-      end(question, told, rest);
+    request.connection = null;
+    boolean answered =
+        partialResponse != null
+            && (partialResponse.isComplete(request.commandTag())
+                || partialResponse.sqlState() != null);
+    AttemptOutcome outcome = answered ? outcome(partialResponse) : null;
+    if (answered && (connection.sessionReady || outcome == AttemptOutcome.OVERLOADED)) {
+      complete(request, outcome, partialResponse);
     } else {
-      end(question, lost(link), null);
+      complete(request, outcomeOfLoss(connection), null);
     }
   }
 
-  /** What it means that a connection ended under its question. */
-  private AttemptOutcome lost(Link link) {
-    boolean kept = link.rested != null && !link.begun;
-    if (link.up && !link.begun) {
-      rests.recordLost(link.rested);
-    }
-    if (link.up && link.unwritten == 0) {
-      return kept ? AttemptOutcome.IDLE_CONNECTION_LOST : AttemptOutcome.CONNECTION_LOST;
-    }
-    // Taken up and ended before its welcome, or while it rested: whoever did so may well live.
-    return kept || (link.reached && !link.up)
-        ? AttemptOutcome.CLOSED_BEFORE_SEND
-        : AttemptOutcome.UNREACHABLE;
-  }
-
   /**
-   * A dial was taken up by somebody and ended at once, which a place without a process cannot do.
+   * A connection was reset before it came up. Somebody had accepted it, which a host without the
+   * server's process cannot do.
    */
   void connectionReset(long number) {
-    Link link = links.get(number);
-    if (link != null) {
-      link.reached = true;
+    ServerConnection connection = connections.get(number);
+    if (connection != null) {
+      connection.accepted = true;
       closed(number, null);
     }
   }
 
-  private static AttemptOutcome outcome(ServerResponse answer) {
-    if (answer.sqlState() == null) {
+  /** Returns what it means for the current request that its connection ended. */
+  private AttemptOutcome outcomeOfLoss(ServerConnection connection) {
+    boolean reused = connection.idleTime != null && !connection.responseStarted;
+    if (connection.sessionReady && !connection.responseStarted) {
+      idleTimeoutEstimator.recordLost(connection.idleTime);
+    }
+    if (connection.sessionReady && connection.unsentMessages == 0) {
+      return reused ? AttemptOutcome.IDLE_CONNECTION_LOST : AttemptOutcome.CONNECTION_LOST;
+    }
+    // Accepted and closed before the session, or closed while idle: the server may well be alive.
+    return reused || (connection.accepted && !connection.sessionReady)
+        ? AttemptOutcome.CLOSED_BEFORE_SEND
+        : AttemptOutcome.UNREACHABLE;
+  }
+
+  private static AttemptOutcome outcome(ServerResponse response) {
+    if (response.sqlState() == null) {
       return AttemptOutcome.OK;
     }
-    return switch (answer.sqlState()) {
+    return switch (response.sqlState()) {
       case "25006", "72000" -> AttemptOutcome.INELIGIBLE;
       case "53300" -> AttemptOutcome.OVERLOADED;
       default -> AttemptOutcome.ERROR;
     };
   }
 
-  private void end(ServerRequest question, AttemptOutcome outcome, ServerResponse answer) {
-    if (!question.done) {
-      question.done = true;
-      question.completed(outcome, answer);
-    }
-  }
-
-  private void carry(Link link, ServerRequest question) {
-    link.question = question;
-    question.link = link;
-  }
+  // ---- Connections
 
   /**
-   * What is out is known to be out before anything else can be told of its connection: an end that
-   * is told first would make of a write that ran one that never went out, and send it twice.
+   * Writes a message. What is sent at once is noted before any other event of the connection: after
+   * an end that came first, a request that ran would count as never sent, and be sent twice.
    */
-  private void write(Link link, ByteBuffer... parts) {
-    if (transport.write(link.number, parts)) {
-      allOut(link);
+  private void write(ServerConnection connection, ByteBuffer... parts) {
+    if (transport.write(connection.number, parts)) {
+      allSent(connection);
     } else {
-      link.unwritten++;
+      connection.unsentMessages++;
     }
   }
 
-  /** For the log: connections by server, and how many of them carry a question. */
-  String describe() {
-    Map<String, int[]> counts = new TreeMap<>();
-    for (Link link : links.values()) {
-      int[] count = counts.computeIfAbsent(link.server.name(), s -> new int[2]);
-      count[0]++;
-      count[1] += link.question == null ? 0 : 1;
-    }
-    StringBuilder words = new StringBuilder("connections");
-    counts.forEach(
-        (server, c) ->
-            words.append(' ').append(server).append(' ').append(c[1]).append('/').append(c[0]));
-    return words.toString();
-  }
-
-  private void rest(Link link) {
-    if (!link.address.equals(addresses.get(link.server))) {
-      remove(link);
+  private void release(ServerConnection connection) {
+    if (!connection.address.equals(addresses.get(connection.server))) {
+      close(connection);
       return;
     }
-    link.idleSince = gateway.now();
-    idle.computeIfAbsent(link.server, s -> new ArrayDeque<>()).addFirst(link);
-    resting.add(link);
-    tireLater();
+    connection.idleSince = gateway.now();
+    idle.add(connection);
+    setIdleTimer();
   }
 
   /**
-   * One due time for all that rest, as connections come and go by far more often than they tire.
+   * Sets one timer for all idle connections, as they are reused far more often than they expire.
    */
-  private void tireLater() {
-    if (!tiring && !resting.isEmpty()) {
-      tiring = true;
-      gateway.at(
-          resting.iterator().next().idleSince.plus(idleFor),
-          () -> {
-            tiring = false;
-            while (!resting.isEmpty()
-                && gateway.now().compareTo(resting.iterator().next().idleSince.plus(idleFor))
-                    >= 0) {
-              remove(resting.iterator().next());
-            }
-            tireLater();
-          });
+  private void setIdleTimer() {
+    if (!idleTimerSet && !idle.isEmpty()) {
+      idleTimerSet = true;
+      gateway.at(idle.longestIdle().idleSince.plus(idleTimeout), this::closeExpired);
     }
   }
 
-  /** From its rest, if it is at rest: to work, or to its end. */
-  private void rouse(Link link) {
-    if (resting.remove(link)) {
-      idle.computeIfPresent(
-          link.server, (s, all) -> all.remove(link) && all.isEmpty() ? null : all);
+  private void closeExpired() {
+    idleTimerSet = false;
+    while (!idle.isEmpty()
+        && gateway.now().compareTo(idle.longestIdle().idleSince.plus(idleTimeout)) >= 0) {
+      close(idle.longestIdle());
     }
+    setIdleTimer();
   }
 
-  private void remove(Link link) {
-    links.remove(link.number);
-    rouse(link);
-    if (link.question != null) {
-      link.question.link = null;
-      link.question = null;
+  private void close(ServerConnection connection) {
+    connections.remove(connection.number);
+    idle.remove(connection);
+    if (connection.request != null) {
+      connection.request.connection = null;
+      connection.request = null;
     }
-    transport.closeNow(link.number);
+    transport.closeNow(connection.number);
+  }
+
+  /** Returns for each server, by name, how many connections carry a request, of how many. */
+  String describe() {
+    Map<String, Usage> usages = new TreeMap<>();
+    for (ServerConnection connection : connections.values()) {
+      Usage usage = usages.computeIfAbsent(connection.server.name(), name -> new Usage());
+      usage.open++;
+      usage.busy += connection.request == null ? 0 : 1;
+    }
+    StringBuilder text = new StringBuilder("connections");
+    usages.forEach(
+        (server, usage) ->
+            text.append(' ')
+                .append(server)
+                .append(' ')
+                .append(usage.busy)
+                .append('/')
+                .append(usage.open));
+    return text.toString();
   }
 }
--- a/gateway/src/main/java/weldcross/gateway/ServerRequest.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerRequest.java
@@ -5,34 +5,41 @@
 import weldcross.pgwire.ServerResponse;
 import weldcross.routing.AttemptOutcome;
 
-/** What a connection to a server carries, one at a time: an RPC's call-out or a probe. */
+/** A request to a server, an attempt of an RPC or a health check; a connection carries one. */
 abstract class ServerRequest {
 
-  /** The connection that carries it; null before and after. */
-  ServerConnectionPool.Link link;
+  /** The connection that carries this; null before and after. */
+  ServerConnection connection;
 
+  /** Whether {@link #completed} was called. */
   boolean done;
 
   /**
-   * Since when its connection was open, once that has answered: the server's process is no younger.
+   * Since when the session that answered this was open, so that the server has run for at least as
+   * long; null if there was no answer.
    */
   Duration connectedSince;
 
-  /** What goes out, worded when it goes: the time left is part of it. */
+  /** Returns the message; called when it is sent, as it has the time that is left. */
   abstract ByteBuffer[] message();
 
-  /** Asked when its connection is up: whether it is still to go out, as a dial takes time. */
+  /** Returns whether to send this still; called when its connection is ready, which takes time. */
   abstract boolean maySend();
 
   /**
-   * Whether its answer is given at once or never, so that it is waited for no longer than for a
-   * dial.
+   * Returns whether a server answers this at once or never, so that the connect timeout is enough
+   * for the answer as well.
    */
   abstract boolean isAnsweredPromptly();
 
-  /** How the answer to it is completed; null where nothing is passed on. */
+  /** Returns the tag with which a server completes this; null if any will do. */
   abstract String commandTag();
 
-  /** Called once, however it ends. */
-  abstract void completed(AttemptOutcome outcome, ServerResponse answer);
+  /**
+   * Ends this; called once.
+   *
+   * @param outcome how it ended
+   * @param response what the server sent; null if nothing of it can be used
+   */
+  abstract void completed(AttemptOutcome outcome, ServerResponse response);
 }
--- /dev/null
+++ b/gateway/src/main/java/weldcross/gateway/ServerStream.java
@@ -0,0 +1,63 @@
+package weldcross.gateway;
+
+import java.nio.ByteBuffer;
+import weldcross.pgwire.ServerMessageDecoder;
+
+/** Decodes the stream of a server and posts its events to {@link ServerConnectionPool}. */
+final class ServerStream extends Stream {
+
+  private final long number;
+  private final ReadBatch batch;
+  private final EventLoop loop;
+  private final ServerMessageDecoder decoder;
+
+  /**
+   * Creates the stream of one connection.
+   *
+   * @param number identifies the connection
+   * @param batch takes the events of what is read
+   * @param loop takes the events of an attempt to connect that failed
+   */
+  ServerStream(long number, ReadBatch batch, EventLoop loop) {
+    this.number = number;
+    this.batch = batch;
+    this.loop = loop;
+    this.decoder = Streams.server(batch::addForServer, number);
+  }
+
+  @Override
+  void opened() {
+    batch.addForServer(gateway -> gateway.serverConnections().connected(number));
+  }
+
+  @Override
+  void writing() {
+    decoder.expectResponse();
+  }
+
+  @Override
+  void read(ByteBuffer in) {
+    decoder.feed(in);
+  }
+
+  @Override
+  void written() {
+    batch.addForServer(gateway -> gateway.serverConnections().written(number));
+  }
+
+  @Override
+  void closed() {
+    batch.addForServer(
+        gateway -> gateway.serverConnections().closed(number, decoder.partialResponse()));
+  }
+
+  @Override
+  void connectFailed() {
+    loop.post(gateway -> gateway.serverConnections().closed(number, null));
+  }
+
+  @Override
+  void resetOnConnect() {
+    loop.post(gateway -> gateway.serverConnections().connectionReset(number));
+  }
+}
--- /dev/null
+++ b/gateway/src/main/java/weldcross/gateway/StreamHandler.java
@@ -0,0 +1,85 @@
+package weldcross.gateway;
+
+import java.util.Map;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.logging.Logger;
+import org.apache.mina.core.buffer.IoBuffer;
+import org.apache.mina.core.service.IoHandlerAdapter;
+import org.apache.mina.core.session.IoSession;
+
+/**
+ * Knows the open sessions by the number of their connection, and passes the events of each to the
+ * {@link Stream} that was attached to it.
+ */
+class StreamHandler extends IoHandlerAdapter {
+
+  private static final Logger LOG = Logger.getLogger(StreamHandler.class.getName());
+  private static final String STREAM = "stream";
+  private static final String NUMBER = "number";
+
+  private final Map<Long, IoSession> sessions;
+
+  /**
+   * Creates a handler.
+   *
+   * @param sessions the open sessions, which several handlers may share
+   */
+  StreamHandler(ConcurrentHashMap<Long, IoSession> sessions) {
+    this.sessions = sessions;
+  }
+
+  /** Attaches a stream to a session before its first event. */
+  void attach(IoSession session, long number, Stream stream) {
+    stream.session = session;
+    session.setAttribute(NUMBER, number);
+    session.setAttribute(STREAM, stream);
+    sessions.put(number, session);
+  }
+
+  /** Returns the stream that was attached to a session. */
+  static Stream streamOf(IoSession session) {
+    return (Stream) session.getAttribute(STREAM);
+  }
+
+  /**
+   * Half-closes a session whose last message was sent. It is not closed: a close with unread bytes
+   * would take back what was written last.
+   */
+  static void shutdownIfSent(IoSession session, Stream stream) {
+    if (stream.closeAfterWrite && stream.pendingWrites.get() == 0) {
+      GatheringIoProcessor.shutdownOutput(session);
+    }
+  }
+
+  @Override
+  public void sessionOpened(IoSession session) {
+    streamOf(session).opened();
+  }
+
+  @Override
+  public void messageReceived(IoSession session, Object message) throws Exception {
+    streamOf(session).read(((IoBuffer) message).buf());
+  }
+
+  @Override
+  public void messageSent(IoSession session, Object message) {
+    Stream stream = streamOf(session);
+    stream.pendingWrites.decrementAndGet();
+    shutdownIfSent(session, stream);
+    stream.written();
+  }
+
+  @Override
+  public void sessionClosed(IoSession session) {
+    sessions.remove((Long) session.getAttribute(NUMBER));
+    streamOf(session).closed();
+  }
+
+  @Override
+  public void exceptionCaught(IoSession session, Throwable cause) {
+    // Bytes that cannot be decoded, or a broken network; the end of the connection is reported.
+    streamOf(session).connectionFailed = true;
+    LOG.fine(() -> "connection failed: reason=" + cause);
+    session.closeNow();
+  }
+}
--- a/gateway/src/main/java/weldcross/gateway/Transport.java
+++ b/gateway/src/main/java/weldcross/gateway/Transport.java
@@ -5,62 +5,83 @@
 import java.time.Duration;
 
 /**
- * What the reducer asks of the world. Each is begun at once and never waits; what comes of it comes
- * back as an event. A connection is known by the number that its accepting or its dialling gave it.
+ * The I/O of a gateway, as its event loop asks for it. Each call starts something and never blocks;
+ * the result comes back as an event. A connection is identified by a number: above zero for those
+ * that were accepted, below zero for those that this gateway connected.
  */
 interface Transport {
 
   /**
-   * The clock as it stands; within a turn of the reducer its own time does not move, however long
-   * that lasts.
+   * Returns the time since the start of the process. Unlike the time of the event loop, it goes on
+   * within one turn of the loop.
    */
   Duration now();
 
-  void listen(InetSocketAddress at);
+  /**
+   * Accepts clients from now on.
+   *
+   * @throws IllegalStateException if the address cannot be bound
+   */
+  void listen(InetSocketAddress address);
 
   /**
-   * Talks to itself as a client, so that its sockets are quick before others use them; told when
-   * done.
+   * Connects to this gateway itself as a client, so that the JVM compiles what sockets use before
+   * clients do; an event tells when that is done.
    */
   void warmUp();
 
+  /** Accepts no more clients; connections that are open stay open. */
   void stopListening();
 
-  /** Hears other gateways at this address and speaks to them from it. */
-  void listenForGossip(InetSocketAddress at);
+  /**
+   * Receives gossip of other gateways at this address, from which gossip is sent as well.
+   *
+   * @throws IllegalStateException if the address cannot be bound
+   */
+  void listenForGossip(InetSocketAddress address);
 
-  void connectToServer(long link, InetSocketAddress to);
+  /** Sends a datagram; it may be lost. To be called after {@link #listenForGossip}. */
+  void sendGossip(InetSocketAddress address, byte[] message);
 
-  void connectToDiscovery(long link, InetSocketAddress to);
+  /** Connects to a server under the given number. */
+  void connectToServer(long connection, InetSocketAddress address);
+
+  /** Connects to discovery under the given number. */
+  void connectToDiscovery(long connection, InetSocketAddress address);
 
   /**
-   * Writes the parts as one, from where they are; they must not change afterwards.
+   * Writes the parts as one message, without a copy; they must not change afterwards.
    *
-   * @return whether all of it is out already; where it is not, an event tells when it is
+   * @return whether the whole message was sent; if it was not, an event tells when it is
    */
   boolean write(long connection, ByteBuffer... parts);
 
-  /** Reads on, or lets what comes wait in the network. */
-  void setReading(long connection, boolean on);
+  /** Sets whether messages of a client are read; if not, they wait in buffers. */
+  void setReading(long connection, boolean reading);
 
   /**
-   * Tells, by an event, once all that has come in by now on any connection has been read and told.
+   * Posts an event for the connection once everything that has arrived by now, on all connections,
+   * was read and posted.
    */
   void afterPendingReads(long connection);
 
-  /** Ends a connection before anything that is asked for later. */
+  /** Closes a connection, or cancels connecting, before anything that is asked for later. */
   void closeNow(long connection);
 
   /**
-   * Ends sending to a client if no more than so many messages of it have been read and none has
-   * begun, at the moment that all that has come in by now was; tells by an event whether it did.
-   * What comes later is read and left, so that its connection is not reset under what it has not
-   * read yet, until it is dropped.
+   * Half-closes a client's connection if it is quiet: no more than so many messages of it were
+   * read, and none has begun, once everything that has arrived by now was read. An event tells
+   * whether it did. What arrives later is read and ignored until {@link #closeNow}, as an unread
+   * rest would reset the connection and take back what the client has not read yet.
+   *
+   * @param connection the client's connection
+   * @param messages number of messages that the event loop knows of
    */
   void closeIfQuiet(long connection, int messages);
 
-  /** Ends sending once all that was written to it is out; what comes later is read and left. */
+  /**
+   * Half-closes a client's connection once everything that was written to it is sent; what arrives
+   * later is read and ignored.
+   */
   void closeGracefully(long connection);
-
-  void sendGossip(InetSocketAddress to, byte[] message);
 }
--- a/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
@@ -117,7 +117,7 @@
    */
   private void aRoundIsOver() {
     CountDownLatch read = new CountDownLatch(1);
-    transport.processor.afterReading(read::countDown);
+    transport.processor.afterPendingReads(read::countDown);
     until(() -> read.getCount() == 0);
     loop.catchUp(gateway);
   }
@@ -300,7 +300,7 @@
   @Test
   void faultInATaskOfTheProcessorIsNotTheEndOfAllReading() throws Exception {
     Socket first = connect();
-    transport.processor.afterReading(
+    transport.processor.afterPendingReads(
         () -> {
           throw new IllegalStateException("a fault of one connection");
         });
@@ -314,7 +314,7 @@
   void endOfTheReadingThreadIsTheEndOfTheGateway() throws Exception {
     connect();
     broke = true;
-    transport.processor.afterReading(
+    transport.processor.afterPendingReads(
         () -> {
           throw new StackOverflowError("planted");
         });
--- a/gateway/src/test/java/weldcross/gateway/GatewayProcessTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayProcessTest.java
@@ -402,7 +402,7 @@
               .replace("192", "128"));
       hangUp(process);
       await(log, "configuration reloaded");
-      await(log, "discovery moves to 127.0.0.1:2");
+      await(log, "discovery address changed: endpoint=127.0.0.1:2");
       process.toHandle().destroy();
       List<String> rest = log.lines().toList();
       assertTrue(rest.stream().anyMatch(l -> l.contains("to DRAINING")), rest.toString());
@@ -642,7 +642,7 @@
     try (BufferedReader log = process.inputReader()) {
       List<String> said = new ArrayList<>();
       for (String line = log.readLine();
-          line != null && !line.contains("discovery: ");
+          line != null && !line.contains("discovery failed");
           line = log.readLine()) {
         said.add(line);
       }
--- /dev/null
+++ b/gateway/src/test/java/weldcross/gateway/IdleConnectionsTest.java
@@ -0,0 +1,74 @@
+package weldcross.gateway;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.net.InetSocketAddress;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import weldcross.routing.ServerId;
+
+class IdleConnectionsTest {
+
+  private static final ServerId FIRST_SERVER = new ServerId("s-0");
+  private static final ServerId SECOND_SERVER = new ServerId("s-1");
+
+  private final IdleConnections idle = new IdleConnections();
+  private final ServerConnection oldest = connection(-1, FIRST_SERVER);
+  private final ServerConnection middle = connection(-2, SECOND_SERVER);
+  private final ServerConnection newest = connection(-3, FIRST_SERVER);
+
+  private static ServerConnection connection(long number, ServerId server) {
+    return new ServerConnection(number, server, new InetSocketAddress("127.0.0.1", 6543));
+  }
+
+  private void addAll() {
+    idle.add(oldest);
+    idle.add(middle);
+    idle.add(newest);
+  }
+
+  @Test
+  void emptyPoolHasNoConnectionOfAnyServer() {
+    assertTrue(idle.isEmpty());
+    assertNull(idle.mostRecent(FIRST_SERVER));
+    assertNull(idle.leastRecent(FIRST_SERVER));
+    assertEquals(List.of(), idle.of(FIRST_SERVER));
+  }
+
+  @Test
+  void connectionsOfOneServerAreOrderedByLastUse() {
+    addAll();
+    assertSame(newest, idle.mostRecent(FIRST_SERVER));
+    assertSame(oldest, idle.leastRecent(FIRST_SERVER));
+    assertEquals(List.of(newest, oldest), idle.of(FIRST_SERVER));
+    assertSame(middle, idle.mostRecent(SECOND_SERVER));
+  }
+
+  @Test
+  void longestIdleIsTheOldestOfAllServers() {
+    addAll();
+    assertSame(oldest, idle.longestIdle());
+    idle.remove(oldest);
+    assertSame(middle, idle.longestIdle());
+  }
+
+  @Test
+  void removedConnectionIsGoneEverywhereAndMayReturn() {
+    addAll();
+    idle.remove(oldest);
+    idle.remove(oldest);
+    assertEquals(List.of(newest), idle.of(FIRST_SERVER));
+    idle.add(oldest);
+    assertSame(oldest, idle.mostRecent(FIRST_SERVER));
+    for (ServerConnection each : List.of(oldest, middle, newest)) {
+      assertFalse(idle.isEmpty());
+      idle.remove(each);
+    }
+    assertTrue(idle.isEmpty());
+    assertNull(idle.mostRecent(FIRST_SERVER));
+  }
+}
--- a/gateway/src/test/java/weldcross/gateway/SocketLimitsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/SocketLimitsTest.java
@@ -107,11 +107,11 @@
             public void run() {
               turns.incrementAndGet();
               if (!ends.get()) {
-                processor.afterReading(this);
+                processor.afterPendingReads(this);
               }
             }
           };
-      processor.afterReading(again);
+      processor.afterPendingReads(again);
       isServed(client, OTHERS);
       assertTrue(turns.get() > 1, "it did ask for itself: " + turns);
     } finally {
