--- a/gateway/src/main/java/weldcross/mesh/net/MinaMeshTransport.java
+++ b/gateway/src/main/java/weldcross/mesh/net/MinaMeshTransport.java
@@ -138,7 +138,7 @@
 
   @Override
   public void connect(long connection, PeerName to) {
-    connects.dial(
+    connects.connect(
         connection,
         addresses.connectAddresses().get(to),
         session -> addSession(session, connection),
@@ -149,7 +149,7 @@
     context.at(
         context.now().plus(config.connectTimeout()),
         () -> {
-          if (connects.giveUp(connection)) {
+          if (connects.cancel(connection)) {
             connections.onConnectFailed(context.now(), connection, false);
           }
         });
@@ -210,7 +210,7 @@
 
   @Override
   public void close(long connection) {
-    connects.giveUp(connection);
+    connects.cancel(connection);
     IoSession session = sessions.remove(connection);
     if (session != null) {
       session.closeNow();
--- a/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
@@ -117,7 +117,7 @@
    */
   private void aRoundIsOver() {
     CountDownLatch read = new CountDownLatch(1);
-    transport.processor.afterReading(read::countDown);
+    transport.processor.afterPendingReads(read::countDown);
     until(() -> read.getCount() == 0);
     loop.catchUp(gateway);
   }
@@ -300,7 +300,7 @@
   @Test
   void faultInATaskOfTheProcessorIsNotTheEndOfAllReading() throws Exception {
     Socket first = connect();
-    transport.processor.afterReading(
+    transport.processor.afterPendingReads(
         () -> {
           throw new IllegalStateException("a fault of one connection");
         });
@@ -314,7 +314,7 @@
   void endOfTheReadingThreadIsTheEndOfTheGateway() throws Exception {
     connect();
     broke = true;
-    transport.processor.afterReading(
+    transport.processor.afterPendingReads(
         () -> {
           throw new StackOverflowError("planted");
         });
@@ -358,7 +358,7 @@
       List<Socket> fill = fillUp(to);
       // Nobody accepts and the queue is full: these stay on their way.
       for (int k = 0; k < 40; k++) {
-        transport.dialServer(-1_000 - k, to);
+        transport.connectToServer(-1_000 - k, to);
       }
       int kept = 0;
       List<Socket> clients = new ArrayList<>();
@@ -382,7 +382,7 @@
         each.close();
       }
       for (int k = 0; k < 40; k++) {
-        transport.drop(-1_000 - k);
+        transport.closeNow(-1_000 - k);
       }
     }
   }
