--- a/gateway/src/test/java/weldcross/routing/AdmissionQueueTest.java
+++ b/gateway/src/test/java/weldcross/routing/AdmissionQueueTest.java
@@ -61,7 +61,7 @@
     RouterHarness.TrackedRequest entry = harness.requests.get(write);
     assertEquals(Answer.REJECTED, entry.answer);
     assertTrue(
-        entry.answeredAt.minus(entry.arrived).compareTo(RouterHarness.DEADLINE.dividedBy(3)) > 0,
+        entry.answeredAt.minus(entry.arrivedAt).compareTo(RouterHarness.DEADLINE.dividedBy(3)) > 0,
         "too soon");
     // What has been out has had its chance taken, and is not cut short.
     harness.server(0).listedStatus = EndpointStatus.ACTIVE;
--- a/gateway/src/test/java/weldcross/routing/ConcurrencyLimiterTest.java
+++ b/gateway/src/test/java/weldcross/routing/ConcurrencyLimiterTest.java
@@ -53,7 +53,7 @@
     int sent = 0;
     for (int g = 0; g < gateways; g++) {
       RouterHarness harness =
-          RouterHarness.withKnownPrimary(RouterHarness.fleetConfig(gateways, true), g);
+          RouterHarness.withKnownPrimary(RoutingConfigs.fleet(gateways, true), g);
       for (int k = 0; k < 60; k++) {
         harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
         harness.advance(ms(50));
@@ -67,7 +67,7 @@
 
   @Test
   void answerWellWithinItsObjectiveEarnsAShortPause() {
-    RouterHarness harness = RouterHarness.withKnownPrimary(RouterHarness.fleetConfig(80, true));
+    RouterHarness harness = RouterHarness.withKnownPrimary(RoutingConfigs.fleet(80, true));
     String first = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
     harness.advance(ms(40));
     harness.end(harness.onlyInFlight(first), AttemptOutcome.OK);
--- a/gateway/src/test/java/weldcross/routing/EndpointRegistryTest.java
+++ b/gateway/src/test/java/weldcross/routing/EndpointRegistryTest.java
@@ -15,7 +15,7 @@
   /** A server said to drain gets nothing until a new start. */
   @Test
   void whereRemovalIsNotBindingRemovedServersServeOnAndDrainingOnesDoNot() {
-    RouterHarness harness = RouterHarness.withKnownPrimary(RouterHarness.fleetConfig(2, false), 7);
+    RouterHarness harness = RouterHarness.withKnownPrimary(RoutingConfigs.fleet(2, false), 7);
     harness.router.beginEndpointList(harness.now, false);
     harness.router.endpointListed(
         harness.now,
@@ -86,7 +86,7 @@
   void failedListCallIsRepeatedWithBackoff() {
     RouterHarness harness =
         new RouterHarness(
-            RouterHarness.config(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, true), 1);
+            RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, true), 1);
     assertEquals(1, harness.watchCalls);
     for (int k = 0; k < 8; k++) {
       harness.router.endpointListFailed(harness.now);
--- a/gateway/src/test/java/weldcross/routing/HealthCheckerTest.java
+++ b/gateway/src/test/java/weldcross/routing/HealthCheckerTest.java
@@ -31,7 +31,7 @@
   void newRouterChecksEveryMemberAndQueuesReadsUntilOneAnswers() {
     RouterHarness harness =
         new RouterHarness(
-            RouterHarness.config(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false), 1);
+            RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false), 1);
     RouterHarness.withKnownPrimary()
         .servers
         .values()
--- a/gateway/src/test/java/weldcross/routing/LatencyEstimatorTest.java
+++ b/gateway/src/test/java/weldcross/routing/LatencyEstimatorTest.java
@@ -40,7 +40,7 @@
                     e.answer == Answer.REJECTED
                         && e.attemptCount == 0
                         && e.answeredAt.compareTo(
-                                e.arrived.plus(RouterHarness.LATENCY_OBJECTIVE).minus(ms(100)))
+                                e.arrivedAt.plus(RouterHarness.LATENCY_OBJECTIVE).minus(ms(100)))
                             < 0));
   }
 
@@ -72,7 +72,7 @@
     RouterHarness.TrackedRequest entry =
         harness.requests.get(harness.arrive(Consistency.FRESH, 0, Duration.ZERO));
     harness.advance(time);
-    Answer answer = entry.answer;
+    final Answer answer = entry.answer;
     harness.server(0).listedStatus = EndpointStatus.ACTIVE;
     harness.server(0).startedAt = harness.now.minus(ms(20_000));
     harness.publishEndpointList();
--- a/gateway/src/test/java/weldcross/routing/PrimaryTrackerTest.java
+++ b/gateway/src/test/java/weldcross/routing/PrimaryTrackerTest.java
@@ -14,10 +14,10 @@
   void primaryClaimOlderThanAnAnswerIsIgnored() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     RouterHarness.Server former = harness.server(0);
-    RouterHarness.SentAttempt write =
+    final RouterHarness.SentAttempt write =
         harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO));
     harness.advance(ms(100));
-    Duration claimed = harness.now;
+    final Duration claimed = harness.now;
     harness.advance(ms(100));
     former.primary = false;
     harness.end(write, AttemptOutcome.INELIGIBLE);
--- a/gateway/src/test/java/weldcross/routing/RetryPolicyTest.java
+++ b/gateway/src/test/java/weldcross/routing/RetryPolicyTest.java
@@ -21,7 +21,7 @@
   void retryThatWaitedForItsConnectionIsSentOnlyWithinTheDeduplicationWindow() {
     RouterHarness harness =
         RouterHarness.withKnownPrimary(
-            RouterHarness.config(Effect.IDEMPOTENT_BY_KEY, Scope.GROUP, true, true, false));
+            RoutingConfigs.withWrites(Effect.IDEMPOTENT_BY_KEY, Scope.GROUP, true, true, false));
     String write = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
     assertTrue(
         harness.isStillEligible(harness.onlyInFlight(write)),
--- a/gateway/src/test/java/weldcross/routing/RouterHarness.java
+++ b/gateway/src/test/java/weldcross/routing/RouterHarness.java
@@ -9,14 +9,17 @@
 import weldcross.routing.RequestClass.Effect;
 import weldcross.routing.RequestClass.Scope;
 
-/** A host that keeps the books of one router and fails the test at the call that breaks a rule. */
+/**
+ * The host of one router: simulates its servers and clients and fails the test at the action that
+ * breaks a rule of the service. Time passes only in {@link #advance}.
+ */
 final class RouterHarness implements RouterActions {
 
   static final Duration STALENESS_BOUND = ms(400);
   static final Duration LATENCY_OBJECTIVE = ms(400);
   static final Duration DEADLINE = ms(1500);
 
-  /** A server as it truly is; the router sees only what the test lets it be told. */
+  /** A server as it truly is; the router knows only what the test has reported to it. */
   static final class Server {
     final ServerId id;
     final GroupId group;
@@ -41,19 +44,20 @@
     FAILED
   }
 
+  /** An attempt as the router asked for it. */
   record SentAttempt(String request, int number, Server server, Duration at, Duration until) {}
 
-  /** An RPC in the books: what it needs and what has been done for it. */
+  /** A request: what it needs and what the router has done for it. */
   static final class TrackedRequest {
     RequestClass requestClass;
     GroupId group;
-    Duration arrived;
+    Duration arrivedAt;
     Duration deadline;
     Duration token;
     int answers;
     Answer answer;
     Duration answeredAt;
-    boolean mayHaveRun;
+    boolean mayHaveExecuted;
     final List<SentAttempt> inFlight = new ArrayList<>();
     int attemptCount;
     Duration firstSentAt;
@@ -72,7 +76,7 @@
   int watchCalls;
   int timerCalls;
   int removedCalls;
-  private boolean setEndpointListValid = true;
+  private boolean endpointListValid = true;
   private int requestCount;
 
   RouterHarness(RoutingConfig config, long seed) {
@@ -80,94 +84,27 @@
     this.router = new Router(this, config, seed);
   }
 
-  static Duration ms(long n) {
-    return Duration.ofMillis(n);
-  }
-
-  static RequestClass requestClass(
-      Consistency consistency, Effect effect, Scope scope, double late) {
-    return new RequestClass(
-        consistency,
-        STALENESS_BOUND,
-        effect,
-        scope,
-        ms(900),
-        LATENCY_OBJECTIVE,
-        1 + consistency.ordinal(),
-        late);
-  }
-
-  /** One method a need, in the order of Need; the write as given. */
-  static RoutingConfig config(
-      Effect write, Scope scope, boolean parallel, boolean carried, boolean asked) {
-    List<RequestClass> requestClasses = new ArrayList<>();
-    for (Consistency consistency : Consistency.values()) {
-      requestClasses.add(
-          requestClass(
-              consistency,
-              consistency == Consistency.WRITE ? write : Effect.IDEMPOTENT,
-              scope,
-              consistency == Consistency.WRITE ? 0.5 : 0));
-    }
-    return new RoutingConfig(
-        requestClasses,
-        2,
-        new ZoneId(0),
-        parallel,
-        5,
-        true,
-        true,
-        true,
-        ms(300),
-        asked,
-        ms(8000),
-        true,
-        carried,
-        0.25,
-        ms(6000),
-        2,
-        ms(1000));
-  }
-
-  /** The same terms in a fleet of gateways; where gone does not bind, only draining does. */
-  static RoutingConfig fleetConfig(int gateways, boolean removalIsBinding) {
-    RoutingConfig t = config(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false);
-    return new RoutingConfig(
-        t.requestClasses(),
-        gateways,
-        t.zone(),
-        true,
-        t.maxAttempts(),
-        true,
-        true,
-        true,
-        t.maxRetryAfter(),
-        false,
-        t.maxPollInterval(),
-        removalIsBinding,
-        true,
-        t.slowStartShare(),
-        t.slowStartDuration(),
-        t.overloadMultiple(),
-        t.overloadWindow());
-  }
-
-  /** Its client leaves before its time; what is out of it ends as cancelled. */
+  static Duration ms(long millis) {
+    return Duration.ofMillis(millis);
+  }
+
+  /** Lets the client of an unanswered request disconnect; attempts in flight end as cancelled. */
   void disconnect(String request) {
     TrackedRequest entry = requests.get(request);
     if (entry.answers == 0) {
       entry.answers++;
       router.clientDisconnected(now, new RequestId(request));
-      List.copyOf(entry.inFlight).forEach(s -> end(s, AttemptOutcome.CANCELLED));
+      List.copyOf(entry.inFlight).forEach(sent -> end(sent, AttemptOutcome.CANCELLED));
     }
   }
 
   /**
-   * A group of three: s0 is the primary, both replicas stand at the present, and the router knows
-   * it.
+   * Returns a harness with a group of three: s0 is the primary, both replicas are up to date, and
+   * the router knows it.
    */
   static RouterHarness withKnownPrimary() {
-    return withKnownPrimary(config(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false));
+    return withKnownPrimary(
+        RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false));
   }
 
   static RouterHarness withKnownPrimary(RoutingConfig config) {
@@ -177,14 +114,14 @@
   static RouterHarness withKnownPrimary(RoutingConfig config, long seed) {
     RouterHarness harness = new RouterHarness(config, seed);
     harness.advance(ms(10_000));
-    for (int k = 0; k < 3; k++) {
-      Server server = new Server(k, 0);
+    for (int number = 0; number < 3; number++) {
+      Server server = new Server(number, 0);
       server.listedStatus = EndpointStatus.ACTIVE;
       harness.servers.put(server.id.name(), server);
     }
     harness.server(0).primary = true;
     harness.publishEndpointList();
-    harness.servers.values().forEach(s -> harness.report(s, harness.now));
+    harness.servers.values().forEach(server -> harness.report(server, harness.now));
     return harness;
   }
 
@@ -192,23 +129,25 @@
     return servers.get("s" + number);
   }
 
+  /** Sends the router a complete list of all servers that are not removed. */
   void publishEndpointList() {
     router.beginEndpointList(now, true);
     servers.values().stream()
-        .filter(s -> s.listedStatus != EndpointStatus.REMOVED)
+        .filter(server -> server.listedStatus != EndpointStatus.REMOVED)
         .forEach(
-            s ->
+            server ->
                 router.endpointListed(
                     now,
-                    s.id,
-                    new ZoneId(s.id.hashCode() & 1),
-                    s.group,
-                    s.listedStatus,
-                    s.startedAt,
+                    server.id,
+                    new ZoneId(server.id.hashCode() & 1),
+                    server.group,
+                    server.listedStatus,
+                    server.startedAt,
                     false));
     router.endEndpointList(now);
   }
 
+  /** Lets a health check of the server pass with a report of that position. */
   void report(Server server, Duration position) {
     server.reportedPosition =
         server.reportedPosition == null || position.compareTo(server.reportedPosition) > 0
@@ -219,9 +158,9 @@
     router.reported(now, server.id, position, server.primary);
   }
 
-  /** Lets time pass, ringing whatever was asked for on its way. */
-  void advance(Duration span) {
-    Duration end = now.plus(span);
+  /** Lets time pass; timers fire and attempts expire on the way. */
+  void advance(Duration time) {
+    Duration end = now.plus(time);
     while (true) {
       Duration next = timerAt == null || tickAt.compareTo(timerAt) < 0 ? tickAt : timerAt;
       Duration until =
@@ -254,11 +193,12 @@
     }
   }
 
+  /** Lets a request arrive and returns its name; {@code sinceWrite} is zero for no write. */
   String arrive(Consistency consistency, int group, Duration sinceWrite) {
     TrackedRequest entry = new TrackedRequest();
     entry.requestClass = config.requestClasses().get(consistency.ordinal());
     entry.group = new GroupId(group);
-    entry.arrived = now;
+    entry.arrivedAt = now;
     entry.deadline = now.plus(DEADLINE);
     entry.token =
         consistency == Consistency.SESSION && !sinceWrite.isZero() ? now.minus(sinceWrite) : null;
@@ -276,19 +216,21 @@
     return name;
   }
 
-  /** Ends a call-out, with what an answering server says of itself. */
+  /** Ends an attempt; a server that responds says whether it is the primary. */
   void end(SentAttempt sent, AttemptOutcome outcome) {
     end(sent, outcome, sent.at);
   }
 
   /**
-   * @param aliveSince since when the server's process lives at least, where it answers
+   * Ends an attempt.
+   *
+   * @param aliveSince since when at least the process runs, if the server responds
    */
   void end(SentAttempt sent, AttemptOutcome outcome, Duration aliveSince) {
     TrackedRequest entry = requests.get(sent.request);
     inFlight.remove(sent);
     entry.inFlight.remove(sent);
-    entry.mayHaveRun |= !outcome.provesNotExecuted();
+    entry.mayHaveExecuted |= !outcome.provesNotExecuted();
     if (outcome == AttemptOutcome.OK && entry.answers == 0) {
       answered(entry, Answer.OK);
     }
@@ -320,17 +262,18 @@
   }
 
   void setEndpointListValid(boolean valid) {
-    setEndpointListValid = valid;
+    endpointListValid = valid;
     router.setEndpointListValid(now, valid);
   }
 
-  /** Answers what has been out for that long. */
+  /** Answers the attempts that have been in flight for that long. */
   void answerOlderThan(Duration age) {
     List.copyOf(inFlight).stream()
-        .filter(s -> s.at().plus(age).compareTo(now) <= 0)
-        .forEach(s -> end(s, AttemptOutcome.OK));
+        .filter(sent -> sent.at().plus(age).compareTo(now) <= 0)
+        .forEach(sent -> end(sent, AttemptOutcome.OK));
   }
 
+  /** Returns the attempt in flight, the first where there are several. */
   SentAttempt onlyInFlight(String request) {
     return requests.get(request).inFlight.get(0);
   }
@@ -360,52 +303,57 @@
 
   @Override
   public void sendAttempt(RequestId request, ServerId id, Duration until) {
-    TrackedRequest e = requests.get(request.name());
+    TrackedRequest entry = requests.get(request.name());
+    check(entry.answers == 0, "rule 1: sent after the final answer");
+    check(++entry.attemptCount <= config.maxAttempts(), "more attempts than allowed");
+    checkRepetition(entry);
     Server server = servers.get(id.name());
-    check(e.answers == 0, "rule 1: sent after the final answer");
-    check(e.inFlight.isEmpty() || config.parallelAttempts(), "rule 2: two out at once");
-    check(++e.attemptCount <= config.maxAttempts(), "more call-outs than allowed");
-    boolean risk = e.mayHaveRun || !e.inFlight.isEmpty();
-    check(
-        !risk || e.requestClass.effect() != Effect.NON_IDEMPOTENT,
-        "rule 2: sent again though it may have run");
-    check(
-        !risk
-            || e.requestClass.effect() != Effect.IDEMPOTENT_BY_KEY
-            || now.minus(e.firstSentAt).compareTo(e.requestClass.deduplicationWindow()) < 0,
-        "rule 2: sent again after the window");
-    check(server.group.equals(e.group), "outside its group");
-    check(setEndpointListValid, "rule 3: sent by a list that may lack a drain");
-    check(
-        server.listedStatus == EndpointStatus.ACTIVE,
-        "rule 3: sent to a server that drains or is gone");
-    boolean stale =
-        !server.reportedPrimary
-            && switch (e.requestClass.consistency()) {
-              case BOUNDED ->
-                  server.reportedPosition == null
-                      || now.minus(server.reportedPosition).compareTo(STALENESS_BOUND) >= 0;
-              case SESSION ->
-                  e.token != null
-                      && (server.reportedPosition == null
-                          || server.reportedPosition.compareTo(e.token) < 0);
-              case FRESH ->
-                  server.reportedPosition == null
-                      || server.reportedPosition.compareTo(e.arrived) < 0;
-              case ANY, WRITE -> false;
-            };
-    check(!stale, "rule 5: stale read");
+    checkEndpoint(entry, server);
+    check(!isStale(entry, server), "rule 5: stale read");
     if (server.startedAt != null
         && now.minus(server.startedAt).compareTo(config.slowStartDuration()) < 0) {
       server.slowStartSends.removeIf(at -> now.minus(at).compareTo(config.overloadWindow()) > 0);
       server.slowStartSends.add(now);
     }
-    e.firstSentAt = e.firstSentAt == null ? now : e.firstSentAt;
-    SentAttempt sent = new SentAttempt(request.name(), e.attemptCount - 1, server, now, until);
-    e.inFlight.add(sent);
+    entry.firstSentAt = entry.firstSentAt == null ? now : entry.firstSentAt;
+    SentAttempt sent = new SentAttempt(request.name(), entry.attemptCount - 1, server, now, until);
+    entry.inFlight.add(sent);
     inFlight.add(sent);
   }
 
+  private void checkRepetition(TrackedRequest entry) {
+    check(entry.inFlight.isEmpty() || config.parallelAttempts(), "rule 2: two in flight at once");
+    boolean mayRepeat = entry.mayHaveExecuted || !entry.inFlight.isEmpty();
+    check(
+        !mayRepeat || entry.requestClass.effect() != Effect.NON_IDEMPOTENT,
+        "rule 2: sent again though it may have been executed");
+    check(
+        !mayRepeat
+            || entry.requestClass.effect() != Effect.IDEMPOTENT_BY_KEY
+            || now.minus(entry.firstSentAt).compareTo(entry.requestClass.deduplicationWindow()) < 0,
+        "rule 2: sent again after the window");
+  }
+
+  private void checkEndpoint(TrackedRequest entry, Server server) {
+    check(server.group.equals(entry.group), "outside its group");
+    check(endpointListValid, "rule 3: sent by a list that may lack a drain");
+    check(
+        server.listedStatus == EndpointStatus.ACTIVE,
+        "rule 3: sent to a server that drains or is removed");
+  }
+
+  private boolean isStale(TrackedRequest entry, Server server) {
+    Duration position = server.reportedPosition;
+    return !server.reportedPrimary
+        && switch (entry.requestClass.consistency()) {
+          case BOUNDED -> position == null || now.minus(position).compareTo(STALENESS_BOUND) >= 0;
+          case SESSION ->
+              entry.token != null && (position == null || position.compareTo(entry.token) < 0);
+          case FRESH -> position == null || position.compareTo(entry.arrivedAt) < 0;
+          case ANY, WRITE -> false;
+        };
+  }
+
   @Override
   public void cancel(RequestId request, int attempt) {
     check(requests.get(request.name()).attemptCount > attempt, "cancelled what was never sent");
@@ -414,13 +362,13 @@
   @Override
   public void reject(RequestId request, Duration retryAfter) {
     TrackedRequest entry = requests.get(request.name());
-    boolean clean = !entry.mayHaveRun && entry.inFlight.isEmpty();
+    boolean clean = !entry.mayHaveExecuted && entry.inFlight.isEmpty();
     check(
         clean
             || entry.requestClass.effect() == Effect.IDEMPOTENT
             || (entry.requestClass.effect() == Effect.IDEMPOTENT_BY_KEY
                 && entry.requestClass.scope() == Scope.ALL),
-        "rule 2: pushed back though it may have run");
+        "rule 2: rejected though it may have been executed");
     answered(entry, Answer.REJECTED);
   }
 
@@ -448,10 +396,10 @@
   public void endpointRemoved(ServerId server) {
     check(
         servers.get(server.name()).listedStatus == EndpointStatus.REMOVED,
-        "forgotten though it is listed");
+        "removed though it is listed");
     check(
-        inFlight.stream().noneMatch(s -> s.server.id.equals(server)),
-        "forgotten while something is out");
+        inFlight.stream().noneMatch(sent -> sent.server.id.equals(server)),
+        "removed while something is in flight");
     removedCalls++;
   }
 
@@ -466,46 +414,62 @@
     timerAt = at;
   }
 
-  /** One step of a random life: whatever may happen next does, by the dice. */
+  /** Lets one event happen that may happen next, by chance. */
   void randomStep(SplittableRandom random) {
     Server server = new ArrayList<>(servers.values()).get(random.nextInt(servers.size()));
-    int what = random.nextInt(100);
-    if (what < 40) {
+    int percent = random.nextInt(100);
+    if (percent < 40) {
       Consistency consistency = Consistency.values()[random.nextInt(Consistency.values().length)];
-      Duration since =
+      Duration sinceWrite =
           config.clientsCarryTokens() ? ms(random.nextInt(3) * random.nextInt(400)) : Duration.ZERO;
-      arrive(consistency, random.nextInt(2), since);
-    } else if (what < 75 && !inFlight.isEmpty()) {
-      SentAttempt sent = inFlight.get(random.nextInt(inFlight.size()));
-      boolean miss =
-          requests.get(sent.request).requestClass.consistency() == Consistency.WRITE
-              && !sent.server.primary;
-      AttemptOutcome any = AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
-      end(sent, miss ? AttemptOutcome.INELIGIBLE : random.nextInt(3) > 0 ? AttemptOutcome.OK : any);
-    } else if (what < 88 && server.listedStatus == EndpointStatus.ACTIVE) {
+      arrive(consistency, random.nextInt(2), sinceWrite);
+    } else if (percent < 75 && !inFlight.isEmpty()) {
+      endRandomAttempt(random);
+    } else if (percent < 88 && server.listedStatus == EndpointStatus.ACTIVE) {
       Duration position = server.primary ? now : now.minus(ms(random.nextInt(700)));
       server.position = server.position.compareTo(position) > 0 ? server.position : position;
       report(server, server.position);
-    } else if (what < 90) {
-      for (Server old : servers.values()) {
-        old.position = old.primary && old.group.equals(server.group) ? now : old.position;
-        old.primary &= !old.group.equals(server.group);
-      }
-      server.primary = true;
-    } else if (what < 92) {
-      server.listedStatus = EndpointStatus.values()[random.nextInt(3)];
-      server.startedAt =
-          server.listedStatus == EndpointStatus.ACTIVE && random.nextBoolean()
-              ? now.minus(ms(random.nextInt(2000)))
-              : server.startedAt;
-      server.slowStartSends.clear();
-      publishEndpointList();
-    } else if (what < 93) {
+    } else if (percent < 90) {
+      promote(server);
+    } else if (percent < 92) {
+      changeListedStatus(server, random);
+    } else if (percent < 93) {
       router.endpointListFailed(now);
-    } else if (what < 94) {
+    } else if (percent < 94) {
       setEndpointListValid(random.nextInt(4) > 0);
     } else {
       advance(ms(random.nextInt(60)));
     }
   }
+
+  private void endRandomAttempt(SplittableRandom random) {
+    SentAttempt sent = inFlight.get(random.nextInt(inFlight.size()));
+    boolean write = requests.get(sent.request).requestClass.consistency() == Consistency.WRITE;
+    AttemptOutcome any = AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
+    if (write && !sent.server.primary) {
+      end(sent, AttemptOutcome.INELIGIBLE);
+    } else {
+      end(sent, random.nextInt(3) > 0 ? AttemptOutcome.OK : any);
+    }
+  }
+
+  private void promote(Server server) {
+    for (Server other : servers.values()) {
+      if (other.group.equals(server.group)) {
+        other.position = other.primary ? now : other.position;
+        other.primary = false;
+      }
+    }
+    server.primary = true;
+  }
+
+  private void changeListedStatus(Server server, SplittableRandom random) {
+    server.listedStatus = EndpointStatus.values()[random.nextInt(3)];
+    server.startedAt =
+        server.listedStatus == EndpointStatus.ACTIVE && random.nextBoolean()
+            ? now.minus(ms(random.nextInt(2000)))
+            : server.startedAt;
+    server.slowStartSends.clear();
+    publishEndpointList();
+  }
 }
--- a/gateway/src/test/java/weldcross/routing/RouterTest.java
+++ b/gateway/src/test/java/weldcross/routing/RouterTest.java
@@ -28,7 +28,7 @@
     Scope scope = Scope.values()[random.nextInt(3)];
     RouterHarness harness =
         new RouterHarness(
-            RouterHarness.config(
+            RoutingConfigs.withWrites(
                 effect, scope, random.nextBoolean(), random.nextBoolean(), random.nextBoolean()),
             seed);
     for (int k = 0; k < 6; k++) {
--- /dev/null
+++ b/gateway/src/test/java/weldcross/routing/RoutingConfigs.java
@@ -0,0 +1,85 @@
+package weldcross.routing;
+
+import java.util.ArrayList;
+import java.util.List;
+import weldcross.routing.RequestClass.Consistency;
+import weldcross.routing.RequestClass.Effect;
+import weldcross.routing.RequestClass.Scope;
+
+/** Configurations for tests. */
+final class RoutingConfigs {
+
+  private RoutingConfigs() {}
+
+  private static RequestClass requestClass(
+      Consistency consistency, Effect effect, Scope scope, double lateWeight) {
+    return new RequestClass(
+        consistency,
+        RouterHarness.STALENESS_BOUND,
+        effect,
+        scope,
+        RouterHarness.ms(900),
+        RouterHarness.LATENCY_OBJECTIVE,
+        1 + consistency.ordinal(),
+        lateWeight);
+  }
+
+  /** One request class for each consistency, in the order of the enum; the write as given. */
+  static RoutingConfig withWrites(
+      Effect write,
+      Scope scope,
+      boolean parallelAttempts,
+      boolean clientsCarryTokens,
+      boolean pollEndpointList) {
+    List<RequestClass> requestClasses = new ArrayList<>();
+    for (Consistency consistency : Consistency.values()) {
+      requestClasses.add(
+          requestClass(
+              consistency,
+              consistency == Consistency.WRITE ? write : Effect.IDEMPOTENT,
+              scope,
+              consistency == Consistency.WRITE ? 0.5 : 0));
+    }
+    return new RoutingConfig(
+        requestClasses,
+        2,
+        new ZoneId(0),
+        parallelAttempts,
+        5,
+        true,
+        true,
+        true,
+        RouterHarness.ms(300),
+        pollEndpointList,
+        RouterHarness.ms(8000),
+        true,
+        clientsCarryTokens,
+        0.25,
+        RouterHarness.ms(6000),
+        2,
+        RouterHarness.ms(1000));
+  }
+
+  /** The same configuration for a fleet of the given size. */
+  static RoutingConfig fleet(int gateways, boolean removalIsBinding) {
+    RoutingConfig base = withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false);
+    return new RoutingConfig(
+        base.requestClasses(),
+        gateways,
+        base.zone(),
+        true,
+        base.maxAttempts(),
+        true,
+        true,
+        true,
+        base.maxRetryAfter(),
+        false,
+        base.maxPollInterval(),
+        removalIsBinding,
+        true,
+        base.slowStartShare(),
+        base.slowStartDuration(),
+        base.overloadMultiple(),
+        base.overloadWindow());
+  }
+}
--- a/gateway/src/test/java/weldcross/routing/SessionConsistencyTest.java
+++ b/gateway/src/test/java/weldcross/routing/SessionConsistencyTest.java
@@ -38,7 +38,7 @@
   void sessionReadSeesTheTokenOfAnAnsweredWrite() {
     RouterHarness harness =
         RouterHarness.withKnownPrimary(
-            RouterHarness.config(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
+            RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
     assertFalse(
         harness
             .onlyInFlight(harness.arrive(Consistency.SESSION, 0, Duration.ZERO))
@@ -86,7 +86,7 @@
   void sessionReadSeesAWriteWithoutAnswerThatMayHaveBeenExecuted(String outcome) {
     RouterHarness harness =
         RouterHarness.withKnownPrimary(
-            RouterHarness.config(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
+            RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
     assertFalse(
         harness
             .onlyInFlight(harness.arrive(Consistency.SESSION, 0, Duration.ZERO))
@@ -118,7 +118,7 @@
   void readThatWaitsSeesWhatItsSessionHasWrittenMeanwhile() {
     RouterHarness harness =
         RouterHarness.withKnownPrimary(
-            RouterHarness.config(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
+            RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
     String write = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
     String read = harness.arrive(Consistency.SESSION, 0, Duration.ZERO);
     assertFalse(harness.onlyInFlight(read).server().primary, "nothing is known to be written yet");
--- a/gateway/src/test/java/weldcross/routing/SlowStartTest.java
+++ b/gateway/src/test/java/weldcross/routing/SlowStartTest.java
@@ -59,7 +59,7 @@
     int gateways = 80;
     List<RouterHarness> fleet = new ArrayList<>();
     for (int g = 0; g < gateways; g++) {
-      fleet.add(RouterHarness.withKnownPrimary(RouterHarness.fleetConfig(gateways, true), g));
+      fleet.add(RouterHarness.withKnownPrimary(RoutingConfigs.fleet(gateways, true), g));
     }
     SplittableRandom random = new SplittableRandom(5);
     List<Duration> sends = new ArrayList<>();
@@ -106,7 +106,7 @@
     int right = slowStartSends(80, 80, false);
     int wrong = slowStartSends(80, 10, false);
     int withQuotas = slowStartSends(80, 10, true);
-    assertTrue(wrong > 2 * right, "what is told matters: " + wrong + " beside " + right);
+    assertTrue(wrong > 2 * right, "quotas matter: " + wrong + " beside " + right);
     assertTrue(withQuotas <= right * 1.5, withQuotas + " beside " + right);
   }
 
@@ -117,7 +117,7 @@
     int sends = 0;
     for (int g = 0; g < gateways; g++) {
       RouterHarness harness =
-          RouterHarness.withKnownPrimary(RouterHarness.fleetConfig(settings, true), g);
+          RouterHarness.withKnownPrimary(RoutingConfigs.fleet(settings, true), g);
       if (withQuotas) {
         // A third of them have twice the part of the others.
         harness.router.setQuota((g % 3 == 0 ? 2.0 : 1.0) / (gateways + (gateways + 2) / 3));
@@ -141,7 +141,7 @@
   @Test
   void answerOnAConnectionFromBeforeTakesBackAPresumedRestart() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    RouterHarness.SentAttempt before =
+    final RouterHarness.SentAttempt before =
         harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO));
     harness.advance(ms(1));
     harness.end(
@@ -158,7 +158,7 @@
   @Test
   void answerSentBeforeAProcessEndedTakesNoRestartBack() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    RouterHarness.SentAttempt before =
+    final RouterHarness.SentAttempt before =
         harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO));
     harness.advance(ms(1));
     harness.end(
@@ -173,7 +173,7 @@
   @Test
   void answerOnANewConnectionTakesNoRestartBack() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    Duration before = harness.now;
+    final Duration before = harness.now;
     harness.advance(ms(1));
     harness.end(
         harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO)),
@@ -200,7 +200,7 @@
     SplittableRandom random = new SplittableRandom(seed);
     RouterHarness harness =
         RouterHarness.withKnownPrimary(
-            RouterHarness.config(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false), seed);
+            RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false), seed);
     Duration[] down = new Duration[3];
     Duration[] started = {Duration.ZERO, Duration.ZERO, Duration.ZERO};
     boolean[] noticed = new boolean[3];
@@ -271,13 +271,13 @@
   /** A restart that this gateway cannot see is told by a peer. */
   @Test
   void serverThatAPeerCouldNotReachGetsLess() {
-    RouterHarness harness = RouterHarness.withKnownPrimary(RouterHarness.fleetConfig(200, true));
+    RouterHarness harness = RouterHarness.withKnownPrimary(RoutingConfigs.fleet(200, true));
     harness.end(
         harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO)),
         AttemptOutcome.UNREACHABLE);
     assertEquals(List.of(harness.server(0).id), harness.gossiped);
     harness.router.gossipReceived(harness.now, new ServerId("nobody"));
-    RouterHarness peer = RouterHarness.withKnownPrimary(RouterHarness.fleetConfig(200, true));
+    RouterHarness peer = RouterHarness.withKnownPrimary(RoutingConfigs.fleet(200, true));
     peer.router.gossipReceived(peer.now, peer.server(0).id);
     for (int k = 0; k < 100; k++) {
       peer.arrive(Consistency.WRITE, 0, Duration.ZERO);
