--- a/gateway/src/test/java/weldcross/routing/ConcurrencyLimiterTest.java
+++ b/gateway/src/test/java/weldcross/routing/ConcurrencyLimiterTest.java
@@ -8,7 +8,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import weldcross.routing.RequestClass.Consistency;
+import weldcross.routing.RequestClass.Effect;
+import weldcross.routing.RequestClass.Scope;
 import weldcross.routing.RouterHarness.Answer;
 
 class ConcurrencyLimiterTest {
@@ -98,4 +102,42 @@
                 .count()
             < 60);
   }
+
+  @ParameterizedTest
+  @CsvSource({
+    "OK, 300, lowered",
+    "OK, 40, raised",
+    "OVERLOADED, 1, lowered",
+    "CANCELLED, 40, raised",
+    "UNREACHABLE, 300, unchanged",
+    "NOT_SENT, 300, unchanged",
+    "IDLE_CONNECTION_LOST, 300, unchanged"
+  })
+  void limitFollowsTheShareOfTheObjectiveThatAnAnswerTook(
+      AttemptOutcome outcome, long tookMillis, String expected) {
+    ConcurrencyLimiter limiter = new ConcurrencyLimiter(6, new LatencyEstimator(1));
+    RequestClass requestClass =
+        new RequestClass(
+            Consistency.ANY, ms(400), Effect.IDEMPOTENT, Scope.ALL, ms(0), ms(400), 1, 0);
+    RequestState request =
+        new RequestState(
+            new RequestId("r"),
+            0,
+            requestClass,
+            new ReplicaGroup(),
+            null,
+            null,
+            false,
+            ms(0),
+            ms(1500),
+            0);
+    EndpointState endpoint =
+        new EndpointState(
+            new ServerId("s"), request.group, new ZoneId(0), 0, limiter.initialLimit());
+    endpoint.inFlight.add(new Attempt(request, endpoint, 1, ms(0), 0.1, false));
+    Attempt ended = new Attempt(request, endpoint, 0, ms(0), 0.1, false);
+    limiter.recordOutcome(ms(tookMillis), ended, outcome, ms(tookMillis));
+    int change = Double.compare(endpoint.concurrencyLimit, 2);
+    assertEquals(expected, change < 0 ? "lowered" : change > 0 ? "raised" : "unchanged");
+  }
 }
--- a/gateway/src/test/java/weldcross/routing/LatencyEstimatorTest.java
+++ b/gateway/src/test/java/weldcross/routing/LatencyEstimatorTest.java
@@ -1,5 +1,7 @@
 package weldcross.routing;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTimeoutPreemptively;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -79,4 +81,24 @@
     harness.answerOlderThan(ms(0));
     return answer;
   }
+
+  @Test
+  void estimateSettlesAtTheMedianOfTheAnswers() {
+    LatencyEstimator latency = new LatencyEstimator(1);
+    assertEquals(1, latency.typicalSeconds(0), "nothing is known yet");
+    for (int answer = 0; answer < 3000; answer++) {
+      latency.record(0, ms(answer % 10 == 0 ? 5000 : 8 + answer % 5));
+    }
+    assertEquals(0.010, latency.typicalSeconds(0), 0.002);
+    assertTrue(latency.isSlow(0, ms(40)));
+    assertFalse(latency.isSlow(0, ms(20)));
+  }
+
+  @Test
+  void eachRequestClassHasItsOwnEstimate() {
+    LatencyEstimator latency = new LatencyEstimator(2);
+    latency.record(1, ms(20));
+    assertEquals(1, latency.typicalSeconds(0));
+    assertEquals(0.020, latency.typicalSeconds(1));
+  }
 }
--- a/gateway/src/test/java/weldcross/routing/RetryPolicyTest.java
+++ b/gateway/src/test/java/weldcross/routing/RetryPolicyTest.java
@@ -9,6 +9,8 @@
 import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import weldcross.routing.RequestClass.Consistency;
 import weldcross.routing.RequestClass.Effect;
 import weldcross.routing.RequestClass.Scope;
@@ -66,4 +68,82 @@
     List<RouterHarness.SentAttempt> sent = harness.requests.get(request).inFlight;
     return sent.isEmpty() ? null : sent.get(0);
   }
+
+  private static RequestState request(Effect effect, Scope scope) {
+    RequestClass requestClass =
+        new RequestClass(Consistency.WRITE, ms(400), effect, scope, ms(900), ms(400), 1, 0.5);
+    RequestId id = new RequestId("r");
+    return new RequestState(
+        id, 0, requestClass, new ReplicaGroup(), null, null, false, ms(0), ms(1500), 0);
+  }
+
+  private static EndpointState endpoint(int zone) {
+    return new EndpointState(new ServerId("s"), new ReplicaGroup(), new ZoneId(zone), 0, 1);
+  }
+
+  private static RetryPolicy policy() {
+    return new RetryPolicy(
+        RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false));
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "IDEMPOTENT, true, true, true",
+    "IDEMPOTENT_BY_KEY, true, true, false",
+    "NON_IDEMPOTENT, true, false, false"
+  })
+  void requestMayBeRepeatedAsItsEffectAllows(
+      Effect effect, boolean unsent, boolean withinWindow, boolean afterWindow) {
+    RequestState request = request(effect, Scope.GROUP);
+    assertEquals(unsent, policy().maySend(ms(0), request));
+    request.attempts.add(new Attempt(request, endpoint(0), 0, ms(0), 0.1, false));
+    request.mayHaveExecuted = true;
+    assertEquals(withinWindow, policy().maySend(ms(899), request));
+    assertEquals(afterWindow, policy().maySend(ms(900), request));
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "IDEMPOTENT, GROUP, true",
+    "IDEMPOTENT_BY_KEY, ALL, true",
+    "IDEMPOTENT_BY_KEY, ZONE, false",
+    "IDEMPOTENT_BY_KEY, GROUP, false",
+    "NON_IDEMPOTENT, ALL, false"
+  })
+  void clientMayRetryWhatMayHaveBeenExecutedIfAnyServerRecognizesIt(
+      Effect effect, Scope scope, boolean expected) {
+    RequestState request = request(effect, scope);
+    assertTrue(policy().isSafeForClientToRetry(request), "nothing was executed");
+    request.mayHaveExecuted = true;
+    assertEquals(expected, policy().isSafeForClientToRetry(request));
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "IDEMPOTENT_BY_KEY, ZONE, 0, true",
+    "IDEMPOTENT_BY_KEY, ZONE, 1, false",
+    "IDEMPOTENT_BY_KEY, GROUP, 1, true",
+    "IDEMPOTENT, ZONE, 1, true"
+  })
+  void retryIsRecognizedInItsScope(Effect effect, Scope scope, int zone, boolean expected) {
+    RequestState request = request(effect, scope);
+    assertTrue(policy().recognizesRetry(request, endpoint(zone)), "not sent yet");
+    request.attempts.add(new Attempt(request, endpoint(0), 0, ms(0), 0.1, false));
+    assertEquals(expected, policy().recognizesRetry(request, endpoint(zone)));
+  }
+
+  @Test
+  void hedgesAreLimitedToABudgetThatSuccessesEarn() {
+    RetryPolicy policy = policy();
+    RequestState request = request(Effect.IDEMPOTENT, Scope.GROUP);
+    assertTrue(policy.mayHedge(request));
+    policy.recordHedges(1);
+    assertFalse(policy.mayHedge(request));
+    for (int success = 0; success < 11; success++) {
+      policy.recordSuccess();
+    }
+    assertTrue(policy.mayHedge(request));
+    request.attemptsInFlight = 2;
+    assertFalse(policy.mayHedge(request), "it has a second attempt already");
+  }
 }
--- a/gateway/src/test/java/weldcross/routing/SlowStartTest.java
+++ b/gateway/src/test/java/weldcross/routing/SlowStartTest.java
@@ -61,19 +61,33 @@
     for (int g = 0; g < gateways; g++) {
       fleet.add(RouterHarness.withKnownPrimary(RoutingConfigs.fleet(gateways, true), g));
     }
+    Duration restartAt = fleet.get(0).now.plus(ms(20_000));
+    List<Duration> sends = sendsAroundARestart(fleet, restartAt);
+    for (Duration from : sends) {
+      long within =
+          sends.stream()
+              .filter(at -> at.compareTo(from) >= 0 && at.compareTo(from.plus(ms(1000))) < 0)
+              .count();
+      double age = from.minus(restartAt).plus(ms(500)).toMillis() / 6000.0;
+      // 160 a second before, at two thirds of what a warm server can do.
+      assertTrue(within <= 2 * Math.min(1, 0.25 + 0.75 * age) * 240, within + " at " + age);
+    }
+    assertTrue(sends.size() > 100, "it does get work: " + sends.size());
+  }
+
+  private static List<Duration> sendsAroundARestart(List<RouterHarness> fleet, Duration restartAt) {
     SplittableRandom random = new SplittableRandom(5);
     List<Duration> sends = new ArrayList<>();
-    Duration startedAt = fleet.get(0).now.plus(ms(20_000));
-    for (int k = 0; k < 2400; k++) {
+    for (int step = 0; step < 2400; step++) {
       for (RouterHarness harness : fleet) {
-        boolean falls = harness.now.equals(startedAt.minus(ms(200)));
-        if (falls || harness.now.equals(startedAt)) {
-          harness.server(0).listedStatus = falls ? EndpointStatus.REMOVED : EndpointStatus.ACTIVE;
-          harness.server(0).startedAt = falls ? null : startedAt;
+        boolean stops = harness.now.equals(restartAt.minus(ms(200)));
+        if (stops || harness.now.equals(restartAt)) {
+          harness.server(0).listedStatus = stops ? EndpointStatus.REMOVED : EndpointStatus.ACTIVE;
+          harness.server(0).startedAt = stops ? null : restartAt;
           harness.publishEndpointList();
         }
         // Two writes a second at each gateway; three more wait there when the primary returns.
-        int burst = falls ? 3 : 0;
+        int burst = stops ? 3 : 0;
         for (int n = random.nextInt(50) == 0 ? burst + 1 : burst; n > 0; n--) {
           harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
           harness.arrive(Consistency.ANY, 0, Duration.ZERO);
@@ -86,16 +100,7 @@
             .forEach(sends::add);
       }
     }
-    for (Duration from : sends) {
-      long within =
-          sends.stream()
-              .filter(at -> at.compareTo(from) >= 0 && at.compareTo(from.plus(ms(1000))) < 0)
-              .count();
-      double age = from.minus(startedAt).plus(ms(500)).toMillis() / 6000.0;
-      // 160 a second before, at two thirds of what a warm server can do.
-      assertTrue(within <= 2 * Math.min(1, 0.25 + 0.75 * age) * 240, within + " at " + age);
-    }
-    assertTrue(sends.size() > 100, "it does get work: " + sends.size());
+    return sends;
   }
 
   /**
@@ -197,75 +202,128 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
   void restartsAreToldFromLostConnections(long seed) {
-    SplittableRandom random = new SplittableRandom(seed);
-    RouterHarness harness =
-        RouterHarness.withKnownPrimary(
-            RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false), seed);
-    Duration[] down = new Duration[3];
-    Duration[] started = {Duration.ZERO, Duration.ZERO, Duration.ZERO};
-    boolean[] noticed = new boolean[3];
-    int live = 0;
-    int misjudged = 0;
+    RestartSimulation simulation = new RestartSimulation(seed);
     for (int step = 0; step < 4000; step++) {
-      int victim = 1 + random.nextInt(2);
-      if (random.nextInt(600) == 0 && down[victim] == null) {
-        down[victim] = harness.now;
-        noticed[victim] = false;
-        for (RouterHarness.SentAttempt sent : List.copyOf(harness.inFlight)) {
-          if (sent.server() == harness.server(victim)) {
-            harness.end(sent, AttemptOutcome.CONNECTION_LOST);
-          }
-        }
-      }
-      for (int k = 1; k < 3; k++) {
-        if (down[k] != null && harness.now.minus(down[k]).compareTo(ms(700)) > 0) {
-          started[k] = harness.now;
-          down[k] = null;
-        }
-      }
+      simulation.step();
+    }
+    assertTrue(simulation.misjudged < simulation.live / 3, simulation.toString());
+  }
+
+  /** Servers that crash and restart unlisted, while connections to live ones are lost too. */
+  private static final class RestartSimulation {
+    private static final int SERVERS = 3;
+
+    private final SplittableRandom random;
+    private final RouterHarness harness;
+
+    /** When the server went down; null while it is up. */
+    private final Duration[] downSince = new Duration[SERVERS];
+
+    private final Duration[] startedAt = {Duration.ZERO, Duration.ZERO, Duration.ZERO};
+
+    /** Whether the router could find out about the last crash. */
+    private final boolean[] noticed = new boolean[SERVERS];
+
+    /** Checks of servers that were live and warm. */
+    private int live;
+
+    /** Those among {@link #live} that the router took to be warming up. */
+    private int misjudged;
+
+    RestartSimulation(long seed) {
+      this.random = new SplittableRandom(seed);
+      this.harness =
+          RouterHarness.withKnownPrimary(
+              RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false),
+              seed);
+    }
+
+    void step() {
+      crash(1 + random.nextInt(2));
+      restart();
       harness.arrive(
           random.nextInt(3) == 0 ? Consistency.FRESH : Consistency.ANY, 0, Duration.ZERO);
+      List.copyOf(harness.inFlight).forEach(this::endAttempt);
+      List.copyOf(harness.healthChecks).forEach(this::endHealthCheck);
+      harness.healthChecks.clear();
+      harness.advance(ms(random.nextInt(12)));
+      for (int server = 0; server < SERVERS; server++) {
+        check(server);
+      }
+    }
+
+    private void crash(int server) {
+      if (random.nextInt(600) != 0 || downSince[server] != null) {
+        return;
+      }
+      downSince[server] = harness.now;
+      noticed[server] = false;
       for (RouterHarness.SentAttempt sent : List.copyOf(harness.inFlight)) {
-        int k = harness.server(0) == sent.server() ? 0 : harness.server(1) == sent.server() ? 1 : 2;
-        if (down[k] != null) {
-          noticed[k] = true;
-          harness.end(sent, AttemptOutcome.UNREACHABLE);
-        } else if (sent.at().equals(harness.now) && random.nextInt(50) == 0) {
-          harness.end(
-              sent,
-              random.nextBoolean()
-                  ? AttemptOutcome.UNREACHABLE
-                  : AttemptOutcome.IDLE_CONNECTION_LOST);
-        } else if (sent.at().plus(ms(5 + random.nextInt(40))).compareTo(harness.now) <= 0) {
-          // Over a connection that may have been open for long, but for no longer than its process.
-          Duration open = harness.now.minus(ms(random.nextInt(1500)));
-          harness.end(sent, AttemptOutcome.OK, open.compareTo(started[k]) < 0 ? started[k] : open);
+        if (sent.server() == harness.server(server)) {
+          harness.end(sent, AttemptOutcome.CONNECTION_LOST);
         }
       }
-      for (ServerId id : List.copyOf(harness.healthChecks)) {
-        int k = Integer.parseInt(id.name().substring(1));
-        noticed[k] |= down[k] != null;
-        harness.router.healthCheckEnded(
-            harness.now,
-            id,
-            down[k] == null ? AttemptOutcome.OK : AttemptOutcome.TIMED_OUT,
-            down[k] == null ? harness.now : null);
+    }
+
+    private void restart() {
+      for (int server = 1; server < SERVERS; server++) {
+        if (downSince[server] != null
+            && harness.now.minus(downSince[server]).compareTo(ms(700)) > 0) {
+          startedAt[server] = harness.now;
+          downSince[server] = null;
+        }
       }
-      harness.healthChecks.clear();
-      harness.advance(ms(random.nextInt(12)));
-      for (int k = 0; k < 3; k++) {
-        boolean restarted =
-            harness.now.minus(started[k]).compareTo(harness.config.slowStartDuration()) < 0
-                && k > 0
-                && !started[k].isZero();
-        assertTrue(
-            !restarted || !noticed[k] || harness.isWarmingUp(k),
-            "cold, and not known to be: s" + k);
-        live += down[k] == null && !restarted ? 1 : 0;
-        misjudged += down[k] == null && !restarted && harness.isWarmingUp(k) ? 1 : 0;
+    }
+
+    private void endAttempt(RouterHarness.SentAttempt sent) {
+      int server = number(sent.server().id);
+      if (downSince[server] != null) {
+        noticed[server] = true;
+        harness.end(sent, AttemptOutcome.UNREACHABLE);
+      } else if (sent.at().equals(harness.now) && random.nextInt(50) == 0) {
+        harness.end(
+            sent,
+            random.nextBoolean()
+                ? AttemptOutcome.UNREACHABLE
+                : AttemptOutcome.IDLE_CONNECTION_LOST);
+      } else if (sent.at().plus(ms(5 + random.nextInt(40))).compareTo(harness.now) <= 0) {
+        // The connection may have been open for long, but for no longer than its process runs.
+        Duration openSince = harness.now.minus(ms(random.nextInt(1500)));
+        harness.end(sent, AttemptOutcome.OK, Durations.later(openSince, startedAt[server]));
       }
     }
-    assertTrue(misjudged < live / 3, "taken for cold " + misjudged + " of " + live);
+
+    private void endHealthCheck(ServerId id) {
+      boolean down = downSince[number(id)] != null;
+      noticed[number(id)] |= down;
+      harness.router.healthCheckEnded(
+          harness.now,
+          id,
+          down ? AttemptOutcome.TIMED_OUT : AttemptOutcome.OK,
+          down ? null : harness.now);
+    }
+
+    private void check(int server) {
+      boolean restarted =
+          harness.now.minus(startedAt[server]).compareTo(harness.config.slowStartDuration()) < 0
+              && server > 0
+              && !startedAt[server].isZero();
+      assertTrue(
+          !restarted || !noticed[server] || harness.isWarmingUp(server),
+          "warming up, and not known to be: s" + server);
+      boolean warm = downSince[server] == null && !restarted;
+      live += warm ? 1 : 0;
+      misjudged += warm && harness.isWarmingUp(server) ? 1 : 0;
+    }
+
+    private static int number(ServerId id) {
+      return Integer.parseInt(id.name().substring(1));
+    }
+
+    @Override
+    public String toString() {
+      return "taken to be warming up: " + misjudged + " of " + live;
+    }
   }
 
   /** A restart that this gateway cannot see is told by a peer. */
