--- a/gateway/src/test/java/weldcross/membership/FailureDetectorExplorer.java
+++ b/gateway/src/test/java/weldcross/membership/FailureDetectorExplorer.java
@@ -6,96 +6,91 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
+import java.util.Optional;
 import java.util.UUID;
 import java.util.function.Consumer;
 import weldcross.mesh.PeerName;
 
 /**
- * Three gateways that see each other, through all orders of what can happen: each message arrives
- * or is lost, in any order; any of them looks at what is due; one of them ends and begins again;
- * another dials it, is refused or not, and learns of that at any time after. States that were met
- * before are not gone on from. Looks in each state whether anybody holds a life gone that has not
- * ended.
+ * Explores three gateways with failure detectors through all orders of what can happen: each
+ * message arrives or is lost, in any order; the timer of any of them runs; one of them ends and
+ * starts again; another connects to it, is refused or not, and learns of that at any time after.
+ * States that were reached before are not explored again. Checks in each state that nobody holds an
+ * incarnation for dead that has not ended.
  */
 final class FailureDetectorExplorer {
 
-  /** What a message is and what it does, so that equal states are known for equal. */
-  private record Message(String words, int to, Consumer<FailureDetector> says) {}
+  private static final int GATEWAYS = 3;
 
-  private static final int GATEWAYS = 3, DIALLER = 0, ENDS = 1;
+  /** The gateway that connects to the one that ends. */
+  private static final int CONNECTING = 0;
 
-  /** Messages under way beyond these are lost, the oldest first. */
-  private static final int UNDER_WAY = 2;
+  /** The gateway that ends and starts again. */
+  private static final int RESTARTING = 1;
 
-  /**
-   * One state, reached by the steps of a path, each the number of one of the steps possible before
-   * it.
-   */
-  private final class World {
-    final List<FailureDetector> detectors = new ArrayList<>();
-    final long[] life = {1, 1, 1};
-    boolean lives = true;
-    final List<Message> messages = new ArrayList<>();
-    Duration now = Duration.ZERO;
-
-    /**
-     * Of a dial: the life known when it began, and whether it was refused; below zero where there
-     * is none.
-     */
-    long dialled = -1;
-
-    Boolean refused;
-    final List<String> names = new ArrayList<>();
-
-    World() {
+  private static final int MAX_INCARNATION = 2;
+
+  /** Of more messages in flight the oldest is lost. */
+  private static final int MAX_IN_FLIGHT = 2;
+
+  /** A message, and a description by which equal states are recognized. */
+  private record Message(String description, int to, Consumer<FailureDetector> delivery) {}
+
+  /** Something that can happen next. */
+  private record Step(String description, Runnable action) {}
+
+  /** A connect under way: the incarnation known before it, and its result once there is one. */
+  private record Connect(long knownIncarnation, Optional<Boolean> refused) {}
+
+  /** One state, reached by a path: the number of the step taken, of those possible, each time. */
+  private final class State {
+    private final List<FailureDetector> detectors = new ArrayList<>();
+    private final long[] incarnations = {1, 1, 1};
+    private final List<Message> inFlight = new ArrayList<>();
+    private boolean restartingRuns = true;
+    private Optional<Connect> connect = Optional.empty();
+    private Duration now = Duration.ZERO;
+
+    /** All gateways know each other, and one ping is under way. */
+    State() {
       for (int k = 0; k < GATEWAYS; k++) {
-        begin(k);
+        detectors.add(newDetector(k));
       }
-      // All know each other.
       for (int from = 0; from < GATEWAYS; from++) {
         for (int to = 0; to < GATEWAYS; to++) {
           if (from != to) {
-            detectors
-                .get(to)
-                .onPing(now, name(from), 0, List.of(detectors.get(from).self().orElseThrow()));
+            MembershipUpdate self = detectors.get(from).self().orElseThrow();
+            detectors.get(to).onPing(now, name(from), 0, List.of(self));
           }
         }
       }
-      // And one probe is under way.
-      messages.clear();
-      now = now.plusSeconds(1);
-      detectors.get(DIALLER).onTimer(now);
+      inFlight.clear();
+      runTimer(CONNECTING);
     }
 
-    private PeerName name(int k) {
-      return new PeerName("n" + k);
-    }
-
-    private void begin(int k) {
+    private FailureDetector newDetector(int k) {
       List<PeerName> others = new ArrayList<>();
       for (int other = 0; other < GATEWAYS; other++) {
         if (other != k) {
           others.add(name(other));
         }
       }
-      FailureDetector next =
-          new FailureDetector(
-              FailureDetectorConfig.defaults(name(k), others, "", 1),
-              new RecordingActions(k),
-              7 + k);
-      if (k < detectors.size()) {
-        detectors.set(k, next);
-      } else {
-        detectors.add(next);
-      }
-      next.start(now, life[k]);
+      FailureDetectorConfig config = FailureDetectorConfig.defaults(name(k), others, "", 1);
+      FailureDetector detector = new FailureDetector(config, new RecordingActions(k), 7 + k);
+      detector.start(now, incarnations[k]);
+      return detector;
+    }
+
+    private void runTimer(int k) {
+      now = now.plusSeconds(1);
+      detectors.get(k).onTimer(now);
     }
 
-    private boolean lives(int k) {
-      return k != ENDS || lives;
+    private boolean runs(int k) {
+      return k != RESTARTING || restartingRuns;
     }
 
+    /** Puts what one gateway sends in flight. */
     private final class RecordingActions implements FailureDetectorActions {
       private final int self;
 
@@ -106,222 +101,243 @@
       private void send(
           String kind,
           PeerName to,
-          long number,
+          long sequence,
           List<MembershipUpdate> updates,
-          Consumer<FailureDetector> says) {
-        messages.add(
-            new Message(
-                self + ">" + to + " " + kind + number + updates,
-                Integer.parseInt(to.name().substring(1)),
-                says));
-        if (messages.size() > UNDER_WAY) {
-          messages.remove(0);
+          Consumer<FailureDetector> delivery) {
+        String description = self + ">" + to + " " + kind + sequence + updates;
+        inFlight.add(new Message(description, numberOf(to), delivery));
+        if (inFlight.size() > MAX_IN_FLIGHT) {
+          inFlight.remove(0);
         }
       }
 
       @Override
-      public void sendPing(PeerName to, long number, List<MembershipUpdate> updates) {
-        send("probe", to, number, updates, s -> s.onPing(now, name(self), number, updates));
+      public void sendPing(PeerName to, long sequence, List<MembershipUpdate> updates) {
+        send(
+            "ping",
+            to,
+            sequence,
+            updates,
+            receiver -> receiver.onPing(now, name(self), sequence, updates));
       }
 
       @Override
       public void sendPingRequest(
-          PeerName helper, PeerName target, long number, List<MembershipUpdate> updates) {
+          PeerName helper, PeerName target, long sequence, List<MembershipUpdate> updates) {
         send(
-            "help" + target,
+            "ping-request" + target,
             helper,
-            number,
+            sequence,
             updates,
-            s -> s.onPingRequest(now, name(self), target, number, updates));
+            receiver -> receiver.onPingRequest(now, name(self), target, sequence, updates));
       }
 
       @Override
-      public void sendAck(PeerName to, long number, List<MembershipUpdate> updates) {
-        send("answer", to, number, updates, s -> s.onAck(now, name(self), number, updates));
+      public void sendAck(PeerName to, long sequence, List<MembershipUpdate> updates) {
+        send(
+            "ack",
+            to,
+            sequence,
+            updates,
+            receiver -> receiver.onAck(now, name(self), sequence, updates));
       }
 
       @Override
-      public void sendNack(PeerName to, long number) {
-        send("none", to, number, List.of(), s -> s.onNack(now, name(self), number));
+      public void sendNack(PeerName to, long sequence) {
+        send(
+            "nack",
+            to,
+            sequence,
+            List.of(),
+            receiver -> receiver.onNack(now, name(self), sequence));
       }
 
       @Override
-      public void memberChanged(MembershipUpdate updates) {
-        // Looked at after the step.
+      public void memberChanged(MembershipUpdate update) {
+        // Checked after each step.
       }
 
       @Override
-      public void declaredDead(long of) {
-        if (of >= life[self]) {
-          broken = "n" + self + " lives as " + life[self] + " and hears that it is gone as " + of;
+      public void declaredDead(long dead) {
+        if (dead >= incarnations[self]) {
+          violation =
+              Optional.of(
+                  name(self) + " runs as " + incarnations[self] + " and is held for dead: " + dead);
         }
       }
 
       @Override
       public void wakeAt(Duration when) {
-        // Any of them may look at any time.
+        // Any timer may run at any time.
       }
     }
 
-    /** All steps possible now, in an order that depends on the state alone. */
-    private List<Runnable> steps() {
-      names.clear();
-      List<Runnable> steps = new ArrayList<>();
-      for (Message each : List.copyOf(messages)) {
-        step(
-            steps,
-            "arrives " + each.words(),
-            () -> {
-              messages.remove(each);
-              if (lives(each.to())) {
-                each.says().accept(detectors.get(each.to()));
-              }
-            });
-        step(steps, "is lost " + each.words(), () -> messages.remove(each));
+    /** All steps that are possible now, in an order that depends on the state alone. */
+    List<Step> steps() {
+      List<Step> steps = new ArrayList<>();
+      for (Message message : List.copyOf(inFlight)) {
+        steps.add(new Step("arrives " + message.description(), () -> deliver(message)));
+        steps.add(new Step("is lost " + message.description(), () -> inFlight.remove(message)));
       }
       for (int k = 0; k < GATEWAYS; k++) {
-        int one = k;
-        if (lives(k)) {
-          step(
-              steps,
-              "n" + k + " looks",
-              () -> {
-                now = now.plusSeconds(1);
-                detectors.get(one).onTimer(now);
-              });
+        int gateway = k;
+        if (runs(k)) {
+          steps.add(new Step("timer of " + name(k), () -> runTimer(gateway)));
         }
       }
-      if (lives) {
-        step(steps, "ends", () -> lives = false);
-      } else if (life[ENDS] < 2) {
-        step(
-            steps,
-            "begins again",
-            () -> {
-              life[ENDS]++;
-              lives = true;
-              begin(ENDS);
-            });
-      }
-      MembershipUpdate known =
-          detectors.get(DIALLER).members().stream()
-              .filter(n -> n.member().equals(name(ENDS)))
-              .findFirst()
-              .orElse(null);
-      if (dialled < 0) {
-        step(steps, "dials", () -> dialled = known.incarnation());
-      } else if (refused == null) {
-        step(steps, lives ? "is taken" : "is refused", () -> refused = !lives);
-      } else {
-        step(
-            steps,
-            "learns of it",
-            () -> {
-              if (refused) {
-                detectors
-                    .get(DIALLER)
-                    .onConnectionRefused(now, name(ENDS), careless ? known.incarnation() : dialled);
-              }
-              dialled = -1;
-              refused = null;
-            });
+      if (restartingRuns) {
+        steps.add(new Step("ends", () -> restartingRuns = false));
+      } else if (incarnations[RESTARTING] < MAX_INCARNATION) {
+        steps.add(new Step("starts again", this::startAgain));
       }
+      steps.add(connectStep());
       return steps;
     }
 
-    private void step(List<Runnable> steps, String words, Runnable step) {
-      names.add(words);
-      steps.add(step);
+    private void deliver(Message message) {
+      inFlight.remove(message);
+      if (runs(message.to())) {
+        message.delivery().accept(detectors.get(message.to()));
+      }
+    }
+
+    private void startAgain() {
+      incarnations[RESTARTING]++;
+      restartingRuns = true;
+      detectors.set(RESTARTING, newDetector(RESTARTING));
     }
 
-    private void look() {
+    private Step connectStep() {
+      if (connect.isEmpty()) {
+        return new Step(
+            "begins to connect",
+            () -> connect = Optional.of(new Connect(knownIncarnation(), Optional.empty())));
+      }
+      long known = connect.get().knownIncarnation();
+      if (connect.get().refused().isEmpty()) {
+        boolean refused = !restartingRuns;
+        return new Step(
+            refused ? "is refused" : "is accepted",
+            () -> connect = Optional.of(new Connect(known, Optional.of(refused))));
+      }
+      return new Step("learns of it", this::learnResult);
+    }
+
+    private void learnResult() {
+      Connect done = connect.orElseThrow();
+      connect = Optional.empty();
+      if (done.refused().orElseThrow()) {
+        long proven = plantedFault ? knownIncarnation() : done.knownIncarnation();
+        detectors.get(CONNECTING).onConnectionRefused(now, name(RESTARTING), proven);
+      }
+    }
+
+    private long knownIncarnation() {
+      return detectors.get(CONNECTING).find(name(RESTARTING)).orElseThrow().incarnation();
+    }
+
+    void check() {
       for (int k = 0; k < GATEWAYS; k++) {
-        for (MembershipUpdate each : detectors.get(k).members()) {
-          int of = Integer.parseInt(each.member().name().substring(1));
-          boolean ended = each.incarnation() < life[of] || !lives(of);
-          if (lives(k) && each.state() == MemberState.DEAD && !ended) {
-            broken = "n" + k + " holds " + each;
+        for (MembershipUpdate held : detectors.get(k).members()) {
+          int member = numberOf(held.member());
+          boolean ended = held.incarnation() < incarnations[member] || !runs(member);
+          if (runs(k) && held.state() == MemberState.DEAD && !ended) {
+            violation = Optional.of(name(k) + " holds " + held);
           }
         }
       }
     }
 
-    private String words() {
-      Map<String, String> words = new TreeMap<>();
+    /** Equal for equal states. */
+    String describe() {
+      StringBuilder state = new StringBuilder();
       for (int k = 0; k < GATEWAYS; k++) {
-        words.put(
-            "n" + k,
-            lives(k)
-                + " "
-                + life[k]
-                + detectors.get(k).self()
-                + detectors.get(k).members()
-                + detectors.get(k).describe());
+        FailureDetector detector = detectors.get(k);
+        state
+            .append(runs(k))
+            .append(incarnations[k])
+            .append(detector.self())
+            .append(detector.members())
+            .append(detector.describe());
       }
-      return words + " " + messages.stream().map(Message::words).toList() + now + dialled + refused;
+      inFlight.forEach(message -> state.append(message.description()));
+      return state.append(now).append(connect).toString();
     }
   }
 
-  private final boolean careless;
+  private final boolean plantedFault;
 
-  /** Each state, with how many steps were gone on from it. */
-  private final Map<UUID, Integer> met = new HashMap<>();
+  /** Each state, with the number of steps that were explored from it. */
+  private final Map<UUID, Integer> explored = new HashMap<>();
 
-  private String broken;
+  private Optional<String> violation = Optional.empty();
 
   /**
-   * @param careless plants a fault: a refusal counts for the life known when it is learnt of
+   * Creates an explorer.
+   *
+   * @param plantedFault whether a refusal counts for the incarnation known when it is learnt of,
+   *     which the exploration has to find
    */
-  FailureDetectorExplorer(boolean careless) {
-    this.careless = careless;
+  FailureDetectorExplorer(boolean plantedFault) {
+    this.plantedFault = plantedFault;
   }
 
-  /** What is wrong and the steps to it; null where nothing is, in as many steps. */
-  String explore(int depth) {
-    return from(new ArrayList<>(), depth);
+  private static PeerName name(int number) {
+    return new PeerName("n" + number);
+  }
+
+  private static int numberOf(PeerName name) {
+    return Integer.parseInt(name.name().substring(1));
+  }
+
+  /** What is wrong and the steps to it; empty where nothing is, within that many steps. */
+  Optional<String> explore(int depth) {
+    return explore(new ArrayList<>(), depth);
   }
 
   int states() {
-    return met.size();
+    return explored.size();
   }
 
-  private String from(List<Integer> path, int depth) {
-    World world = reach(path);
-    world.look();
-    if (broken != null) {
-      return broken + " after " + told(path);
+  private Optional<String> explore(List<Integer> path, int depth) {
+    State state = reach(path);
+    state.check();
+    if (violation.isPresent()) {
+      return Optional.of(violation.get() + " after " + describe(path));
     }
-    UUID state = UUID.nameUUIDFromBytes(world.words().getBytes(StandardCharsets.UTF_8));
-    if (depth == 0 || met.getOrDefault(state, 0) >= depth) {
-      return null;
+    UUID key = UUID.nameUUIDFromBytes(state.describe().getBytes(StandardCharsets.UTF_8));
+    if (depth == 0 || explored.getOrDefault(key, 0) >= depth) {
+      return Optional.empty();
     }
-    met.put(state, depth);
-    int count = world.steps().size();
+    explored.put(key, depth);
+    int count = state.steps().size();
     for (int k = 0; k < count; k++) {
       path.add(k);
-      String wrong = from(path, depth - 1);
+      Optional<String> found = explore(path, depth - 1);
       path.remove(path.size() - 1);
-      if (wrong != null) {
-        return wrong;
+      if (found.isPresent()) {
+        return found;
       }
     }
-    return null;
+    return Optional.empty();
   }
 
-  private World reach(List<Integer> path) {
-    World world = new World();
-    path.forEach(k -> world.steps().get(k).run());
-    return world;
+  private State reach(List<Integer> path) {
+    State state = new State();
+    for (int step : path) {
+      state.steps().get(step).action().run();
+    }
+    return state;
   }
 
-  private List<String> told(List<Integer> path) {
-    World world = new World();
-    List<String> all = new ArrayList<>();
-    for (int k : path) {
-      Runnable step = world.steps().get(k);
-      all.add(world.names.get(k));
-      step.run();
+  private List<String> describe(List<Integer> path) {
+    State state = new State();
+    List<String> descriptions = new ArrayList<>();
+    for (int number : path) {
+      Step step = state.steps().get(number);
+      descriptions.add(step.description());
+      step.action().run();
     }
-    return all;
+    return descriptions;
   }
 }
--- a/gateway/src/test/java/weldcross/membership/FailureDetectorTest.java
+++ b/gateway/src/test/java/weldcross/membership/FailureDetectorTest.java
@@ -1,22 +1,14 @@
 package weldcross.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.time.Duration;
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Optional;
-import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import weldcross.mesh.PeerName;
 
 class FailureDetectorTest {
 
@@ -26,96 +18,102 @@
     return Duration.ofSeconds(count);
   }
 
-  private static MembershipSimulation up(int count, long seed) {
-    MembershipSimulation w = new MembershipSimulation(count, seed);
-    assertNotNull(
-        w.until(MINUTE.multipliedBy(10), () -> w.hold(w.all, MemberState.ALIVE)), "all find all");
-    return w;
+  private static MembershipSimulation connected(int count, long seed) {
+    MembershipSimulation simulation = new MembershipSimulation(count, seed);
+    assertAllHold(simulation, Duration.ofMinutes(10), simulation.all, MemberState.ALIVE);
+    return simulation;
   }
 
-  /** Killed and paused are both silent: nothing tells them apart but proof. */
+  /** Runs until all active gateways hold that state, and returns how long that took. */
+  private static Duration assertAllHold(
+      MembershipSimulation simulation,
+      Duration max,
+      List<MembershipSimulation.Node> members,
+      MemberState state) {
+    Optional<Duration> taken = simulation.runUntilAllHold(max, members, state);
+    return taken.orElseThrow(() -> new AssertionError("not all " + state + " within " + max));
+  }
+
+  private static void assertShorter(Duration max, Duration taken) {
+    assertTrue(taken.compareTo(max) < 0, taken + ", at most " + max);
+  }
+
+  /** Killed and paused are both unreachable: nothing tells them apart but proof. */
   @Test
-  void whoDoesNotAnswerIsSilentAndOnlyProofMakesItGone() {
-    MembershipSimulation w = up(5, 1);
-    MembershipSimulation.Node killed = w.all.get(1);
-    MembershipSimulation.Node paused = w.all.get(2);
+  void unansweringMemberIsUnreachableAndOnlyProofMakesItDead() {
+    MembershipSimulation simulation = connected(5, 1);
+    FailureDetector detector = simulation.all.get(0).detector;
+    MembershipSimulation.Node killed = simulation.all.get(1);
+    MembershipSimulation.Node paused = simulation.all.get(2);
     killed.kill();
     paused.pause();
-    assertNotNull(w.until(MINUTE, () -> w.hold(List.of(killed, paused), MemberState.UNREACHABLE)));
-    w.all.get(0).detector.onConnectionRefused(w.now, killed.name, 2);
+    assertAllHold(simulation, MINUTE, List.of(killed, paused), MemberState.UNREACHABLE);
+    detector.onConnectionRefused(simulation.now, killed.name, 2);
     assertTrue(
-        w.hold(List.of(killed), MemberState.UNREACHABLE),
-        "a dial begun under another life proves nothing");
-    w.all.get(0).detector.onConnectionRefused(w.now, killed.name, 1);
-    assertNotNull(
-        w.until(seconds(10), () -> w.hold(List.of(killed), MemberState.DEAD)),
-        "proof is passed on");
-    assertTrue(w.hold(List.of(paused), MemberState.UNREACHABLE));
+        simulation.allHold(List.of(killed), MemberState.UNREACHABLE),
+        "a connect begun under another incarnation proves nothing");
+    detector.onConnectionRefused(simulation.now, killed.name, 1);
+    assertAllHold(simulation, seconds(10), List.of(killed), MemberState.DEAD);
+    assertTrue(simulation.allHold(List.of(paused), MemberState.UNREACHABLE));
     paused.resume();
-    assertNotNull(w.until(seconds(10), () -> w.hold(List.of(paused), MemberState.ALIVE)));
+    assertAllHold(simulation, seconds(10), List.of(paused), MemberState.ALIVE);
     killed.start();
-    assertNotNull(
-        w.until(seconds(20), () -> w.hold(w.all, MemberState.ALIVE)), "a later life ends it");
-    assertEquals(0, w.falselyUnreachable);
+    assertAllHold(simulation, seconds(20), simulation.all, MemberState.ALIVE);
+    assertEquals(0, simulation.falselyUnreachable);
   }
 
   @Test
-  void whoSaysGoodbyeIsGoneAtOnce() {
-    MembershipSimulation w = up(30, 2);
-    w.all.get(3).detector.leave();
-    w.all.get(3).kill();
-    Duration took = w.until(seconds(20), () -> w.hold(List.of(w.all.get(3)), MemberState.DEAD));
-    assertNotNull(took);
-    assertTrue(took.compareTo(seconds(6)) < 0, took.toString());
+  void memberThatSaysGoodbyeIsDeadAtOnce() {
+    MembershipSimulation simulation = connected(30, 2);
+    MembershipSimulation.Node leaving = simulation.all.get(3);
+    leaving.detector.leave();
+    leaving.kill();
+    assertShorter(
+        seconds(6), assertAllHold(simulation, seconds(20), List.of(leaving), MemberState.DEAD));
   }
 
-  @Test
-  void twoSidesHoldEachOtherSilentAndFindTogetherAgain() {
-    MembershipSimulation w = up(9, 3);
-    for (int k = 0; k < 4; k++) {
-      w.all.get(k).side = 1;
+  private static boolean holdsPartitions(MembershipSimulation simulation) {
+    for (MembershipSimulation.Node a : simulation.all) {
+      for (MembershipSimulation.Node b : simulation.all) {
+        MemberState expected =
+            a.partition == b.partition ? MemberState.ALIVE : MemberState.UNREACHABLE;
+        if (a != b && a.detector.stateOf(b.name) != expected) {
+          return false;
+        }
+      }
     }
-    assertNotNull(
-        w.until(
-            MINUTE,
-            () ->
-                w.all.stream()
-                    .allMatch(
-                        a ->
-                            w.all.stream()
-                                .allMatch(
-                                    b ->
-                                        a == b
-                                            || a.detector.stateOf(b.name)
-                                                == (a.side == b.side
-                                                    ? MemberState.ALIVE
-                                                    : MemberState.UNREACHABLE)))));
-    w.all.forEach(n -> n.side = 0);
-    Duration took = w.until(MINUTE, () -> w.hold(w.all, MemberState.ALIVE));
-    assertNotNull(took);
-    assertTrue(took.compareTo(seconds(15)) < 0, took.toString());
-    assertEquals(0, w.falselyUnreachable);
+    return true;
+  }
+
+  @Test
+  void partitionsHoldEachOtherUnreachableAndFindTogetherAgain() {
+    MembershipSimulation simulation = connected(9, 3);
+    simulation.all.subList(0, 4).forEach(node -> node.partition = 1);
+    assertTrue(simulation.runUntil(MINUTE, () -> holdsPartitions(simulation)).isPresent());
+    simulation.all.forEach(node -> node.partition = 0);
+    assertShorter(
+        seconds(15), assertAllHold(simulation, MINUTE, simulation.all, MemberState.ALIVE));
+    assertEquals(0, simulation.falselyUnreachable);
   }
 
   /**
-   * One that stands still for two seconds of each three accuses nobody: what came meanwhile is read
-   * first.
+   * A gateway that is paused for two seconds of each three accuses nobody: it first reads what came
+   * meanwhile.
    */
   @Test
-  void slowSelfDoesNotAccuseTheOthers() {
-    MembershipSimulation w = up(20, 4);
-    MembershipSimulation.Node slow = w.all.get(0);
-    int accused = 0;
+  void slowGatewayDoesNotAccuseOthers() {
+    MembershipSimulation simulation = connected(20, 4);
+    MembershipSimulation.Node slow = simulation.all.get(0);
+    long accused = 0;
     for (int k = 0; k < 100; k++) {
       slow.pause();
-      w.run(seconds(2));
+      simulation.run(seconds(2));
       slow.resume();
-      w.run(seconds(1));
+      simulation.run(seconds(1));
       accused +=
-          (int)
-              slow.detector.members().stream()
-                  .filter(n -> n.state() == MemberState.UNREACHABLE)
-                  .count();
+          slow.detector.members().stream()
+              .filter(update -> update.state() == MemberState.UNREACHABLE)
+              .count();
     }
     assertEquals(0, accused);
   }
@@ -123,231 +121,119 @@
   /** A third of all messages is lost, and each takes up to 0.2 s. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void badLinksMakeFewFalselySilentAndNobodyGone(long seed) {
-    MembershipSimulation w = up(20, seed);
-    w.loss = 0.3;
-    w.delay = 100;
-    w.run(Duration.ofMinutes(10));
+  void badNetworkMakesFewFalselyUnreachableAndNobodyDead(long seed) {
+    MembershipSimulation simulation = connected(20, seed);
+    simulation.lossRate = 0.3;
+    simulation.delayMillis = 100;
+    simulation.run(Duration.ofMinutes(10));
     assertTrue(
-        w.all.stream().anyMatch(n -> n.detector.healthScore() > 0),
-        "who gets no answers doubts itself");
-    double anHour = w.falselyUnreachable / 20.0 * 6;
-    assertTrue(anHour < 12, w.falselyUnreachable + " in ten minutes of 20 gateways");
-    w.loss = 0;
-    w.delay = 1;
-    assertNotNull(w.until(MINUTE, () -> w.hold(w.all, MemberState.ALIVE)));
+        simulation.all.stream().anyMatch(node -> node.detector.healthScore() > 0),
+        "who gets no answers suspects itself");
+    double anHour = simulation.falselyUnreachable / 20.0 * 6;
+    assertTrue(anHour < 12, simulation.falselyUnreachable + " in ten minutes of 20 gateways");
+    simulation.lossRate = 0;
+    simulation.delayMillis = 1;
+    assertAllHold(simulation, MINUTE, simulation.all, MemberState.ALIVE);
   }
 
-  /**
-   * What one gateway sends is the same at thirty and three hundred; updates take rounds by the
-   * logarithm.
-   */
+  /** An update takes rounds by the logarithm of the number of gateways. */
   @Test
-  void costOfOneDoesNotGrowWithTheNumber() {
-    double[] sent = new double[2];
+  void messagesOfOneGatewayAreTheSameAtThirtyAndThreeHundred() {
     int[] counts = {30, 300};
+    double[] messagesPerSecond = new double[2];
     for (int k = 0; k < counts.length; k++) {
-      MembershipSimulation w = up(counts[k], 5);
-      long before = w.messages;
-      w.run(seconds(30));
-      sent[k] = (w.messages - before) / 30.0 / counts[k];
-      MembershipSimulation.Node goes = w.all.get(7);
-      goes.detector.leave();
-      goes.kill();
-      Duration took = w.until(MINUTE, () -> w.hold(List.of(goes), MemberState.DEAD));
-      assertNotNull(took);
-      assertTrue(took.compareTo(seconds(12)) < 0, counts[k] + ": " + took);
+      MembershipSimulation simulation = connected(counts[k], 5);
+      long before = simulation.messagesSent;
+      simulation.run(seconds(30));
+      messagesPerSecond[k] = (simulation.messagesSent - before) / 30.0 / counts[k];
+      MembershipSimulation.Node leaving = simulation.all.get(7);
+      leaving.detector.leave();
+      leaving.kill();
+      assertShorter(
+          seconds(12), assertAllHold(simulation, MINUTE, List.of(leaving), MemberState.DEAD));
     }
-    assertEquals(sent[0], sent[1], 0.2);
+    assertEquals(messagesPerSecond[0], messagesPerSecond[1], 0.2);
   }
 
   /**
-   * Lives that end and begin, pauses, sides, losses, at random: what must never be held is looked
-   * at each time.
+   * Restarts, pauses, partitions and losses at random: {@link MembershipSimulation} checks at each
+   * step what must never be held.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void noLivingOneIsEverHeldGoneAndAllFindTogetherAgain(long seed) {
-    MembershipSimulation w = up(5 + (int) (seed % 4), seed);
+  void noRunningMemberIsEverHeldForDeadAndAllFindTogetherAgain(long seed) {
+    MembershipSimulation simulation = connected(5 + (int) (seed % 4), seed);
     for (int step = 0; step < 400; step++) {
-      MembershipSimulation.Node node = w.all.get(w.random.nextInt(w.all.size()));
-      switch (w.random.nextInt(9)) {
-        case 0 -> {
-          if (node.lives && !node.paused) {
-            node.kill();
-            // Somebody may find out by a refused dial.
-            MembershipSimulation.Node other = w.all.get(w.random.nextInt(w.all.size()));
-            if (other != node && other.lives && !other.paused && w.random.nextBoolean()) {
-              other.detector.onConnectionRefused(
-                  w.now, node.name, w.random.nextLong(node.life) + 1);
-            }
-          }
+      randomStep(simulation);
+      simulation.run(Duration.ofMillis(simulation.random.nextInt(3000)));
+    }
+    simulation.lossRate = 0;
+    simulation.all.forEach(FailureDetectorTest::recover);
+    assertAllHold(simulation, Duration.ofMinutes(2), simulation.all, MemberState.ALIVE);
+  }
+
+  private static void randomStep(MembershipSimulation simulation) {
+    List<MembershipSimulation.Node> all = simulation.all;
+    MembershipSimulation.Node node = all.get(simulation.random.nextInt(all.size()));
+    switch (simulation.random.nextInt(9)) {
+      case 0 -> {
+        if (node.isActive()) {
+          killAndPerhapsRefuse(simulation, node);
         }
-        case 1, 2 -> {
-          if (!node.lives) {
-            node.start();
-          }
+      }
+      case 1, 2 -> {
+        if (!node.running) {
+          node.start();
         }
-        case 3 -> {
-          if (node.lives) {
-            node.pause();
-          }
+      }
+      case 3 -> {
+        if (node.running) {
+          node.pause();
         }
-        case 4, 5 -> {
-          if (node.paused) {
-            node.resume();
-          }
+      }
+      case 4, 5 -> {
+        if (node.paused) {
+          node.resume();
         }
-        case 6 -> node.side = w.random.nextInt(2);
-        case 7 -> w.loss = w.random.nextInt(3) * 0.2;
-        default -> w.all.forEach(n -> n.side = 0);
       }
-      w.run(Duration.ofMillis(w.random.nextInt(3000)));
+      case 6 -> node.partition = simulation.random.nextInt(2);
+      case 7 -> simulation.lossRate = simulation.random.nextInt(3) * 0.2;
+      default -> all.forEach(each -> each.partition = 0);
     }
-    w.loss = 0;
-    w.all.forEach(
-        n -> {
-          n.side = 0;
-          if (!n.lives) {
-            n.start();
-          } else if (n.paused) {
-            n.resume();
-          }
-        });
-    assertNotNull(
-        w.until(Duration.ofMinutes(2), () -> w.hold(w.all, MemberState.ALIVE)),
-        "after seed " + seed);
   }
 
-  // ---- All orders at small size
-
-  private static final PeerName[] NAMES = {new PeerName("a"), new PeerName("b"), new PeerName("c")};
-
-  /**
-   * Three that pass updates about c in any order, with loss and repeats; c lives, restarts, or
-   * answers for itself.
-   */
-  @Test
-  void allOrdersOfNewsAboutOne() {
-    Set<String> seen = new HashSet<>();
-    explore(new int[0], 9, seen);
-    assertTrue(seen.size() > 1500, seen.size() + " states");
-  }
-
-  private static void explore(int[] path, int left, Set<String> seen) {
-    String state = play(path);
-    if (state == null || !seen.add(state + "@" + left) || left == 0) {
-      return;
-    }
-    for (int choice = 0; choice < 7; choice++) {
-      int[] longer = Arrays.copyOf(path, path.length + 1);
-      longer[path.length] = choice;
-      explore(longer, left - 1, seen);
+  /** Kills a gateway; another one may find that out by a refused connect. */
+  private static void killAndPerhapsRefuse(
+      MembershipSimulation simulation, MembershipSimulation.Node killed) {
+    killed.kill();
+    MembershipSimulation.Node other =
+        simulation.all.get(simulation.random.nextInt(simulation.all.size()));
+    if (other != killed && other.isActive() && simulation.random.nextBoolean()) {
+      long known = simulation.random.nextLong(killed.incarnation) + 1;
+      other.detector.onConnectionRefused(simulation.now, killed.name, known);
     }
   }
 
-  /** Null where a choice cannot be made. */
-  private static String play(int[] path) {
-    MembershipUpdate[] holds = {null, null};
-    List<MembershipUpdate> under = new ArrayList<>();
-    long[] life = {1};
-    long version = 0;
-    boolean lives = true;
-    MembershipUpdate self =
-        new MembershipUpdate(NAMES[2], 1, 0, MemberState.ALIVE, "", 1, NAMES[2]);
-    under.add(self);
-    for (int choice : path) {
-      switch (choice) {
-        case 0, 1 -> {
-          // All that is under way reaches a, or b, in the order of its making; it stays, as repeats
-          // may come.
-          for (MembershipUpdate each : under) {
-            holds[choice] =
-                each.overrides(Optional.ofNullable(holds[choice])) ? each : holds[choice];
-          }
-        }
-        case 2 -> {
-          if (under.isEmpty()) {
-            return null;
-          }
-          // The last comes to a before all others.
-          MembershipUpdate last = under.get(under.size() - 1);
-          holds[0] = last.overrides(Optional.ofNullable(holds[0])) ? last : holds[0];
-        }
-        case 3 -> {
-          if (holds[0] == null || holds[0].state() != MemberState.ALIVE) {
-            return null;
-          }
-          holds[0] = holds[0].withState(MemberState.UNREACHABLE, NAMES[0]);
-          under.add(holds[0]);
-        }
-        case 4 -> {
-          if (!lives
-              || holds[0] == null
-              || holds[0].incarnation() != life[0]
-              || holds[0].state() == MemberState.ALIVE) {
-            return null;
-          }
-          // c hears what a holds of it.
-          version = Math.max(version, holds[0].version() + 1);
-          under.add(
-              new MembershipUpdate(NAMES[2], life[0], version, MemberState.ALIVE, "", 1, NAMES[2]));
-        }
-        case 5 -> {
-          if (!lives || holds[1] == null) {
-            return null;
-          }
-          lives = false;
-          // b finds that nobody listens where c should.
-          holds[1] = holds[1].withState(MemberState.DEAD, NAMES[1]);
-          under.add(holds[1]);
-        }
-        default -> {
-          if (lives) {
-            return null;
-          }
-          lives = true;
-          life[0]++;
-          version = 0;
-          under.add(new MembershipUpdate(NAMES[2], life[0], 0, MemberState.ALIVE, "", 1, NAMES[2]));
-        }
-      }
-      for (MembershipUpdate each : holds) {
-        assertFalse(
-            each != null
-                && each.state() == MemberState.DEAD
-                && lives
-                && each.incarnation() == life[0],
-            "a living one is held gone: " + each);
-      }
+  private static void recover(MembershipSimulation.Node node) {
+    node.partition = 0;
+    if (!node.running) {
+      node.start();
+    } else if (node.paused) {
+      node.resume();
     }
-    // Whatever came in whatever order: once all have come, both hold the same.
-    MembershipUpdate[] last = holds.clone();
-    for (int k = 0; k < 2; k++) {
-      for (MembershipUpdate each : under) {
-        last[k] = each.overrides(Optional.ofNullable(last[k])) ? each : last[k];
-      }
-    }
-    assertTrue(
-        last[0] == null
-            || last[1] == null
-            || (last[0].incarnation() == last[1].incarnation()
-                && last[0].version() == last[1].version()
-                && last[0].state() == last[1].state()),
-        last[0] + " and " + last[1]);
-    return Arrays.toString(holds) + under + life[0] + version + lives;
   }
 
   /**
-   * All orders of seven steps of three gateways, one of which ends and begins again while another
-   * dials it.
+   * All orders of seven steps of three gateways, one of which ends and starts again while another
+   * connects to it.
    */
   @Test
-  void inNoOrderIsALifeHeldGoneThatHasNotEnded() {
+  void inNoOrderIsAnIncarnationHeldForDeadThatHasNotEnded() {
     FailureDetectorExplorer explorer = new FailureDetectorExplorer(false);
-    assertNull(explorer.explore(7));
+    assertEquals(Optional.empty(), explorer.explore(7));
     assertTrue(explorer.states() > 5_000, explorer.states() + " states");
-    String found = new FailureDetectorExplorer(true).explore(7);
-    assertNotNull(found, "a refusal that counts for a life it does not speak of is found");
+    assertTrue(
+        new FailureDetectorExplorer(true).explore(7).isPresent(),
+        "a refusal that counts for an incarnation it does not prove is found");
   }
 }
--- a/gateway/src/test/java/weldcross/membership/MembershipSimulation.java
+++ b/gateway/src/test/java/weldcross/membership/MembershipSimulation.java
@@ -5,136 +5,145 @@
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.HashMap;
+import java.util.Comparator;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
+import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import weldcross.mesh.PeerName;
 
 /**
- * Many gateways' seeing over a network in memory, on a clock moved by hand: messages late, lost,
- * and cut off.
+ * The failure detectors of many gateways over a network in memory, on a clock moved by hand:
+ * messages are delayed, lost, and cut off.
  */
 final class MembershipSimulation {
 
-  private record Event(Duration at, long order, Runnable run) {}
+  private static final int MESSAGE_BYTES = 40;
+  private static final long UPDATE_BYTES = 30;
+  private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
-  /** One gateway, through its lives. */
+  private record Event(Duration at, long order, Runnable task) {}
+
+  /** One gateway, through its restarts. */
   final class Node implements FailureDetectorActions {
     final PeerName name;
     FailureDetector detector;
-    long life;
-    boolean lives, paused;
-    int side;
-    private final ArrayDeque<Runnable> held = new ArrayDeque<>();
-    private long wakes;
-    final Map<PeerName, Duration> foundAt = new HashMap<>();
+    long incarnation;
+    boolean running;
+    boolean paused;
+
+    /** Messages between gateways of different partitions are lost. */
+    int partition;
+
+    private final ArrayDeque<Runnable> receivedWhilePaused = new ArrayDeque<>();
+    private long lastWake;
 
     Node(String name) {
       this.name = new PeerName(name);
     }
 
-    private void send(PeerName to, int updates, Consumer<FailureDetector> message) {
-      Node there = nodes.get(to);
-      messages++;
-      bytes += 40 + 30L * updates;
-      if (random.nextDouble() < loss || side != there.side) {
+    private void send(PeerName to, int updateCount, Consumer<FailureDetector> message) {
+      Node receiver = nodes.get(to);
+      messagesSent++;
+      bytesSent += MESSAGE_BYTES + UPDATE_BYTES * updateCount;
+      if (random.nextDouble() < lossRate || partition != receiver.partition) {
         return;
       }
-      after(
-          Duration.ofMillis(delay + random.nextInt(delay + 1)),
-          () -> there.take(() -> message.accept(there.detector)));
+      Duration delay = Duration.ofMillis(delayMillis + random.nextInt(delayMillis + 1));
+      schedule(now.plus(delay), () -> receiver.receive(() -> message.accept(receiver.detector)));
     }
 
-    /** A process that stands still finds all that came when it goes on. */
-    private void take(Runnable event) {
+    /** A paused process handles all that came meanwhile when it goes on. */
+    private void receive(Runnable event) {
       if (paused) {
-        held.add(event);
-      } else if (lives) {
+        receivedWhilePaused.add(event);
+      } else if (running) {
         event.run();
       }
     }
 
     @Override
-    public void sendPing(PeerName to, long number, List<MembershipUpdate> updates) {
-      send(to, updates.size(), s -> s.onPing(now, name, number, updates));
+    public void sendPing(PeerName to, long sequence, List<MembershipUpdate> updates) {
+      send(to, updates.size(), receiver -> receiver.onPing(now, name, sequence, updates));
     }
 
     @Override
     public void sendPingRequest(
-        PeerName helper, PeerName target, long number, List<MembershipUpdate> updates) {
-      send(helper, updates.size(), s -> s.onPingRequest(now, name, target, number, updates));
+        PeerName helper, PeerName target, long sequence, List<MembershipUpdate> updates) {
+      send(
+          helper,
+          updates.size(),
+          receiver -> receiver.onPingRequest(now, name, target, sequence, updates));
     }
 
     @Override
-    public void sendAck(PeerName to, long number, List<MembershipUpdate> updates) {
-      send(to, updates.size(), s -> s.onAck(now, name, number, updates));
+    public void sendAck(PeerName to, long sequence, List<MembershipUpdate> updates) {
+      send(to, updates.size(), receiver -> receiver.onAck(now, name, sequence, updates));
     }
 
     @Override
-    public void sendNack(PeerName to, long number) {
-      send(to, 0, s -> s.onNack(now, name, number));
+    public void sendNack(PeerName to, long sequence) {
+      send(to, 0, receiver -> receiver.onNack(now, name, sequence));
     }
 
-    /** GONE is proof: it is only ever held of a life that has ended. */
+    /** DEAD is proven: it is only ever held of an incarnation that has ended. */
     @Override
-    public void memberChanged(MembershipUpdate updates) {
-      Node of = nodes.get(updates.member());
-      assertTrue(updates.incarnation() <= of.life, name + " holds " + updates + " of " + of.life);
-      if (updates.state() == MemberState.DEAD) {
+    public void memberChanged(MembershipUpdate update) {
+      Node member = nodes.get(update.member());
+      assertTrue(
+          update.incarnation() <= member.incarnation,
+          name + " holds " + update + " of " + member.incarnation);
+      if (update.state() == MemberState.DEAD) {
         assertTrue(
-            updates.incarnation() < of.life || !of.lives,
-            name + " holds a living one gone: " + updates);
+            update.incarnation() < member.incarnation || !member.running,
+            name + " holds a running one for dead: " + update);
       }
-      if (updates.state() == MemberState.UNREACHABLE
-          && of.lives
-          && !of.paused
-          && of.side == side
-          && updates.reporter().equals(name)) {
+      if (update.state() == MemberState.UNREACHABLE
+          && member.running
+          && !member.paused
+          && member.partition == partition
+          && update.reporter().equals(name)) {
         falselyUnreachable++;
       }
-      foundAt.put(updates.member(), now);
     }
 
     @Override
-    public void declaredDead(long of) {
-      throw new AssertionError(name + " lives and is taken for gone: " + of);
+    public void declaredDead(long deadIncarnation) {
+      throw new AssertionError(name + " runs and is held for dead: " + deadIncarnation);
     }
 
     @Override
     public void wakeAt(Duration when) {
-      long wake = ++wakes;
-      events.add(
-          new Event(
-              when,
-              ++order,
-              () ->
-                  take(
-                      () -> {
-                        if (wake == wakes) {
-                          detector.onTimer(now);
-                        }
-                      })));
+      long wake = ++lastWake;
+      schedule(when, () -> receive(() -> runTimer(wake)));
+    }
+
+    private void runTimer(long wake) {
+      if (wake == lastWake) {
+        detector.onTimer(now);
+      }
     }
 
     void start() {
-      lives = true;
+      running = true;
       paused = false;
-      held.clear();
-      life++;
-      wakes++;
+      receivedWhilePaused.clear();
+      incarnation++;
+      lastWake++;
       List<PeerName> others = nodes.keySet().stream().filter(n -> !n.equals(name)).toList();
       detector =
           new FailureDetector(
               FailureDetectorConfig.defaults(name, others, "a", 10), this, random.nextLong());
-      detector.start(now, life);
+      detector.start(now, incarnation);
     }
 
     void kill() {
-      lives = false;
-      wakes++;
+      running = false;
+      lastWake++;
     }
 
     void pause() {
@@ -143,26 +152,28 @@
 
     void resume() {
       paused = false;
-      for (int left = held.size(); left > 0; left--) {
-        held.poll().run();
+      for (int remaining = receivedWhilePaused.size(); remaining > 0; remaining--) {
+        receivedWhilePaused.poll().run();
       }
     }
+
+    boolean isActive() {
+      return running && !paused;
+    }
   }
 
-  final Map<PeerName, Node> nodes = new java.util.LinkedHashMap<>();
   final List<Node> all = new ArrayList<>();
-  private final PriorityQueue<Event> events =
-      new PriorityQueue<>(
-          (a, b) ->
-              a.at().equals(b.at())
-                  ? Long.compare(a.order(), b.order())
-                  : a.at().compareTo(b.at()));
   final SplittableRandom random;
-  private long order;
   Duration now = Duration.ZERO;
-  double loss;
-  int delay = 1;
-  long messages, bytes, falselyUnreachable;
+  double lossRate;
+  int delayMillis = 1;
+  long messagesSent;
+  long bytesSent;
+  long falselyUnreachable;
+  private final Map<PeerName, Node> nodes = new LinkedHashMap<>();
+  private final PriorityQueue<Event> events =
+      new PriorityQueue<>(Comparator.comparing(Event::at).thenComparingLong(Event::order));
+  private long lastOrder;
 
   MembershipSimulation(int count, long seed) {
     random = new SplittableRandom(seed);
@@ -174,8 +185,8 @@
     all.forEach(Node::start);
   }
 
-  private void after(Duration time, Runnable run) {
-    events.add(new Event(now.plus(time), ++order, run));
+  private void schedule(Duration when, Runnable task) {
+    events.add(new Event(when, ++lastOrder, task));
   }
 
   void run(Duration span) {
@@ -183,31 +194,37 @@
     while (!events.isEmpty() && events.peek().at().compareTo(until) <= 0) {
       Event next = events.poll();
       now = next.at().compareTo(now) > 0 ? next.at() : now;
-      next.run().run();
+      next.task().run();
     }
     now = until;
   }
 
   /**
-   * How long until the condition holds, looked at ten times a second; null where not within that
-   * time.
+   * Runs until the condition holds, which is checked ten times a second.
+   *
+   * @return how long that took; empty where it took longer than the maximum
    */
-  Duration until(Duration most, java.util.function.BooleanSupplier condition) {
-    Duration began = now;
+  Optional<Duration> runUntil(Duration max, BooleanSupplier condition) {
+    Duration start = now;
     while (!condition.getAsBoolean()) {
-      if (now.minus(began).compareTo(most) > 0) {
-        return null;
+      if (now.minus(start).compareTo(max) > 0) {
+        return Optional.empty();
       }
-      run(Duration.ofMillis(100));
+      run(CHECK_INTERVAL);
     }
-    return now.minus(began);
+    return Optional.of(now.minus(start));
+  }
+
+  /** As {@link #runUntil} with the condition that {@link #allHold} holds. */
+  Optional<Duration> runUntilAllHold(Duration max, List<Node> members, MemberState state) {
+    return runUntil(max, () -> allHold(members, state));
   }
 
-  /** Whether all that live and are reached hold all of these to be that. */
-  boolean hold(List<Node> these, MemberState... one) {
-    for (Node a : all) {
-      for (Node b : these) {
-        if (a != b && a.lives && !a.paused && !List.of(one).contains(a.detector.stateOf(b.name))) {
+  /** Whether all active gateways hold that state of each of the members. */
+  boolean allHold(List<Node> members, MemberState state) {
+    for (Node node : all) {
+      for (Node member : members) {
+        if (node != member && node.isActive() && node.detector.stateOf(member.name) != state) {
           return false;
         }
       }
