--- a/gateway/src/main/java/weldcross/routing/HealthChecker.java
+++ b/gateway/src/main/java/weldcross/routing/HealthChecker.java
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Whether the read needs a position that replicas can only report, not one that any has. */
+  /** Whether a replica may take the read or not depending on its position. */
   boolean isPositionNeeded(RequestState request) {
     Consistency needed = request.requestClass.consistency();
     return needed == Consistency.BOUNDED
--- a/gateway/src/main/java/weldcross/routing/Router.java
+++ b/gateway/src/main/java/weldcross/routing/Router.java
@@ -111,7 +111,7 @@
 
   /**
    * Sets whether the list is known to name all drains; at the start it is. While it is not, nothing
-   * is sent, as a server may drain whose drain was never told. This does harm where discovery is
+   * is sent, as a server may drain without the list saying so. This does harm where discovery is
    * gone and all servers are well.
    */
   public void setEndpointListValid(Duration now, boolean valid) {
--- a/gateway/src/main/java/weldcross/routing/RouterActions.java
+++ b/gateway/src/main/java/weldcross/routing/RouterActions.java
@@ -21,14 +21,14 @@
   /**
    * Gives the final answer that the request was turned away and may be sent again without harm.
    *
-   * @param retryAfter how long the client should wait before; zero if it is told no time
+   * @param retryAfter how long the client should wait before; zero to name no time
    */
   void reject(RequestId request, Duration retryAfter);
 
   /** Gives the final answer that the request failed; it may have been executed. */
   void fail(RequestId request);
 
-  /** Sends a health check, whose end is told by {@link Router#healthCheckEnded}. */
+  /** Sends a health check, whose end goes to {@link Router#healthCheckEnded}. */
   void sendHealthCheck(ServerId server);
 
   /** Tells all other gateways that the server could not be reached; the message may be lost. */
--- a/gateway/src/test/java/weldcross/routing/AdmissionQueueTest.java
+++ b/gateway/src/test/java/weldcross/routing/AdmissionQueueTest.java
@@ -8,8 +8,13 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import weldcross.routing.RequestClass.Consistency;
+import weldcross.routing.RequestClass.Effect;
+import weldcross.routing.RequestClass.Scope;
 import weldcross.routing.RouterHarness.Answer;
 
 class AdmissionQueueTest {
@@ -19,7 +24,7 @@
     RouterHarness harness = RouterHarness.withKnownPrimary();
     List<String> reads = new ArrayList<>();
     for (int k = 0; k < 20; k++) {
-      reads.add(harness.arrive(Consistency.FRESH, 0, Duration.ZERO));
+      reads.add(harness.arrive(Consistency.FRESH));
       harness.advance(ms(10));
     }
     harness.end(harness.onlyInFlight(reads.get(0)), AttemptOutcome.OK);
@@ -33,7 +38,7 @@
   void requestClassCountsMoreTheLessOfItIsServed() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     for (int k = 0; k < 400; k++) {
-      harness.arrive(k % 2 == 0 ? Consistency.FRESH : Consistency.WRITE, 0, Duration.ZERO);
+      harness.arrive(k % 2 == 0 ? Consistency.FRESH : Consistency.WRITE);
       harness.advance(ms(10));
       harness.answerOlderThan(ms(150));
     }
@@ -56,19 +61,63 @@
     RouterHarness harness = RouterHarness.withKnownPrimary();
     harness.server(0).listedStatus = EndpointStatus.DRAINING;
     harness.publishEndpointList();
-    String write = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    String write = harness.arrive(Consistency.WRITE);
     harness.advance(RouterHarness.DEADLINE.dividedBy(2));
     RouterHarness.TrackedRequest entry = harness.requests.get(write);
     assertEquals(Answer.REJECTED, entry.answer);
     assertTrue(
         entry.answeredAt.minus(entry.arrivedAt).compareTo(RouterHarness.DEADLINE.dividedBy(3)) > 0,
         "too soon");
-    // What has been out has had its chance taken, and is not cut short.
+    // A request that was sent once may be executed, so it is not cut short.
     harness.server(0).listedStatus = EndpointStatus.ACTIVE;
     harness.server(0).startedAt = harness.now.minus(ms(20_000));
     harness.publishEndpointList();
-    String sent = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    String sent = harness.arrive(Consistency.WRITE);
     harness.advance(RouterHarness.DEADLINE.dividedBy(2).plus(ms(1)));
     assertNull(harness.requests.get(sent).answer);
   }
+
+  @ParameterizedTest
+  @CsvSource({"100, older younger", "101, younger older"})
+  void newestOfEqualPriorityGoesFirstOnceTheOldestHasWaitedAQuarterOfItsObjective(
+      long nowMillis, String expected) {
+    ReplicaGroup group = new ReplicaGroup();
+    group.queue.add(request("older", group, ms(0), 1));
+    group.queue.add(request("younger", group, ms(10), 1));
+    assertEquals(expected, dispatchOrder(new AdmissionQueue(1), ms(nowMillis), group));
+  }
+
+  @Test
+  void requestOfHigherWeightGoesFirstUnlessItIsLate() {
+    ReplicaGroup group = new ReplicaGroup();
+    group.queue.add(request("light", group, ms(300), 1));
+    group.queue.add(request("heavy", group, ms(0), 2));
+    AdmissionQueue queue = new AdmissionQueue(1);
+    assertEquals("heavy light", dispatchOrder(queue, ms(399), group));
+    assertEquals("light heavy", dispatchOrder(queue, ms(400), group), "late answers weigh 0.2");
+  }
+
+  private static String dispatchOrder(AdmissionQueue queue, Duration now, ReplicaGroup group) {
+    return queue.dispatchOrder(now, group).stream()
+        .map(request -> request.id.name())
+        .collect(Collectors.joining(" "));
+  }
+
+  private static RequestState request(
+      String name, ReplicaGroup group, Duration arrivedAt, double weight) {
+    RequestClass requestClass =
+        new RequestClass(
+            Consistency.FRESH, ms(0), Effect.IDEMPOTENT, Scope.ALL, ms(0), ms(400), weight, 0.2);
+    return new RequestState(
+        new RequestId(name),
+        0,
+        requestClass,
+        group,
+        null,
+        null,
+        false,
+        arrivedAt,
+        arrivedAt.plus(ms(1500)),
+        0);
+  }
 }
--- a/gateway/src/test/java/weldcross/routing/ConcurrencyLimiterTest.java
+++ b/gateway/src/test/java/weldcross/routing/ConcurrencyLimiterTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static weldcross.routing.RouterHarness.ms;
 
-import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -22,7 +21,7 @@
   void slowServerGetsFewerRequestsAndTheRestIsRejected() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     for (int k = 0; k < 1500; k++) {
-      harness.arrive(Consistency.FRESH, 0, Duration.ZERO);
+      harness.arrive(Consistency.FRESH);
       harness.advance(ms(10));
       harness.answerOlderThan(ms(390));
     }
@@ -41,7 +40,7 @@
   void lostAnswersDoNotCountTowardTheLimit() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     for (int k = 0; k < 300; k++) {
-      String write = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+      String write = harness.arrive(Consistency.WRITE);
       harness.advance(ms(10));
       if (k % 3 < 2) {
         harness.end(harness.onlyInFlight(write), AttemptOutcome.OK);
@@ -59,7 +58,7 @@
       RouterHarness harness =
           RouterHarness.withKnownPrimary(RoutingConfigs.fleet(gateways, true), g);
       for (int k = 0; k < 60; k++) {
-        harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+        harness.arrive(Consistency.WRITE);
         harness.advance(ms(50));
         harness.answerOlderThan(ms(300));
       }
@@ -72,16 +71,16 @@
   @Test
   void answerWellWithinItsObjectiveEarnsAShortPause() {
     RouterHarness harness = RouterHarness.withKnownPrimary(RoutingConfigs.fleet(80, true));
-    String first = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    String first = harness.arrive(Consistency.WRITE);
     harness.advance(ms(40));
     harness.end(harness.onlyInFlight(first), AttemptOutcome.OK);
-    String second = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    String second = harness.arrive(Consistency.WRITE);
     harness.advance(ms(150));
     assertEquals(
         1, harness.requests.get(second).attemptCount, "a tenth of its soft deadline was taken");
     harness.advance(ms(230));
     harness.end(harness.onlyInFlight(second), AttemptOutcome.OK);
-    String third = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    String third = harness.arrive(Consistency.WRITE);
     harness.advance(ms(500));
     assertEquals(0, harness.requests.get(third).attemptCount, "nine tenths were taken");
   }
@@ -92,7 +91,7 @@
     RouterHarness harness = RouterHarness.withKnownPrimary();
     List<String> reads = new ArrayList<>();
     for (int k = 0; k < 400; k++) {
-      reads.add(harness.arrive(Consistency.FRESH, 0, Duration.ZERO));
+      reads.add(harness.arrive(Consistency.FRESH));
       harness.advance(ms(20));
       harness.disconnect(reads.get(Math.max(0, k - 5)));
     }
--- a/gateway/src/test/java/weldcross/routing/EndpointRegistryTest.java
+++ b/gateway/src/test/java/weldcross/routing/EndpointRegistryTest.java
@@ -26,32 +26,15 @@
         null,
         false);
     harness.router.endEndpointList(harness.now);
-    assertEquals(
-        "s0",
-        harness
-            .onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO))
-            .server()
-            .id
-            .name());
+    assertEquals("s0", harness.send(Consistency.WRITE).serverName());
     harness.server(0).listedStatus = EndpointStatus.DRAINING;
     harness.publishEndpointList();
     harness.server(0).listedStatus = EndpointStatus.ACTIVE;
     harness.publishEndpointList();
-    assertTrue(
-        harness
-            .requests
-            .get(harness.arrive(Consistency.WRITE, 0, Duration.ZERO))
-            .inFlight
-            .isEmpty());
+    assertTrue(harness.requests.get(harness.arrive(Consistency.WRITE)).inFlight.isEmpty());
     harness.server(0).startedAt = harness.now.minus(RouterHarness.ms(9000));
     harness.publishEndpointList();
-    assertEquals(
-        "s0",
-        harness
-            .onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO))
-            .server()
-            .id
-            .name());
+    assertEquals("s0", harness.send(Consistency.WRITE).serverName());
   }
 
   /** Successors come under new names all day; kept, their predecessors would fill the memory. */
@@ -69,8 +52,8 @@
       harness.advance(ms(1));
       harness.report(server, harness.now);
       harness.advance(ms(300));
-      String write = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
-      assertEquals("s" + k / 3 * 3, harness.onlyInFlight(write).server().id.name());
+      String write = harness.arrive(Consistency.WRITE);
+      assertEquals("s" + k / 3 * 3, harness.onlyInFlight(write).serverName());
       harness.advance(ms(2));
       harness.answerOlderThan(Duration.ZERO);
     }
--- a/gateway/src/test/java/weldcross/routing/EndpointSelectorTest.java
+++ b/gateway/src/test/java/weldcross/routing/EndpointSelectorTest.java
@@ -5,7 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static weldcross.routing.RouterHarness.ms;
 
-import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import weldcross.routing.RequestClass.Consistency;
@@ -20,8 +19,7 @@
   void attemptIsEligibleOnlyWhileTheReasonsForItHold() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     harness.advance(RouterHarness.STALENESS_BOUND.minus(ms(1)));
-    RouterHarness.SentAttempt read =
-        harness.onlyInFlight(harness.arrive(Consistency.BOUNDED, 0, Duration.ZERO));
+    RouterHarness.SentAttempt read = harness.send(Consistency.BOUNDED);
     assertTrue(harness.isStillEligible(read));
     harness.advance(ms(1));
     assertFalse(harness.isStillEligible(read), "its bound has passed");
@@ -30,8 +28,7 @@
     harness.setEndpointListValid(false);
     assertFalse(harness.isStillEligible(read), "its drain may be owed");
     harness.setEndpointListValid(true);
-    RouterHarness.SentAttempt write =
-        harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO));
+    RouterHarness.SentAttempt write = harness.send(Consistency.WRITE);
     assertTrue(harness.isStillEligible(write));
     write.server().listedStatus = EndpointStatus.DRAINING;
     harness.publishEndpointList();
@@ -41,10 +38,8 @@
   @Test
   void leastBusyReplicaIsSelected() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    String first =
-        harness.onlyInFlight(harness.arrive(Consistency.ANY, 0, Duration.ZERO)).server().id.name();
-    String second =
-        harness.onlyInFlight(harness.arrive(Consistency.ANY, 0, Duration.ZERO)).server().id.name();
+    String first = harness.send(Consistency.ANY).serverName();
+    String second = harness.send(Consistency.ANY).serverName();
     assertEquals(List.of("s1", "s2"), List.of(first, second).stream().sorted().toList());
   }
 
@@ -52,17 +47,14 @@
   void serverThatAnsweredSlowlyComesAfterItsEquals() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     for (int k = 0; k < 30; k++) {
-      RouterHarness.SentAttempt sent =
-          harness.onlyInFlight(harness.arrive(Consistency.ANY, 0, Duration.ZERO));
+      RouterHarness.SentAttempt sent = harness.send(Consistency.ANY);
       harness.advance(ms(10));
       harness.end(sent, AttemptOutcome.OK);
     }
-    RouterHarness.SentAttempt slow =
-        harness.onlyInFlight(harness.arrive(Consistency.ANY, 0, Duration.ZERO));
+    RouterHarness.SentAttempt slow = harness.send(Consistency.ANY);
     harness.advance(ms(60));
     harness.end(slow, AttemptOutcome.OK);
-    RouterHarness.SentAttempt next =
-        harness.onlyInFlight(harness.arrive(Consistency.ANY, 0, Duration.ZERO));
+    RouterHarness.SentAttempt next = harness.send(Consistency.ANY);
     assertFalse(next.server() == slow.server());
   }
 }
--- a/gateway/src/test/java/weldcross/routing/HealthCheckerTest.java
+++ b/gateway/src/test/java/weldcross/routing/HealthCheckerTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static weldcross.routing.RouterHarness.ms;
 
-import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import weldcross.routing.RequestClass.Consistency;
@@ -20,9 +19,9 @@
     harness.healthChecks.clear();
     harness.advance(ms(300));
     assertEquals(List.of(), harness.healthChecks);
-    harness.arrive(Consistency.BOUNDED, 0, Duration.ZERO);
+    harness.arrive(Consistency.BOUNDED);
     assertEquals(1, harness.healthChecks.size());
-    harness.arrive(Consistency.ANY, 0, Duration.ZERO);
+    harness.arrive(Consistency.ANY);
     harness.advance(ms(50));
     assertEquals(1, harness.healthChecks.size());
   }
@@ -38,10 +37,10 @@
         .forEach(s -> harness.servers.put(s.id.name(), s));
     harness.publishEndpointList();
     assertEquals(3, harness.healthChecks.size());
-    String read = harness.arrive(Consistency.BOUNDED, 0, Duration.ZERO);
+    String read = harness.arrive(Consistency.BOUNDED);
     assertTrue(harness.requests.get(read).inFlight.isEmpty());
     harness.report(harness.server(1), harness.now);
-    assertEquals("s1", harness.onlyInFlight(read).server().id.name());
+    assertEquals("s1", harness.onlyInFlight(read).serverName());
   }
 
   /** Many gateways that search for a primary together are a load. */
@@ -51,7 +50,7 @@
     harness.router.reported(harness.now, harness.server(0).id, harness.now, false);
     harness.healthChecks.clear();
     for (int k = 0; k < 100; k++) {
-      harness.arrive(Consistency.FRESH, 0, Duration.ZERO);
+      harness.arrive(Consistency.FRESH);
       harness.advance(ms(50));
       harness
           .servers
@@ -69,12 +68,12 @@
   void serverWithOverdueAnswersIsCheckedWithBackoff() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     for (int k = 0; k < 30; k++) {
-      String write = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+      String write = harness.arrive(Consistency.WRITE);
       harness.advance(ms(10));
       harness.end(harness.onlyInFlight(write), AttemptOutcome.OK);
     }
     harness.healthChecks.clear();
-    harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    harness.arrive(Consistency.WRITE);
     int asked = 0;
     for (int k = 0; k < 70; k++) {
       harness.advance(ms(20));
--- a/gateway/src/test/java/weldcross/routing/LatencyEstimatorTest.java
+++ b/gateway/src/test/java/weldcross/routing/LatencyEstimatorTest.java
@@ -19,11 +19,9 @@
   void answersInNoTimeScheduleNoTimerForTheSameMoment() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     for (int k = 0; k < 2000; k++) {
-      harness.end(
-          harness.onlyInFlight(harness.arrive(Consistency.ANY, 0, Duration.ZERO)),
-          AttemptOutcome.OK);
+      harness.end(harness.send(Consistency.ANY), AttemptOutcome.OK);
     }
-    harness.arrive(Consistency.ANY, 0, Duration.ZERO);
+    harness.arrive(Consistency.ANY);
     assertTimeoutPreemptively(Duration.ofSeconds(20), () -> harness.advance(ms(100)));
   }
 
@@ -31,7 +29,7 @@
   void requestThatCannotBeAnsweredInTimeIsRejectedAtOnce() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     for (int k = 0; k < 100; k++) {
-      harness.arrive(Consistency.FRESH, 0, Duration.ZERO);
+      harness.arrive(Consistency.FRESH);
       harness.advance(ms(10));
       harness.answerOlderThan(ms(200));
     }
@@ -50,12 +48,12 @@
   @Test
   void oneSlowAnswerMakesNoOtherRequestHopeless() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    String slow = harness.arrive(Consistency.FRESH, 0, Duration.ZERO);
+    String slow = harness.arrive(Consistency.FRESH);
     harness.advance(ms(350));
     harness.end(harness.onlyInFlight(slow), AttemptOutcome.OK);
     assertNull(answerWhilePrimaryDrains(harness, ms(60)), "given up by one answer");
     for (int k = 0; k < 8; k++) {
-      String quick = harness.arrive(Consistency.FRESH, 0, Duration.ZERO);
+      String quick = harness.arrive(Consistency.FRESH);
       harness.advance(ms(60));
       harness.end(harness.onlyInFlight(quick), AttemptOutcome.OK);
     }
@@ -71,8 +69,7 @@
   private static Answer answerWhilePrimaryDrains(RouterHarness harness, Duration time) {
     harness.server(0).listedStatus = EndpointStatus.DRAINING;
     harness.publishEndpointList();
-    RouterHarness.TrackedRequest entry =
-        harness.requests.get(harness.arrive(Consistency.FRESH, 0, Duration.ZERO));
+    RouterHarness.TrackedRequest entry = harness.requests.get(harness.arrive(Consistency.FRESH));
     harness.advance(time);
     final Answer answer = entry.answer;
     harness.server(0).listedStatus = EndpointStatus.ACTIVE;
--- a/gateway/src/test/java/weldcross/routing/OutlierDetectorTest.java
+++ b/gateway/src/test/java/weldcross/routing/OutlierDetectorTest.java
@@ -5,7 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static weldcross.routing.RouterHarness.ms;
 
-import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import weldcross.routing.RequestClass.Consistency;
@@ -17,12 +16,11 @@
   void hungServerIsEjectedAndItsReadsAreHedged() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     for (int k = 0; k < 40; k++) {
-      RouterHarness.SentAttempt quick =
-          harness.onlyInFlight(harness.arrive(Consistency.ANY, 0, Duration.ZERO));
+      RouterHarness.SentAttempt quick = harness.send(Consistency.ANY);
       harness.advance(ms(10));
       harness.end(quick, AttemptOutcome.OK);
     }
-    String read = harness.arrive(Consistency.ANY, 0, Duration.ZERO);
+    String read = harness.arrive(Consistency.ANY);
     RouterHarness.Server hung = harness.onlyInFlight(read).server();
     harness.healthChecks.clear();
     harness.advance(ms(200));
@@ -34,8 +32,7 @@
     harness.advance(ms(50));
     assertEquals(2, harness.requests.get(read).attemptCount);
     for (int k = 0; k < 6; k++) {
-      assertFalse(
-          hung == harness.onlyInFlight(harness.arrive(Consistency.ANY, 0, Duration.ZERO)).server());
+      assertFalse(hung == harness.send(Consistency.ANY).server());
     }
   }
 
@@ -43,18 +40,11 @@
   void oneLostConnectionEjectsNoServerAndTwoInARowDo() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     harness.advance(ms(1));
-    harness.end(
-        harness.onlyInFlight(harness.arrive(Consistency.FRESH, 0, Duration.ZERO)),
-        AttemptOutcome.CONNECTION_LOST);
-    String second = harness.arrive(Consistency.FRESH, 0, Duration.ZERO);
-    assertEquals("s0", harness.onlyInFlight(second).server().id.name());
+    harness.end(harness.send(Consistency.FRESH), AttemptOutcome.CONNECTION_LOST);
+    String second = harness.arrive(Consistency.FRESH);
+    assertEquals("s0", harness.onlyInFlight(second).serverName());
     harness.end(harness.onlyInFlight(second), AttemptOutcome.CONNECTION_LOST);
-    assertTrue(
-        harness
-            .requests
-            .get(harness.arrive(Consistency.FRESH, 0, Duration.ZERO))
-            .inFlight
-            .isEmpty());
+    assertTrue(harness.requests.get(harness.arrive(Consistency.FRESH)).inFlight.isEmpty());
   }
 
   /** Where all servers fail alike, none of them is the cause. */
@@ -62,8 +52,7 @@
   void errorsOnAllServersEjectNoMoreThanHalfOfAGroup() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     for (int k = 0; k < 40; k++) {
-      String read =
-          harness.arrive(k % 2 == 0 ? Consistency.ANY : Consistency.FRESH, 0, Duration.ZERO);
+      String read = harness.arrive(k % 2 == 0 ? Consistency.ANY : Consistency.FRESH);
       assertTrue(harness.requests.get(read).attemptCount > 0);
       harness.end(harness.onlyInFlight(read), AttemptOutcome.ERROR);
       List.copyOf(harness.inFlight).forEach(s -> harness.end(s, AttemptOutcome.OK));
@@ -74,9 +63,7 @@
   @Test
   void serverRemovedWhileEjectedComesBackEjected() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    harness.end(
-        harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO)),
-        AttemptOutcome.UNREACHABLE);
+    harness.end(harness.send(Consistency.WRITE), AttemptOutcome.UNREACHABLE);
     harness.advance(ms(100));
     harness.server(0).listedStatus = EndpointStatus.REMOVED;
     harness.publishEndpointList();
@@ -96,10 +83,10 @@
     harness.publishEndpointList();
     assertTrue(
         harness.isWarmingUp(0) && harness.hasEjected(), harness.router.describe(harness.now));
-    String write = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    String write = harness.arrive(Consistency.WRITE);
     assertEquals(0, harness.requests.get(write).attemptCount);
     assertTrue(
-        harness.healthChecks.contains(harness.server(0).id), "asked before an RPC is risked");
+        harness.healthChecks.contains(harness.server(0).id), "checked before a request is risked");
   }
 
   /** One alone proves nothing, as the servers cap health checks. */
@@ -109,21 +96,19 @@
     harness.advance(ms(1));
     harness.router.healthCheckEnded(
         harness.now, harness.server(0).id, AttemptOutcome.TIMED_OUT, null);
-    assertEquals(
-        1, harness.requests.get(harness.arrive(Consistency.WRITE, 0, Duration.ZERO)).attemptCount);
+    assertEquals(1, harness.requests.get(harness.arrive(Consistency.WRITE)).attemptCount);
     harness.router.healthCheckEnded(
         harness.now, harness.server(0).id, AttemptOutcome.TIMED_OUT, null);
-    assertEquals(
-        0, harness.requests.get(harness.arrive(Consistency.WRITE, 0, Duration.ZERO)).attemptCount);
+    assertEquals(0, harness.requests.get(harness.arrive(Consistency.WRITE)).attemptCount);
   }
 
   @Test
   void lostIdleConnectionSaysNothingOfItsServer() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     for (int k = 0; k < 6; k++) {
-      String write = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+      String write = harness.arrive(Consistency.WRITE);
       harness.end(harness.onlyInFlight(write), AttemptOutcome.IDLE_CONNECTION_LOST);
-      assertEquals(Answer.FAILED, harness.requests.get(write).answer, "it may have run");
+      assertEquals(Answer.FAILED, harness.requests.get(write).answer, "it may have been executed");
     }
     harness.healthChecks.clear();
     harness.router.healthCheckEnded(
@@ -139,9 +124,7 @@
     RouterHarness harness = RouterHarness.withKnownPrimary();
     for (int k = 0; k < 2; k++) {
       assertFalse(harness.hasEjected());
-      harness.end(
-          harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO)),
-          AttemptOutcome.CLOSED_BEFORE_SEND);
+      harness.end(harness.send(Consistency.WRITE), AttemptOutcome.CLOSED_BEFORE_SEND);
     }
     assertTrue(harness.hasEjected());
     assertFalse(harness.isWarmingUp(0));
--- a/gateway/src/test/java/weldcross/routing/PrimaryTrackerTest.java
+++ b/gateway/src/test/java/weldcross/routing/PrimaryTrackerTest.java
@@ -14,8 +14,7 @@
   void primaryClaimOlderThanAnAnswerIsIgnored() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     RouterHarness.Server former = harness.server(0);
-    final RouterHarness.SentAttempt write =
-        harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO));
+    final RouterHarness.SentAttempt write = harness.send(Consistency.WRITE);
     harness.advance(ms(100));
     final Duration claimed = harness.now;
     harness.advance(ms(100));
@@ -24,36 +23,23 @@
     harness.advance(ms(20));
     harness.router.reported(harness.now, former.id, claimed, true);
     harness.advance(RouterHarness.STALENESS_BOUND);
-    String read = harness.arrive(Consistency.BOUNDED, 0, Duration.ZERO);
+    String read = harness.arrive(Consistency.BOUNDED);
     harness.advance(ms(60));
     assertEquals(
         0, harness.requests.get(read).attemptCount, "the rig knows that nobody holds its bound");
     former.primary = true;
     harness.report(former, harness.now);
-    assertEquals(
-        "s0", harness.onlyInFlight(read).server().id.name(), "a claim from after it counts");
+    assertEquals("s0", harness.onlyInFlight(read).serverName(), "a claim from after it counts");
   }
 
   @Test
   void replicaClaimOlderThanAPrimaryClaimIsIgnored() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     harness.router.reported(harness.now, harness.server(0).id, harness.now.minus(ms(20)), false);
-    assertEquals(
-        "s0",
-        harness
-            .onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO))
-            .server()
-            .id
-            .name());
+    assertEquals("s0", harness.send(Consistency.WRITE).serverName());
     harness.router.reported(harness.now, harness.server(0).id, harness.now, false);
     harness.server(0).reportedPrimary = false;
     harness.router.reported(harness.now, harness.server(1).id, harness.now, true);
-    assertEquals(
-        "s1",
-        harness
-            .onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO))
-            .server()
-            .id
-            .name());
+    assertEquals("s1", harness.send(Consistency.WRITE).serverName());
   }
 }
--- a/gateway/src/test/java/weldcross/routing/RetryPolicyTest.java
+++ b/gateway/src/test/java/weldcross/routing/RetryPolicyTest.java
@@ -6,7 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static weldcross.routing.RouterHarness.ms;
 
-import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -24,7 +23,7 @@
     RouterHarness harness =
         RouterHarness.withKnownPrimary(
             RoutingConfigs.withWrites(Effect.IDEMPOTENT_BY_KEY, Scope.GROUP, true, true, false));
-    String write = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    String write = harness.arrive(Consistency.WRITE);
     assertTrue(
         harness.isStillEligible(harness.onlyInFlight(write)),
         "the first send needs nobody to know a repeat");
@@ -42,7 +41,7 @@
   @Test
   void writeThatMayHaveBeenExecutedFailsAtOnce() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    String write = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    String write = harness.arrive(Consistency.WRITE);
     harness.end(harness.onlyInFlight(write), AttemptOutcome.CONNECTION_LOST);
     assertEquals(Answer.FAILED, harness.requests.get(write).answer);
   }
@@ -50,7 +49,7 @@
   @Test
   void writeThatWasNotExecutedWaitsForThePrimary() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    String write = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    String write = harness.arrive(Consistency.WRITE);
     harness.server(0).primary = false;
     harness.end(harness.onlyInFlight(write), AttemptOutcome.INELIGIBLE);
     for (RouterHarness.SentAttempt sent = harness.onlyInFlight(write);
@@ -61,7 +60,7 @@
     assertNull(harness.requests.get(write).answer);
     harness.server(2).primary = true;
     harness.report(harness.server(2), harness.now);
-    assertEquals("s2", harness.onlyInFlight(write).server().id.name());
+    assertEquals("s2", harness.onlyInFlight(write).serverName());
   }
 
   private static RouterHarness.SentAttempt firstInFlight(RouterHarness harness, String request) {
--- a/gateway/src/test/java/weldcross/routing/RouterHarness.java
+++ b/gateway/src/test/java/weldcross/routing/RouterHarness.java
@@ -45,7 +45,12 @@
   }
 
   /** An attempt as the router asked for it. */
-  record SentAttempt(String request, int number, Server server, Duration at, Duration until) {}
+  record SentAttempt(String request, int number, Server server, Duration at, Duration until) {
+
+    String serverName() {
+      return server.id.name();
+    }
+  }
 
   /** A request: what it needs and what the router has done for it. */
   static final class TrackedRequest {
@@ -193,6 +198,16 @@
     }
   }
 
+  /** Lets a request arrive in the first group, without a write before, and returns its name. */
+  String arrive(Consistency consistency) {
+    return arrive(consistency, 0, Duration.ZERO);
+  }
+
+  /** Lets such a request arrive and returns the attempt that the router sends at once. */
+  SentAttempt send(Consistency consistency) {
+    return onlyInFlight(arrive(consistency));
+  }
+
   /** Lets a request arrive and returns its name; {@code sinceWrite} is zero for no write. */
   String arrive(Consistency consistency, int group, Duration sinceWrite) {
     TrackedRequest entry = new TrackedRequest();
--- a/gateway/src/test/java/weldcross/routing/RouterTest.java
+++ b/gateway/src/test/java/weldcross/routing/RouterTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static weldcross.routing.RouterHarness.ms;
 
-import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -56,8 +55,8 @@
       SplittableRandom random = new SplittableRandom(3);
       List<String> sent = new ArrayList<>();
       for (int n = 0; n < 1500; n++) {
-        harness.arrive(Consistency.values()[random.nextInt(5)], 0, Duration.ZERO);
-        harness.inFlight.forEach(s -> sent.add(s.request() + s.server().id.name()));
+        harness.arrive(Consistency.values()[random.nextInt(5)]);
+        harness.inFlight.forEach(s -> sent.add(s.request() + s.serverName()));
         harness.advance(ms(random.nextInt(9)));
         new ArrayList<>(harness.inFlight)
             .stream().skip(2).forEach(s -> harness.end(s, AttemptOutcome.OK));
--- a/gateway/src/test/java/weldcross/routing/RouterTimersTest.java
+++ b/gateway/src/test/java/weldcross/routing/RouterTimersTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static weldcross.routing.RouterHarness.ms;
 
-import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -15,7 +14,7 @@
   @Test
   void leftOverWakeUpAsksForNoOther() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    harness.arrive(Consistency.ANY, 0, Duration.ZERO);
+    harness.arrive(Consistency.ANY);
     int asks = harness.timerCalls;
     for (int k = 0; k < 50; k++) {
       harness.router.timersDue(harness.now);
--- a/gateway/src/test/java/weldcross/routing/SessionConsistencyTest.java
+++ b/gateway/src/test/java/weldcross/routing/SessionConsistencyTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static weldcross.routing.RouterHarness.ms;
 
-import java.time.Duration;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import weldcross.routing.RequestClass.Consistency;
 import weldcross.routing.RequestClass.Effect;
@@ -21,8 +21,7 @@
     harness.advance(ms(200));
     harness.report(harness.server(2), harness.now.minus(ms(40)));
     assertEquals(
-        "s2",
-        harness.onlyInFlight(harness.arrive(Consistency.SESSION, 0, ms(50))).server().id.name());
+        "s2", harness.onlyInFlight(harness.arrive(Consistency.SESSION, 0, ms(50))).serverName());
   }
 
   @Test
@@ -31,7 +30,7 @@
     harness.advance(ms(200));
     String read = harness.arrive(Consistency.SESSION, 0, ms(50));
     harness.advance(ms(55));
-    assertEquals("s0", harness.onlyInFlight(read).server().id.name());
+    assertEquals("s0", harness.onlyInFlight(read).serverName());
   }
 
   @Test
@@ -39,43 +38,24 @@
     RouterHarness harness =
         RouterHarness.withKnownPrimary(
             RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
-    assertFalse(
-        harness
-            .onlyInFlight(harness.arrive(Consistency.SESSION, 0, Duration.ZERO))
-            .server()
-            .primary);
+    assertFalse(harness.send(Consistency.SESSION).server().primary);
     harness.advance(ms(10));
-    harness.end(
-        harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO)),
-        AttemptOutcome.OK);
-    assertTrue(
-        harness
-            .onlyInFlight(harness.arrive(Consistency.SESSION, 0, Duration.ZERO))
-            .server()
-            .primary);
+    harness.end(harness.send(Consistency.WRITE), AttemptOutcome.OK);
+    assertTrue(harness.send(Consistency.SESSION).server().primary);
     harness.report(harness.server(1), harness.now);
-    assertEquals(
-        "s1",
-        harness
-            .onlyInFlight(harness.arrive(Consistency.SESSION, 0, Duration.ZERO))
-            .server()
-            .id
-            .name());
+    assertEquals("s1", harness.send(Consistency.SESSION).serverName());
   }
 
   @Test
   void boundedReadGoesToThePrimaryWhenEveryReplicaLags() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     harness.advance(RouterHarness.STALENESS_BOUND.minus(ms(1)));
-    assertFalse(
-        harness
-            .onlyInFlight(harness.arrive(Consistency.BOUNDED, 0, Duration.ZERO))
-            .server()
-            .primary);
+    assertFalse(harness.send(Consistency.BOUNDED).server().primary);
     harness.advance(ms(1));
-    String read = harness.arrive(Consistency.BOUNDED, 0, Duration.ZERO);
+    String read = harness.arrive(Consistency.BOUNDED);
     assertTrue(
-        harness.requests.get(read).inFlight.isEmpty(), "it waits briefly for the probe under way");
+        harness.requests.get(read).inFlight.isEmpty(),
+        "it waits briefly for the health check under way");
     harness.advance(ms(55));
     assertTrue(harness.onlyInFlight(read).server().primary);
   }
@@ -87,30 +67,15 @@
     RouterHarness harness =
         RouterHarness.withKnownPrimary(
             RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
-    assertFalse(
-        harness
-            .onlyInFlight(harness.arrive(Consistency.SESSION, 0, Duration.ZERO))
-            .server()
-            .primary);
-    String write = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    assertFalse(harness.send(Consistency.SESSION).server().primary);
+    String write = harness.arrive(Consistency.WRITE);
     harness.advance(ms(60));
     harness.end(harness.onlyInFlight(write), AttemptOutcome.valueOf(outcome));
     harness.report(harness.server(1), harness.now);
-    assertTrue(
-        harness
-            .onlyInFlight(harness.arrive(Consistency.SESSION, 0, Duration.ZERO))
-            .server()
-            .primary,
-        "no replica is sure to hold it");
+    assertTrue(harness.send(Consistency.SESSION).server().primary, "no replica is sure to hold it");
     harness.advance(ms(40));
     harness.report(harness.server(1), harness.now);
-    assertEquals(
-        "s1",
-        harness
-            .onlyInFlight(harness.arrive(Consistency.SESSION, 0, Duration.ZERO))
-            .server()
-            .id
-            .name());
+    assertEquals("s1", harness.send(Consistency.SESSION).serverName());
   }
 
   /** What a session has written counts at each send, not when the read arrived. */
@@ -119,8 +84,8 @@
     RouterHarness harness =
         RouterHarness.withKnownPrimary(
             RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
-    String write = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
-    String read = harness.arrive(Consistency.SESSION, 0, Duration.ZERO);
+    String write = harness.arrive(Consistency.WRITE);
+    String read = harness.arrive(Consistency.SESSION);
     assertFalse(harness.onlyInFlight(read).server().primary, "nothing is known to be written yet");
     harness.advance(ms(60));
     harness.end(harness.onlyInFlight(write), AttemptOutcome.OK);
@@ -129,4 +94,44 @@
     harness.end(harness.onlyInFlight(read), AttemptOutcome.ERROR);
     assertTrue(harness.onlyInFlight(read).server().primary, "no replica is known to hold it");
   }
+
+  @ParameterizedTest
+  @CsvSource(
+      nullValues = "none",
+      value = {
+        "ANY, none, true",
+        "BOUNDED, none, false",
+        "BOUNDED, 600, false",
+        "BOUNDED, 601, true",
+        "SESSION, none, false",
+        "SESSION, 699, false",
+        "SESSION, 700, true",
+        "FRESH, none, false",
+        "FRESH, 899, false",
+        "FRESH, 900, true",
+        "WRITE, 1000, false"
+      })
+  void replicaIsFreshEnoughFromThePositionThatTheConsistencyNeeds(
+      Consistency consistency, Long positionMillis, boolean expected) {
+    RoutingConfig config =
+        RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false);
+    RequestClass requestClass = config.requestClasses().get(consistency.ordinal());
+    RequestState request =
+        new RequestState(
+            new RequestId("r"),
+            consistency.ordinal(),
+            requestClass,
+            new ReplicaGroup(),
+            null,
+            ms(700),
+            false,
+            ms(900),
+            ms(2400),
+            0);
+    EndpointState replica =
+        new EndpointState(new ServerId("s"), request.group, new ZoneId(0), 0, 1);
+    replica.position = positionMillis == null ? null : ms(positionMillis);
+    SessionConsistency sessionConsistency = new SessionConsistency(config);
+    assertEquals(expected, sessionConsistency.isFreshEnough(ms(1000), request, replica));
+  }
 }
--- a/gateway/src/test/java/weldcross/routing/SlowStartTest.java
+++ b/gateway/src/test/java/weldcross/routing/SlowStartTest.java
@@ -22,8 +22,7 @@
   @Test
   void attemptForAWarmServerIsNotSentOnceTheServerHasRestarted() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    RouterHarness.SentAttempt read =
-        harness.onlyInFlight(harness.arrive(Consistency.ANY, 0, Duration.ZERO));
+    RouterHarness.SentAttempt read = harness.send(Consistency.ANY);
     assertTrue(harness.isStillEligible(read));
     read.server().startedAt = harness.now;
     harness.publishEndpointList();
@@ -42,7 +41,7 @@
       if (k % 20 == 0) {
         harness.servers.values().forEach(s -> harness.report(s, harness.now));
       }
-      harness.arrive(Consistency.ANY, 0, Duration.ZERO);
+      harness.arrive(Consistency.ANY);
       harness.advance(ms(2));
       harness.answerOlderThan(ms(8));
       Duration startedAt =
@@ -89,9 +88,9 @@
         // Two writes a second at each gateway; three more wait there when the primary returns.
         int burst = stops ? 3 : 0;
         for (int n = random.nextInt(50) == 0 ? burst + 1 : burst; n > 0; n--) {
-          harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
-          harness.arrive(Consistency.ANY, 0, Duration.ZERO);
-          harness.arrive(Consistency.ANY, 0, Duration.ZERO);
+          harness.arrive(Consistency.WRITE);
+          harness.arrive(Consistency.ANY);
+          harness.arrive(Consistency.ANY);
         }
         harness.answerOlderThan(ms(30));
         harness.advance(ms(10));
@@ -131,7 +130,7 @@
       harness.publishEndpointList();
       Duration end = harness.now.plus(harness.config.overloadWindow().multipliedBy(3));
       while (harness.now.compareTo(end) < 0) {
-        harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+        harness.arrive(Consistency.WRITE);
         harness.advance(ms(20));
         sends +=
             harness.server(0).slowStartSends.stream()
@@ -146,12 +145,9 @@
   @Test
   void answerOnAConnectionFromBeforeTakesBackAPresumedRestart() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    final RouterHarness.SentAttempt before =
-        harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO));
+    final RouterHarness.SentAttempt before = harness.send(Consistency.WRITE);
     harness.advance(ms(1));
-    harness.end(
-        harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO)),
-        AttemptOutcome.UNREACHABLE);
+    harness.end(harness.send(Consistency.WRITE), AttemptOutcome.UNREACHABLE);
     assertTrue(harness.isWarmingUp(0));
     harness.advance(ms(31));
     harness.end(before, AttemptOutcome.OK);
@@ -163,12 +159,9 @@
   @Test
   void answerSentBeforeAProcessEndedTakesNoRestartBack() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    final RouterHarness.SentAttempt before =
-        harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO));
+    final RouterHarness.SentAttempt before = harness.send(Consistency.WRITE);
     harness.advance(ms(1));
-    harness.end(
-        harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO)),
-        AttemptOutcome.UNREACHABLE);
+    harness.end(harness.send(Consistency.WRITE), AttemptOutcome.UNREACHABLE);
     harness.advance(ms(5));
     harness.end(before, AttemptOutcome.OK);
     assertTrue(harness.isWarmingUp(0));
@@ -180,9 +173,7 @@
     RouterHarness harness = RouterHarness.withKnownPrimary();
     final Duration before = harness.now;
     harness.advance(ms(1));
-    harness.end(
-        harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO)),
-        AttemptOutcome.UNREACHABLE);
+    harness.end(harness.send(Consistency.WRITE), AttemptOutcome.UNREACHABLE);
     harness.advance(ms(400));
     harness.router.healthCheckEnded(
         harness.now, harness.server(0).id, AttemptOutcome.OK, harness.now);
@@ -241,8 +232,7 @@
     void step() {
       crash(1 + random.nextInt(2));
       restart();
-      harness.arrive(
-          random.nextInt(3) == 0 ? Consistency.FRESH : Consistency.ANY, 0, Duration.ZERO);
+      harness.arrive(random.nextInt(3) == 0 ? Consistency.FRESH : Consistency.ANY);
       List.copyOf(harness.inFlight).forEach(this::endAttempt);
       List.copyOf(harness.healthChecks).forEach(this::endHealthCheck);
       harness.healthChecks.clear();
@@ -330,15 +320,13 @@
   @Test
   void serverThatAPeerCouldNotReachGetsLess() {
     RouterHarness harness = RouterHarness.withKnownPrimary(RoutingConfigs.fleet(200, true));
-    harness.end(
-        harness.onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO)),
-        AttemptOutcome.UNREACHABLE);
+    harness.end(harness.send(Consistency.WRITE), AttemptOutcome.UNREACHABLE);
     assertEquals(List.of(harness.server(0).id), harness.gossiped);
     harness.router.gossipReceived(harness.now, new ServerId("nobody"));
     RouterHarness peer = RouterHarness.withKnownPrimary(RoutingConfigs.fleet(200, true));
     peer.router.gossipReceived(peer.now, peer.server(0).id);
     for (int k = 0; k < 100; k++) {
-      peer.arrive(Consistency.WRITE, 0, Duration.ZERO);
+      peer.arrive(Consistency.WRITE);
       peer.advance(ms(1));
       List.copyOf(peer.inFlight).forEach(s -> peer.end(s, AttemptOutcome.OK));
     }
