--- a/gateway/src/main/java/weldcross/gateway/ClientStream.java
+++ b/gateway/src/main/java/weldcross/gateway/ClientStream.java
@@ -75,7 +75,7 @@
   void listen(boolean on) {
     paused = !on;
     if (on) {
-      processor.afterReading(this::decodeBuffered);
+      processor.afterPendingReads(this::decodeBuffered);
     }
   }
 
@@ -101,12 +101,12 @@
     if (bufferedBytes < MAX_BUFFERED_BYTES) {
       session.resumeRead();
     }
-    processor.afterReading(this::decodeBuffered);
+    processor.afterPendingReads(this::decodeBuffered);
   }
 
   /** Whether no more than so many messages were received, and no byte of another. */
   boolean isQuiet(int messages) {
-    return decoder.told() <= messages && !decoder.isWithin() && buffered.isEmpty();
+    return decoder.messageCount() <= messages && !decoder.isInMessage() && buffered.isEmpty();
   }
 
   /** Discards all that is received from now on; may be called from any thread. */
--- a/gateway/src/test/java/weldcross/gateway/AttemptTrackerTest.java
+++ b/gateway/src/test/java/weldcross/gateway/AttemptTrackerTest.java
@@ -48,7 +48,7 @@
     slow.forEach(
         l -> {
           harness.connections.get(l).open = true;
-          harness.dispatch(g -> g.serverConnections().up(l));
+          harness.dispatch(g -> g.serverConnections().connected(l));
           harness.completeWrites();
         });
     harness.advance(60);
--- a/gateway/src/test/java/weldcross/gateway/ConfigReloadTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ConfigReloadTest.java
@@ -18,14 +18,14 @@
   void newDiscoveryAddressTakesOverWithItsFirstList() {
     GatewayHarness harness = GatewayHarness.serving();
     long old = harness.discovery;
-    harness.dispatch(g -> g.discovery().up(old));
+    harness.dispatch(g -> g.discovery().connected(old));
     harness.listEndpoints(41, true, "active");
     harness.reload(2);
     long first = harness.discovery;
     harness.reload(3);
     long second = harness.discovery;
     assertTrue(harness.connections.get(first).dropped, "two reloads in quick succession");
-    harness.dispatch(g -> g.discovery().up(second));
+    harness.dispatch(g -> g.discovery().connected(second));
     assertTrue(
         harness.connections.get(second).takeReceived().startsWith("GET /catalog/members HTTP"),
         "all of it, lest a " + "change be missed");
@@ -36,7 +36,7 @@
     harness.listEndpoints(42, true, "leaving");
     assertTrue(harness.connections.get(old).dropped);
     assertTrue(harness.connections.get(second).takeReceived().contains("?since=42&"));
-    harness.dispatch(g -> g.discovery().gone(old));
+    harness.dispatch(g -> g.discovery().closed(old));
     assertEquals(second, harness.discovery, "nothing is asked for at the old address");
   }
 
@@ -44,19 +44,19 @@
   void oldDiscoveryAddressThatClosesFirstIsAbandoned() {
     GatewayHarness harness = GatewayHarness.serving();
     long old = harness.discovery;
-    harness.dispatch(g -> g.discovery().up(old));
+    harness.dispatch(g -> g.discovery().connected(old));
     harness.listEndpoints(41, true, "active");
     harness.reload(2);
     long next = harness.discovery;
-    harness.dispatch(g -> g.discovery().gone(old));
+    harness.dispatch(g -> g.discovery().closed(old));
     harness.advance(1300);
     assertFalse(harness.discovery == next, "the new one is silent and dialled again");
-    harness.dispatch(g -> g.discovery().up(harness.discovery));
+    harness.dispatch(g -> g.discovery().connected(harness.discovery));
     harness.listEndpoints(43, true, "active");
     harness.reload(2);
     harness.reload(1);
     long back = harness.discovery;
-    harness.dispatch(g -> g.discovery().up(back));
+    harness.dispatch(g -> g.discovery().connected(back));
     harness.listEndpoints(44, true, "active");
     assertTrue(harness.connections.get(back).takeReceived().contains("?since=44&"));
     harness.reload(1);
@@ -96,10 +96,10 @@
   @Test
   void discoveryAddressThatIsBehindRevertsNothing() {
     GatewayHarness harness = GatewayHarness.serving();
-    harness.dispatch(g -> g.discovery().up(harness.discovery));
+    harness.dispatch(g -> g.discovery().connected(harness.discovery));
     harness.listEndpoints(42, true, "leaving");
     harness.reload(2);
-    harness.dispatch(g -> g.discovery().up(harness.discovery));
+    harness.dispatch(g -> g.discovery().connected(harness.discovery));
     harness.listEndpoints(40, true, "active");
     assertTrue(
         harness
@@ -117,7 +117,7 @@
     assertTrue(serversOf(harness, 40).contains("s-1"), "what is newer counts");
     harness.listEndpoints(45, false, "leaving");
     harness.reload(3);
-    harness.dispatch(g -> g.discovery().up(harness.discovery));
+    harness.dispatch(g -> g.discovery().connected(harness.discovery));
     harness.listEndpoints(5, true, "active");
     harness.advance(5_000);
     harness.listEndpoints(5, false, "active");
@@ -142,7 +142,7 @@
     GatewayHarness harness = GatewayHarness.serving();
     harness.listEndpoints(42, true, "active");
     harness.reload(2);
-    harness.dispatch(g -> g.discovery().up(harness.discovery));
+    harness.dispatch(g -> g.discovery().connected(harness.discovery));
     harness.listEndpoints(7, true, "leaving");
     assertFalse(serversOf(harness, 40).contains("s-1"), "sent to a server that drains");
   }
--- a/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
@@ -111,7 +111,7 @@
   /** Waits until all that was received is read and handled, and pending calls are done. */
   private void finishReading() {
     CountDownLatch read = new CountDownLatch(1);
-    transport.processor.afterReading(read::countDown);
+    transport.processor.afterPendingReads(read::countDown);
     until(() -> read.getCount() == 0);
     loop.catchUp(gateway);
   }
@@ -283,7 +283,7 @@
   @Test
   void faultInAProcessorTaskDoesNotStopReading() throws Exception {
     Socket first = connect();
-    transport.processor.afterReading(
+    transport.processor.afterPendingReads(
         () -> {
           throw new IllegalStateException("a fault of one connection");
         });
@@ -297,7 +297,7 @@
   void endOfTheReadingThreadEndsTheGateway() throws Exception {
     connect();
     readerEnded = true;
-    transport.processor.afterReading(
+    transport.processor.afterPendingReads(
         () -> {
           throw new StackOverflowError("planted");
         });
@@ -342,7 +342,7 @@
       final List<Socket> fill = fillUp(to);
       // Nobody accepts and the queue is full: these stay on their way.
       for (int k = 0; k < 40; k++) {
-        transport.dialServer(-1_000 - k, to);
+        transport.connectToServer(-1_000 - k, to);
       }
       int kept = 0;
       List<Socket> clients = new ArrayList<>();
@@ -366,7 +366,7 @@
         each.close();
       }
       for (int k = 0; k < 40; k++) {
-        transport.drop(-1_000 - k);
+        transport.closeNow(-1_000 - k);
       }
     }
   }
--- a/gateway/src/test/java/weldcross/gateway/DiscoveryWatcherTest.java
+++ b/gateway/src/test/java/weldcross/gateway/DiscoveryWatcherTest.java
@@ -252,7 +252,7 @@
         w.advance(1 + random.nextInt(100));
         discoverySpeaks();
       }
-      held += w.gateway.discovery().stands() ? 0 : 1;
+      held += w.gateway.discovery().isListValid() ? 0 : 1;
     }
 
     List<Long> open() {
@@ -264,7 +264,7 @@
 
     void cut(long link) {
       w.connections.get(link).dropped = true;
-      w.dispatch(g -> g.discovery().gone(link));
+      w.dispatch(g -> g.discovery().closed(link));
     }
 
     /**
@@ -285,7 +285,7 @@
         }
         if (!wire.open) {
           wire.open = true;
-          w.dispatch(g -> g.discovery().up(link));
+          w.dispatch(g -> g.discovery().connected(link));
         }
         for (Matcher m = ASKED.matcher(wire.received);
             !agent.silent && !wire.dropped && m.matches();
@@ -294,7 +294,7 @@
           if (wire.answeredAt == null && agent.busy && random.nextInt(4) > 0) {
             refused++;
             wire.takeReceived();
-            w.dispatch(g -> g.discovery().answered(link, 503, new byte[0]));
+            w.dispatch(g -> g.discovery().responseReceived(link, 503, new byte[0]));
             break;
           }
           wire.answeredAt = wire.answeredAt == null ? w.now : wire.answeredAt;
@@ -322,7 +322,9 @@
           for (int r = 2; r <= agent.has(); r++) {
             told.merge(r, now(), (a, b) -> a.compareTo(b) < 0 ? a : b);
           }
-          w.dispatch(g -> g.discovery().answered(link, 200, text.getBytes(StandardCharsets.UTF_8)));
+          w.dispatch(
+              g ->
+                  g.discovery().responseReceived(link, 200, text.getBytes(StandardCharsets.UTF_8)));
         }
       }
     }
@@ -371,9 +373,9 @@
 
   private static void refuse(GatewayHarness w) {
     long link = w.discovery;
-    w.dispatch(g -> g.discovery().up(link));
+    w.dispatch(g -> g.discovery().connected(link));
     w.connections.get(link).takeReceived();
-    w.dispatch(g -> g.discovery().answered(link, 503, new byte[0]));
+    w.dispatch(g -> g.discovery().responseReceived(link, 503, new byte[0]));
   }
 
   /**
@@ -392,7 +394,7 @@
     while (w.connections.get(w.discovery).dropped) {
       w.advance(10);
     }
-    w.dispatch(g -> g.discovery().up(w.discovery));
+    w.dispatch(g -> g.discovery().connected(w.discovery));
     w.answerNoChange();
     assertServes(w, true);
   }
@@ -407,11 +409,11 @@
     for (int ms = 0; ms < 10_000; ms += 10) {
       if (w.discovery != before) {
         before = w.discovery;
-        w.dispatch(g -> g.discovery().up(w.discovery));
+        w.dispatch(g -> g.discovery().connected(w.discovery));
         String call = w.connections.get(before).takeReceived();
         assertTrue(asked++ == 0 || call.contains("?since=1&timeout_ms=1 "), call);
         long link = before;
-        w.dispatch(g -> g.discovery().answered(link, 503, new byte[0]));
+        w.dispatch(g -> g.discovery().responseReceived(link, 503, new byte[0]));
       }
       w.advance(10);
     }
@@ -423,7 +425,7 @@
   void callThatWaitsInLineIsNotGivenUp() {
     GatewayHarness w = new GatewayHarness(ON_REQUEST);
     long link = w.discovery;
-    w.dispatch(g -> g.discovery().up(link));
+    w.dispatch(g -> g.discovery().connected(link));
     w.advance(2_500);
     assertEquals(link, w.discovery);
     w.answerNoChange();
--- a/gateway/src/test/java/weldcross/gateway/EndpointListValidityTest.java
+++ b/gateway/src/test/java/weldcross/gateway/EndpointListValidityTest.java
@@ -22,17 +22,17 @@
     assertFalse(first == harness.discovery, "dialled again after silence");
     long second = harness.discovery;
     byte[] nonsense = "{\"revision\":".getBytes(StandardCharsets.UTF_8);
-    harness.dispatch(g -> g.discovery().answered(second, 200, nonsense));
+    harness.dispatch(g -> g.discovery().responseReceived(second, 200, nonsense));
     assertTrue(harness.connections.get(second).dropped);
     harness.advance(300);
     long third = harness.discovery;
-    harness.dispatch(g -> g.discovery().up(third));
-    harness.dispatch(g -> g.discovery().answered(third, 503, nonsense));
+    harness.dispatch(g -> g.discovery().connected(third));
+    harness.dispatch(g -> g.discovery().responseReceived(third, 503, nonsense));
     harness.advance(300);
     long fourth = harness.discovery;
-    harness.dispatch(g -> g.discovery().up(fourth));
+    harness.dispatch(g -> g.discovery().connected(fourth));
     harness.dispatch(
-        g -> g.discovery().answered(fourth, 200, "{}".getBytes(StandardCharsets.UTF_8)));
+        g -> g.discovery().responseReceived(fourth, 200, "{}".getBytes(StandardCharsets.UTF_8)));
     assertTrue(harness.connections.get(fourth).dropped, "an object without a list in it");
     String id = harness.request(harness.connect(), true, 500);
     harness.answer(harness.connectionOf(id), null);
@@ -42,12 +42,12 @@
   @Test
   void watchResumesAtItsRevisionAfterDiscoveryCloses() {
     GatewayHarness harness = GatewayHarness.serving();
-    harness.dispatch(g -> g.discovery().up(harness.discovery));
+    harness.dispatch(g -> g.discovery().connected(harness.discovery));
     harness.listEndpoints(41, true, "active");
     long before = harness.discovery;
-    harness.dispatch(g -> g.discovery().gone(before));
+    harness.dispatch(g -> g.discovery().closed(before));
     assertFalse(before == harness.discovery, "dialled again in the same moment");
-    harness.dispatch(g -> g.discovery().up(harness.discovery));
+    harness.dispatch(g -> g.discovery().connected(harness.discovery));
     assertTrue(harness.connections.get(harness.discovery).takeReceived().contains("?since=41&"));
   }
 
@@ -68,7 +68,7 @@
     assertTrue(
         harness.connections.get(client).takeReceived().contains("C57P03"), "it is not ready");
     harness.advance(100);
-    harness.dispatch(g -> g.discovery().up(harness.discovery));
+    harness.dispatch(g -> g.discovery().connected(harness.discovery));
     harness.listEndpoints(2, false, "leaving");
     for (int k = 0; k < 20; k++) {
       harness.busyConnections().forEach(l -> harness.answer(l, null));
@@ -95,7 +95,7 @@
     assertFalse(harness.history.openAttempts.containsKey(id));
     harness.advance(400);
     assertEquals("53300", harness.history.answers.get(id));
-    harness.dispatch(g -> g.discovery().up(harness.discovery));
+    harness.dispatch(g -> g.discovery().connected(harness.discovery));
     harness.listEndpoints(3, true, "leaving");
     harness.advance(100);
     harness.answerHealthChecks();
@@ -111,9 +111,9 @@
     GatewayHarness harness = GatewayHarness.serving();
     harness.discoveryAnswers = false;
     harness.advance(4_000);
-    assertTrue(harness.gateway.discovery().stands());
+    assertTrue(harness.gateway.discovery().isListValid());
     harness.advance(600);
-    assertFalse(harness.gateway.discovery().stands());
+    assertFalse(harness.gateway.discovery().isListValid());
   }
 
   /** Rule 3: a discovery that begins to answer has something to list. */
@@ -123,9 +123,9 @@
     harness.discoveryAnswers = false;
     harness.advanceWithSilentDiscovery(2_600);
     long asked = harness.discovery;
-    harness.dispatch(g -> g.discovery().begun(asked));
+    harness.dispatch(g -> g.discovery().responseStarted(asked));
     harness.advanceWithSilentDiscovery(3_500);
-    assertFalse(harness.gateway.discovery().stands(), "a drain may have been listed by now");
+    assertFalse(harness.gateway.discovery().isListValid(), "a drain may have been listed by now");
   }
 
   /** Rule 3: the same after it was taken for down. */
@@ -134,11 +134,11 @@
     GatewayHarness harness = GatewayHarness.serving();
     harness.discoveryAnswers = false;
     harness.advanceWithSilentDiscovery(4_600);
-    assertTrue(harness.gateway.discovery().stands(), "it is down");
+    assertTrue(harness.gateway.discovery().isListValid(), "it is down");
     long asked = harness.discovery;
-    harness.dispatch(g -> g.discovery().begun(asked));
+    harness.dispatch(g -> g.discovery().responseStarted(asked));
     harness.advance(2_100);
-    assertFalse(harness.gateway.discovery().stands(), "a drain may have been listed by now");
+    assertFalse(harness.gateway.discovery().isListValid(), "a drain may have been listed by now");
   }
 
   /** Rule 3: an answer may be received and not read yet. */
@@ -149,13 +149,13 @@
     harness.advanceWithSilentDiscovery(2_600);
     harness.readsDelayed = true;
     harness.advanceWithSilentDiscovery(2_500);
-    assertFalse(harness.gateway.discovery().stands(), "a drain may have been listed by now");
+    assertFalse(harness.gateway.discovery().isListValid(), "a drain may have been listed by now");
   }
 
   @Test
   void drainingServerGetsNoRequests() {
     GatewayHarness harness = GatewayHarness.serving();
-    harness.dispatch(g -> g.discovery().up(harness.discovery));
+    harness.dispatch(g -> g.discovery().connected(harness.discovery));
     harness.listEndpoints(42, false, "leaving");
     for (int k = 0; k < 20; k++) {
       String id = harness.request(harness.connect(), false, 500);
--- a/gateway/src/test/java/weldcross/gateway/FakeTransport.java
+++ b/gateway/src/test/java/weldcross/gateway/FakeTransport.java
@@ -89,7 +89,7 @@
   }
 
   @Override
-  public void greetItself() {
+  public void warmUp() {
     gateway.soon(gateway::warmUpCompleted);
   }
 
@@ -99,12 +99,12 @@
   }
 
   @Override
-  public void joinPeers(InetSocketAddress at) {
+  public void listenForGossip(InetSocketAddress at) {
     calls.add("join " + at.getPort());
   }
 
   @Override
-  public void dialServer(long number, InetSocketAddress to) {
+  public void connectToServer(long number, InetSocketAddress to) {
     FakeConnection connection = new FakeConnection();
     connection.server = "s-" + (to.getPort() - FIRST_SERVER_PORT);
     connections.put(number, connection);
@@ -113,13 +113,13 @@
       gateway.soon(
           () -> {
             connection.open = true;
-            gateway.serverConnections().up(number);
+            gateway.serverConnections().connected(number);
           });
     }
   }
 
   @Override
-  public void dialDiscovery(long number, InetSocketAddress to) {
+  public void connectToDiscovery(long number, InetSocketAddress to) {
     discovery = number;
     connections.put(number, new FakeConnection());
     connections.get(number).discoveryPort = to.getPort();
@@ -143,10 +143,10 @@
     if (number > 0 || connection.discoveryPort != 0) {
       connection.received.append(text);
     } else if (text.startsWith("Q")) {
-      connection.serverDecoder.ask();
+      connection.serverDecoder.expectResponse();
       sent(number, connection, text.substring(HEADER_BYTES));
     } else {
-      connection.serverDecoder.ask();
+      connection.serverDecoder.expectResponse();
       connection.serverDecoder.feed(ByteBuffer.wrap(message('Z', "I")));
     }
     return writesCompleteAtOnce;
@@ -174,19 +174,19 @@
   }
 
   @Override
-  public void read(long number, boolean on) {
+  public void setReading(long number, boolean on) {
     calls.add((on ? "read " : "hold ") + number);
   }
 
   @Override
-  public void hear(long number) {
+  public void afterPendingReads(long number) {
     if (!readsDelayed) {
-      gateway.soon(() -> gateway.readsCompleted(number));
+      gateway.soon(() -> gateway.pendingReadsDone(number));
     }
   }
 
   @Override
-  public void part(long number, int messages) {
+  public void closeIfQuiet(long number, int messages) {
     pendingCloses.put(number, messages);
     if (!readsDelayed) {
       gateway.soon(this::decideCloses);
@@ -204,8 +204,8 @@
     FakeConnection connection = connections.get(number);
     boolean quiet =
         !connection.open
-            || (connection.clientDecoder.told() <= messages
-                && !connection.clientDecoder.isWithin());
+            || (connection.clientDecoder.messageCount() <= messages
+                && !connection.clientDecoder.isInMessage());
     connection.open &= !quiet;
     connection.dropped |= quiet;
     gateway.soon(
@@ -219,7 +219,7 @@
   }
 
   @Override
-  public void drop(long number) {
+  public void closeNow(long number) {
     droppedNumbers.add(number);
     FakeConnection connection = connections.get(number);
     if (connection == null) {
@@ -231,13 +231,13 @@
   }
 
   @Override
-  public void finish(long number) {
+  public void closeGracefully(long number) {
     connections.get(number).open = false;
     calls.add("finish " + number);
   }
 
   @Override
-  public void tellPeers(InetSocketAddress to, byte[] message) {
+  public void sendGossip(InetSocketAddress to, byte[] message) {
     calls.add("tell " + to.getPort() + " " + new String(message, StandardCharsets.UTF_8));
   }
 }
--- a/gateway/src/test/java/weldcross/gateway/GatewayHarness.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayHarness.java
@@ -61,7 +61,7 @@
   static GatewayHarness withEndpointList(String... changes) {
     GatewayHarness harness = new GatewayHarness(changes);
     harness.discoveryAnswers = true;
-    harness.dispatch(g -> g.discovery().up(harness.discovery));
+    harness.dispatch(g -> g.discovery().connected(harness.discovery));
     harness.answerNoChange();
     return harness;
   }
@@ -121,7 +121,7 @@
       FakeConnection connection = connections.get(discovery);
       if (!connection.open && !connection.dropped) {
         connection.open = true;
-        dispatch(g -> g.discovery().up(discovery));
+        dispatch(g -> g.discovery().connected(discovery));
       }
       advance(SILENT_STEP_MILLIS);
     }
@@ -170,7 +170,7 @@
         "{\"revision\":1,\"complete\":false,\"members\":[]}".getBytes(StandardCharsets.UTF_8);
     connections.get(discovery).takeReceived();
     discoveryAnsweredAt = now;
-    dispatch(g -> g.discovery().answered(discovery, 200, text));
+    dispatch(g -> g.discovery().responseReceived(discovery, 200, text));
   }
 
   /** Discovery answers with two servers, s-0 active and s-1 in this phase. */
@@ -186,7 +186,7 @@
             + TestConfig.member(1, phase)
             + "]}";
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    dispatch(g -> g.discovery().answered(discovery, 200, bytes));
+    dispatch(g -> g.discovery().responseReceived(discovery, 200, bytes));
     completeWrites();
   }
 
@@ -334,7 +334,7 @@
     FakeConnection connection = connections.get(number);
     history.cutOff(RequestHistory.idOf(connection.statement), number);
     connection.open = false;
-    dispatch(g -> g.serverConnections().gone(number, connection.serverDecoder.rest()));
+    dispatch(g -> g.serverConnections().closed(number, connection.serverDecoder.partialResponse()));
     completeWrites();
   }
 
--- a/gateway/src/test/java/weldcross/gateway/GatewayTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayTest.java
@@ -94,7 +94,7 @@
   void stateIsBoundedByWhatIsOpenAndListed(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     GatewayHarness harness = GatewayHarness.serving();
-    harness.dispatch(g -> g.discovery().up(harness.discovery));
+    harness.dispatch(g -> g.discovery().connected(harness.discovery));
     for (int k = 3; k < 1500; k++) {
       String text =
           "{\"revision\":"
@@ -113,7 +113,7 @@
       harness.dispatch(
           g ->
               g.discovery()
-                  .answered(harness.discovery, 200, text.getBytes(StandardCharsets.UTF_8)));
+                  .responseReceived(harness.discovery, 200, text.getBytes(StandardCharsets.UTF_8)));
       harness.completeWrites();
       long client = harness.connect();
       for (int n = random.nextInt(4); n >= 0; n--) {
@@ -148,7 +148,7 @@
     harness.send(client, MessageEncoder.query(""));
     assertTrue(harness.connections.get(client).takeReceived().contains("C57P03"));
     assertEquals(Gateway.Phase.LISTENING, harness.gateway.phase());
-    harness.dispatch(g -> g.discovery().up(harness.discovery));
+    harness.dispatch(g -> g.discovery().connected(harness.discovery));
     assertTrue(
         harness
             .connections
--- a/gateway/src/test/java/weldcross/gateway/MultipleDeploymentsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/MultipleDeploymentsTest.java
@@ -111,7 +111,8 @@
     long connection = statements(other).get(0);
     carrying.statement = null;
     carrying.open = false;
-    other.dispatch(g -> g.serverConnections().gone(connection, carrying.serverDecoder.rest()));
+    other.dispatch(
+        g -> g.serverConnections().closed(connection, carrying.serverDecoder.partialResponse()));
     other.completeWrites();
     other.advance(150);
     assertFalse(statements(other).isEmpty(), "an idempotent write goes out again");
@@ -147,7 +148,7 @@
     assertEquals(
         List.of("settings"),
         GatewayConfig.of(ConfigValues.ofJson(TestConfig.json()))
-            .keysThatDiffer(GatewayConfig.of(ConfigValues.ofJson(TestConfig.json(OTHER)))));
+            .keysThatNeedRestart(GatewayConfig.of(ConfigValues.ofJson(TestConfig.json(OTHER)))));
     one.unreachable.addAll(List.of("s-0", "s-1", "s-2"));
     List.copyOf(one.connections.keySet()).stream()
         .filter(
--- a/gateway/src/test/java/weldcross/gateway/ServerConnectionPoolTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ServerConnectionPoolTest.java
@@ -52,7 +52,7 @@
     long connection = harness.connections.keySet().stream().min(Long::compare).orElseThrow();
     harness.disconnect(client);
     harness.connections.get(connection).dropped = false;
-    harness.dispatch(g -> g.serverConnections().up(connection));
+    harness.dispatch(g -> g.serverConnections().connected(connection));
     assertTrue(harness.connections.get(connection).dropped);
   }
 
@@ -80,13 +80,15 @@
     String id = harness.request(harness.connect(), true, 500);
     long before = harness.connectionOf(id);
     harness.answer(before, null);
-    harness.dispatch(g -> g.discovery().up(harness.discovery));
+    harness.dispatch(g -> g.discovery().connected(harness.discovery));
     String text =
         "{\"revision\":8,\"complete\":false,\"members\":["
             + TestConfig.member(0, "active").replace("7000", "7008")
             + "]}";
     harness.dispatch(
-        g -> g.discovery().answered(harness.discovery, 200, text.getBytes(StandardCharsets.UTF_8)));
+        g ->
+            g.discovery()
+                .responseReceived(harness.discovery, 200, text.getBytes(StandardCharsets.UTF_8)));
     harness.completeWrites();
     assertTrue(harness.connections.get(before).dropped);
     assertEquals(
@@ -148,7 +150,7 @@
     final String id = harness.request(harness.connect(), true, 900);
     long connection = harness.connections.keySet().stream().min(Long::compare).orElseThrow();
     harness.unreachable.clear();
-    harness.dispatch(g -> g.serverConnections().dialReset(connection));
+    harness.dispatch(g -> g.serverConnections().connectionReset(connection));
     assertNoEndpointEjectedOrWarmingUp(harness);
     harness.advance(30);
     harness.answer(harness.connectionOf(id), null);
@@ -199,13 +201,13 @@
     harness.advance(300);
     assertFalse(harness.connections.get(connection).dropped, "what came in has not been read");
     harness.connections.get(connection).open = true;
-    harness.dispatch(g -> g.serverConnections().up(connection));
+    harness.dispatch(g -> g.serverConnections().connected(connection));
     harness.answer(connection, null);
     assertEquals("ok", harness.history.answers.get(id));
     harness.request(harness.connect(), true, 2000);
     harness.advance(400);
     long other = harness.connections.keySet().stream().min(Long::compare).orElseThrow();
-    harness.dispatch(g -> g.serverConnections().heard(other));
+    harness.dispatch(g -> g.serverConnections().pendingReadsDone(other));
     assertTrue(harness.connections.get(other).dropped, "all was read, and it said nothing");
   }
 
--- a/gateway/src/test/java/weldcross/routing/ConcurrencyLimiterTest.java
+++ b/gateway/src/test/java/weldcross/routing/ConcurrencyLimiterTest.java
@@ -4,11 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static weldcross.routing.RouterHarness.ms;
 
-import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import weldcross.routing.RequestClass.Consistency;
+import weldcross.routing.RequestClass.Effect;
+import weldcross.routing.RequestClass.Scope;
 import weldcross.routing.RouterHarness.Answer;
 
 class ConcurrencyLimiterTest {
@@ -18,7 +21,7 @@
   void slowServerGetsFewerRequestsAndTheRestIsRejected() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     for (int k = 0; k < 1500; k++) {
-      harness.arrive(Consistency.FRESH, 0, Duration.ZERO);
+      harness.arrive(Consistency.FRESH);
       harness.advance(ms(10));
       harness.answerOlderThan(ms(390));
     }
@@ -37,7 +40,7 @@
   void lostAnswersDoNotCountTowardTheLimit() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     for (int k = 0; k < 300; k++) {
-      String write = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+      String write = harness.arrive(Consistency.WRITE);
       harness.advance(ms(10));
       if (k % 3 < 2) {
         harness.end(harness.onlyInFlight(write), AttemptOutcome.OK);
@@ -53,9 +56,9 @@
     int sent = 0;
     for (int g = 0; g < gateways; g++) {
       RouterHarness harness =
-          RouterHarness.withKnownPrimary(RouterHarness.fleetConfig(gateways, true), g);
+          RouterHarness.withKnownPrimary(RoutingConfigs.fleet(gateways, true), g);
       for (int k = 0; k < 60; k++) {
-        harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+        harness.arrive(Consistency.WRITE);
         harness.advance(ms(50));
         harness.answerOlderThan(ms(300));
       }
@@ -67,17 +70,17 @@
 
   @Test
   void answerWellWithinItsObjectiveEarnsAShortPause() {
-    RouterHarness harness = RouterHarness.withKnownPrimary(RouterHarness.fleetConfig(80, true));
-    String first = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    RouterHarness harness = RouterHarness.withKnownPrimary(RoutingConfigs.fleet(80, true));
+    String first = harness.arrive(Consistency.WRITE);
     harness.advance(ms(40));
     harness.end(harness.onlyInFlight(first), AttemptOutcome.OK);
-    String second = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    String second = harness.arrive(Consistency.WRITE);
     harness.advance(ms(150));
     assertEquals(
         1, harness.requests.get(second).attemptCount, "a tenth of its soft deadline was taken");
     harness.advance(ms(230));
     harness.end(harness.onlyInFlight(second), AttemptOutcome.OK);
-    String third = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
+    String third = harness.arrive(Consistency.WRITE);
     harness.advance(ms(500));
     assertEquals(0, harness.requests.get(third).attemptCount, "nine tenths were taken");
   }
@@ -88,7 +91,7 @@
     RouterHarness harness = RouterHarness.withKnownPrimary();
     List<String> reads = new ArrayList<>();
     for (int k = 0; k < 400; k++) {
-      reads.add(harness.arrive(Consistency.FRESH, 0, Duration.ZERO));
+      reads.add(harness.arrive(Consistency.FRESH));
       harness.advance(ms(20));
       harness.disconnect(reads.get(Math.max(0, k - 5)));
     }
@@ -98,4 +101,42 @@
                 .count()
             < 60);
   }
+
+  @ParameterizedTest
+  @CsvSource({
+    "OK, 300, lowered",
+    "OK, 40, raised",
+    "OVERLOADED, 1, lowered",
+    "CANCELLED, 40, raised",
+    "UNREACHABLE, 300, unchanged",
+    "NOT_SENT, 300, unchanged",
+    "IDLE_CONNECTION_LOST, 300, unchanged"
+  })
+  void limitFollowsTheShareOfTheObjectiveThatAnAnswerTook(
+      AttemptOutcome outcome, long tookMillis, String expected) {
+    ConcurrencyLimiter limiter = new ConcurrencyLimiter(6, new LatencyEstimator(1));
+    RequestClass requestClass =
+        new RequestClass(
+            Consistency.ANY, ms(400), Effect.IDEMPOTENT, Scope.ALL, ms(0), ms(400), 1, 0);
+    RequestState request =
+        new RequestState(
+            new RequestId("r"),
+            0,
+            requestClass,
+            new ReplicaGroup(),
+            null,
+            null,
+            false,
+            ms(0),
+            ms(1500),
+            0);
+    EndpointState endpoint =
+        new EndpointState(
+            new ServerId("s"), request.group, new ZoneId(0), 0, limiter.initialLimit());
+    endpoint.inFlight.add(new Attempt(request, endpoint, 1, ms(0), 0.1, false));
+    Attempt ended = new Attempt(request, endpoint, 0, ms(0), 0.1, false);
+    limiter.recordOutcome(ms(tookMillis), ended, outcome, ms(tookMillis));
+    int change = Double.compare(endpoint.concurrencyLimit, 2);
+    assertEquals(expected, change < 0 ? "lowered" : change > 0 ? "raised" : "unchanged");
+  }
 }
--- a/gateway/src/test/java/weldcross/routing/EndpointRegistryTest.java
+++ b/gateway/src/test/java/weldcross/routing/EndpointRegistryTest.java
@@ -15,7 +15,7 @@
   /** A server said to drain gets nothing until a new start. */
   @Test
   void whereRemovalIsNotBindingRemovedServersServeOnAndDrainingOnesDoNot() {
-    RouterHarness harness = RouterHarness.withKnownPrimary(RouterHarness.fleetConfig(2, false), 7);
+    RouterHarness harness = RouterHarness.withKnownPrimary(RoutingConfigs.fleet(2, false), 7);
     harness.router.beginEndpointList(harness.now, false);
     harness.router.endpointListed(
         harness.now,
@@ -26,32 +26,15 @@
         null,
         false);
     harness.router.endEndpointList(harness.now);
-    assertEquals(
-        "s0",
-        harness
-            .onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO))
-            .server()
-            .id
-            .name());
+    assertEquals("s0", harness.send(Consistency.WRITE).serverName());
     harness.server(0).listedStatus = EndpointStatus.DRAINING;
     harness.publishEndpointList();
     harness.server(0).listedStatus = EndpointStatus.ACTIVE;
     harness.publishEndpointList();
-    assertTrue(
-        harness
-            .requests
-            .get(harness.arrive(Consistency.WRITE, 0, Duration.ZERO))
-            .inFlight
-            .isEmpty());
+    assertTrue(harness.requests.get(harness.arrive(Consistency.WRITE)).inFlight.isEmpty());
     harness.server(0).startedAt = harness.now.minus(RouterHarness.ms(9000));
     harness.publishEndpointList();
-    assertEquals(
-        "s0",
-        harness
-            .onlyInFlight(harness.arrive(Consistency.WRITE, 0, Duration.ZERO))
-            .server()
-            .id
-            .name());
+    assertEquals("s0", harness.send(Consistency.WRITE).serverName());
   }
 
   /** Successors come under new names all day; kept, their predecessors would fill the memory. */
@@ -69,8 +52,8 @@
       harness.advance(ms(1));
       harness.report(server, harness.now);
       harness.advance(ms(300));
-      String write = harness.arrive(Consistency.WRITE, 0, Duration.ZERO);
-      assertEquals("s" + k / 3 * 3, harness.onlyInFlight(write).server().id.name());
+      String write = harness.arrive(Consistency.WRITE);
+      assertEquals("s" + k / 3 * 3, harness.onlyInFlight(write).serverName());
       harness.advance(ms(2));
       harness.answerOlderThan(Duration.ZERO);
     }
@@ -86,7 +69,7 @@
   void failedListCallIsRepeatedWithBackoff() {
     RouterHarness harness =
         new RouterHarness(
-            RouterHarness.config(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, true), 1);
+            RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, true), 1);
     assertEquals(1, harness.watchCalls);
     for (int k = 0; k < 8; k++) {
       harness.router.endpointListFailed(harness.now);
--- a/gateway/src/test/java/weldcross/routing/LatencyEstimatorTest.java
+++ b/gateway/src/test/java/weldcross/routing/LatencyEstimatorTest.java
@@ -1,5 +1,7 @@
 package weldcross.routing;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTimeoutPreemptively;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,11 +19,9 @@
   void answersInNoTimeScheduleNoTimerForTheSameMoment() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     for (int k = 0; k < 2000; k++) {
-      harness.end(
-          harness.onlyInFlight(harness.arrive(Consistency.ANY, 0, Duration.ZERO)),
-          AttemptOutcome.OK);
+      harness.end(harness.send(Consistency.ANY), AttemptOutcome.OK);
     }
-    harness.arrive(Consistency.ANY, 0, Duration.ZERO);
+    harness.arrive(Consistency.ANY);
     assertTimeoutPreemptively(Duration.ofSeconds(20), () -> harness.advance(ms(100)));
   }
 
@@ -29,7 +29,7 @@
   void requestThatCannotBeAnsweredInTimeIsRejectedAtOnce() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     for (int k = 0; k < 100; k++) {
-      harness.arrive(Consistency.FRESH, 0, Duration.ZERO);
+      harness.arrive(Consistency.FRESH);
       harness.advance(ms(10));
       harness.answerOlderThan(ms(200));
     }
@@ -40,7 +40,7 @@
                     e.answer == Answer.REJECTED
                         && e.attemptCount == 0
                         && e.answeredAt.compareTo(
-                                e.arrived.plus(RouterHarness.LATENCY_OBJECTIVE).minus(ms(100)))
+                                e.arrivedAt.plus(RouterHarness.LATENCY_OBJECTIVE).minus(ms(100)))
                             < 0));
   }
 
@@ -48,12 +48,12 @@
   @Test
   void oneSlowAnswerMakesNoOtherRequestHopeless() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    String slow = harness.arrive(Consistency.FRESH, 0, Duration.ZERO);
+    String slow = harness.arrive(Consistency.FRESH);
     harness.advance(ms(350));
     harness.end(harness.onlyInFlight(slow), AttemptOutcome.OK);
     assertNull(answerWhilePrimaryDrains(harness, ms(60)), "given up by one answer");
     for (int k = 0; k < 8; k++) {
-      String quick = harness.arrive(Consistency.FRESH, 0, Duration.ZERO);
+      String quick = harness.arrive(Consistency.FRESH);
       harness.advance(ms(60));
       harness.end(harness.onlyInFlight(quick), AttemptOutcome.OK);
     }
@@ -69,14 +69,33 @@
   private static Answer answerWhilePrimaryDrains(RouterHarness harness, Duration time) {
     harness.server(0).listedStatus = EndpointStatus.DRAINING;
     harness.publishEndpointList();
-    RouterHarness.TrackedRequest entry =
-        harness.requests.get(harness.arrive(Consistency.FRESH, 0, Duration.ZERO));
+    RouterHarness.TrackedRequest entry = harness.requests.get(harness.arrive(Consistency.FRESH));
     harness.advance(time);
-    Answer answer = entry.answer;
+    final Answer answer = entry.answer;
     harness.server(0).listedStatus = EndpointStatus.ACTIVE;
     harness.server(0).startedAt = harness.now.minus(ms(20_000));
     harness.publishEndpointList();
     harness.answerOlderThan(ms(0));
     return answer;
   }
+
+  @Test
+  void estimateSettlesAtTheMedianOfTheAnswers() {
+    LatencyEstimator latency = new LatencyEstimator(1);
+    assertEquals(1, latency.typicalSeconds(0), "nothing is known yet");
+    for (int answer = 0; answer < 3000; answer++) {
+      latency.record(0, ms(answer % 10 == 0 ? 5000 : 8 + answer % 5));
+    }
+    assertEquals(0.010, latency.typicalSeconds(0), 0.002);
+    assertTrue(latency.isSlow(0, ms(40)));
+    assertFalse(latency.isSlow(0, ms(20)));
+  }
+
+  @Test
+  void eachRequestClassHasItsOwnEstimate() {
+    LatencyEstimator latency = new LatencyEstimator(2);
+    latency.record(1, ms(20));
+    assertEquals(1, latency.typicalSeconds(0));
+    assertEquals(0.020, latency.typicalSeconds(1));
+  }
 }
--- a/gateway/src/test/java/weldcross/routing/RouterTimersTest.java
+++ b/gateway/src/test/java/weldcross/routing/RouterTimersTest.java
@@ -1,8 +1,10 @@
 package weldcross.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static weldcross.routing.RouterHarness.ms;
 
-import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 import weldcross.routing.RequestClass.Consistency;
 
@@ -12,11 +14,27 @@
   @Test
   void leftOverWakeUpAsksForNoOther() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    harness.arrive(Consistency.ANY, 0, Duration.ZERO);
+    harness.arrive(Consistency.ANY);
     int asks = harness.timerCalls;
     for (int k = 0; k < 50; k++) {
       harness.router.timersDue(harness.now);
     }
     assertEquals(asks, harness.timerCalls);
   }
+
+  @Test
+  void callbacksRunInOrderOfTimeAndThenOfScheduling() {
+    RouterHarness harness = RouterHarness.withKnownPrimary();
+    RouterTimers timers = new RouterTimers(harness);
+    List<String> order = new ArrayList<>();
+    timers.schedule(ms(20), at -> order.add("second at " + at.toMillis()));
+    timers.schedule(ms(10), at -> order.add("first at " + at.toMillis()));
+    timers.schedule(ms(20), at -> order.add("third at " + at.toMillis()));
+    timers.schedule(ms(90), at -> order.add("not due"));
+    timers.fire(ms(9));
+    assertEquals(List.of(), order);
+    timers.fire(ms(30));
+    assertEquals(List.of("first at 30", "second at 30", "third at 30"), order);
+    assertEquals(ms(90), harness.timerAt, "the next wake-up is asked for");
+  }
 }
