--- a/gateway/src/main/java/weldcross/Main.java
+++ b/gateway/src/main/java/weldcross/Main.java
@@ -5,20 +5,20 @@
 import weldcross.cli.ServeCommand;
 import weldcross.cli.WeldcrossCommand;
 
-/** Where the program starts; what it can do is in {@link WeldcrossCommand}. */
+/** The entry point; {@link WeldcrossCommand} has the commands. */
 public final class Main {
 
   private Main() {}
 
+  /** Runs the command that the arguments name, and exits with its status. */
   public static void main(String[] args) throws IOException {
-    // Picocli takes some 0.2 s of one core to load, which at a restart is time in which nobody is
-    // served.
+    // Loading picocli takes some 0.2 s of one core, during which a restarted gateway serves nobody.
     if (args.length == 1 && args[0].equals("serve")) {
       System.exit(ServeCommand.run(Level.INFO));
     }
-    // What is rehearsed for the archive of classes is to load no others than that.
-    if (args.length == 2 && args[0].equals("rehearse")) {
-      System.exit(ServeCommand.rehearse(args[1]));
+    // The build archives the classes that the self-test loads; they must be those of plain serve.
+    if (args.length == 2 && (args[0].equals("self-test") || args[0].equals("rehearse"))) {
+      System.exit(ServeCommand.selfTest(args[1]));
     }
     System.exit(WeldcrossCommand.run(args));
   }
--- a/gateway/src/main/java/weldcross/cli/ClusterCommand.java
+++ b/gateway/src/main/java/weldcross/cli/ClusterCommand.java
@@ -2,14 +2,8 @@
 
 import java.io.IOException;
 import java.io.PrintWriter;
-import java.net.URI;
 import java.net.URLEncoder;
-import java.net.http.HttpClient;
-import java.net.http.HttpRequest;
-import java.net.http.HttpResponse;
 import java.nio.charset.StandardCharsets;
-import java.time.Duration;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
@@ -21,15 +15,10 @@
 import org.jline.utils.InfoCmp.Capability;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Help.Ansi;
-import picocli.CommandLine.Help.ColorScheme;
-import picocli.CommandLine.Help.Column;
-import picocli.CommandLine.Help.TextTable;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import weldcross.config.ConfigValues;
 
-/** What an operator asks of a gateway about the others, and tells it; by its control address. */
+/** Commands for an operator, carried out by the control endpoint of a gateway. */
 @Command(
     name = "cluster",
     description = "Shows what a gateway knows of the others, and changes who is a member.",
@@ -44,10 +33,7 @@
     })
 final class ClusterCommand implements Runnable {
 
-  /** The gateway did not answer, or says that it cannot be done. */
-  static final int FAILED = 1;
-
-  private static final Duration WITHIN = Duration.ofSeconds(10);
+  private static final String STATUS_PATH = "/cluster";
 
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -56,124 +42,56 @@
     throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
   }
 
-  /** What all of them are told. */
-  abstract static class Asking implements Callable<Integer> {
+  /** A command that needs the control endpoint; a request that fails ends it. */
+  abstract static class ControlCommand implements Callable<Integer> {
 
     @Option(
         names = "--at",
         paramLabel = "HOST:PORT",
         required = true,
-        description = "The gateway's control address, as its file of terms has it.")
-    private String at;
+        description = "The gateway's control address, as its extensions' file has it.")
+    private String address;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-    PrintWriter out() {
-      return spec.commandLine().getOut();
-    }
-
-    /** The body, or null where it has said why not. */
-    String ask(String method, String path) throws InterruptedException {
+    @Override
+    public final Integer call() throws IOException, InterruptedException {
       try {
-        HttpResponse<String> answer =
-            HttpClient.newBuilder()
-                .connectTimeout(WITHIN)
-                .build()
-                .send(
-                    HttpRequest.newBuilder(URI.create("http://" + at + path))
-                        .timeout(WITHIN)
-                        .method(method, HttpRequest.BodyPublishers.noBody())
-                        .build(),
-                    HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8));
-        if (answer.statusCode() == 200) {
-          return answer.body();
-        }
-        spec.commandLine()
-            .getErr()
-            .println("weldcross: " + values(answer.body()).text("fault", answer.body()));
-      } catch (IOException | IllegalArgumentException e) {
-        spec.commandLine().getErr().println("weldcross: " + at + " does not answer: " + e);
+        return run(new ControlClient(address));
+      } catch (ControlClient.RequestFailedException e) {
+        spec.commandLine().getErr().println("weldcross: " + e.getMessage());
+        return ExitStatus.FAILED;
       }
-      return null;
     }
-  }
 
-  private static ConfigValues values(String json) {
-    return ConfigValues.ofJson(json.getBytes(StandardCharsets.UTF_8));
-  }
+    /** Carries out the command; returns the exit status. */
+    abstract int run(ControlClient client)
+        throws ControlClient.RequestFailedException, IOException, InterruptedException;
 
-  private static List<String> lines(String json, Ansi ansi) {
-    ConfigValues all = values(json);
-    List<String> lines = new ArrayList<>();
-    long age = all.integer("leader_age_ms", -1, -1);
-    lines.add(
-        all.text("self")
-            + " of "
-            + all.text("group")
-            + ": view "
-            + all.text("view")
-            + ", "
-            + all.text("phase")
-            + ", "
-            + (age < 0
-                ? "no leader heard of"
-                : "leader " + all.text("leader", "?") + " as of " + age + " ms ago")
-            + ", share "
-            + all.text("share")
-            + (all.text("voter", "").isEmpty() ? "" : ", voter " + all.text("voter")));
-    if (!all.text("disk", "").isEmpty()) {
-      lines.add("disk: " + all.text("disk"));
-    }
-    ColorScheme scheme = CommandLine.Help.defaultColorScheme(ansi);
-    TextTable table =
-        TextTable.forColumns(
-            scheme,
-            new Column(20, 0, Column.Overflow.SPAN),
-            new Column(9, 1, Column.Overflow.SPAN),
-            new Column(7, 1, Column.Overflow.SPAN),
-            new Column(8, 1, Column.Overflow.SPAN),
-            new Column(10, 1, Column.Overflow.SPAN),
-            new Column(6, 1, Column.Overflow.SPAN),
-            new Column(10, 1, Column.Overflow.SPAN),
-            new Column(6, 1, Column.Overflow.SPAN),
-            new Column(6, 1, Column.Overflow.SPAN));
-    table.addRowValues(
-        "gateway", "seen", "life", "agreed", "zone", "part", "heard", "link", "votes");
-    for (int k = 0; k < all.count("gateways"); k++) {
-      ConfigValues one = all.under("gateways." + k);
-      long heard = one.integer("heard_ms", -1, -1);
-      String agreed = one.text("agreed");
-      table.addRowValues(
-          one.text("name"),
-          one.text("seen"),
-          one.text("life"),
-          agreed.equals("0") ? "-" : agreed,
-          one.text("zone", "-"),
-          one.text("part"),
-          heard < 0 ? "-" : heard + " ms",
-          one.text("link", "-"),
-          one.flag("votes", false) ? "yes" : "-");
+    PrintWriter out() {
+      return spec.commandLine().getOut();
     }
-    lines.addAll(List.of(table.toString().split("\n")));
-    return lines;
+  }
+
+  private static List<String> statusLines(String json) {
+    return ClusterStatusTable.lines(ControlClient.parse(json));
   }
 
   @Command(
       name = "status",
       mixinStandardHelpOptions = true,
       description = "A table: each gateway as it is seen, and as the agreed view has it.")
-  static final class Status extends Asking {
+  static final class Status extends ControlCommand {
 
-    @Option(names = "--json", description = "As the gateway says it.")
+    @Option(names = "--json", description = "Prints the gateway's answer as it is.")
     private boolean json;
 
     @Override
-    public Integer call() throws InterruptedException {
-      String body = ask("GET", "/cluster");
-      if (body != null) {
-        out().println(json ? body : String.join("\n", lines(body, Ansi.OFF)));
-      }
-      return body == null ? FAILED : WeldcrossCommand.OK;
+    int run(ControlClient client)
+        throws ControlClient.RequestFailedException, InterruptedException {
+      String status = client.request("GET", STATUS_PATH);
+      out().println(json ? status : String.join("\n", statusLines(status)));
+      return ExitStatus.OK;
     }
   }
 
@@ -181,29 +99,24 @@
       name = "watch",
       mixinStandardHelpOptions = true,
       description = "The same table, kept up to date.")
-  static final class Watch extends Asking {
+  static final class Watch extends ControlCommand {
 
     @Option(
         names = "--times",
         paramLabel = "N",
-        description = "Ends after so many looks (default: goes on).")
+        description = "Ends after so many updates (default: goes on).")
     private long times = Long.MAX_VALUE;
 
     @Override
-    public Integer call() throws IOException, InterruptedException {
+    int run(ControlClient client)
+        throws ControlClient.RequestFailedException, IOException, InterruptedException {
       try (Terminal terminal = TerminalBuilder.builder().dumb(true).build()) {
         Display display = new Display(terminal, false);
         terminal.puts(Capability.cursor_invisible);
         try {
-          for (long k = 0; k < times; k++) {
-            String body = ask("GET", "/cluster");
-            if (body == null) {
-              return FAILED;
-            }
-            Size size = terminal.getSize();
-            display.resize(size.getRows(), size.getColumns());
-            display.update(lines(body, Ansi.OFF).stream().map(AttributedString::new).toList(), 0);
-            TimeUnit.SECONDS.sleep(k + 1 < times ? 1 : 0);
+          for (long update = 0; update < times; update++) {
+            show(client.request("GET", STATUS_PATH), terminal, display);
+            TimeUnit.SECONDS.sleep(update + 1 < times ? 1 : 0);
           }
         } finally {
           terminal.puts(Capability.cursor_visible);
@@ -211,7 +124,13 @@
           terminal.flush();
         }
       }
-      return WeldcrossCommand.OK;
+      return ExitStatus.OK;
+    }
+
+    private static void show(String status, Terminal terminal, Display display) {
+      Size size = terminal.getSize();
+      display.resize(size.getRows(), size.getColumns());
+      display.update(statusLines(status).stream().map(AttributedString::new).toList(), 0);
     }
   }
 
@@ -220,10 +139,11 @@
       mixinStandardHelpOptions = true,
       description = {
         "Takes a gateway out of the agreed view, on your word that it does nothing more.",
-        "If it still runs, what it has in hand may be done twice: once by it, once by who takes over.",
-        "A gateway of which there is proof that it ended goes by itself; only a silent one needs this."
+        "If it still runs, requests in progress may be done twice: once by it, once by who takes",
+        "over. A gateway of which there is proof that it ended goes by itself; only a silent one",
+        "needs this."
       })
-  static final class Forget extends Asking {
+  static final class Forget extends ControlCommand {
 
     @Parameters(paramLabel = "NAME", description = "The gateway.")
     private String name;
@@ -232,16 +152,14 @@
         names = "--it-has-ended",
         required = true,
         description = "Says that you looked: its process is gone.")
-    private boolean ended;
+    private boolean hasEnded;
 
     @Override
-    public Integer call() throws InterruptedException {
-      String body =
-          ask("POST", "/cluster/forget?name=" + URLEncoder.encode(name, StandardCharsets.UTF_8));
-      if (body == null) {
-        return FAILED;
-      }
-      String verdict = values(body).text("verdict");
+    int run(ControlClient client)
+        throws ControlClient.RequestFailedException, InterruptedException {
+      String query = "?name=" + URLEncoder.encode(name, StandardCharsets.UTF_8);
+      String response = client.request("POST", STATUS_PATH + "/forget" + query);
+      String verdict = ControlClient.parse(response).text("verdict");
       out()
           .println(
               switch (verdict) {
@@ -250,7 +168,7 @@
                 case "UNKNOWN" -> name + " is no member";
                 default -> verdict;
               });
-      return verdict.equals("DONE") ? WeldcrossCommand.OK : FAILED;
+      return verdict.equals("DONE") ? ExitStatus.OK : ExitStatus.FAILED;
     }
   }
 
@@ -259,31 +177,29 @@
       mixinStandardHelpOptions = true,
       description =
           "Has the gateway leave the agreed view; it serves on, and counts in nothing agreed.")
-  static final class Leave extends Asking {
+  static final class Leave extends ControlCommand {
 
     @Override
-    public Integer call() throws InterruptedException {
-      String body = ask("POST", "/cluster/leave");
-      if (body != null) {
-        out().println(values(body).text("phase"));
-      }
-      return body == null ? FAILED : WeldcrossCommand.OK;
+    int run(ControlClient client)
+        throws ControlClient.RequestFailedException, InterruptedException {
+      String response = client.request("POST", STATUS_PATH + "/leave");
+      out().println(ControlClient.parse(response).text("phase"));
+      return ExitStatus.OK;
     }
   }
 
   @Command(
       name = "join",
       mixinStandardHelpOptions = true,
-      description = "Has a gateway that has left be a member again, as a later life.")
-  static final class Join extends Asking {
+      description = "Has a gateway that has left be a member again, in a later incarnation.")
+  static final class Join extends ControlCommand {
 
     @Override
-    public Integer call() throws InterruptedException {
-      String body = ask("POST", "/cluster/join");
-      if (body != null) {
-        out().println(values(body).text("phase"));
-      }
-      return body == null ? FAILED : WeldcrossCommand.OK;
+    int run(ControlClient client)
+        throws ControlClient.RequestFailedException, InterruptedException {
+      String response = client.request("POST", STATUS_PATH + "/join");
+      out().println(ControlClient.parse(response).text("phase"));
+      return ExitStatus.OK;
     }
   }
 }
--- a/gateway/src/main/java/weldcross/cli/LogFormatter.java
+++ b/gateway/src/main/java/weldcross/cli/LogFormatter.java
@@ -11,13 +11,14 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** The log: to standard error, one line a record, with a fault's trace below it. */
+/** Formats a log record as one line, with the stack trace of an exception below it. */
 final class LogFormatter extends Formatter {
 
-  /** Held, as a logger that nothing holds may lose its level. */
-  private static final Logger SOCKETS = Logger.getLogger("org.apache.mina");
+  /** Referenced from here, as a logger that nothing references may lose its level. */
+  private static final Logger MINA = Logger.getLogger("org.apache.mina");
 
-  static void start(Level level) {
+  /** Logs to standard error, in this format, from a level on. */
+  static void install(Level level) {
     Logger root = Logger.getLogger("");
     for (Handler handler : root.getHandlers()) {
       root.removeHandler(handler);
@@ -27,20 +28,20 @@
     handler.setFormatter(new LogFormatter());
     root.addHandler(handler);
     root.setLevel(level);
-    // Every connection that ends is a warning to MINA; here it is the network's ordinary life.
-    SOCKETS.setLevel(Level.SEVERE);
+    // MINA warns of every connection that is reset, which is ordinary here.
+    MINA.setLevel(Level.SEVERE);
   }
 
   @Override
   public String format(LogRecord record) {
-    String from = record.getLoggerName() == null ? "" : record.getLoggerName();
+    String logger = record.getLoggerName() == null ? "" : record.getLoggerName();
     StringBuilder line =
         new StringBuilder()
             .append(Instant.ofEpochMilli(record.getMillis()).truncatedTo(ChronoUnit.MILLIS))
             .append(' ')
             .append(record.getLevel())
             .append(' ')
-            .append(from.substring(from.lastIndexOf('.') + 1))
+            .append(logger.substring(logger.lastIndexOf('.') + 1))
             .append(": ")
             .append(formatMessage(record))
             .append('\n');
--- a/gateway/src/main/java/weldcross/cli/ServeCommand.java
+++ b/gateway/src/main/java/weldcross/cli/ServeCommand.java
@@ -7,50 +7,65 @@
 import weldcross.gateway.GatewayProcess;
 import weldcross.gateway.SelfTest;
 
-/** What {@code serve} does, apart from how its command line is read. */
+/** Runs a gateway in this process; loads no class of the command line's parser. */
 public final class ServeCommand {
 
-  /** The status where what was told at the start cannot be used. */
-  static final int FAULTY = 1;
-
   private ServeCommand() {}
 
-  /** Returns with the status to exit with. */
-  public static int run(Level level) {
-    LogFormatter.start(level);
+  /**
+   * Serves, without extensions, as configured by the file that {@code NODE_CONFIG} names.
+   *
+   * @param logLevel the least severe level that is logged
+   * @return the exit status, once the gateway has stopped
+   */
+  public static int run(Level logLevel) {
+    LogFormatter.install(logLevel);
     try {
-      return GatewayProcess.run(() -> GatewayConfig.read(System.getenv()), service -> {});
+      return GatewayProcess.run(() -> GatewayConfig.read(System.getenv()), process -> {});
     } catch (InvalidConfigException e) {
-      return faulty(e);
+      return reportInvalid(e);
     }
   }
 
-  /** The same with the parts that a file of terms names. */
-  static int run(Level level, String extensionsFile) {
-    LogFormatter.start(level);
+  /**
+   * Serves with extensions.
+   *
+   * @param logLevel the least severe level that is logged
+   * @param extensionsFile path of the extensions' TOML file
+   * @return the exit status, once the gateway has stopped
+   */
+  static int run(Level logLevel, String extensionsFile) {
+    LogFormatter.install(logLevel);
     try {
       return GatewayProcess.run(
           () -> GatewayConfig.read(System.getenv()),
           config -> ExtensionLoader.load(extensionsFile, config),
           ExtensionLoader.wallClock(),
-          service -> {});
+          process -> {});
     } catch (InvalidConfigException e) {
-      return faulty(e);
+      return reportInvalid(e);
     }
   }
 
-  /** The same with stand-ins, as {@link SelfTest} says; returns with the status to exit with. */
-  public static int rehearse(String file) throws IOException {
-    LogFormatter.start(Level.WARNING);
+  /**
+   * Runs a gateway against fake servers, as {@link SelfTest} says.
+   *
+   * @param configFile path of the gateway's JSON file
+   * @return the exit status
+   * @throws IOException if no loopback socket can be opened
+   */
+  public static int selfTest(String configFile) throws IOException {
+    LogFormatter.install(Level.WARNING);
     try {
-      return SelfTest.run(GatewayConfig.read(file));
+      return SelfTest.run(GatewayConfig.read(configFile));
     } catch (InvalidConfigException e) {
-      return faulty(e);
+      return reportInvalid(e);
     }
   }
 
-  static int faulty(Exception fault) {
-    System.err.println("weldcross: " + fault.getMessage());
-    return FAULTY;
+  /** Prints what is wrong, in one line; returns the exit status. */
+  static int reportInvalid(Exception invalid) {
+    System.err.println("weldcross: " + invalid.getMessage());
+    return ExitStatus.INVALID_CONFIG;
   }
 }
--- a/gateway/src/main/java/weldcross/cli/WeldcrossCommand.java
+++ b/gateway/src/main/java/weldcross/cli/WeldcrossCommand.java
@@ -15,47 +15,44 @@
 import weldcross.simulator.SimulatorProtocolException;
 import weldcross.simulator.SimulatorSession;
 
-/** The command line: one sub-command a shape that the program can take. */
+/** The command line; each way to run the program is a subcommand. */
 @Command(
     name = "weldcross",
     description = "Routes reads and writes in a replicated store.",
     mixinStandardHelpOptions = true,
-    versionProvider = WeldcrossCommand.FromBuild.class,
+    versionProvider = WeldcrossCommand.BuildVersion.class,
     synopsisSubcommandLabel = "COMMAND",
     subcommands = {
       WeldcrossCommand.Serve.class,
       WeldcrossCommand.Check.class,
+      WeldcrossCommand.SelfTest.class,
       WeldcrossCommand.Rehearse.class,
-      WeldcrossCommand.SimulatorActions.class,
+      WeldcrossCommand.Simulate.class,
+      WeldcrossCommand.WireHost.class,
       ClusterCommand.class,
       WeldcrossCommand.Version.class
     })
 public final class WeldcrossCommand implements Runnable {
 
-  /** Ended as asked; the command line cannot be used. */
-  static final int OK = 0;
-
-  static final int USAGE = 2;
-
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-  /** Runs what the arguments name; returns the status to exit with. */
+  /** Runs the command that the arguments name; returns the exit status. */
   public static int run(String... args) {
     return new CommandLine(new WeldcrossCommand())
         .setExecutionExceptionHandler(
-            (fault, line, parsed) -> {
-              if (fault instanceof InvalidConfigException
-                  || fault instanceof SimulatorProtocolException) {
-                return ServeCommand.faulty(fault);
+            (exception, commandLine, parsed) -> {
+              if (exception instanceof InvalidConfigException
+                  || exception instanceof SimulatorProtocolException) {
+                return ServeCommand.reportInvalid(exception);
               }
-              throw fault;
+              throw exception;
             })
         .setParameterExceptionHandler(
-            (fault, rest) -> {
-              CommandLine line = fault.getCommandLine();
-              line.getErr().println("weldcross: " + fault.getMessage());
-              line.usage(line.getErr());
-              return USAGE;
+            (exception, unparsed) -> {
+              CommandLine commandLine = exception.getCommandLine();
+              commandLine.getErr().println("weldcross: " + exception.getMessage());
+              commandLine.usage(commandLine.getErr());
+              return ExitStatus.USAGE;
             })
         .execute(args);
   }
@@ -81,8 +78,8 @@
     @Option(
         names = "--with",
         paramLabel = "FILE",
-        description = "Terms (TOML) of the parts that join beyond routing.")
-    private String with;
+        description = "Configuration (TOML) of the extensions to load.")
+    private String extensionsFile;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -95,7 +92,9 @@
         throw new CommandLine.ParameterException(
             spec.commandLine(), "--log: no such level: " + level);
       }
-      return with == null ? ServeCommand.run(parsed) : ServeCommand.run(parsed, with);
+      return extensionsFile == null
+          ? ServeCommand.run(parsed)
+          : ServeCommand.run(parsed, extensionsFile);
     }
   }
 
@@ -103,67 +102,76 @@
       name = "check",
       mixinStandardHelpOptions = true,
       description =
-          "Reads a gateway's configuration and says what it would serve, or which key is "
-              + "at fault.")
+          "Reads a gateway's configuration and prints what it would serve, or which key is "
+              + "invalid.")
   static final class Check implements Callable<Integer> {
 
     @CommandLine.Parameters(
         arity = "0..1",
         paramLabel = "FILE",
         description = "The configuration (default: the file that NODE_CONFIG names).")
-    private String file;
+    private String configFile;
 
     @Option(
         names = "--with",
         paramLabel = "FILE",
-        description = "Terms (TOML) of the parts that would join.")
-    private String with;
+        description = "Configuration (TOML) of the extensions that would be loaded.")
+    private String extensionsFile;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() {
-      GatewayConfig terms =
-          file == null ? GatewayConfig.read(System.getenv()) : GatewayConfig.read(file);
-      spec.commandLine()
-          .getOut()
-          .println(
-              terms.describe()
-                  + (with == null ? "" : "\n" + ExtensionsConfig.read(with, terms).describe()));
-      return OK;
+      GatewayConfig config =
+          configFile == null ? GatewayConfig.read(System.getenv()) : GatewayConfig.read(configFile);
+      String extensions =
+          extensionsFile == null
+              ? ""
+              : "\n" + ExtensionsConfig.read(extensionsFile, config).describe();
+      spec.commandLine().getOut().println(config.describe() + extensions);
+      return ExitStatus.OK;
     }
   }
 
   @Command(
-      name = "rehearse",
+      name = "self-test",
       mixinStandardHelpOptions = true,
       description =
-          "Starts a gateway on a loopback port of its own without servers, asks it once, "
-              + "stops it.")
-  static final class Rehearse implements Callable<Integer> {
+          "Starts a gateway on a loopback port of its own with fake servers, sends it a few "
+              + "requests, stops it.")
+  static class SelfTest implements Callable<Integer> {
 
     @CommandLine.Parameters(arity = "1", paramLabel = "FILE", description = "The configuration.")
-    private String file;
+    private String configFile;
 
     @Override
     public Integer call() throws IOException {
-      return ServeCommand.rehearse(file);
+      return ServeCommand.selfTest(configFile);
     }
   }
 
+  /** The former name of {@code self-test}. */
+  @Command(name = "rehearse", hidden = true)
+  static final class Rehearse extends SelfTest {}
+
   @Command(
-      name = "wirehost",
+      name = "simulate",
       mixinStandardHelpOptions = true,
-      description = "Hosts many instances on the bench's wire: standard input and output.")
-  static final class SimulatorActions implements Callable<Integer> {
+      description =
+          "Runs many simulated gateways, driven by a simulator on standard input and output.")
+  static class Simulate implements Callable<Integer> {
 
     @Override
     public Integer call() throws IOException {
       new SimulatorSession(System.in, System.out).run();
-      return OK;
+      return ExitStatus.OK;
     }
   }
 
+  /** The former name of {@code simulate}. */
+  @Command(name = "wirehost", hidden = true)
+  static final class WireHost extends Simulate {}
+
   @Command(name = "version", mixinStandardHelpOptions = true, description = "Prints the version.")
   static final class Version implements Callable<Integer> {
 
@@ -171,26 +179,27 @@
 
     @Override
     public Integer call() {
-      spec.commandLine().getOut().println(FromBuild.line());
-      return OK;
+      spec.commandLine().getOut().println(BuildVersion.line());
+      return ExitStatus.OK;
     }
   }
 
-  /** The version as the build wrote it down. */
-  static final class FromBuild implements IVersionProvider {
+  /** Provides the version that the build wrote to the jar. */
+  static final class BuildVersion implements IVersionProvider {
 
     @Override
     public String[] getVersion() {
       return new String[] {line()};
     }
 
+    /** Returns the program's name and version. */
     static String line() {
       Properties build = new Properties();
       try (InputStream in =
           WeldcrossCommand.class.getResourceAsStream("/weldcross/build.properties")) {
         build.load(in);
       } catch (IOException e) {
-        throw new IllegalStateException("the jar is not whole", e);
+        throw new IllegalStateException("cannot read build.properties of the jar", e);
       }
       return "weldcross " + build.getProperty("version");
     }
--- a/gateway/src/test/java/weldcross/cli/WeldcrossCommandTest.java
+++ b/gateway/src/test/java/weldcross/cli/WeldcrossCommandTest.java
@@ -26,70 +26,75 @@
   private final PrintStream out = System.out;
   private final PrintStream err = System.err;
   private final InputStream in = System.in;
-  private final ByteArrayOutputStream said = new ByteArrayOutputStream();
-  private final ByteArrayOutputStream complained = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream standardOutput = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream standardError = new ByteArrayOutputStream();
 
   @BeforeEach
-  void listen() {
-    System.setOut(new PrintStream(said, true, StandardCharsets.UTF_8));
-    System.setErr(new PrintStream(complained, true, StandardCharsets.UTF_8));
+  void captureStreams() {
+    System.setOut(new PrintStream(standardOutput, true, StandardCharsets.UTF_8));
+    System.setErr(new PrintStream(standardError, true, StandardCharsets.UTF_8));
   }
 
   @AfterEach
-  void restore() {
+  void restoreStreams() {
     System.setOut(out);
     System.setErr(err);
     System.setIn(in);
   }
 
   @Test
-  void checkSaysWhatWouldBeServed() {
-    assertEquals(WeldcrossCommand.OK, WeldcrossCommand.run("check", "deploy/example.json"));
-    String text = said.toString(StandardCharsets.UTF_8);
+  void checkPrintsWhatWouldBeServed() {
+    assertEquals(ExitStatus.OK, WeldcrossCommand.run("check", "deploy/example.json"));
+    String text = standardOutput.toString(StandardCharsets.UTF_8);
     assertTrue(
         text.contains("n0") && text.contains("127.0.0.1:6543") && text.contains("entry-write"),
         text);
   }
 
   @Test
-  void checkNamesTheFaultyKeyInOneLine(@TempDir Path folder) throws Exception {
+  void checkReportsInvalidKeyInOneLine(@TempDir Path folder) throws Exception {
     Path file = folder.resolve("c.json");
     Files.writeString(
         file,
         Files.readString(Path.of("deploy/example.json"))
             .replace("\"tryLimit\": 10", "\"tryLimit\": 0"));
-    assertEquals(ServeCommand.FAULTY, WeldcrossCommand.run("check", file.toString()));
+    assertEquals(ExitStatus.INVALID_CONFIG, WeldcrossCommand.run("check", file.toString()));
     assertEquals(
         "weldcross: settings.bounds.tryLimit: found '0', allowed is a number from 1 on\n",
-        complained.toString(StandardCharsets.UTF_8));
+        standardError.toString(StandardCharsets.UTF_8));
   }
 
   @Test
-  void serveWithoutAConfigurationEndsBeforeItListens() {
-    assertEquals(ServeCommand.FAULTY, WeldcrossCommand.run("serve"));
-    assertTrue(complained.toString(StandardCharsets.UTF_8).contains("NODE_CONFIG: found nothing"));
+  void serveWithoutConfigurationFails() {
+    assertEquals(ExitStatus.INVALID_CONFIG, WeldcrossCommand.run("serve"));
+    assertTrue(
+        standardError.toString(StandardCharsets.UTF_8).contains("NODE_CONFIG: found nothing"));
   }
 
-  @Test
-  void rehearsalStartsAnswersAndStops() {
-    assertEquals(WeldcrossCommand.OK, WeldcrossCommand.run("rehearse", "deploy/example.json"));
+  @ParameterizedTest
+  @ValueSource(strings = {"self-test", "rehearse"})
+  void selfTestSucceedsUnderBothNames(String command) {
+    assertEquals(ExitStatus.OK, WeldcrossCommand.run(command, "deploy/example.json"));
   }
 
-  @Test
-  void wirehostAnswersTheBench() {
+  @ParameterizedTest
+  @ValueSource(strings = {"simulate", "wirehost"})
+  void simulatorIsAnsweredUnderBothNames(String command) {
     System.setIn(new ByteArrayInputStream("BATCH 1\nYOUR_TURN\n".getBytes(StandardCharsets.UTF_8)));
-    assertEquals(WeldcrossCommand.OK, WeldcrossCommand.run("wirehost"));
-    assertEquals("YIELD\n", said.toString(StandardCharsets.UTF_8));
+    assertEquals(ExitStatus.OK, WeldcrossCommand.run(command));
+    assertEquals("YIELD\n", standardOutput.toString(StandardCharsets.UTF_8));
     System.setIn(new ByteArrayInputStream("HELLO\n".getBytes(StandardCharsets.UTF_8)));
-    assertEquals(ServeCommand.FAULTY, WeldcrossCommand.run("wirehost"));
+    assertEquals(ExitStatus.INVALID_CONFIG, WeldcrossCommand.run(command));
   }
 
   @Test
-  void versionIsTheBuilds() {
-    assertEquals(WeldcrossCommand.OK, WeldcrossCommand.run("version"));
+  void versionIsThatOfTheBuild() {
+    assertEquals(ExitStatus.OK, WeldcrossCommand.run("version"));
     assertTrue(
-        said.toString(StandardCharsets.UTF_8).matches("weldcross \\d+\\.\\d+\\.\\d+(-\\w+)?\\R"),
-        said.toString(UTF_8));
+        standardOutput
+            .toString(StandardCharsets.UTF_8)
+            .matches("weldcross \\d+\\.\\d+\\.\\d+(-\\w+)?\\R"),
+        standardOutput.toString(UTF_8));
   }
 
   @ParameterizedTest
@@ -100,18 +105,19 @@
         "serve --loud",
         "serve --log LOUDLY",
         "check a b",
+        "self-test",
         "rehearse",
+        "simulate x",
         "version x",
         "cluster",
         "cluster status",
         "cluster forget n1 --at 127.0.0.1:1"
       })
-  void wrongArgumentsGetUsageAndTwo(String line) {
+  void invalidArgumentsPrintUsageAndFail(String line) {
     assertEquals(
-        WeldcrossCommand.USAGE,
-        WeldcrossCommand.run(line.isEmpty() ? new String[0] : line.split(" ")));
-    assertTrue(complained.toString(StandardCharsets.UTF_8).contains("Usage: weldcross"));
-    assertTrue(said.toString(StandardCharsets.UTF_8).isEmpty());
+        ExitStatus.USAGE, WeldcrossCommand.run(line.isEmpty() ? new String[0] : line.split(" ")));
+    assertTrue(standardError.toString(StandardCharsets.UTF_8).contains("Usage: weldcross"));
+    assertTrue(standardOutput.toString(StandardCharsets.UTF_8).isEmpty());
   }
 
   @ParameterizedTest
@@ -120,18 +126,28 @@
         "--help",
         "serve --help",
         "check --help",
+        "self-test --help",
         "rehearse --help",
+        "simulate --help",
         "wirehost --help",
         "version --help",
         "cluster forget --help"
       })
-  void helpIsUsageAndNoFault(String line) {
-    assertEquals(WeldcrossCommand.OK, WeldcrossCommand.run(line.split(" ")));
-    assertTrue(said.toString(StandardCharsets.UTF_8).startsWith("Usage: weldcross"));
+  void helpPrintsUsageAndSucceeds(String line) {
+    assertEquals(ExitStatus.OK, WeldcrossCommand.run(line.split(" ")));
+    assertTrue(standardOutput.toString(StandardCharsets.UTF_8).startsWith("Usage: weldcross"));
+  }
+
+  @Test
+  void usageHidesFormerCommandNames() {
+    assertEquals(ExitStatus.OK, WeldcrossCommand.run("--help"));
+    String usage = standardOutput.toString(StandardCharsets.UTF_8);
+    assertTrue(usage.contains("self-test") && usage.contains("simulate"), usage);
+    assertFalse(usage.contains("rehearse") || usage.contains("wirehost"), usage);
   }
 
   @Test
-  void recordIsOneLine() {
+  void logRecordIsOneLine() {
     LogRecord record = new LogRecord(Level.WARNING, "list {0}");
     record.setLoggerName("weldcross.gateway.DiscoveryWatcher");
     record.setParameters(new Object[] {7});
