--- a/chaos/src/test/java/weldcross/chaos/ChaosRunTest.java
+++ b/chaos/src/test/java/weldcross/chaos/ChaosRunTest.java
@@ -203,7 +203,7 @@
       one.child().kill();
       one.disk("");
       one.start();
-      logs(one, "the disk lost what it had said was kept");
+      logs(one, "mesh: stored incarnation is outdated");
       logs(zero, "mesh: connection up: peer=n1 incarnation=3");
       one.awaitReady();
     }
--- a/gateway/src/test/java/weldcross/membership/FailureDetectorExplorer.java
+++ b/gateway/src/test/java/weldcross/membership/FailureDetectorExplorer.java
@@ -295,10 +295,6 @@
     return explore(new ArrayList<>(), depth);
   }
 
-  int states() {
-    return explored.size();
-  }
-
   private Optional<String> explore(List<Integer> path, int depth) {
     State state = reach(path);
     state.check();
@@ -322,6 +318,10 @@
     return Optional.empty();
   }
 
+  int states() {
+    return explored.size();
+  }
+
   private State reach(List<Integer> path) {
     State state = new State();
     for (int step : path) {
--- a/gateway/src/test/java/weldcross/membership/FailureDetectorTest.java
+++ b/gateway/src/test/java/weldcross/membership/FailureDetectorTest.java
@@ -42,12 +42,12 @@
   @Test
   void unansweringMemberIsUnreachableAndOnlyProofMakesItDead() {
     MembershipSimulation simulation = connected(5, 1);
-    FailureDetector detector = simulation.all.get(0).detector;
     MembershipSimulation.Node killed = simulation.all.get(1);
     MembershipSimulation.Node paused = simulation.all.get(2);
     killed.kill();
     paused.pause();
     assertAllHold(simulation, MINUTE, List.of(killed, paused), MemberState.UNREACHABLE);
+    FailureDetector detector = simulation.all.get(0).detector;
     detector.onConnectionRefused(simulation.now, killed.name, 2);
     assertTrue(
         simulation.allHold(List.of(killed), MemberState.UNREACHABLE),
