--- a/chaos/src/main/java/weldcross/chaos/ChaosCluster.java
+++ b/chaos/src/main/java/weldcross/chaos/ChaosCluster.java
@@ -41,7 +41,8 @@
 
   private static final int CLIENT_PORT = 6543, LINK_PORT = 7000, CONTROL_PORT = 7100;
   private static final String BEGINS = "STARTING to LISTENING";
-  private static final Pattern VIEW = Pattern.compile("agreement: view (\\d+) is \\[(.*)\\]");
+  private static final Pattern VIEW =
+      Pattern.compile("consensus: view in force: view=(\\d+) members=\\[(.*)\\]");
   private static final Duration READY_WITHIN = Duration.ofSeconds(30);
 
   /** The jar that is tried; the release build's, unless told. */
--- a/chaos/src/test/java/weldcross/chaos/ConsensusChaosTest.java
+++ b/chaos/src/test/java/weldcross/chaos/ConsensusChaosTest.java
@@ -171,9 +171,9 @@
       liar.disk("");
       int from = log(liar).length();
       liar.start();
-      tells(liar, from, "IS_NEW: this disk");
+      tells(liar, from, "decision=NEW_IDENTITY reason=local log");
       agree(ground);
-      tells(liar, from, "has learnt what the others have, and votes");
+      tells(liar, from, "voter caught up and votes");
     }
   }
 
--- a/chaos/src/test/java/weldcross/chaos/LyingStorageDirectoryTest.java
+++ b/chaos/src/test/java/weldcross/chaos/LyingStorageDirectoryTest.java
@@ -19,9 +19,11 @@
 import org.junit.jupiter.api.io.TempDir;
 import weldcross.chaos.agent.LyingStorageDirectory;
 import weldcross.chaos.process.ManagedProcess;
+import weldcross.storage.CorruptLogException;
 import weldcross.storage.FileStorageDirectory;
 import weldcross.storage.RecordLog;
 import weldcross.storage.StorageDirectory;
+import weldcross.storage.WriteRejectedException;
 
 /**
  * Each lie of the disk really acts on a log, which says what it can know of it; a process's end is
@@ -77,7 +79,7 @@
     }
 
     void add(int value) throws IOException {
-      log.add(ByteBuffer.wrap(new byte[] {(byte) value}));
+      log.append(ByteBuffer.wrap(new byte[] {(byte) value}));
       log.commit();
     }
 
@@ -133,7 +135,7 @@
   void fullDiskTakesNothing() throws IOException {
     ProcessRun life = new ProcessRun();
     words("full");
-    assertThrows(RecordLog.NotTaken.class, () -> life.add(1));
+    assertThrows(WriteRejectedException.class, () -> life.add(1));
     words("");
     life.add(2);
     life.killed();
@@ -191,7 +193,7 @@
     words("");
     ProcessRun after = new ProcessRun();
     assertEquals(List.of("1 1"), read);
-    assertTrue(after.log.found().tornBytes() > 0);
+    assertTrue(after.log.recovered().tornBytes() > 0);
     after.killed();
   }
 
@@ -203,7 +205,7 @@
     }
     life.killed();
     words("flip");
-    assertThrows(RecordLog.Damaged.class, ProcessRun::new);
+    assertThrows(CorruptLogException.class, ProcessRun::new);
     words("");
     ProcessRun second = new ProcessRun();
     assertEquals(5, read.size());
@@ -212,7 +214,7 @@
     words("");
     second.killed();
     assertThrows(
-        RecordLog.Damaged.class,
+        CorruptLogException.class,
         () -> {
           ProcessRun third = new ProcessRun();
           // What is misdirected from the head on is no log any more; it must not read as an empty
--- a/gateway/src/main/java/weldcross/consensus/ConsensusConfig.java
+++ b/gateway/src/main/java/weldcross/consensus/ConsensusConfig.java
@@ -5,33 +5,37 @@
 import weldcross.mesh.PeerName;
 
 /**
- * What the agreement is told at the start.
+ * Configuration of the consensus of one gateway, fixed from its start on.
  *
- * @param group the cluster's name and its voters: who is told otherwise belongs to another group
- * @param self this gateway; its part of the traffic in thousandths, its zone (empty where there are
- *     none)
- * @param voters in the same order everywhere; this gateway may be one of them
- * @param period a voter is asked for news of the view in each, and what it did not take is asked
- *     for again
- * @param shareFor a share of the fleet's budgets grows only once a view is known for so long
- * @param trustDisk whether disks never lose what they said was kept, so that a voter that starts
- *     asks nobody
- * @param heartbeat of the leader, in whole seconds
- * @param silence in whole seconds, more than the heartbeat: without a word of the leader for so
- *     long another one is sought
+ * @param group name of the cluster and its voters; gateways of different groups reject each other's
+ *     messages
+ * @param self this gateway
+ * @param zone where this gateway stands; empty where there are no zones
+ * @param weight traffic weight of this gateway in thousandths
+ * @param voters in the same order on all gateways; may include this one
+ * @param requestPeriod between two requests for the latest view; what was not answered is requested
+ *     again
+ * @param quotaGrowthDelay for which a view must be known before this gateway's share of the fleet's
+ *     budgets grows by it
+ * @param trustStorage whether storage never loses what it reported as durable, so that a restarted
+ *     voter asks nobody
+ * @param heartbeatPeriod of the leader, in whole seconds
+ * @param leaderTimeout after which a silent leader is replaced, in whole seconds; longer than the
+ *     heartbeat period
  */
 public record ConsensusConfig(
     String group,
     PeerName self,
     String zone,
-    int part,
+    int weight,
     List<PeerName> voters,
-    Duration period,
-    Duration shareFor,
-    boolean trustDisk,
-    Duration heartbeat,
-    Duration silence) {
+    Duration requestPeriod,
+    Duration quotaGrowthDelay,
+    boolean trustStorage,
+    Duration heartbeatPeriod,
+    Duration leaderTimeout) {
 
+  /** Whether this gateway is one of the voters. */
   public boolean isVoter() {
     return voters.contains(self);
   }
--- a/gateway/src/main/java/weldcross/consensus/FleetQuota.java
+++ b/gateway/src/main/java/weldcross/consensus/FleetQuota.java
@@ -2,57 +2,63 @@
 
 import java.time.Duration;
 import java.util.ArrayDeque;
+import java.util.Iterator;
+import java.util.Optional;
 
 /**
- * Which share of what all gateways may do together is this one's. By the agreed view it is this
- * gateway's part of all parts. Gateways learn of a view at different times: so a share shrinks at
- * once and grows late, once the view that gives more has been known for some time, and what is not
- * known never widens it. Pure.
+ * This gateway's share of the budgets that all gateways divide among them, from 0 to 1.
+ *
+ * <p>Gateways learn of a view at different times. So that the shares in force together do not
+ * exceed the whole, a share shrinks at once and grows only after its view has been known for some
+ * time. Pure.
  */
 final class FleetQuota {
 
-  private record Known(Duration since, double share) {}
+  private record KnownShare(Duration since, double share) {}
 
-  private final Duration growsAfter;
+  private final Duration growthDelay;
 
-  /** Each larger than the one before: the first is in force, the others wait for their time. */
-  private final ArrayDeque<Known> shares = new ArrayDeque<>();
+  /** Strictly growing: the first is in force, the others wait for their delay to pass. */
+  private final ArrayDeque<KnownShare> shares = new ArrayDeque<>();
 
   /**
-   * @param told in force until a view has been known for long enough, from the start values
+   * Creates a quota from the configured share.
+   *
+   * @param configuredShare in force until the first view has been known for long enough
+   * @param growthDelay for which a larger share must be known before it is in force
    */
-  FleetQuota(double told, Duration growsAfter) {
-    this.growsAfter = growsAfter;
-    shares.add(new Known(Duration.ZERO, told));
+  FleetQuota(double configuredShare, Duration growthDelay) {
+    this.growthDelay = growthDelay;
+    shares.add(new KnownShare(Duration.ZERO, configuredShare));
   }
 
-  /** By the view in force from now on. */
-  void known(Duration now, double share) {
+  /** Takes the share by the view in force from now on. */
+  void update(Duration now, double share) {
     while (!shares.isEmpty() && shares.peekLast().share() >= share) {
       shares.pollLast();
     }
-    // Where it is the least of all it is in force at once.
-    shares.add(new Known(now, share));
+    shares.add(new KnownShare(now, share));
   }
 
+  /** The share in force. */
   double share(Duration now) {
-    while (shares.size() > 1 && isRipe(now, second())) {
+    while (shares.size() > 1 && hasMatured(now, second())) {
       shares.poll();
     }
     return shares.peek().share();
   }
 
-  /** When it grows next, if nothing else comes; null where it does not. */
-  Duration growsAt() {
-    return shares.size() > 1 ? second().since().plus(growsAfter) : null;
+  /** When the share grows next if no other view comes; empty where it does not grow. */
+  Optional<Duration> nextGrowthAt() {
+    return shares.size() > 1 ? Optional.of(second().since().plus(growthDelay)) : Optional.empty();
   }
 
-  private boolean isRipe(Duration now, Known known) {
-    return now.minus(known.since()).compareTo(growsAfter) >= 0;
+  private boolean hasMatured(Duration now, KnownShare known) {
+    return now.minus(known.since()).compareTo(growthDelay) >= 0;
   }
 
-  private Known second() {
-    var each = shares.iterator();
+  private KnownShare second() {
+    Iterator<KnownShare> each = shares.iterator();
     each.next();
     return each.next();
   }
--- a/gateway/src/main/java/weldcross/consensus/Member.java
+++ b/gateway/src/main/java/weldcross/consensus/Member.java
@@ -3,10 +3,11 @@
 import weldcross.mesh.PeerName;
 
 /**
- * One gateway as the view has it.
+ * One gateway of a membership view.
  *
- * @param life its incarnation; another life of the same name is another member
- * @param zone where it stands; empty where there are none
- * @param part of the traffic, in thousandths
+ * @param name of the gateway
+ * @param incarnation of its process; another incarnation of the same name is another member
+ * @param zone where it stands; empty where there are no zones
+ * @param weight traffic weight in thousandths
  */
-public record Member(PeerName name, long life, String zone, int part) {}
+public record Member(PeerName name, long incarnation, String zone, int weight) {}
--- a/gateway/src/main/java/weldcross/consensus/MembershipStateMachine.java
+++ b/gateway/src/main/java/weldcross/consensus/MembershipStateMachine.java
@@ -6,82 +6,102 @@
 import weldcross.mesh.PeerName;
 
 /**
- * The view in force and how motions change it: the same motions in the same order give the same
- * view everywhere, so that agreement on the order is agreement on the view. Used by each voter,
- * which gives it what the consensus has committed. Pure.
+ * Applies committed proposals to the membership view.
+ *
+ * <p>Deterministic: the same proposals in the same order give the same view on every voter, so that
+ * consensus on the order of proposals is consensus on the view. Pure.
  */
 public final class MembershipStateMachine {
 
   private MembershipView view = MembershipView.NONE;
 
-  /** The last life of each name that has ended: no late word makes it a member again. */
+  /** The highest ended incarnation of each name, so that no late proposal brings it back. */
   private final TreeMap<PeerName, Long> ended = new TreeMap<>();
 
+  /** The view in force. */
   public MembershipView view() {
     return view;
   }
 
+  /** The highest ended incarnation of each name; an unmodifiable view of the current state. */
   public Map<PeerName, Long> ended() {
     return Collections.unmodifiableMap(ended);
   }
 
-  /** From a snapshot; what was before is gone. */
-  public void restore(MembershipView kept, Map<PeerName, Long> keptEnded) {
-    view = kept;
+  /**
+   * Replaces the whole state by that of a snapshot.
+   *
+   * @param snapshot the view of the snapshot
+   * @param endedIncarnations the highest ended incarnation of each name
+   */
+  public void restore(MembershipView snapshot, Map<PeerName, Long> endedIncarnations) {
+    view = snapshot;
     ended.clear();
-    ended.putAll(keptEnded);
+    ended.putAll(endedIncarnations);
   }
 
-  public ProposalResult apply(Proposal motion) {
-    PeerName name = motion.of();
-    Member member = view.members().get(name);
-    switch (motion.kind()) {
-      case JOIN -> {
-        Member next = new Member(name, motion.life(), motion.zone(), motion.part());
-        if (next.equals(member)) {
-          return ProposalResult.SAME;
-        }
-        if (motion.life() <= ended.getOrDefault(name, 0L)
-            || (member != null && motion.life() < member.life())) {
-          return ProposalResult.ENDED;
-        }
-        if (member != null && member.life() < motion.life()) {
-          ended.put(name, member.life());
-        }
-        change(name, next);
-        return ProposalResult.DONE;
-      }
-      case LEAVE, GONE -> {
-        if (member != null && member.life() <= motion.life()) {
-          end(member);
-          return ProposalResult.DONE;
-        }
-        return member == null && motion.life() <= ended.getOrDefault(name, 0L)
-            ? ProposalResult.SAME
-            : member == null ? ProposalResult.UNKNOWN : ProposalResult.ENDED;
-      }
-      case FORGET -> {
-        if (motion.basis() != view.number()) {
-          return ProposalResult.CHANGED;
-        }
-        if (member == null) {
-          return ProposalResult.UNKNOWN;
-        }
-        end(member);
-        return ProposalResult.DONE;
-      }
-      default -> {
-        return ProposalResult.SAME;
+  /** Applies a committed proposal; the view changes only where the result is {@code APPLIED}. */
+  public ProposalResult apply(Proposal proposal) {
+    return switch (proposal.kind()) {
+      case JOIN -> join(proposal);
+      case LEAVE, DEAD -> endIncarnation(proposal);
+      case FORGET -> forget(proposal);
+      case NO_OP -> ProposalResult.UNCHANGED;
+    };
+  }
+
+  private ProposalResult join(Proposal proposal) {
+    PeerName name = proposal.member();
+    Member current = view.members().get(name);
+    Member next = new Member(name, proposal.incarnation(), proposal.zone(), proposal.weight());
+    if (next.equals(current)) {
+      return ProposalResult.UNCHANGED;
+    }
+    if (hasEnded(proposal) || (current != null && proposal.incarnation() < current.incarnation())) {
+      return ProposalResult.INCARNATION_ENDED;
+    }
+    if (current != null && current.incarnation() < proposal.incarnation()) {
+      ended.put(name, current.incarnation());
+    }
+    replace(name, next);
+    return ProposalResult.APPLIED;
+  }
+
+  private ProposalResult endIncarnation(Proposal proposal) {
+    Member current = view.members().get(proposal.member());
+    if (current != null) {
+      if (current.incarnation() > proposal.incarnation()) {
+        return ProposalResult.INCARNATION_ENDED;
       }
+      remove(current);
+      return ProposalResult.APPLIED;
+    }
+    return hasEnded(proposal) ? ProposalResult.UNCHANGED : ProposalResult.UNKNOWN_MEMBER;
+  }
+
+  private ProposalResult forget(Proposal proposal) {
+    if (proposal.basis() != view.number()) {
+      return ProposalResult.STALE_VIEW;
+    }
+    Member current = view.members().get(proposal.member());
+    if (current == null) {
+      return ProposalResult.UNKNOWN_MEMBER;
     }
+    remove(current);
+    return ProposalResult.APPLIED;
+  }
+
+  private boolean hasEnded(Proposal proposal) {
+    return proposal.incarnation() <= ended.getOrDefault(proposal.member(), 0L);
   }
 
-  private void end(Member member) {
-    ended.merge(member.name(), member.life(), Math::max);
-    change(member.name(), null);
+  private void remove(Member member) {
+    ended.merge(member.name(), member.incarnation(), Math::max);
+    replace(member.name(), null);
   }
 
-  private void change(PeerName name, Member next) {
+  /** Begins the next view; {@code next} is null where the member leaves it. */
+  private void replace(PeerName name, Member next) {
     TreeMap<PeerName, Member> members = new TreeMap<>(view.members());
     if (next == null) {
       members.remove(name);
--- a/gateway/src/main/java/weldcross/consensus/MembershipViewActions.java
+++ b/gateway/src/main/java/weldcross/consensus/MembershipViewActions.java
@@ -3,42 +3,53 @@
 import java.time.Duration;
 import weldcross.mesh.PeerName;
 
-/** What {@link MembershipViewClient} can do to the world; what is sent to a voter may be lost. */
+/** What a {@link MembershipViewClient} has done outside; any message to a voter may be lost. */
 public interface MembershipViewActions {
 
   /**
-   * Asks for the view if it is later than the one of this number; to this gateway itself where it
-   * is a voter.
+   * Requests the view if it is later than the known one.
+   *
+   * @param voter may be this gateway itself
+   * @param knownNumber number of the known view
    */
-  void ask(PeerName voter, long have);
+  void requestView(PeerName voter, long knownNumber);
 
-  /** Asks for a change; what became of it is told under the number, or is never told. */
-  void move(PeerName voter, long number, Proposal motion);
+  /**
+   * Proposes a change.
+   *
+   * @param voter may be this gateway itself
+   * @param number by which {@link MembershipViewClient#proposalAnswered} is called if an answer
+   *     comes
+   */
+  void propose(PeerName voter, long number, Proposal proposal);
 
-  /** From now on this view counts here. */
-  void viewIs(MembershipView view);
+  /** A later view is in force on this gateway. */
+  void viewChanged(MembershipView view);
 
   /**
-   * The fleet's budgets are to be divided so that this gateway has this share, above 0 and at most
-   * 1.
+   * This gateway's share of the fleet's budgets has changed.
+   *
+   * @param share above 0 and at most 1
    */
   void setQuota(double share);
 
-  /** This life is no member any more and cannot be again: only a later life can. */
-  void ended(long life);
+  /** This incarnation is no member any more and cannot become one; only a later one can. */
+  void incarnationEnded(long incarnation);
 
-  /** What became of a change that an operator asked for. */
-  void operatorTold(Proposal motion, ProposalResult verdict);
+  /** An operator's proposal was committed. */
+  void operatorProposalDecided(Proposal proposal, ProposalResult result);
 
-  /** Whether this gateway has left, so that nothing of it has to be waited for. */
+  /** This gateway has left the view, or the time for leaving is over. */
   void left();
 
   /**
-   * Two views of one number: more disks of voters than may be lost have lost what they said was
-   * kept.
+   * Two views have the same number: a majority of the voters has lost stored data.
+   *
+   * @param held the view that stays in force here
+   * @param other the view that was received
    */
-  void torn(MembershipView held, MembershipView other);
+  void conflictingViews(MembershipView held, MembershipView other);
 
-  /** Asks for {@link MembershipViewClient#due} then; only the time asked for last counts. */
+  /** Schedules {@link MembershipViewClient#onTimer}; the last call replaces those before. */
   void wakeAt(Duration when);
 }
--- a/gateway/src/main/java/weldcross/consensus/MembershipViewClient.java
+++ b/gateway/src/main/java/weldcross/consensus/MembershipViewClient.java
@@ -1,296 +1,308 @@
 package weldcross.consensus;
 
 import java.time.Duration;
-import java.util.ArrayList;
-import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import weldcross.mesh.PeerName;
 
 /**
- * What one gateway, voter or not, knows of the agreed view, and what it asks the voters for: to be
- * a member, to leave, and that a life of which there is proof that it ended is none. Views come in
- * any order and from anybody who had them from the consensus; only a later one replaces what is
- * known, so numbers never go back in one life.
+ * Follows the membership view on one gateway, voter or not, and proposes that gateway's changes: to
+ * join, to leave, and that a dead member is removed.
  *
- * <p>Nothing waits for agreement here: without it the last view stays, and whoever has to act once
- * asks for its own change and hears what became of that. Pure; called by the adapter on the
- * gateway's one thread.
+ * <p>Views are accepted in any order and from any gateway that has them from the consensus; only a
+ * later one replaces the known one, so numbers never go back within one process. Nothing here waits
+ * for the consensus: without it the last view stays in force. Pure; called on the gateway's event
+ * loop.
  */
 public final class MembershipViewClient {
 
-  /** From start to end. */
+  /** The phases of one gateway's membership. */
   public enum Phase {
-    /** Not begun: this life's incarnation is not sure yet. */
+    /** The incarnation of this process is not yet known. */
     STARTING,
-    /** This life is not a member, and asks to be. */
+    /** This incarnation is not a member, and proposes to join. */
     OUTSIDE,
+    /** This incarnation is a member. */
     MEMBER,
-    /** It asks to be none. */
+    /** This incarnation proposes to leave. */
     LEAVING,
+    /** This gateway has left, or has given up on being removed. */
     LEFT
   }
 
-  private final ConsensusConfig terms;
-  private final MembershipViewActions host;
-  private final FleetQuota shares;
-  private final Map<Long, Proposal> asked = new TreeMap<>();
-  private final Map<PeerName, Long> proofs = new TreeMap<>();
-  private final List<Proposal> operators = new ArrayList<>();
+  /** A named leader is asked for this many request periods. */
+  private static final int LEADER_HINT_PERIODS = 2;
+
+  private final ConsensusConfig config;
+  private final MembershipViewActions actions;
+  private final FleetQuota quota;
+  private final ProposalTracker proposals = new ProposalTracker();
+  private final LeaderHint leaderHint = new LeaderHint();
+
+  /** Incarnations that are proven dead and still members, by name. */
+  private final Map<PeerName, Long> deadMembers = new TreeMap<>();
+
   private Phase phase = Phase.STARTING;
   private MembershipView view = MembershipView.NONE;
   private Member self;
-  private PeerName leader;
-  private Duration leaderAt, nextAsk = Duration.ZERO, leaveUntil;
+  private Duration nextRequestAt = Duration.ZERO;
+  private Duration leaveDeadline;
   private boolean answered;
-  private int turn;
-  private long numbers;
+  private int voterIndex;
   private double share;
 
   /**
-   * @param toldShare of the fleet's budgets, from the start values; in force until there is a view
-   * @param seed which voter is asked first, so that not all ask the same
+   * Creates a client that knows no view.
+   *
+   * @param configuredShare of the fleet's budgets, in force until there is a view
+   * @param seed chooses which voter is asked first, so that not all gateways ask the same
    */
   public MembershipViewClient(
-      ConsensusConfig terms, MembershipViewActions host, double toldShare, long seed) {
-    this.terms = terms;
-    this.host = host;
-    this.shares = new FleetQuota(toldShare, terms.shareFor());
-    this.share = toldShare;
-    this.turn = (int) Math.floorMod(seed, (long) terms.voters().size());
+      ConsensusConfig config, MembershipViewActions actions, double configuredShare, long seed) {
+    this.config = config;
+    this.actions = actions;
+    this.quota = new FleetQuota(configuredShare, config.quotaGrowthDelay());
+    this.share = configuredShare;
+    this.voterIndex = (int) Math.floorMod(seed, (long) config.voters().size());
   }
 
-  /** This life begins, or a later one under which it speaks from now on. */
-  public void start(Duration now, long life) {
-    self = new Member(terms.self(), life, terms.zone(), terms.part());
+  /** The first incarnation of this process begins, or a later one replaces it. */
+  public void start(Duration now, long incarnation) {
+    self = new Member(config.self(), incarnation, config.zone(), config.weight());
     if (phase != Phase.LEAVING && phase != Phase.LEFT) {
-      phase = view.has(self.name(), life) ? Phase.MEMBER : Phase.OUTSIDE;
-      nextAsk = now;
-      due(now);
+      phase = view.contains(self.name(), incarnation) ? Phase.MEMBER : Phase.OUTSIDE;
+      requestNow(now);
     }
   }
 
   /**
-   * It is to be none from now on; {@link MembershipViewActions#left} is told then, or when the time
-   * for it is over.
+   * Leaves the view; {@link MembershipViewActions#left} is called once that is done, or when the
+   * timeout has passed.
    */
-  public void leave(Duration now, Duration within) {
+  public void leave(Duration now, Duration timeout) {
     if (phase == Phase.MEMBER || phase == Phase.OUTSIDE) {
       phase = Phase.LEAVING;
-      leaveUntil = now.plus(within);
-      nextAsk = now;
-      due(now);
+      leaveDeadline = now.plus(timeout);
+      requestNow(now);
     } else if (phase == Phase.STARTING) {
-      leftNow();
+      setLeft();
     }
   }
 
-  /**
-   * An operator has it be a member again, where it has left; its life is over by then, so it takes
-   * a later one.
-   */
+  /** Joins again after leaving; as its incarnation has ended, it does so under a later one. */
   public void join(Duration now) {
     if (phase == Phase.LEAVING || phase == Phase.LEFT) {
       phase = Phase.OUTSIDE;
-      nextAsk = now;
-      due(now);
+      requestNow(now);
     }
   }
 
-  // ---- What comes
+  private void requestNow(Duration now) {
+    nextRequestAt = now;
+    onTimer(now);
+  }
 
-  /** A view that the consensus has committed, from this gateway's own voter or by others. */
-  public void heard(Duration now, MembershipView next) {
-    if (next.number() == view.number() && !next.equals(view)) {
-      host.torn(view, next);
+  /** A committed view was received, from this gateway's own voter or from another gateway. */
+  public void viewReceived(Duration now, MembershipView received) {
+    if (received.number() == view.number() && !received.equals(view)) {
+      actions.conflictingViews(view, received);
     }
-    if (next.number() <= view.number()) {
+    if (received.number() <= view.number()) {
       return;
     }
-    view = next;
-    proofs.entrySet().removeIf(each -> !view.has(each.getKey(), each.getValue()));
-    host.viewIs(view);
-    boolean in = self != null && view.has(self.name(), self.life());
-    if (phase == Phase.OUTSIDE && in) {
+    view = received;
+    deadMembers.entrySet().removeIf(dead -> !view.contains(dead.getKey(), dead.getValue()));
+    actions.viewChanged(view);
+    updatePhase();
+    if (phase == Phase.MEMBER && view.totalWeight() > 0) {
+      quota.update(now, Math.max(1, self.weight()) / (double) Math.max(1, view.totalWeight()));
+    }
+    scheduleTimer(now);
+  }
+
+  private void updatePhase() {
+    boolean isMember = self != null && view.contains(self.name(), self.incarnation());
+    if (phase == Phase.OUTSIDE && isMember) {
       phase = Phase.MEMBER;
-    } else if (phase == Phase.MEMBER && !in) {
+    } else if (phase == Phase.MEMBER && !isMember) {
       phase = Phase.OUTSIDE;
-    } else if (phase == Phase.LEAVING && !in) {
-      leftNow();
+    } else if (phase == Phase.LEAVING && !isMember) {
+      setLeft();
     }
-    if (phase == Phase.MEMBER && view.parts() > 0) {
-      shares.known(now, Math.max(1, self.part()) / (double) Math.max(1, view.parts()));
-    }
-    wake(now);
   }
 
-  /** A voter answered, with a view or without; it names the leader that it knows, or null. */
-  public void told(Duration now, PeerName by) {
+  /**
+   * A voter answered, with a view or without.
+   *
+   * @param leader the leader that it names, if any
+   */
+  public void voterAnswered(Duration now, Optional<PeerName> leader) {
     answered = true;
-    if (by != null) {
-      leader = by;
-      leaderAt = now;
-    }
+    leader.ifPresent(named -> leaderHint.update(now, named));
   }
 
-  /** What became of a change; the verdict is null where that voter does not lead. */
-  public void moved(Duration now, long number, ProposalResult verdict, PeerName by) {
-    Proposal motion = asked.remove(number);
-    if (motion == null) {
+  /** A voter answered a proposal; a number that is not pending is ignored. */
+  public void proposalAnswered(Duration now, long number, ProposalOutcome outcome) {
+    Optional<Proposal> proposal = proposals.take(number);
+    if (proposal.isEmpty()) {
       return;
     }
-    if (verdict == null) {
-      told(now, by);
-      if (by != null) {
-        move(by, motion);
-      }
-      return;
+    if (outcome instanceof ProposalOutcome.Committed committed) {
+      proposalCommitted(now, proposal.get(), committed.result());
+    } else {
+      voterAnswered(now, outcome.leader());
+      outcome.leader().ifPresent(leader -> propose(leader, proposal.get()));
     }
-    if (operators.remove(motion)) {
-      host.operatorTold(motion, verdict);
+  }
+
+  private void proposalCommitted(Duration now, Proposal proposal, ProposalResult result) {
+    if (proposals.completeOperatorProposal(proposal)) {
+      actions.operatorProposalDecided(proposal, result);
     }
-    if (verdict == ProposalResult.ENDED
+    if (result == ProposalResult.INCARNATION_ENDED
         && self != null
-        && motion.kind() == Proposal.Kind.JOIN
-        && motion.life() == self.life()
+        && proposal.kind() == Proposal.Kind.JOIN
+        && proposal.incarnation() == self.incarnation()
         && phase == Phase.OUTSIDE) {
-      host.ended(self.life());
-    } else if (motion.kind() == Proposal.Kind.LEAVE && phase == Phase.LEAVING) {
-      leftNow();
-    } else if (motion.kind() == Proposal.Kind.GONE && verdict != ProposalResult.DONE) {
-      proofs.remove(motion.of(), motion.life());
+      actions.incarnationEnded(self.incarnation());
+    } else if (proposal.kind() == Proposal.Kind.LEAVE && phase == Phase.LEAVING) {
+      setLeft();
+    } else if (proposal.kind() == Proposal.Kind.DEAD && result != ProposalResult.APPLIED) {
+      deadMembers.remove(proposal.member(), proposal.incarnation());
     }
-    nextAsk = now;
-    wake(now);
+    nextRequestAt = now;
+    scheduleTimer(now);
   }
 
-  /** There is proof that this life has ended. */
-  public void gone(Duration now, PeerName name, long life) {
-    if (view.has(name, life)) {
-      proofs.put(name, life);
-      nextAsk = now;
-      wake(now);
+  /** There is proof that this incarnation has ended; it is proposed until a view is without it. */
+  public void memberDied(Duration now, PeerName name, long incarnation) {
+    if (view.contains(name, incarnation)) {
+      deadMembers.put(name, incarnation);
+      nextRequestAt = now;
+      scheduleTimer(now);
     }
   }
 
   /**
-   * An operator vouches that the one of this name does nothing more; asked for once, and told once.
+   * An operator vouches that the member of this name has ended. Proposed once, and answered at most
+   * once by {@link MembershipViewActions#operatorProposalDecided}.
    */
   public void forget(Duration now, PeerName name) {
-    Proposal motion = Proposal.forget(name, terms.self(), view.number());
-    operators.add(motion);
-    move(voter(), motion);
+    Proposal proposal = Proposal.forget(name, config.self(), view.number());
+    proposals.addOperatorProposal(proposal);
+    propose(voter(), proposal);
   }
 
-  // ---- What is due
-
-  /** Does what is due by now, and asks to be called again. */
-  public void due(Duration now) {
+  /** Does what is due by now, and schedules the next call. */
+  public void onTimer(Duration now) {
     if (phase == Phase.STARTING || phase == Phase.LEFT) {
       return;
     }
-    if (phase == Phase.LEAVING && leaveUntil.compareTo(now) <= 0) {
-      leftNow();
+    if (phase == Phase.LEAVING && leaveDeadline.compareTo(now) <= 0) {
+      setLeft();
       return;
     }
-    double next = shares.share(now);
-    if (next != share) {
-      share = next;
-      host.setQuota(share);
+    double nextShare = quota.share(now);
+    if (nextShare != share) {
+      share = nextShare;
+      actions.setQuota(share);
+    }
+    if (nextRequestAt.compareTo(now) <= 0) {
+      sendRequests(now);
     }
-    if (nextAsk.compareTo(now) <= 0) {
-      nextAsk = now.plus(terms.period());
-      if (!answered) {
-        turn = (turn + 1) % terms.voters().size();
-      }
-      answered = false;
-      // What was asked a period ago and not answered is asked for again.
-      asked.values().removeIf(motion -> !operators.contains(motion));
-      host.ask(voter(), view.number());
-      if (phase == Phase.OUTSIDE) {
-        move(leaderOr(voter()), Proposal.join(self));
-      } else if (phase == Phase.LEAVING) {
-        move(leaderOr(voter()), Proposal.leave(self));
-      }
-      proofs.forEach(
-          (name, life) -> move(leaderOr(voter()), Proposal.gone(name, life, terms.self())));
+    scheduleTimer(now);
+  }
+
+  private void sendRequests(Duration now) {
+    nextRequestAt = now.plus(config.requestPeriod());
+    if (!answered) {
+      voterIndex = (voterIndex + 1) % config.voters().size();
+    }
+    answered = false;
+    proposals.dropRepeated();
+    actions.requestView(voter(), view.number());
+    if (phase == Phase.OUTSIDE) {
+      propose(leaderOrVoter(), Proposal.join(self));
+    } else if (phase == Phase.LEAVING) {
+      propose(leaderOrVoter(), Proposal.leave(self));
     }
-    wake(now);
+    deadMembers.forEach(
+        (name, incarnation) ->
+            propose(leaderOrVoter(), Proposal.dead(name, incarnation, config.self())));
   }
 
-  private void move(PeerName voter, Proposal motion) {
-    asked.put(++numbers, motion);
-    host.move(voter, numbers, motion);
+  private void propose(PeerName voter, Proposal proposal) {
+    actions.propose(voter, proposals.register(proposal), proposal);
   }
 
   private PeerName voter() {
-    return terms.isVoter() ? terms.self() : terms.voters().get(turn);
+    return config.isVoter() ? config.self() : config.voters().get(voterIndex);
   }
 
-  /**
-   * Whoever was said to lead, for as long as the last answer counts; it may be wrong, and is asked
-   * again.
-   */
-  private PeerName leaderOr(PeerName other) {
-    return leader != null && leaderAt.plus(terms.period().multipliedBy(2)).compareTo(nextAsk) > 0
-        ? leader
-        : other;
+  /** A wrong hint costs one answer, which names the leader or sends the request elsewhere. */
+  private PeerName leaderOrVoter() {
+    Duration maxAge = config.requestPeriod().multipliedBy(LEADER_HINT_PERIODS);
+    return leaderHint.freshAt(nextRequestAt, maxAge).orElseGet(this::voter);
   }
 
-  private void leftNow() {
+  private void setLeft() {
     phase = Phase.LEFT;
-    host.left();
+    actions.left();
   }
 
-  private void wake(Duration now) {
+  private void scheduleTimer(Duration now) {
     if (phase == Phase.STARTING || phase == Phase.LEFT) {
       return;
     }
-    Duration next = nextAsk;
-    Duration grows = shares.growsAt();
-    next = grows != null && grows.compareTo(next) < 0 ? grows : next;
-    next = phase == Phase.LEAVING && leaveUntil.compareTo(next) < 0 ? leaveUntil : next;
-    next = shares.share(now) != share ? now : next;
-    host.wakeAt(next.compareTo(now) > 0 ? next : now);
+    Duration next = nextRequestAt;
+    next = earlier(next, quota.nextGrowthAt().orElse(next));
+    next = phase == Phase.LEAVING ? earlier(next, leaveDeadline) : next;
+    next = quota.share(now) != share ? now : next;
+    actions.wakeAt(next.compareTo(now) > 0 ? next : now);
   }
 
-  // ---- What is known
+  private static Duration earlier(Duration one, Duration other) {
+    return other.compareTo(one) < 0 ? other : one;
+  }
 
+  /** The phase of this gateway's membership. */
   public Phase phase() {
     return phase;
   }
 
+  /** The latest known view; {@link MembershipView#NONE} before any. */
   public MembershipView view() {
     return view;
   }
 
-  /** The last one that was said to lead; null where none ever was. It may lead no more. */
-  public PeerName leader() {
-    return leader;
+  /** The leader that a voter named last; empty where none ever was. It may lead no more. */
+  public Optional<PeerName> leader() {
+    return leaderHint.leader();
   }
 
-  /** How long ago a voter last named a leader; null where none ever did. */
-  public Duration leaderAge(Duration now) {
-    return leaderAt == null ? null : now.minus(leaderAt);
+  /** How long ago a voter last named a leader; empty where none ever did. */
+  public Optional<Duration> leaderAge(Duration now) {
+    return leaderHint.age(now);
   }
 
+  /** This gateway's share of the fleet's budgets, above 0 and at most 1. */
   public double share() {
     return share;
   }
 
-  /** One line without an end. */
+  /** One line for the log, without a line end. */
   public String describe(Duration now) {
-    return "agreed view "
+    return "view="
         + view.number()
-        + " of "
+        + " members="
         + view.members().size()
-        + ", "
+        + " phase="
         + phase
-        + ", "
-        + (leaderAt == null
-            ? "no leader heard of"
-            : "leader " + leader + " as of " + now.minus(leaderAt).toMillis() + " ms ago")
-        + ", share "
+        + " leader="
+        + leader().map(PeerName::name).orElse("none")
+        + leaderAge(now).map(age -> " leaderAgeMs=" + age.toMillis()).orElse("")
+        + " share="
         + share;
   }
 }
--- a/gateway/src/main/java/weldcross/consensus/VoterRecovery.java
+++ b/gateway/src/main/java/weldcross/consensus/VoterRecovery.java
@@ -1,213 +1,236 @@
 package weldcross.consensus;
 
+import java.util.Collection;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import weldcross.mesh.PeerName;
 
 /**
- * Whether a voter that has started may vote. A disk may have lost what it had said was kept, an end
- * of the log or a vote, and nothing on it tells. So the others are asked what they know, before
- * anything is said under the old name.
+ * Decides whether a voter that has started may vote. Its storage may have lost the end of its log
+ * or a vote that it reported as durable, and nothing in it shows that; so the other voters are
+ * asked what they know before anything is sent under the voter's identity.
  *
- * <p>Enough have answered once every majority that this voter may have been part of has somebody
- * among them: with n voters, n - n/2 others that have a log. Then what it may have helped to
- * commit, or voted for, is among what they have. Fewer than half of the disks may be lost; where so
- * many others already say that theirs are, this one is not. Pure; asked by the voter, which asks
- * the others again until it votes.
+ * <p>A voter with a log has enough replies once every majority that it may have been part of is
+ * represented: with n voters, n - n/2 others that have a log. Then whatever it may have helped to
+ * commit, or voted for, is known to one of them. Fewer than half of the voters may lose their
+ * storage; where that many others already report a loss, this one has not lost its own. Pure; the
+ * voter asks again until it votes.
  */
 public final class VoterRecovery {
 
-  /** What it comes to. */
-  public enum Phase {
-    ASKING,
-    /** Nobody has anything: the first start of all. */
-    FOUNDS,
-    /** What the disk has is all that it ever said. */
-    GOES_ON,
-    /** It may lack what it had: it votes once its log has reached what the others have. */
-    LEARNS_FIRST,
-    /**
-     * Its records were lost, or it never had any, while others have some: it is another one from
-     * now on.
-     */
-    IS_NEW
+  /** What a voter does after it has started. */
+  public enum Decision {
+    /** More replies are needed. */
+    UNDECIDED,
+    /** No voter has a log: it founds the group. */
+    FOUND_GROUP,
+    /** Its log holds all that it ever acknowledged: it votes. */
+    RESUME,
+    /** Its log may lack entries or votes: it votes once it has caught up with the others. */
+    CATCH_UP,
+    /** Its log was lost, or never was while others have one: it joins under a new identity. */
+    NEW_IDENTITY
   }
 
   /**
-   * What this voter's disk has.
+   * Summary of a voter's stored log.
    *
-   * @param identity under which it voted; null where the disk is empty or cannot be read
+   * @param identity under which it voted; empty where there is no usable log
+   * @param term the highest stored term
+   * @param last the end of the log
    */
-  public record Kept(String identity, int term, int lastTerm, long lastIndex) {
+  public record LogSummary(Optional<String> identity, int term, LogPosition last) {
 
-    public static final Kept NOTHING = new Kept(null, 0, 0, 0);
+    /** No log, or none that can be used. */
+    public static final LogSummary NONE = new LogSummary(Optional.empty(), 0, LogPosition.NONE);
   }
 
   /**
-   * What another voter says.
+   * What another voter replied.
    *
-   * @param has whether it has a log of its own
-   * @param founding whether it has never heard of another identity of any voter than the first, and
-   *     lost nothing
-   * @param stranger whether its group has no voter of the identity that the asker asked by
-   * @param ackedTerm of the last entry that the asker, under the identity it asked by, had
-   *     acknowledged to it; zero where it remembers none
-   * @param votedTerm the highest term in which the asker voted for it; zero where it remembers none
+   * @param hasLog whether it has a log of its own
+   * @param founding whether, as far as it knows, no voter has changed its identity or lost its log
+   * @param unknownIdentity whether the identity that asked is not in its group
+   * @param term the highest term that it knows
+   * @param last the end of its log
+   * @param acknowledged the last entry that the asking identity acknowledged to it; {@link
+   *     LogPosition#NONE} where it remembers none
+   * @param votedTerm the highest term in which the asking identity voted for it; zero where it
+   *     remembers none
    */
-  public record Answer(
-      boolean has,
+  public record Reply(
+      boolean hasLog,
       boolean founding,
-      boolean stranger,
+      boolean unknownIdentity,
       int term,
-      int lastTerm,
-      long lastIndex,
-      int ackedTerm,
-      long ackedIndex,
+      LogPosition last,
+      LogPosition acknowledged,
       int votedTerm) {}
 
-  private final int voters;
-  private final boolean had;
-  private Kept kept;
-  private final Map<PeerName, Answer> answers = new TreeMap<>();
-  private Phase phase;
-  private String why = "";
+  private final int voterCount;
+  private final boolean logUnusable;
+  private final Map<PeerName, Reply> replies = new TreeMap<>();
+  private LogSummary local;
+  private Decision decision;
+  private String reason = "";
 
   /**
-   * @param voters how many there are, this one among them
-   * @param trusted whether the installation says that its disks never lose what they said was kept
-   * @param had whether the disk has records that are not used: damaged, or of an identity that
-   *     votes no more
+   * Begins the recovery of a voter.
+   *
+   * @param voterCount number of all voters, this one included
+   * @param trustStorage whether storage never loses what it reported as durable
+   * @param local this voter's log
+   * @param logUnusable whether storage holds a log that is not used: damaged, or of an identity
+   *     that is no voter any more
    */
-  public VoterRecovery(int voters, boolean trusted, Kept kept, boolean had) {
-    this.voters = voters;
-    this.had = had;
-    this.kept = kept;
-    phase =
-        voters == 1
-            ? kept.identity() == null && !had ? Phase.FOUNDS : Phase.GOES_ON
-            : trusted && kept.identity() != null ? Phase.GOES_ON : Phase.ASKING;
-  }
-
-  /** The last answer of each counts. */
-  public Phase answered(PeerName from, Answer answer) {
-    if (phase == Phase.ASKING || phase == Phase.LEARNS_FIRST) {
-      answers.put(from, answer);
+  public VoterRecovery(
+      int voterCount, boolean trustStorage, LogSummary local, boolean logUnusable) {
+    this.voterCount = voterCount;
+    this.logUnusable = logUnusable;
+    this.local = local;
+    decision = initialDecision(trustStorage);
+  }
+
+  private Decision initialDecision(boolean trustStorage) {
+    boolean hasIdentity = local.identity().isPresent();
+    if (voterCount == 1) {
+      return hasIdentity || logUnusable ? Decision.RESUME : Decision.FOUND_GROUP;
+    }
+    return trustStorage && hasIdentity ? Decision.RESUME : Decision.UNDECIDED;
+  }
+
+  /** Takes a reply, which replaces an earlier one of the same voter. */
+  public Decision replied(PeerName from, Reply reply) {
+    if (decision == Decision.UNDECIDED || decision == Decision.CATCH_UP) {
+      replies.put(from, reply);
       decide();
     }
-    return phase;
+    return decision;
   }
 
-  /** While it learns: what its disk has by now. */
-  public Phase has(Kept now) {
-    if (phase == Phase.LEARNS_FIRST) {
-      kept = now;
+  /** Takes the current state of this voter's log, which grows while it catches up. */
+  public Decision localLogChanged(LogSummary current) {
+    if (decision == Decision.CATCH_UP) {
+      local = current;
       decide();
     }
-    return phase;
+    return decision;
   }
 
   private void decide() {
-    List<Answer> having = answers.values().stream().filter(Answer::has).toList();
-    if (kept.identity() == null) {
-      boolean begun =
-          answers.values().stream().anyMatch(a -> (a.has() && a.lastIndex() > 0) || !a.founding());
-      if (begun) {
-        become(Phase.IS_NEW, "this disk has no records, and others have");
-      } else if (answers.size() == voters - 1 && !had) {
-        // Where it had some itself the others lost theirs: nothing begins anew without a person.
-        become(Phase.FOUNDS, "no voter has records");
-      }
-      return;
+    if (local.identity().isEmpty()) {
+      decideWithoutLog();
+    } else {
+      decideWithLog(local.identity().get());
     }
-    for (Answer a : having) {
-      if (a.stranger()) {
-        become(Phase.IS_NEW, kept.identity() + " is no voter any more");
-        return;
-      }
-      if (isBefore(kept.lastTerm(), kept.lastIndex(), a.ackedTerm(), a.ackedIndex())) {
-        become(
-            Phase.IS_NEW,
-            "this disk ends at entry "
-                + kept.lastIndex()
-                + ", and had said that it kept "
-                + a.ackedIndex());
-        return;
-      }
-      if (a.votedTerm() > kept.term()) {
-        become(
-            Phase.IS_NEW,
-            "this disk knows of term "
-                + kept.term()
-                + ", and a vote of its was counted in "
-                + a.votedTerm());
+  }
+
+  private void decideWithoutLog() {
+    boolean groupExists = replies.values().stream().anyMatch(VoterRecovery::showsExistingGroup);
+    if (groupExists) {
+      become(Decision.NEW_IDENTITY, "local log is empty, another voter has entries");
+    } else if (replies.size() == voterCount - 1 && !logUnusable) {
+      // With an unusable log the others have lost theirs: only an operator may found a new group.
+      become(Decision.FOUND_GROUP, "no voter has entries");
+    }
+  }
+
+  private static boolean showsExistingGroup(Reply reply) {
+    return (reply.hasLog() && reply.last().index() > 0) || !reply.founding();
+  }
+
+  private void decideWithLog(String identity) {
+    List<Reply> withLog = replies.values().stream().filter(Reply::hasLog).toList();
+    for (Reply reply : withLog) {
+      Optional<String> loss = lossShownBy(reply, identity);
+      if (loss.isPresent()) {
+        become(Decision.NEW_IDENTITY, loss.get());
         return;
       }
     }
-    int lost = answers.size() - having.size();
-    if (having.size() >= voters - voters / 2 || lost >= (voters - 1) / 2) {
-      // Votes that were lost lie before this start: what others come to later says nothing of them.
-      boolean behind =
-          having.stream()
-              .anyMatch(
-                  a ->
-                      (phase == Phase.ASKING && a.term() > kept.term())
-                          || isBefore(
-                              kept.lastTerm(), kept.lastIndex(), a.lastTerm(), a.lastIndex()));
-      become(
-          behind ? Phase.LEARNS_FIRST : Phase.GOES_ON,
-          behind ? "others have more" : "no other has more");
+    int withoutLog = replies.size() - withLog.size();
+    if (withLog.size() >= voterCount - voterCount / 2 || withoutLog >= (voterCount - 1) / 2) {
+      if (isBehind(withLog)) {
+        become(Decision.CATCH_UP, "another voter has more");
+      } else {
+        become(Decision.RESUME, "no other voter has more");
+      }
     }
   }
 
-  private void become(Phase next, String because) {
-    phase = next;
-    why = because;
+  private Optional<String> lossShownBy(Reply reply, String identity) {
+    if (reply.unknownIdentity()) {
+      return Optional.of(identity + " is not in the group any more");
+    }
+    if (local.last().isBefore(reply.acknowledged())) {
+      return Optional.of(
+          "local log ends at entry "
+              + local.last().index()
+              + ", but acknowledged entry "
+              + reply.acknowledged().index());
+    }
+    if (reply.votedTerm() > local.term()) {
+      return Optional.of(
+          "local log ends at term "
+              + local.term()
+              + ", but a vote was counted in term "
+              + reply.votedTerm());
+    }
+    return Optional.empty();
   }
 
-  /** Whether a log that ends at the first is older than one that ends at the second. */
-  public static boolean isBefore(int term, long index, int otherTerm, long otherIndex) {
-    return term != otherTerm ? term < otherTerm : index < otherIndex;
+  private boolean isBehind(Collection<Reply> withLog) {
+    // Lost votes precede this start: terms that begin while it catches up say nothing of them.
+    boolean compareTerms = decision == Decision.UNDECIDED;
+    return withLog.stream()
+        .anyMatch(
+            reply ->
+                (compareTerms && reply.term() > local.term())
+                    || local.last().isBefore(reply.last()));
   }
 
-  public Phase phase() {
-    return phase;
+  private void become(Decision next, String nextReason) {
+    decision = next;
+    reason = nextReason;
   }
 
-  /** For the log; empty while it is asking. */
-  public String why() {
-    return why;
+  /** The decision by the replies so far. */
+  public Decision decision() {
+    return decision;
   }
 
-  /** The highest term that anybody knows of: in it, and before, this voter may have voted. */
-  public int term() {
-    return Math.max(kept.term(), answers.values().stream().mapToInt(Answer::term).max().orElse(0));
+  /** The reason of the decision, for the log; empty where it needed no reply. */
+  public String reason() {
+    return reason;
   }
 
-  /** The term of the entry that has to be reached before it votes; and its index. */
-  public int targetTerm() {
-    return answers.values().stream().mapToInt(Answer::lastTerm).max().orElse(0);
+  /** The highest known term: in it, and in those before, this voter may have voted. */
+  public int highestTerm() {
+    int replied = replies.values().stream().mapToInt(Reply::term).max().orElse(0);
+    return Math.max(local.term(), replied);
   }
 
-  public long targetIndex() {
-    int term = targetTerm();
-    return answers.values().stream()
-        .filter(a -> a.lastTerm() == term)
-        .mapToLong(Answer::lastIndex)
-        .max()
-        .orElse(0);
+  /** The position that this voter's log must reach before it votes. */
+  public LogPosition target() {
+    return replies.values().stream()
+        .map(Reply::last)
+        .max(LogPosition::compareTo)
+        .orElse(LogPosition.NONE);
   }
 
-  /** For the log: who answered, and how many are missing. */
+  /** The decision and who has replied, for the log; one line without a line end. */
   public String describe() {
-    long having = answers.values().stream().filter(Answer::has).count();
-    return phase
-        + ", "
-        + answers
-        + " answered, "
-        + having
-        + " of them with records; "
-        + (kept.identity() == null ? voters - 1 : voters - voters / 2)
-        + " wanted";
+    long withLog = replies.values().stream().filter(Reply::hasLog).count();
+    int needed = local.identity().isEmpty() ? voterCount - 1 : voterCount - voterCount / 2;
+    return "decision="
+        + decision
+        + " replies="
+        + replies
+        + " withLog="
+        + withLog
+        + " needed="
+        + needed;
   }
 }
--- a/gateway/src/main/java/weldcross/consensus/net/ConsensusActions.java
+++ b/gateway/src/main/java/weldcross/consensus/net/ConsensusActions.java
@@ -6,45 +6,50 @@
 import weldcross.consensus.MembershipView;
 import weldcross.consensus.Proposal;
 import weldcross.consensus.ProposalResult;
-import weldcross.consensus.wire.Word;
+import weldcross.consensus.wire.ConsensusMessage;
 import weldcross.mesh.PeerName;
 import weldcross.storage.StorageDirectory;
 
 /**
- * What {@link ConsensusService} needs of its gateway. Where not said otherwise called on the
- * gateway's thread.
+ * What a {@link ConsensusService} has done outside. Called on the gateway's event loop where not
+ * said otherwise.
  */
 public interface ConsensusActions {
 
+  /** Time since the start of the gateway. */
   Duration now();
 
-  /** Sends it to another gateway; it may be lost. */
-  void send(PeerName to, Word word);
+  /** Sends a message to another gateway; it may be lost. */
+  void send(PeerName to, ConsensusMessage message);
 
-  /** From the voter's thread: has this run on the gateway's. */
-  void post(Runnable event);
+  /** Runs a task on the event loop; called on the voter's thread. */
+  void post(Runnable task);
 
-  /** Asks to be called then; only the time asked for last counts. */
+  /** Schedules {@link ConsensusService#onTimer}; the last call replaces those before. */
   void wakeAt(Duration when);
 
-  /** On the voter's thread: the directory of the voter alone. */
-  StorageDirectory disk() throws IOException;
+  /**
+   * Opens the directory that the voter alone uses; called on the voter's thread.
+   *
+   * @throws IOException where it is in use or cannot be accessed
+   */
+  StorageDirectory openDirectory() throws IOException;
 
-  /** As {@link weldcross.consensus.MembershipViewActions#viewIs}. */
-  void viewIs(MembershipView view);
+  /** As {@link weldcross.consensus.MembershipViewActions#viewChanged}. */
+  void viewChanged(MembershipView view);
 
   /** As {@link weldcross.consensus.MembershipViewActions#setQuota}. */
   void setQuota(double share);
 
-  /** As {@link weldcross.consensus.MembershipViewActions#ended}. */
-  void ended(long life);
+  /** As {@link weldcross.consensus.MembershipViewActions#incarnationEnded}. */
+  void incarnationEnded(long incarnation);
 
-  /** As {@link weldcross.consensus.MembershipViewActions#operatorTold}. */
-  void operatorTold(Proposal motion, ProposalResult verdict);
+  /** As {@link weldcross.consensus.MembershipViewActions#operatorProposalDecided}. */
+  void operatorProposalDecided(Proposal proposal, ProposalResult result);
 
   /** As {@link weldcross.consensus.MembershipViewActions#left}. */
   void left();
 
-  /** From any thread. */
-  void say(Level level, String words);
+  /** Writes one line to the log; called on any thread. */
+  void log(Level level, String line);
 }
--- a/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
+++ b/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
@@ -1,18 +1,12 @@
 package weldcross.consensus.net;
 
 import com.google.protobuf.InvalidProtocolBufferException;
-import io.microraft.executor.RaftNodeExecutor;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Path;
 import java.security.SecureRandom;
-import java.time.Clock;
 import java.time.Duration;
-import java.time.Instant;
-import java.time.ZoneId;
-import java.time.ZoneOffset;
-import java.util.concurrent.ScheduledThreadPoolExecutor;
-import java.util.concurrent.TimeUnit;
+import java.util.function.BiConsumer;
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import java.util.stream.Collectors;
@@ -20,7 +14,7 @@
 import weldcross.consensus.MembershipView;
 import weldcross.consensus.Proposal;
 import weldcross.consensus.ProposalResult;
-import weldcross.consensus.wire.Word;
+import weldcross.consensus.wire.ConsensusMessage;
 import weldcross.extension.ExtensionContext;
 import weldcross.extension.GatewayExtension;
 import weldcross.membership.MemberState;
@@ -33,102 +27,98 @@
 import weldcross.storage.StorageDirectory;
 
 /**
- * What the gateways have agreed on, as a part of one of them: {@link ConsensusService} decides, the
- * link carries its words, a thread of the voter's own waits for its disk. Proof that a gateway
- * ended comes from who is seen.
+ * The consensus as an extension of the gateway: a {@link ConsensusService} whose messages the mesh
+ * carries, and whose proofs that a member has ended come from failure detection.
  */
 public final class ConsensusExtension implements GatewayExtension, PeerListener {
 
-  /** Under which the link carries this part's words. */
+  /** The subject under which the mesh carries consensus messages. */
   public static final int SUBJECT = 3;
 
+  /** Also the name of the table that configures it. */
+  private static final String NAME = "agreement";
+
+  /** The voter's directory below the gateway's; names stored data, so it never changes. */
+  private static final String DIRECTORY = "agreement";
+
   private static final Logger LOG = Logger.getLogger(ConsensusExtension.class.getName());
 
   /**
-   * Of the library, which tells of each message that it refuses; held, as a logger that nobody
-   * holds forgets.
+   * The Raft library's logger, which logs each message that it rejects. Held here, as a logger that
+   * nobody references loses its level.
    */
-  private static final Logger LIBRARY = Logger.getLogger("io.microraft");
+  private static final Logger RAFT_LOG = Logger.getLogger("io.microraft");
 
-  /** So long a stop waits until this gateway is a member no more. */
-  private static final Duration LEAVE_WITHIN = Duration.ofSeconds(2);
+  /** How long a stop waits until this gateway has left the view. */
+  private static final Duration LEAVE_TIMEOUT = Duration.ofSeconds(2);
 
-  private final MeshExtension link;
+  private final MeshExtension mesh;
   private final Path directory;
-  private final ScheduledThreadPoolExecutor thread;
-  private final ConsensusService agreement;
-  private ExtensionContext seam;
+  private final VoterExecutor executor;
+  private final ConsensusService service;
+  private ExtensionContext context;
   private Duration wakeAt;
   private boolean left;
-  private OperatorTold operator;
-
-  /** Whom to tell what became of a change that an operator asked for. */
-  public interface OperatorTold {
-    void told(Proposal motion, ProposalResult verdict);
-  }
+  private BiConsumer<Proposal, ProposalResult> operatorListener = (proposal, result) -> {};
 
   /**
-   * @param seen whose proofs are passed on
-   * @param directory below which the voter keeps its records
-   * @param toldShare of the fleet's budgets, until a view is known
-   * @param seed of chance
+   * Creates the extension; nothing runs before {@link #start}.
+   *
+   * @param mesh carries messages between gateways
+   * @param membership gives proof that an incarnation has ended
+   * @param directory of this gateway's stored data; the voter uses a directory below it
+   * @param configuredShare of the fleet's budgets, in force until there is a view
+   * @param seed of random election timeouts
    */
   public ConsensusExtension(
-      ConsensusConfig terms,
-      MeshExtension link,
-      MembershipExtension seen,
+      ConsensusConfig config,
+      MeshExtension mesh,
+      MembershipExtension membership,
       Path directory,
-      double toldShare,
+      double configuredShare,
       long seed) {
-    this.link = link;
+    this.mesh = mesh;
     this.directory = directory;
-    LIBRARY.setLevel(LOG.isLoggable(Level.FINE) ? Level.INFO : Level.SEVERE);
-    thread =
-        new ScheduledThreadPoolExecutor(
-            terms.isVoter() ? 1 : 0,
-            task -> {
-              Thread made = new Thread(task, "voter");
-              made.setDaemon(true);
-              return made;
-            });
-    thread.setRemoveOnCancelPolicy(true);
-    agreement =
+    RAFT_LOG.setLevel(LOG.isLoggable(Level.FINE) ? Level.INFO : Level.SEVERE);
+    executor = new VoterExecutor(config.isVoter() ? 1 : 0);
+    service =
         new ConsensusService(
-            terms,
-            new OfPart(),
-            toldShare,
-            new OnThread(),
-            new EvenClock(),
+            config,
+            new ExtensionActions(),
+            configuredShare,
+            executor,
+            new MonotonicClock(),
             seed,
             new SecureRandom()::nextLong);
-    link.subscribe(SUBJECT, this);
-    seen.addListener(
-        news -> {
-          if (news.state() == MemberState.DEAD) {
-            agreement.gone(news.member(), news.incarnation());
+    mesh.subscribe(SUBJECT, this);
+    membership.addListener(
+        update -> {
+          if (update.state() == MemberState.DEAD) {
+            service.memberDied(update.member(), update.incarnation());
           }
         });
   }
 
-  public ConsensusService agreement() {
-    return agreement;
+  /** The service, for use on the event loop. */
+  public ConsensusService service() {
+    return service;
   }
 
-  /** Called before the part is started. */
-  public void operator(OperatorTold told) {
-    operator = told;
+  /** Sets who is told what became of operators' proposals; called before the start. */
+  public void setOperatorListener(BiConsumer<Proposal, ProposalResult> listener) {
+    operatorListener = listener;
   }
 
-  // ---- Of the gateway
+  // ---- Calls of the gateway
 
   @Override
   public String name() {
-    return "agreement";
+    return NAME;
   }
 
   @Override
   public void start(ExtensionContext gateway) {
-    seam = gateway;
+    context = gateway;
   }
 
   @Override
@@ -138,12 +128,12 @@
 
   @Override
   public void reloaded() {
-    // Its terms hold from a start on.
+    // The configuration is fixed from the start on.
   }
 
   @Override
   public void drain() {
-    agreement.leave(LEAVE_WITHIN);
+    service.leave(LEAVE_TIMEOUT);
   }
 
   @Override
@@ -153,180 +143,125 @@
 
   @Override
   public void stop() {
-    agreement.end();
-    thread.shutdown();
+    service.end();
+    executor.shutdown();
   }
 
   @Override
   public String describe() {
-    return agreement.agreed().describe(seam.now())
-        + (agreement.voter() == null ? "" : ", voter " + agreement.voter().phase());
+    return "consensus "
+        + service.viewClient().describe(context.now())
+        + service.voter().map(voter -> " voter=" + voter.phase()).orElse("");
   }
 
-  // ---- Of the link
+  // ---- Calls of the mesh
 
   @Override
   public void onStarted(Incarnation self) {
-    agreement.begun(self.number());
+    service.start(self.number());
   }
 
   @Override
-  public void onMessage(PeerName from, Incarnation life, ByteBuffer content) {
+  public void onMessage(PeerName from, Incarnation incarnation, ByteBuffer content) {
     try {
-      agreement.heard(from, Word.parseFrom(content));
+      service.receive(from, ConsensusMessage.parseFrom(content));
     } catch (InvalidProtocolBufferException e) {
-      LOG.fine(() -> "agreement: a word of " + from + " that is none");
+      LOG.fine(() -> "consensus: message ignored: peer=" + from + " reason=" + e.getMessage());
     }
   }
 
   @Override
-  public void onConnectionUp(PeerName peer, Incarnation life) {
-    agreement.up(peer);
+  public void onConnectionUp(PeerName peer, Incarnation incarnation) {
+    service.peerConnected(peer);
   }
 
-  // ---- What is decided
-
-  private final class OfPart implements ConsensusActions {
+  /** Effects of the service. */
+  private final class ExtensionActions implements ConsensusActions {
 
     @Override
     public Duration now() {
-      return seam.now();
+      return context.now();
     }
 
     @Override
-    public void send(PeerName to, Word word) {
-      link.send(to, SUBJECT, word.toByteString().asReadOnlyByteBuffer(), true);
+    public void send(PeerName to, ConsensusMessage message) {
+      mesh.send(to, SUBJECT, message.toByteString().asReadOnlyByteBuffer(), true);
     }
 
     @Override
-    public void post(Runnable event) {
-      seam.post(event);
+    public void post(Runnable task) {
+      context.post(task);
     }
 
     @Override
     public void wakeAt(Duration when) {
       wakeAt = when;
-      seam.at(
+      context.at(
           when,
           () -> {
             if (when.equals(wakeAt)) {
-              agreement.due();
+              service.onTimer();
             }
           });
     }
 
     @Override
-    public StorageDirectory disk() throws IOException {
-      return FileStorageDirectory.at(directory.resolve("agreement"));
+    public StorageDirectory openDirectory() throws IOException {
+      return FileStorageDirectory.at(directory.resolve(DIRECTORY));
     }
 
     @Override
-    public void viewIs(MembershipView view) {
+    public void viewChanged(MembershipView view) {
       LOG.info(
           () ->
-              "agreement: view "
+              "consensus: view in force: view="
                   + view.number()
-                  + " is "
-                  + view.members().entrySet().stream()
-                      .map(e -> e.getKey() + ":" + e.getValue().life())
+                  + " members="
+                  + view.members().values().stream()
+                      .map(member -> member.name() + ":" + member.incarnation())
                       .collect(Collectors.joining(" ", "[", "]")));
     }
 
     @Override
     public void setQuota(double share) {
-      LOG.info(() -> "agreement: share " + share);
-      seam.setQuota(share);
+      LOG.info(() -> "consensus: fleet quota changed: share=" + share);
+      context.setQuota(share);
     }
 
     @Override
-    public void ended(long life) {
+    public void incarnationEnded(long incarnation) {
       LOG.severe(
           () ->
-              "agreement: life "
-                  + life
-                  + " of this gateway is none by the view, and it lives: "
-                  + "forgotten by an operator, or taken for gone; it comes back as a later one");
-      link.raiseIncarnation(life);
+              "consensus: own incarnation ended by the view, a later one begins: incarnation="
+                  + incarnation
+                  + " reason=forgotten by an operator or declared dead while alive");
+      mesh.raiseIncarnation(incarnation);
     }
 
     @Override
-    public void operatorTold(Proposal motion, ProposalResult verdict) {
+    public void operatorProposalDecided(Proposal proposal, ProposalResult result) {
       LOG.warning(
           () ->
-              "agreement: "
-                  + motion.kind()
-                  + " "
-                  + motion.of()
-                  + " from view "
-                  + motion.basis()
-                  + ": "
-                  + verdict);
-      if (operator != null) {
-        operator.told(motion, verdict);
-      }
+              "consensus: operator proposal decided: kind="
+                  + proposal.kind()
+                  + " member="
+                  + proposal.member()
+                  + " view="
+                  + proposal.basis()
+                  + " result="
+                  + result);
+      operatorListener.accept(proposal, result);
     }
 
     @Override
     public void left() {
       left = true;
-      seam.changed();
-    }
-
-    @Override
-    public void say(Level level, String words) {
-      LOG.log(level, () -> "agreement: " + words);
-    }
-  }
-
-  /** The voter's thread, which nothing else uses. */
-  private final class OnThread implements RaftNodeExecutor {
-
-    private void run(Runnable task) {
-      try {
-        task.run();
-      } catch (RuntimeException e) {
-        LOG.log(Level.SEVERE, "agreement: a fault of the voter", e);
-      }
-    }
-
-    @Override
-    public void execute(Runnable task) {
-      if (!thread.isShutdown()) {
-        thread.execute(() -> run(task));
-      }
-    }
-
-    @Override
-    public void submit(Runnable task) {
-      execute(task);
-    }
-
-    @Override
-    public void schedule(Runnable task, long delay, TimeUnit unit) {
-      if (!thread.isShutdown()) {
-        thread.schedule(() -> run(task), delay, unit);
-      }
-    }
-  }
-
-  /** Goes evenly whatever the wall clock does; counts from the start. */
-  private static final class EvenClock extends Clock {
-    private final long zero = System.nanoTime();
-
-    @Override
-    public ZoneId getZone() {
-      return ZoneOffset.UTC;
-    }
-
-    @Override
-    public Clock withZone(ZoneId zone) {
-      return this;
+      context.changed();
     }
 
-    /** From an hour on, so that no time that the library looks back to is before zero. */
     @Override
-    public Instant instant() {
-      return Instant.ofEpochSecond(3600).plusNanos(System.nanoTime() - zero);
+    public void log(Level level, String line) {
+      LOG.log(level, () -> "consensus: " + line);
     }
   }
 }
--- a/gateway/src/main/java/weldcross/consensus/net/ConsensusService.java
+++ b/gateway/src/main/java/weldcross/consensus/net/ConsensusService.java
@@ -4,6 +4,7 @@
 import java.io.IOException;
 import java.time.Clock;
 import java.time.Duration;
+import java.util.Optional;
 import java.util.Random;
 import java.util.function.LongSupplier;
 import java.util.logging.Level;
@@ -12,302 +13,292 @@
 import weldcross.consensus.MembershipViewActions;
 import weldcross.consensus.MembershipViewClient;
 import weldcross.consensus.Proposal;
+import weldcross.consensus.ProposalOutcome;
 import weldcross.consensus.ProposalResult;
-import weldcross.consensus.raft.RaftMessageCodec;
+import weldcross.consensus.raft.MembershipCodec;
 import weldcross.consensus.raft.RaftVoter;
 import weldcross.consensus.raft.RaftVoterActions;
-import weldcross.consensus.wire.Move;
-import weldcross.consensus.wire.Moved;
-import weldcross.consensus.wire.Told;
-import weldcross.consensus.wire.Word;
+import weldcross.consensus.wire.ConsensusMessage;
+import weldcross.consensus.wire.ProposalRequest;
+import weldcross.consensus.wire.ViewReply;
 import weldcross.mesh.PeerName;
 import weldcross.storage.StorageDirectory;
 
 /**
- * One gateway's side of the agreement, words joined to what decides: {@link MembershipViewClient}
- * on the gateway's thread, and a {@link RaftVoter} on its own where this gateway is one. Called by
- * the part that carries its words.
+ * One gateway's side of the consensus: a {@link MembershipViewClient} on the gateway's event loop
+ * and, where this gateway is a voter, a {@link RaftVoter} on its own thread, joined to the messages
+ * of other gateways. All methods are called on the event loop.
  */
 public final class ConsensusService {
 
-  private final ConsensusConfig terms;
-  private final ConsensusActions host;
-  private final MembershipViewClient agreed;
-  private final RaftVoter voter;
-  private boolean stranger;
+  /** Requests any view, as view numbers begin at one. */
+  private static final long NO_VIEW = 0;
+
+  private final ConsensusConfig config;
+  private final ConsensusActions actions;
+  private final MessageFactory messages;
+  private final MembershipViewClient viewClient;
+  private final Optional<RaftVoter> voter;
+  private boolean foreignGroupLogged;
 
   /**
-   * @param toldShare of the fleet's budgets, from the start values
-   * @param executor of the voter's thread; not looked at where this gateway is none
-   * @param clock that goes evenly
-   * @param seed of chance, the consensus's too
-   * @param marks of voters that lost what they had kept: none twice, in whatever life of whatever
-   *     process
+   * Creates the service of a gateway; nothing is sent before {@link #start}.
+   *
+   * @param configuredShare of the fleet's budgets, in force until there is a view
+   * @param executor of the voter's thread; unused where this gateway is no voter
+   * @param clock of the voter; never jumps
+   * @param seed of the voter's random election timeouts, and of the first voter that is asked
+   * @param nonces of new voter identities; no value twice, over all processes of all voters
    */
   public ConsensusService(
-      ConsensusConfig terms,
-      ConsensusActions host,
-      double toldShare,
+      ConsensusConfig config,
+      ConsensusActions actions,
+      double configuredShare,
       RaftNodeExecutor executor,
       Clock clock,
       long seed,
-      LongSupplier marks) {
-    this.terms = terms;
-    this.host = host;
-    this.agreed = new MembershipViewClient(terms, new ForAgreed(), toldShare, seed);
+      LongSupplier nonces) {
+    this.config = config;
+    this.actions = actions;
+    this.messages = new MessageFactory(config.group());
+    this.viewClient =
+        new MembershipViewClient(config, new ViewClientActions(), configuredShare, seed);
     this.voter =
-        terms.isVoter()
-            ? new RaftVoter(terms, executor, clock, new Random(seed), marks, new ForVoter())
-            : null;
+        config.isVoter()
+            ? Optional.of(
+                new RaftVoter(
+                    config, executor, clock, new Random(seed), nonces, new VoterActions()))
+            : Optional.empty();
   }
 
-  /** This life begins, or a later one; the voter begins with the first. */
-  public void begun(long life) {
-    if (agreed.phase() == MembershipViewClient.Phase.STARTING && voter != null) {
-      voter.start();
+  /** An incarnation begins; the voter is started with the first of this process. */
+  public void start(long incarnation) {
+    if (viewClient.phase() == MembershipViewClient.Phase.STARTING) {
+      voter.ifPresent(RaftVoter::start);
     }
-    agreed.start(host.now(), life);
+    viewClient.start(actions.now(), incarnation);
   }
 
-  public void due() {
-    agreed.due(host.now());
+  /** The timer set by {@link ConsensusActions#wakeAt} has expired. */
+  public void onTimer() {
+    viewClient.onTimer(actions.now());
   }
 
-  public void leave(Duration within) {
-    agreed.leave(host.now(), within);
+  /**
+   * As {@link MembershipViewClient#leave}.
+   *
+   * @param timeout after which {@link ConsensusActions#left} is called in any case
+   */
+  public void leave(Duration timeout) {
+    viewClient.leave(actions.now(), timeout);
   }
 
   /** As {@link MembershipViewClient#join}. */
   public void join() {
-    agreed.join(host.now());
+    viewClient.join(actions.now());
   }
 
+  /** Ends the voter; nothing else has to be ended. */
   public void end() {
-    if (voter != null) {
-      voter.end();
-    }
+    voter.ifPresent(RaftVoter::end);
   }
 
-  public void gone(PeerName name, long life) {
-    agreed.gone(host.now(), name, life);
+  /** As {@link MembershipViewClient#memberDied}. */
+  public void memberDied(PeerName name, long incarnation) {
+    viewClient.memberDied(actions.now(), name, incarnation);
   }
 
+  /** As {@link MembershipViewClient#forget}. */
   public void forget(PeerName name) {
-    agreed.forget(host.now(), name);
+    viewClient.forget(actions.now(), name);
   }
 
-  /** A word of another gateway. */
-  public void heard(PeerName from, Word word) {
-    if (!word.getGroup().equals(terms.group())) {
-      if (!stranger) {
-        stranger = true;
-        host.say(
-            Level.SEVERE,
-            from
-                + " belongs to "
-                + word.getGroup()
-                + ", this gateway to "
-                + terms.group()
-                + ": their voters differ; nothing is agreed between them");
-      }
+  /** Takes a message of another gateway; one of another group is rejected. */
+  public void receive(PeerName from, ConsensusMessage message) {
+    if (!message.getGroup().equals(config.group())) {
+      logForeignGroup(from, message.getGroup());
       return;
     }
-    switch (word.getKindCase()) {
-      case ASK -> told(from, word.getAsk());
-      case TOLD -> {
-        if (word.getTold().hasView()) {
-          agreed.heard(host.now(), RaftMessageCodec.view(word.getTold().getView()));
-        }
-        agreed.told(host.now(), name(word.getTold().getLeader()));
-      }
-      case MOVE -> {
-        if (voter != null) {
-          voter.move(
-              from,
-              word.getMove().getNumber(),
-              RaftMessageCodec.motion(word.getMove().getMotion()));
-        }
-      }
-      case MOVED ->
-          agreed.moved(
-              host.now(),
-              word.getMoved().getNumber(),
-              verdict(word.getMoved().getVerdict()),
-              name(word.getMoved().getLeader()));
-      default -> {
-        if (voter != null) {
-          voter.heard(from, word);
-        }
-      }
+    switch (message.getKindCase()) {
+      case VIEW_REQUEST -> sendView(from, message.getViewRequest());
+      case VIEW_REPLY -> receiveView(message.getViewReply());
+      case PROPOSAL_REQUEST -> receiveProposal(from, message.getProposalRequest());
+      case PROPOSAL_REPLY ->
+          viewClient.proposalAnswered(
+              actions.now(),
+              message.getProposalReply().getNumber(),
+              MessageFactory.decodeOutcome(message.getProposalReply()));
+      default -> voter.ifPresent(one -> one.receive(from, message));
     }
   }
 
-  /** A gateway has come up: what it may have missed is told without being asked for. */
-  public void up(PeerName peer) {
-    if (voter != null && agreed.view().number() > 0) {
-      told(peer, 0);
+  private void logForeignGroup(PeerName from, String group) {
+    if (!foreignGroupLogged) {
+      foreignGroupLogged = true;
+      actions.log(
+          Level.SEVERE,
+          "message of another group rejected: peer="
+              + from
+              + " group="
+              + group
+              + " ownGroup="
+              + config.group()
+              + " reason=cluster names or voters differ");
     }
   }
 
-  private void told(PeerName to, long have) {
-    if (voter == null) {
-      return;
+  private void receiveView(ViewReply reply) {
+    if (reply.hasView()) {
+      viewClient.viewReceived(actions.now(), MembershipCodec.decodeView(reply.getView()));
     }
-    Told.Builder told = Told.newBuilder();
-    if (agreed.view().number() > have) {
-      told.setView(RaftMessageCodec.said(agreed.view()));
-    }
-    PeerName leader = voter.leader();
-    host.send(to, word().setTold(told.setLeader(leader == null ? "" : leader.name())).build());
+    viewClient.voterAnswered(actions.now(), MessageFactory.decodeName(reply.getLeader()));
   }
 
-  private Word.Builder word() {
-    return Word.newBuilder().setGroup(terms.group());
+  private void receiveProposal(PeerName from, ProposalRequest request) {
+    voter.ifPresent(
+        one ->
+            one.propose(
+                from, request.getNumber(), MembershipCodec.decodeProposal(request.getProposal())));
   }
 
-  private static PeerName name(String text) {
-    return text.isEmpty() ? null : new PeerName(text);
+  /** A gateway has connected: it is sent the view, of which it may have missed changes. */
+  public void peerConnected(PeerName peer) {
+    if (viewClient.view().number() > NO_VIEW) {
+      sendView(peer, NO_VIEW);
+    }
   }
 
-  /** Null where there is none, or one of a later version. */
-  private static ProposalResult verdict(String text) {
-    for (ProposalResult each : ProposalResult.values()) {
-      if (each.name().equals(text)) {
-        return each;
-      }
-    }
-    return null;
+  private void sendView(PeerName to, long knownNumber) {
+    voter.ifPresent(
+        one -> {
+          Optional<MembershipView> later =
+              Optional.of(viewClient.view()).filter(view -> view.number() > knownNumber);
+          actions.send(to, messages.viewReply(later, one.leader()));
+        });
   }
 
-  public MembershipViewClient agreed() {
-    return agreed;
+  /** The view as this gateway knows it. */
+  public MembershipViewClient viewClient() {
+    return viewClient;
   }
 
-  /** Null where this gateway is none. */
-  public RaftVoter voter() {
+  /** The voter; empty where this gateway is none. */
+  public Optional<RaftVoter> voter() {
     return voter;
   }
 
-  private final class ForAgreed implements MembershipViewActions {
+  /** Sends requests to voters, or passes them to this gateway's own. */
+  private final class ViewClientActions implements MembershipViewActions {
 
     @Override
-    public void ask(PeerName to, long have) {
-      if (to.equals(terms.self())) {
-        agreed.told(host.now(), voter.leader());
+    public void requestView(PeerName to, long knownNumber) {
+      if (to.equals(config.self())) {
+        viewClient.voterAnswered(actions.now(), voter.flatMap(RaftVoter::leader));
       } else {
-        host.send(to, word().setAsk(have).build());
+        actions.send(to, messages.viewRequest(knownNumber));
       }
     }
 
     @Override
-    public void move(PeerName to, long number, Proposal motion) {
-      if (to.equals(terms.self())) {
-        voter.move(to, number, motion);
+    public void propose(PeerName to, long number, Proposal proposal) {
+      if (to.equals(config.self())) {
+        voter.ifPresent(one -> one.propose(to, number, proposal));
       } else {
-        host.send(
-            to,
-            word()
-                .setMove(
-                    Move.newBuilder().setNumber(number).setMotion(RaftMessageCodec.said(motion)))
-                .build());
+        actions.send(to, messages.proposalRequest(number, proposal));
       }
     }
 
     @Override
-    public void viewIs(MembershipView view) {
-      host.viewIs(view);
+    public void viewChanged(MembershipView view) {
+      actions.viewChanged(view);
     }
 
     @Override
     public void setQuota(double share) {
-      host.setQuota(share);
+      actions.setQuota(share);
     }
 
     @Override
-    public void ended(long life) {
-      host.ended(life);
+    public void incarnationEnded(long incarnation) {
+      actions.incarnationEnded(incarnation);
     }
 
     @Override
-    public void operatorTold(Proposal motion, ProposalResult verdict) {
-      host.operatorTold(motion, verdict);
+    public void operatorProposalDecided(Proposal proposal, ProposalResult result) {
+      actions.operatorProposalDecided(proposal, result);
     }
 
     @Override
-    public void torn(MembershipView held, MembershipView other) {
-      host.say(
+    public void conflictingViews(MembershipView held, MembershipView other) {
+      actions.log(
           Level.SEVERE,
-          "two views are numbered "
+          "two views of one number: view="
               + held.number()
-              + ", "
+              + " held="
               + held.members()
-              + " and "
+              + " other="
               + other.members()
-              + ": a majority of the voters lost what it had kept; compare them, and stop one side");
+              + " reason=a majority of the voters lost stored data; compare them, and stop one side");
     }
 
     @Override
     public void left() {
-      host.left();
+      actions.left();
     }
 
     @Override
     public void wakeAt(Duration when) {
-      host.wakeAt(when);
+      actions.wakeAt(when);
     }
   }
 
   /** Called on the voter's thread. */
-  private final class ForVoter implements RaftVoterActions {
+  private final class VoterActions implements RaftVoterActions {
 
     @Override
-    public StorageDirectory disk() throws IOException {
-      return host.disk();
+    public StorageDirectory openDirectory() throws IOException {
+      return actions.openDirectory();
     }
 
     @Override
-    public void send(PeerName to, Word word) {
-      host.post(() -> host.send(to, word));
+    public void send(PeerName to, ConsensusMessage message) {
+      actions.post(() -> actions.send(to, message));
     }
 
-    /** Of who leads all members hear at once; who does not hear it asks. */
+    /** The leader sends a new view to all members at once; the others request it. */
     @Override
-    public void viewIs(MembershipView view) {
-      host.post(
+    public void viewCommitted(MembershipView view) {
+      actions.post(
           () -> {
-            long before = agreed.view().number();
-            agreed.heard(host.now(), view);
-            if (agreed.view().number() > before && terms.self().equals(voter.leader())) {
+            long before = viewClient.view().number();
+            viewClient.viewReceived(actions.now(), view);
+            if (viewClient.view().number() > before && isLeader()) {
               view.members().keySet().stream()
-                  .filter(n -> !n.equals(terms.self()))
-                  .forEach(n -> told(n, before));
+                  .filter(name -> !name.equals(config.self()))
+                  .forEach(name -> sendView(name, before));
             }
           });
     }
 
+    private boolean isLeader() {
+      return voter.flatMap(RaftVoter::leader).filter(config.self()::equals).isPresent();
+    }
+
     @Override
-    public void moved(PeerName asker, long number, ProposalResult verdict, PeerName leader) {
-      host.post(
+    public void proposalAnswered(PeerName proposer, long number, ProposalOutcome outcome) {
+      actions.post(
           () -> {
-            if (asker.equals(terms.self())) {
-              agreed.moved(host.now(), number, verdict, leader);
+            if (proposer.equals(config.self())) {
+              viewClient.proposalAnswered(actions.now(), number, outcome);
             } else {
-              host.send(
-                  asker,
-                  word()
-                      .setMoved(
-                          Moved.newBuilder()
-                              .setNumber(number)
-                              .setVerdict(verdict == null ? "" : verdict.name())
-                              .setLeader(leader == null ? "" : leader.name()))
-                      .build());
+              actions.send(proposer, messages.proposalReply(number, outcome));
             }
           });
     }
 
     @Override
-    public void say(Level level, String words) {
-      host.say(level, words);
+    public void log(Level level, String line) {
+      actions.log(level, line);
     }
   }
 }
--- /dev/null
+++ b/gateway/src/main/java/weldcross/consensus/net/VoterExecutor.java
@@ -0,0 +1,66 @@
+package weldcross.consensus.net;
+
+import io.microraft.executor.RaftNodeExecutor;
+import java.util.concurrent.ScheduledThreadPoolExecutor;
+import java.util.concurrent.TimeUnit;
+import java.util.logging.Level;
+import java.util.logging.Logger;
+
+/**
+ * The voter's thread, which may wait for storage and is used by nothing else. It is started with
+ * the first task; tasks that come after {@link #shutdown} are dropped.
+ */
+final class VoterExecutor implements RaftNodeExecutor {
+
+  private static final Logger LOG = Logger.getLogger(VoterExecutor.class.getName());
+
+  private final ScheduledThreadPoolExecutor thread;
+
+  /**
+   * Creates the executor.
+   *
+   * @param threads one where the gateway is a voter, zero where it is none
+   */
+  VoterExecutor(int threads) {
+    thread = new ScheduledThreadPoolExecutor(threads, VoterExecutor::newThread);
+    thread.setRemoveOnCancelPolicy(true);
+  }
+
+  private static Thread newThread(Runnable task) {
+    Thread thread = new Thread(task, "voter");
+    thread.setDaemon(true);
+    return thread;
+  }
+
+  @Override
+  public void execute(Runnable task) {
+    if (!thread.isShutdown()) {
+      thread.execute(() -> run(task));
+    }
+  }
+
+  @Override
+  public void submit(Runnable task) {
+    execute(task);
+  }
+
+  @Override
+  public void schedule(Runnable task, long delay, TimeUnit unit) {
+    if (!thread.isShutdown()) {
+      thread.schedule(() -> run(task), delay, unit);
+    }
+  }
+
+  private static void run(Runnable task) {
+    try {
+      task.run();
+    } catch (RuntimeException e) {
+      LOG.log(Level.SEVERE, "consensus: voter task failed", e);
+    }
+  }
+
+  /** Runs what has been submitted, and takes nothing more. */
+  void shutdown() {
+    thread.shutdown();
+  }
+}
--- a/gateway/src/main/java/weldcross/consensus/raft/FailStopRaftStore.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/FailStopRaftStore.java
@@ -10,39 +10,48 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The same store; tells of the first failure, after which nothing more is taken. */
+/**
+ * Passes writes of one Raft node on until the first fails; that failure is reported, and every
+ * later write fails at once. What is stored after a failed write is unknown until it is read again.
+ */
 final class FailStopRaftStore implements RaftStore {
 
-  private interface Step {
+  private interface Write {
     void run() throws IOException;
   }
 
   private final RaftStore store;
-  private final Consumer<IOException> failed;
-  private boolean over, ended;
-
-  FailStopRaftStore(RaftStore store, Consumer<IOException> failed) {
+  private final Consumer<IOException> onFailure;
+  private boolean failed;
+  private boolean detached;
+
+  /**
+   * Guards a store.
+   *
+   * @param onFailure called at most once, within the write that fails
+   */
+  FailStopRaftStore(RaftStore store, Consumer<IOException> onFailure) {
     this.store = store;
-    this.failed = failed;
+    this.onFailure = onFailure;
   }
 
-  /** The node that writes here is ended and says nothing more: what it still writes is dropped. */
-  void end() {
-    ended = true;
+  /** Drops all later writes: their node has been terminated and acknowledges nothing more. */
+  void detach() {
+    detached = true;
   }
 
-  private void guard(Step step) throws IOException {
-    if (ended) {
+  private void guard(Write write) throws IOException {
+    if (detached) {
       return;
     }
-    if (over) {
-      throw new IOException("nothing more is taken");
+    if (failed) {
+      throw new IOException("a write to the voter's store has failed, later ones are rejected");
     }
     try {
-      step.run();
+      write.run();
     } catch (IOException e) {
-      over = true;
-      failed.accept(e);
+      failed = true;
+      onFailure.accept(e);
       throw e;
     }
   }
--- a/gateway/src/main/java/weldcross/consensus/raft/RaftVoter.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/RaftVoter.java
@@ -1,146 +1,147 @@
 package weldcross.consensus.raft;
 
-import io.microraft.MembershipChangeMode;
 import io.microraft.RaftConfig;
 import io.microraft.RaftEndpoint;
 import io.microraft.RaftNode;
 import io.microraft.executor.RaftNodeExecutor;
 import io.microraft.model.message.AppendEntriesRequest;
-import io.microraft.model.message.AppendEntriesSuccessResponse;
 import io.microraft.model.message.InstallSnapshotRequest;
 import io.microraft.model.message.PreVoteRequest;
 import io.microraft.model.message.RaftMessage;
 import io.microraft.model.message.TriggerLeaderElectionRequest;
 import io.microraft.model.message.VoteRequest;
-import io.microraft.model.message.VoteResponse;
-import io.microraft.report.RaftGroupMembers;
-import io.microraft.statemachine.StateMachine;
 import io.microraft.transport.Transport;
 import java.io.IOException;
 import java.time.Clock;
 import java.time.Duration;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.logging.Level;
 import weldcross.consensus.ConsensusConfig;
-import weldcross.consensus.MembershipStateMachine;
+import weldcross.consensus.LogPosition;
+import weldcross.consensus.MembershipView;
 import weldcross.consensus.Proposal;
+import weldcross.consensus.ProposalOutcome;
 import weldcross.consensus.ProposalResult;
 import weldcross.consensus.VoterRecovery;
-import weldcross.consensus.wire.Compare;
-import weldcross.consensus.wire.Compared;
-import weldcross.consensus.wire.MotionSaid;
-import weldcross.consensus.wire.Raft;
-import weldcross.consensus.wire.ViewSaid;
-import weldcross.consensus.wire.Word;
+import weldcross.consensus.wire.ConsensusMessage;
+import weldcross.consensus.wire.RaftEnvelope;
+import weldcross.consensus.wire.RecoveryQuery;
+import weldcross.consensus.wire.RecoveryReply;
 import weldcross.mesh.PeerName;
-import weldcross.storage.RecordLog;
+import weldcross.storage.CorruptLogException;
 import weldcross.storage.StorageDirectory;
 
 /**
- * One voter: the consensus library's node (MicroRaft) with what it keeps and whom it speaks to.
- * Before it says anything under its identity {@link VoterRecovery} has compared what its disk has
- * with what the others know; while it may lack something it votes only for who has all of that, and
- * never stands itself.
+ * One voter: a node of the consensus library (MicroRaft) with its storage and its messages.
  *
- * <p>All of it is used on the executor's one thread; only {@link #leader} and {@link #phase} are
- * asked from others.
+ * <p>Before it sends anything under its identity, {@link VoterRecovery} has compared its log with
+ * what the other voters know. While its log may lack entries it grants its vote only to candidates
+ * that have all of them, and never stands for election.
+ *
+ * <p>Everything runs on the executor's one thread; only {@link #leader} and {@link #phase} may be
+ * called from others.
  */
 public final class RaftVoter {
 
-  /** From start to end. */
+  /** The phases of a voter. */
   public enum Phase {
-    /** Its disk is being read, or cannot be and is tried again. */
+    /** Its storage is being read, or failed and is opened again. */
     OPENING,
-    /** It asks the others what they know of it. */
+    /** It asks the other voters what they know of it. */
     ASKING,
-    /** Under a new identity; the leader has yet to take it up. */
+    /** It has a new identity that the leader has yet to admit. */
     JOINING,
-    /** It may lack something that it had kept. */
+    /** Its log may lack entries that it has acknowledged. */
     LEARNING,
+    /** It takes part in elections and commits. */
     VOTING,
+    /** It has been ended. */
     ENDED
   }
 
-  private static final Duration AGAIN = Duration.ofMillis(500), DISK_AGAIN = Duration.ofSeconds(1);
+  /** Between two queries, and between two requests for admission. */
+  private static final Duration QUERY_PERIOD = Duration.ofMillis(500);
+
+  private static final Duration STORAGE_RETRY_DELAY = Duration.ofSeconds(1);
 
-  /** So many rounds of asking without an end are told. */
-  private static final int ROUNDS_TOLD = 20;
+  /** A voter that waits logs a warning once in so many queries. */
+  private static final int QUERIES_PER_WARNING = 20;
 
   /**
-   * Against a node that hears no leader and cannot make one. A node of MicroRaft 0.7 that was
-   * asking for pre-votes when a leader appeared stands no more once that leader is gone; and one
-   * that is refused pre-votes for its old term is not told of the new one (both seen in
-   * AgreementSweep). After so many silences its node is begun anew, in the highest term that is
-   * known. That also catches a process that stood still, whose leader's words wait to be read, and
-   * a minority; it costs nothing that is kept.
+   * A node that has heard no leader for so many leader timeouts is restarted, in the highest known
+   * term. MicroRaft 0.7 leaves a node stuck in two cases: one that was collecting pre-votes when a
+   * leader appeared does not stand again once that leader is gone, and one whose pre-votes are
+   * rejected for its old term never learns of the new one. A node of a minority, and one whose
+   * process was paused, are restarted too, which loses nothing that is stored.
    */
-  private static final int DEAF = 4;
+  private static final int LEADER_TIMEOUTS_UNTIL_RESTART = 4;
 
-  private static final Duration ELECTION = Duration.ofMillis(500);
-  private static final int SNAPSHOT_EACH = 256;
-
-  /** What an identity has said to this voter, as far as this life has heard it. */
-  private static final class Memory {
-    int ackedTerm, votedTerm;
-    long ackedIndex;
-  }
+  private static final Duration ELECTION_TIMEOUT = Duration.ofMillis(500);
+  private static final int COMMITS_PER_SNAPSHOT = 256;
 
-  private final ConsensusConfig terms;
+  private final ConsensusConfig config;
   private final RaftNodeExecutor executor;
   private final Clock clock;
   private final Random random;
-  private final LongSupplier marks;
-  private final RaftVoterActions host;
-  private final Map<VoterId, Memory> memories = new HashMap<>();
+  private final LongSupplier nonces;
+  private final RaftVoterActions actions;
+  private final AcknowledgementHistory history = new AcknowledgementHistory();
   private volatile RaftNode node;
   private volatile Phase phase = Phase.OPENING;
-  private StorageDirectory disk;
-  private PersistentRaftStore kept;
-  private FailStopRaftStore guarded;
+  private StorageDirectory directory;
+  private PersistentRaftStore store;
+  private FailStopRaftStore nodeStore;
   private VoterId self;
-  private VoterRecovery returning;
-  private String trouble;
-  private int life, rounds, termHeard;
+  private VoterRecovery recovery;
+  private String loggedFailure;
 
-  /** Whether what the disk has was said under an identity that is no voter any more. */
-  private boolean asAnother;
+  /** Grows with each node; what was scheduled for an earlier one does nothing. */
+  private int generation;
 
-  /** Whether it has records that it does not use. */
-  private boolean had;
+  private int queries;
+  private int highestTermHeard;
 
-  private long leaderHeardAt;
+  /** Whether the stored log belongs to an identity that is no voter any more. */
+  private boolean identityReplaced;
+
+  /** Whether there is a stored log that is not used. */
+  private boolean logUnusable;
+
+  private long leaderHeardAtMillis;
 
   /**
-   * @param executor runs all of this voter on one thread, in order
-   * @param clock that goes evenly; of the library's times
-   * @param random of the library's election times
-   * @param marks of new identities: none twice, in whatever life of whatever process
+   * Creates a voter that has yet to be started.
+   *
+   * @param executor runs all tasks of this voter on one thread, in order
+   * @param clock that never jumps, for the library's timeouts
+   * @param random for the library's election timeouts
+   * @param nonces of new identities; no value twice, over all processes of all voters
    */
   public RaftVoter(
-      ConsensusConfig terms,
+      ConsensusConfig config,
       RaftNodeExecutor executor,
       Clock clock,
       Random random,
-      LongSupplier marks,
-      RaftVoterActions host) {
-    this.terms = terms;
+      LongSupplier nonces,
+      RaftVoterActions actions) {
+    this.config = config;
     this.executor = executor;
     this.clock = clock;
     this.random = random;
-    this.marks = marks;
-    this.host = host;
+    this.nonces = nonces;
+    this.actions = actions;
   }
 
+  /** Opens the storage and begins the recovery; may be called from any thread, once. */
   public void start() {
     executor.execute(this::open);
   }
 
+  /** Ends the voter for good; may be called from any thread. */
   public void end() {
     executor.execute(
         () -> {
@@ -150,481 +151,460 @@
   }
 
   private void close() {
-    life++;
+    generation++;
     if (node != null) {
-      guarded.end();
+      nodeStore.detach();
       node.terminate();
       node = null;
     }
-    if (kept != null) {
-      kept.close();
-    } else if (disk != null) {
+    if (store != null) {
+      store.close();
+    } else if (directory != null) {
       try {
-        disk.close();
+        directory.close();
       } catch (IOException e) {
-        // Given up; it is opened anew.
+        // Nothing was written since it was opened.
       }
     }
-    kept = null;
-    disk = null;
+    store = null;
+    directory = null;
   }
 
-  // ---- The disk, and what the others know
+  // ---- Storage and recovery
 
   private void open() {
     if (phase == Phase.ENDED) {
       return;
     }
-    VoterRecovery.Kept has = VoterRecovery.Kept.NOTHING;
-    boolean damaged = false;
+    VoterRecovery.LogSummary summary = VoterRecovery.LogSummary.NONE;
+    boolean corrupt = false;
     try {
-      disk = host.disk();
-      long[] torn = new long[1];
-      kept = PersistentRaftStore.open(disk, torn);
-      if (torn[0] > 0) {
-        host.say(Level.WARNING, torn[0] + " torn bytes cut from the end of its log");
-      }
-      has = asAnother ? VoterRecovery.Kept.NOTHING : kept.inShort();
-    } catch (RecordLog.Damaged e) {
-      // Never guessed: what is damaged is fetched from the others, under another identity.
-      damaged = true;
-      host.say(Level.SEVERE, "its records are damaged, and not used: " + e.getMessage());
+      summary = openStore();
+    } catch (CorruptLogException e) {
+      // Nothing in it is trusted: the log is fetched from the others, under a new identity.
+      corrupt = true;
+      actions.log(Level.SEVERE, "voter log damaged, not used: reason=" + e.getMessage());
     } catch (IOException e) {
-      failed(e);
+      storageFailed(e);
       return;
     }
-    self = has.identity() == null ? null : VoterId.of(has.identity());
-    had = damaged || asAnother;
-    returning = new VoterRecovery(terms.voters().size(), terms.trustDisk(), has, had);
+    self = summary.identity().map(VoterId::parse).orElse(null);
+    logUnusable = corrupt || identityReplaced;
+    recovery =
+        new VoterRecovery(config.voters().size(), config.trustStorage(), summary, logUnusable);
     phase = Phase.ASKING;
-    rounds = 0;
-    decided();
-    ask(life);
+    queries = 0;
+    applyDecision();
+    queryPeriodically(generation);
   }
 
-  /** What was written may be kept or not: all is read anew, and compared anew. */
-  private void failed(IOException why) {
-    if (!String.valueOf(why.getMessage()).equals(trouble)) {
-      trouble = String.valueOf(why.getMessage());
-      host.say(Level.SEVERE, "its disk fails, it does not vote until that works: " + trouble);
+  private VoterRecovery.LogSummary openStore() throws IOException {
+    directory = actions.openDirectory();
+    store = PersistentRaftStore.open(directory);
+    if (store.tornBytes() > 0) {
+      actions.log(
+          Level.WARNING, "voter log repaired, torn end cut: tornBytes=" + store.tornBytes());
+    }
+    return identityReplaced ? VoterRecovery.LogSummary.NONE : store.summary();
+  }
+
+  /** What was written may be durable or not: the log is read and compared with the others anew. */
+  private void storageFailed(IOException failure) {
+    String reason = String.valueOf(failure.getMessage());
+    if (!reason.equals(loggedFailure)) {
+      loggedFailure = reason;
+      actions.log(
+          Level.SEVERE, "voter storage failed, not voting until it works: reason=" + reason);
     }
     if (phase != Phase.ENDED) {
       phase = Phase.OPENING;
       close();
-      executor.schedule(this::open, DISK_AGAIN.toMillis(), TimeUnit.MILLISECONDS);
+      executor.schedule(this::open, STORAGE_RETRY_DELAY.toMillis(), TimeUnit.MILLISECONDS);
     }
   }
 
-  private void failedLater(IOException why) {
-    int ofLife = life;
+  /** Reports a failure of the node's store, which is within a call of the node. */
+  private void storageFailedInNode(IOException failure) {
+    int failedGeneration = generation;
     executor.execute(
         () -> {
-          if (life == ofLife) {
-            failed(why);
+          if (generation == failedGeneration) {
+            storageFailed(failure);
           }
         });
   }
 
   /**
-   * Also while it learns: what it waits for may be lost by whoever had it, and is then waited for
-   * no more. And where it votes and hears of no leader: another may have its place.
+   * Asks the other voters what they know of this one. It also does so while it catches up, as what
+   * it waits for may be lost by whoever had it, and while it votes without a leader, as another
+   * identity may have replaced it.
    */
-  private void ask(int ofLife) {
-    if (phase == Phase.ENDED || life != ofLife) {
+  private void queryPeriodically(int queriedGeneration) {
+    if (phase == Phase.ENDED || generation != queriedGeneration) {
       return;
     }
-    executor.schedule(() -> ask(ofLife), AGAIN.toMillis(), TimeUnit.MILLISECONDS);
-    if (node != null
-        && phase != Phase.JOINING
-        && !leads()
-        && clock.millis() - leaderHeardAt > terms.silence().multipliedBy(DEAF).toMillis()) {
-      again();
+    executor.schedule(
+        () -> queryPeriodically(queriedGeneration), QUERY_PERIOD.toMillis(), TimeUnit.MILLISECONDS);
+    if (hasLostLeader()) {
+      restartNode();
       return;
     }
-    if (phase == Phase.JOINING || (phase == Phase.VOTING && leader() != null)) {
+    if (phase == Phase.JOINING || (phase == Phase.VOTING && leader().isPresent())) {
       return;
     }
-    Word word =
-        word()
-            .setCompare(Compare.newBuilder().setIdentity(self == null ? "" : self.getId()))
-            .build();
-    others().forEach(voter -> host.send(voter, word));
-    if (++rounds % ROUNDS_TOLD == 0) {
-      host.say(
-          Level.WARNING,
-          phase == Phase.VOTING
-              ? "it votes, and knows of no leader"
-              : "it waits to hear what "
-                  + "the other voters know before it votes: "
-                  + returning.describe());
+    RecoveryQuery query = RecoveryQuery.newBuilder().setIdentity(selfId()).build();
+    sendToOthers(message().setRecoveryQuery(query).build());
+    if (++queries % QUERIES_PER_WARNING == 0) {
+      logWaiting();
     }
   }
 
-  private List<PeerName> others() {
-    return terms.voters().stream().filter(v -> !v.equals(terms.self())).toList();
+  private boolean hasLostLeader() {
+    Duration timeout = config.leaderTimeout().multipliedBy(LEADER_TIMEOUTS_UNTIL_RESTART);
+    return node != null
+        && phase != Phase.JOINING
+        && !isLeader()
+        && clock.millis() - leaderHeardAtMillis > timeout.toMillis();
   }
 
-  private Word.Builder word() {
-    return Word.newBuilder().setGroup(terms.group());
+  private void logWaiting() {
+    actions.log(
+        Level.WARNING,
+        phase == Phase.VOTING
+            ? "voter knows of no leader: voter=" + self
+            : "voter waits for replies before it votes: " + recovery.describe());
   }
 
-  private void decided() {
+  private void applyDecision() {
     try {
-      switch (returning.phase()) {
-        case FOUNDS -> {
-          self = new VoterId(terms.self(), 0);
-          begin(true, returning.term());
-          run(Phase.VOTING);
+      switch (recovery.decision()) {
+        case FOUND_GROUP -> {
+          self = VoterId.founder(config.self());
+          initializeStore(true, recovery.highestTerm());
+          startNode(Phase.VOTING);
         }
-        case GOES_ON -> run(Phase.VOTING);
-        case LEARNS_FIRST -> {
-          kept.spend(returning.term(), self);
-          run(Phase.LEARNING);
+        case RESUME -> startNode(Phase.VOTING);
+        case CATCH_UP -> {
+          store.useUpTerm(recovery.highestTerm(), self);
+          startNode(Phase.LEARNING);
         }
-        case IS_NEW -> {
-          self = new VoterId(terms.self(), marks.getAsLong());
-          kept = PersistentRaftStore.anew(disk);
-          asAnother = false;
-          begin(false, 0);
-          run(Phase.JOINING);
-          askForAdmission(life);
+        case NEW_IDENTITY -> {
+          self = new VoterId(config.self(), nonces.getAsLong());
+          store = PersistentRaftStore.recreate(directory);
+          identityReplaced = false;
+          initializeStore(false, 0);
+          startNode(Phase.JOINING);
+          requestAdmissionPeriodically(generation);
         }
-        default -> {
-          // Not yet.
+        case UNDECIDED -> {
+          // More replies are needed.
         }
       }
     } catch (IOException e) {
-      failed(e);
+      storageFailed(e);
     }
   }
 
-  private void begin(boolean voting, int spent) throws IOException {
-    kept.begin(
-        self, terms.voters().stream().map(v -> new VoterId(v, 0).getId()).toList(), voting, spent);
-  }
-
-  private void run(Phase next) {
-    guarded = new FailStopRaftStore(kept, this::failedLater);
-    boolean loud =
-        returning.phase() == VoterRecovery.Phase.IS_NEW
-            || returning.phase() == VoterRecovery.Phase.LEARNS_FIRST;
-    host.say(
-        loud ? Level.WARNING : Level.INFO,
-        "it is "
-            + self
-            + ", "
-            + returning.phase()
-            + (returning.why().isEmpty() ? "" : ": " + returning.why()));
-    trouble = null;
-    leaderHeardAt = clock.millis();
+  private void initializeStore(boolean voting, int usedTerm) throws IOException {
+    List<String> founders =
+        config.voters().stream().map(voter -> VoterId.founder(voter).getId()).toList();
+    store.initialize(self, founders, voting, usedTerm);
+  }
+
+  private void startNode(Phase next) {
+    nodeStore = new FailStopRaftStore(store, this::storageFailedInNode);
+    logStart();
+    loggedFailure = null;
+    leaderHeardAtMillis = clock.millis();
     phase = next;
-    int ofLife = life;
+    int nodeGeneration = generation;
     node =
         RaftNode.newBuilder()
-            .setGroupId(terms.group())
-            .setRestoredState(kept.restored())
-            .setConfig(
-                RaftConfig.newBuilder()
-                    .setLeaderElectionTimeoutMillis(ELECTION.toMillis())
-                    .setLeaderHeartbeatPeriodSecs(terms.heartbeat().toSeconds())
-                    .setLeaderHeartbeatTimeoutSecs(terms.silence().toSeconds())
-                    .setCommitCountToTakeSnapshot(SNAPSHOT_EACH)
-                    .build())
+            .setGroupId(config.group())
+            .setRestoredState(store.restore())
+            .setConfig(raftConfig())
             .setExecutor(executor)
-            .setTransport(new MeshTransport(ofLife))
-            .setStateMachine(new Machine(ofLife))
-            .setStore(guarded)
-            .setModelFactory(RaftMessageCodec.MODELS)
+            .setTransport(new MessageTransport(nodeGeneration))
+            .setStateMachine(
+                new ReplicatedView(config.self(), view -> viewCommitted(nodeGeneration, view)))
+            .setStore(nodeStore)
+            .setModelFactory(RaftRecordCodec.MODELS)
             .setRandom(random)
             .setClock(clock)
             .build();
     node.start();
-    caughtUp();
+    voteIfCaughtUp();
   }
 
-  // ---- A new identity
+  private RaftConfig raftConfig() {
+    return RaftConfig.newBuilder()
+        .setLeaderElectionTimeoutMillis(ELECTION_TIMEOUT.toMillis())
+        .setLeaderHeartbeatPeriodSecs(config.heartbeatPeriod().toSeconds())
+        .setLeaderHeartbeatTimeoutSecs(config.leaderTimeout().toSeconds())
+        .setCommitCountToTakeSnapshot(COMMITS_PER_SNAPSHOT)
+        .build();
+  }
 
-  private void askForAdmission(int ofLife) {
-    if (life != ofLife || phase != Phase.JOINING) {
-      return;
+  private void logStart() {
+    VoterRecovery.Decision decision = recovery.decision();
+    boolean mayHaveLostData =
+        decision == VoterRecovery.Decision.NEW_IDENTITY
+            || decision == VoterRecovery.Decision.CATCH_UP;
+    String reason = recovery.reason().isEmpty() ? "" : " reason=" + recovery.reason();
+    actions.log(
+        mayHaveLostData ? Level.WARNING : Level.INFO,
+        "voter started: voter=" + self + " decision=" + decision + reason);
+  }
+
+  private void viewCommitted(int nodeGeneration, MembershipView view) {
+    if (nodeGeneration == generation) {
+      actions.viewCommitted(view);
     }
-    others().forEach(voter -> host.send(voter, word().setAdmit(self.getId()).build()));
-    executor.schedule(() -> askForAdmission(ofLife), AGAIN.toMillis(), TimeUnit.MILLISECONDS);
   }
 
-  /**
-   * The leader takes the place of what was lost from it, and gives it to who has come back; one at
-   * a time.
-   */
-  private void admit(VoterId next) {
-    if (node == null || !leads() || !terms.voters().contains(next.name())) {
-      return;
+  /** Starts a new node on the same store. */
+  private void restartNode() {
+    actions.log(Level.INFO, "voter node restarted: voter=" + self + " reason=no leader heard");
+    generation++;
+    nodeStore.detach();
+    node.terminate();
+    try {
+      store.flush();
+      store.useUpTerm(highestTermHeard, self);
+      startNode(phase);
+      queryPeriodically(generation);
+    } catch (IOException e) {
+      storageFailed(e);
     }
-    RaftGroupMembers group = node.getCommittedMembers();
-    if (group.getLogIndex() != node.getEffectiveMembers().getLogIndex()) {
+  }
+
+  /** Reads the store and asks the others anew. */
+  private void reopen() {
+    close();
+    phase = Phase.OPENING;
+    open();
+  }
+
+  private void requestAdmissionPeriodically(int requestedGeneration) {
+    if (generation != requestedGeneration || phase != Phase.JOINING) {
       return;
     }
-    for (RaftEndpoint each : group.getMembers()) {
-      VoterId before = (VoterId) each;
-      if (before.name().equals(next.name())) {
-        if (!before.equals(next)) {
-          host.say(
-              Level.WARNING,
-              before + " lost what it had kept: it votes no more, " + next + " takes its place");
-          node.changeMembership(before, MembershipChangeMode.REMOVE_MEMBER, group.getLogIndex());
-        }
-        return;
-      }
-    }
-    node.changeMembership(
-        next, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, group.getLogIndex());
+    sendToOthers(message().setAdmissionRequest(self.getId()).build());
+    executor.schedule(
+        () -> requestAdmissionPeriodically(requestedGeneration),
+        QUERY_PERIOD.toMillis(),
+        TimeUnit.MILLISECONDS);
   }
 
-  /** Whether it now has all that it may have had before, or is a voter under its new identity. */
-  private void caughtUp() {
-    boolean joined =
+  private void voteIfCaughtUp() {
+    boolean admitted =
         phase == Phase.JOINING && node.getCommittedMembers().getVotingMembers().contains(self);
-    if (joined
-        || (phase == Phase.LEARNING
-            && returning.has(kept.inShort()) == VoterRecovery.Phase.GOES_ON)) {
+    if (admitted || (phase == Phase.LEARNING && hasCaughtUp())) {
       phase = Phase.VOTING;
-      host.say(Level.INFO, self + " has learnt what the others have, and votes");
+      actions.log(Level.INFO, "voter caught up and votes: voter=" + self);
     }
   }
 
-  // ---- What comes
+  private boolean hasCaughtUp() {
+    return recovery.localLogChanged(store.summary()) == VoterRecovery.Decision.RESUME;
+  }
+
+  // ---- Messages
 
-  /** From any thread: a word of another gateway; one of another group is not for this one. */
-  public void heard(PeerName from, Word word) {
+  /** Takes a message of another gateway; may be called from any thread. */
+  public void receive(PeerName from, ConsensusMessage message) {
     executor.execute(
         () -> {
-          if (phase == Phase.ENDED || !word.getGroup().equals(terms.group())) {
+          if (phase == Phase.ENDED || !message.getGroup().equals(config.group())) {
             return;
           }
-          switch (word.getKindCase()) {
-            case RAFT -> raft(from, word.getRaft());
-            case COMPARE -> compared(from, word.getCompare().getIdentity());
-            case COMPARED -> answered(from, word.getCompared());
-            case ADMIT -> admit(VoterId.of(word.getAdmit()));
+          switch (message.getKindCase()) {
+            case RAFT -> receiveRaft(from, message.getRaft());
+            case RECOVERY_QUERY -> reply(from, message.getRecoveryQuery().getIdentity());
+            case RECOVERY_REPLY -> receiveReply(from, message.getRecoveryReply());
+            case ADMISSION_REQUEST -> admit(VoterId.parse(message.getAdmissionRequest()));
             default -> {
-              // Not for a voter.
+              // Not for a voter, or of a later version.
             }
           }
         });
   }
 
-  private void raft(PeerName from, Raft said) {
-    RaftMessage message = node == null ? null : RaftMessageCodec.message(said, terms.group());
+  private void receiveRaft(PeerName from, RaftEnvelope envelope) {
+    if (node == null) {
+      return;
+    }
+    RaftMessage message = RaftMessageDecoder.decode(envelope, config.group()).orElse(null);
     if (message == null || !((VoterId) message.getSender()).name().equals(from)) {
       return;
     }
     if (message instanceof AppendEntriesRequest || message instanceof InstallSnapshotRequest) {
-      leaderHeardAt = clock.millis();
+      leaderHeardAtMillis = clock.millis();
     }
-    remember(message);
-    if (phase == Phase.LEARNING) {
-      boolean lacking =
-          (message instanceof VoteRequest v && lacks(v.getLastLogTerm(), v.getLastLogIndex()))
-              || (message instanceof PreVoteRequest p
-                  && lacks(p.getLastLogTerm(), p.getLastLogIndex()));
-      if (lacking || message instanceof TriggerLeaderElectionRequest) {
-        return;
-      }
+    history.record(message, store::termAt);
+    if (phase == Phase.LEARNING && mayElectIncompleteLog(message)) {
+      return;
     }
     node.handle(message);
     executor.submit(
         () -> {
           if (node != null) {
-            caughtUp();
+            voteIfCaughtUp();
           }
         });
   }
 
-  /** Whether a candidate may lack what this voter, as it was before, helped to commit. */
-  private boolean lacks(int term, long index) {
-    return VoterRecovery.isBefore(term, index, returning.targetTerm(), returning.targetIndex());
-  }
-
-  private void remember(RaftMessage message) {
-    Memory memory = memories.computeIfAbsent((VoterId) message.getSender(), id -> new Memory());
-    if (message instanceof AppendEntriesSuccessResponse m) {
-      int term = kept.termAt(m.getLastLogIndex());
-      if (VoterRecovery.isBefore(memory.ackedTerm, memory.ackedIndex, term, m.getLastLogIndex())) {
-        memory.ackedTerm = term;
-        memory.ackedIndex = m.getLastLogIndex();
-      }
-    } else if (message instanceof VoteResponse m && m.isGranted()) {
-      memory.votedTerm = Math.max(memory.votedTerm, m.getTerm());
+  /**
+   * Whether a message would have this voter elect a candidate, or itself, that may lack entries it
+   * helped to commit before its restart.
+   */
+  private boolean mayElectIncompleteLog(RaftMessage message) {
+    LogPosition target = recovery.target();
+    if (message instanceof VoteRequest request) {
+      return new LogPosition(request.getLastLogTerm(), request.getLastLogIndex()).isBefore(target);
     }
+    if (message instanceof PreVoteRequest request) {
+      return new LogPosition(request.getLastLogTerm(), request.getLastLogIndex()).isBefore(target);
+    }
+    return message instanceof TriggerLeaderElectionRequest;
   }
 
-  private void compared(PeerName from, String identity) {
+  private void reply(PeerName from, String identity) {
     if (phase == Phase.OPENING) {
       return;
     }
-    VoterRecovery.Kept has = kept == null ? VoterRecovery.Kept.NOTHING : kept.inShort();
-    boolean joins = phase == Phase.JOINING;
-    Memory memory =
-        identity.isEmpty()
-            ? new Memory()
-            : memories.getOrDefault(VoterId.of(identity), new Memory());
-    boolean founding = !had && (self == null || self.mark() == 0);
-    boolean stranger = node != null && !identity.isEmpty();
-    for (VoterId each : memories.keySet()) {
-      founding &= each.mark() == 0;
+    RecoveryReplies.Knowledge knowledge =
+        new RecoveryReplies.Knowledge(
+            Optional.ofNullable(self),
+            Optional.ofNullable(node),
+            store == null ? VoterRecovery.LogSummary.NONE : store.summary(),
+            self != null && phase != Phase.JOINING,
+            logUnusable,
+            history);
+    RecoveryReply reply = RecoveryReplies.create(identity, knowledge);
+    actions.send(from, message().setRecoveryReply(reply).build());
+  }
+
+  private void receiveReply(PeerName from, RecoveryReply reply) {
+    // A reply to an earlier process, which asked under another identity, says nothing of this one.
+    if (phase == Phase.OPENING
+        || phase == Phase.JOINING
+        || !reply.getIdentity().equals(selfId())
+        || !others().contains(from)) {
+      return;
     }
-    if (node != null) {
-      for (RaftGroupMembers group :
-          List.of(node.getCommittedMembers(), node.getEffectiveMembers())) {
-        for (RaftEndpoint each : group.getMembers()) {
-          founding &= ((VoterId) each).mark() == 0;
-          stranger &= !each.getId().equals(identity);
-        }
-      }
+    highestTermHeard = Math.max(highestTermHeard, reply.getTerm());
+    if (phase == Phase.LEARNING) {
+      recovery.localLogChanged(store.summary());
     }
-    host.send(
-        from,
-        word()
-            .setCompared(
-                Compared.newBuilder()
-                    .setHas(self != null && !joins)
-                    .setIdentity(identity)
-                    .setTerm(Math.max(has.term(), node == null ? 0 : node.getTerm().getTerm()))
-                    .setLastTerm(has.lastTerm())
-                    .setLastIndex(has.lastIndex())
-                    .setAcknowledgedTerm(memory.ackedTerm)
-                    .setAcknowledgedIndex(memory.ackedIndex)
-                    .setVotedTerm(memory.votedTerm)
-                    .setFounding(founding)
-                    .setStranger(stranger))
-            .build());
-  }
-
-  private void answered(PeerName from, Compared said) {
-    // An answer to an earlier life, which asked under another identity, says nothing of this one.
-    if (phase != Phase.OPENING
-        && phase != Phase.JOINING
-        && said.getIdentity().equals(self == null ? "" : self.getId())
-        && others().contains(from)) {
-      termHeard = Math.max(termHeard, said.getTerm());
-      if (phase == Phase.LEARNING) {
-        returning.has(kept.inShort());
-      }
-      returning.answered(
-          from,
-          new VoterRecovery.Answer(
-              said.getHas(),
-              said.getFounding(),
-              said.getStranger(),
-              said.getTerm(),
-              said.getLastTerm(),
-              said.getLastIndex(),
-              said.getAcknowledgedTerm(),
-              said.getAcknowledgedIndex(),
-              said.getVotedTerm()));
-      if (phase == Phase.VOTING) {
-        if (said.getHas() && said.getStranger()) {
-          host.say(Level.WARNING, self + " is no voter any more");
-          asAnother = true;
-          reopen();
-        }
-      } else if (phase == Phase.ASKING) {
-        decided();
-      } else if (returning.phase() == VoterRecovery.Phase.IS_NEW) {
+    recovery.replied(from, RecoveryReplies.decode(reply));
+    if (phase == Phase.VOTING) {
+      if (reply.getHasLog() && reply.getUnknownIdentity()) {
+        actions.log(Level.WARNING, "voter is not in the group any more: voter=" + self);
+        identityReplaced = true;
         reopen();
-      } else {
-        caughtUp();
       }
+    } else if (phase == Phase.ASKING) {
+      applyDecision();
+    } else if (recovery.decision() == VoterRecovery.Decision.NEW_IDENTITY) {
+      reopen();
+    } else {
+      voteIfCaughtUp();
     }
   }
 
-  /** The same voter with the same records, and a new node of the library's. */
-  private void again() {
-    host.say(Level.INFO, "it has heard no leader for long, and begins anew");
-    life++;
-    guarded.end();
-    node.terminate();
-    try {
-      kept.flush();
-      kept.spend(termHeard, self);
-      run(phase);
-      ask(life);
-    } catch (IOException e) {
-      failed(e);
+  private void admit(VoterId candidate) {
+    if (node != null && isLeader() && config.voters().contains(candidate.name())) {
+      new VoterAdmission(node, actions).admit(candidate);
     }
   }
 
-  /** All is read and asked anew. */
-  private void reopen() {
-    close();
-    phase = Phase.OPENING;
-    open();
-  }
-
   /**
-   * From any thread: a change is asked for; {@link RaftVoterActions#moved} is told what became of
-   * it, or never.
+   * Proposes a change; may be called from any thread.
+   *
+   * @param proposer passed to {@link RaftVoterActions#proposalAnswered}, as is the number
+   * @param number passed back with the answer, which may never come
    */
-  public void move(PeerName asker, long number, Proposal motion) {
+  public void propose(PeerName proposer, long number, Proposal proposal) {
     executor.execute(
         () -> {
-          if (node == null || !leads()) {
-            host.moved(asker, number, null, leader());
+          if (node == null || !isLeader()) {
+            actions.proposalAnswered(proposer, number, new ProposalOutcome.NotLeader(leader()));
             return;
           }
-          node.<Object>replicate(RaftMessageCodec.said(motion))
+          node.<Object>replicate(MembershipCodec.encodeProposal(proposal))
               .whenComplete(
-                  (done, fault) -> {
-                    if (fault == null) {
-                      host.moved(asker, number, (ProposalResult) done.getResult(), leader());
+                  (committed, failure) -> {
+                    // After a failure it may be committed or not: the proposer proposes it again.
+                    if (failure == null) {
+                      ProposalResult result = (ProposalResult) committed.getResult();
+                      actions.proposalAnswered(
+                          proposer, number, new ProposalOutcome.Committed(result, leader()));
                     }
-                    // Else it may have been taken or not; whoever asked asks again.
                   });
         });
   }
 
-  private boolean leads() {
+  private ConsensusMessage.Builder message() {
+    return ConsensusMessage.newBuilder().setGroup(config.group());
+  }
+
+  private void sendToOthers(ConsensusMessage message) {
+    others().forEach(voter -> actions.send(voter, message));
+  }
+
+  private List<PeerName> others() {
+    return config.voters().stream().filter(voter -> !voter.equals(config.self())).toList();
+  }
+
+  private String selfId() {
+    return self == null ? "" : self.getId();
+  }
+
+  private boolean isLeader() {
     return self.equals(node.getTerm().getLeaderEndpoint());
   }
 
-  /** The voter that leads, as far as this one knows; null where it knows of none. */
-  public PeerName leader() {
-    RaftNode now = node;
-    RaftEndpoint leader = now == null ? null : now.getTerm().getLeaderEndpoint();
-    return leader == null ? null : ((VoterId) leader).name();
+  /** The leader as far as this voter knows; may be called from any thread. */
+  public Optional<PeerName> leader() {
+    return Optional.ofNullable(node)
+        .map(raft -> raft.getTerm().getLeaderEndpoint())
+        .map(leader -> ((VoterId) leader).name());
   }
 
+  /** The phase of this voter; may be called from any thread. */
   public Phase phase() {
     return phase;
   }
 
-  /** For the log, from the voter's own thread or while that stands still. */
+  /** One line for the log without a line end; called on the voter's thread. */
   public String describe() {
-    return phase
-        + " as "
+    return "phase="
+        + phase
+        + " voter="
         + self
-        + ", keeps "
-        + (kept == null ? "nothing" : kept.inShort())
-        + ", leader "
-        + leader()
-        + ", "
-        + (returning == null ? "" : returning.describe());
+        + " log="
+        + (store == null ? "none" : store.summary())
+        + " leader="
+        + leader().map(PeerName::name).orElse("none")
+        + (recovery == null ? "" : " " + recovery.describe());
   }
 
-  // ---- Of the library
+  /** Sends the messages of one node; those of an earlier one are dropped. */
+  private final class MessageTransport implements Transport {
+    private final int nodeGeneration;
 
-  private final class MeshTransport implements Transport {
-    private final int ofLife;
-
-    MeshTransport(int ofLife) {
-      this.ofLife = ofLife;
+    MessageTransport(int nodeGeneration) {
+      this.nodeGeneration = nodeGeneration;
     }
 
     @Override
     public void send(RaftEndpoint to, RaftMessage message) {
-      boolean stands = message instanceof VoteRequest || message instanceof PreVoteRequest;
-      if (ofLife == life && !(stands && phase != Phase.VOTING)) {
-        host.send(((VoterId) to).name(), word().setRaft(RaftMessageCodec.said(message)).build());
+      boolean standsForElection =
+          message instanceof VoteRequest || message instanceof PreVoteRequest;
+      if (nodeGeneration == generation && (phase == Phase.VOTING || !standsForElection)) {
+        RaftEnvelope envelope = RaftMessageEncoder.encode(message);
+        actions.send(((VoterId) to).name(), message().setRaft(envelope).build());
       }
     }
 
@@ -633,45 +613,4 @@
       return true;
     }
   }
-
-  private final class Machine implements StateMachine {
-    private final int ofLife;
-    private final MembershipStateMachine views = new MembershipStateMachine();
-
-    Machine(int ofLife) {
-      this.ofLife = ofLife;
-    }
-
-    private void tell() {
-      if (ofLife == life) {
-        host.viewIs(views.view());
-      }
-    }
-
-    @Override
-    public Object runOperation(long index, Object operation) {
-      ProposalResult verdict = views.apply(RaftMessageCodec.motion((MotionSaid) operation));
-      if (verdict == ProposalResult.DONE) {
-        tell();
-      }
-      return verdict;
-    }
-
-    @Override
-    public void takeSnapshot(long index, Consumer<Object> to) {
-      to.accept(RaftMessageCodec.said(views.view(), views.ended()));
-    }
-
-    @Override
-    public void installSnapshot(long index, List<Object> content) {
-      RaftMessageCodec.restore(views, (ViewSaid) content.get(0));
-      tell();
-    }
-
-    @Override
-    public Object getNewTermOperation() {
-      return RaftMessageCodec.said(
-          new Proposal(Proposal.Kind.NOTHING, terms.self(), 0, "", 0, terms.self(), 0));
-    }
-  }
 }
--- a/gateway/src/main/java/weldcross/consensus/raft/RaftVoterActions.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/RaftVoterActions.java
@@ -3,33 +3,38 @@
 import java.io.IOException;
 import java.util.logging.Level;
 import weldcross.consensus.MembershipView;
-import weldcross.consensus.ProposalResult;
-import weldcross.consensus.wire.Word;
+import weldcross.consensus.ProposalOutcome;
+import weldcross.consensus.wire.ConsensusMessage;
 import weldcross.mesh.PeerName;
 import weldcross.storage.StorageDirectory;
 
 /**
- * What a {@link RaftVoter} can do to the world; all is called on its own thread, and only {@link
- * #disk} may wait.
+ * What a {@link RaftVoter} has done outside. All methods are called on the voter's thread, and only
+ * {@link #openDirectory} may block.
  */
 public interface RaftVoterActions {
 
-  /** The directory of this voter alone. */
-  StorageDirectory disk() throws IOException;
+  /**
+   * Opens the directory that this voter alone uses; the voter closes it.
+   *
+   * @throws IOException where it is in use or cannot be accessed; the voter tries again
+   */
+  StorageDirectory openDirectory() throws IOException;
 
-  /** Sends it to another voter; it may be lost, late and repeated. */
-  void send(PeerName to, Word word);
+  /** Sends a message to another voter; it may be lost, delayed and repeated. */
+  void send(PeerName to, ConsensusMessage message);
 
-  /** The consensus has committed this view, or it is known again from what was kept. */
-  void viewIs(MembershipView view);
+  /** A view was committed, or was restored from storage or a snapshot. */
+  void viewCommitted(MembershipView view);
 
   /**
-   * What became of a change that was asked for here.
+   * Answers a proposal that was made here.
    *
-   * @param verdict null where this voter does not lead
-   * @param leader null where none is known
+   * @param proposer as passed to {@link RaftVoter#propose}
+   * @param number as passed to {@link RaftVoter#propose}
    */
-  void moved(PeerName asker, long number, ProposalResult verdict, PeerName leader);
+  void proposalAnswered(PeerName proposer, long number, ProposalOutcome outcome);
 
-  void say(Level level, String words);
+  /** Writes one line to the log. */
+  void log(Level level, String line);
 }
--- a/gateway/src/main/java/weldcross/consensus/raft/VoterId.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/VoterId.java
@@ -4,22 +4,39 @@
 import weldcross.mesh.PeerName;
 
 /**
- * Under what a voter votes: its name and a mark, 0 for who was there from the first. Who loses what
- * it had said was kept comes back under another mark, drawn anew, so that nothing that the one
- * before said counts as said by it; a number counted up would be counted twice by disks and
- * memories that lost the first time.
+ * The identity under which a voter takes part in the group. A voter that lost its log continues
+ * under a new nonce, so that nothing the old identity acknowledged counts as acknowledged by the
+ * new one. Nonces are drawn at random: a counter could be lost with the log and be counted twice.
+ *
+ * @param name of the gateway
+ * @param nonce zero for the founders of the group
  */
-record VoterId(PeerName name, long mark) implements RaftEndpoint {
+record VoterId(PeerName name, long nonce) implements RaftEndpoint {
 
-  static VoterId of(String text) {
-    int at = text.lastIndexOf('#');
+  private static final int RADIX = 16;
+  private static final char SEPARATOR = '#';
+
+  /** Parses the form of {@link #getId}. */
+  static VoterId parse(String id) {
+    int separator = id.lastIndexOf(SEPARATOR);
     return new VoterId(
-        new PeerName(text.substring(0, at)), Long.parseUnsignedLong(text.substring(at + 1), 16));
+        new PeerName(id.substring(0, separator)),
+        Long.parseUnsignedLong(id.substring(separator + 1), RADIX));
+  }
+
+  /** The identity of a founder. */
+  static VoterId founder(PeerName name) {
+    return new VoterId(name, 0);
+  }
+
+  boolean isFounder() {
+    return nonce == 0;
   }
 
+  /** The name, {@code #} and the nonce in hexadecimal digits; stored and sent in this form. */
   @Override
   public String getId() {
-    return name.name() + "#" + Long.toHexString(mark);
+    return name.name() + SEPARATOR + Long.toHexString(nonce);
   }
 
   @Override
--- a/gateway/src/main/java/weldcross/control/ClusterStatus.java
+++ b/gateway/src/main/java/weldcross/control/ClusterStatus.java
@@ -53,14 +53,14 @@
   }
 
   private void write(JsonGenerator json, Duration now) throws IOException {
-    MembershipViewClient agreed = consensus.agreement().agreed();
+    MembershipViewClient agreed = consensus.service().viewClient();
     MembershipView view = agreed.view();
     json.writeStringField("self", config.self().name());
     json.writeStringField("group", config.group());
     json.writeNumberField("view", view.number());
     json.writeStringField("phase", agreed.phase().name());
-    json.writeStringField("leader", agreed.leader() == null ? "" : agreed.leader().name());
-    json.writeNumberField("leader_age_ms", millis(Optional.ofNullable(agreed.leaderAge(now))));
+    json.writeStringField("leader", agreed.leader().map(PeerName::name).orElse(""));
+    json.writeNumberField("leader_age_ms", millis(agreed.leaderAge(now)));
     json.writeNumberField("share", agreed.share());
     json.writeStringField("voter", voterPhase());
     json.writeStringField("disk", mesh.diskFailure().orElse(""));
@@ -73,9 +73,7 @@
 
   /** The phase of this gateway's voter; empty where it has none. */
   private String voterPhase() {
-    return consensus.agreement().voter() == null
-        ? ""
-        : consensus.agreement().voter().phase().name();
+    return consensus.service().voter().map(voter -> voter.phase().name()).orElse("");
   }
 
   /** All gateways that are configured, detected or agreed on, by name. */
@@ -99,12 +97,12 @@
     json.writeStringField(
         "seen", self ? SELF_STATE : MemberStateNames.nameOf(detector.stateOf(name)));
     json.writeNumberField("life", known.map(MembershipUpdate::incarnation).orElse(0L));
-    json.writeNumberField("agreed", member.map(Member::life).orElse(0L));
+    json.writeNumberField("agreed", member.map(Member::incarnation).orElse(0L));
     json.writeStringField(
         "zone", member.map(Member::zone).or(() -> known.map(MembershipUpdate::zone)).orElse(""));
     json.writeNumberField(
         "part",
-        member.map(Member::part).or(() -> known.map(MembershipUpdate::trafficWeight)).orElse(0));
+        member.map(Member::weight).or(() -> known.map(MembershipUpdate::trafficWeight)).orElse(0));
     json.writeNumberField("heard_ms", millis(heardAt.map(now::minus)));
     json.writeStringField("link", self ? "" : connections.isUp(name) ? "up" : "down");
     json.writeBooleanField("votes", config.voters().contains(name));
--- a/gateway/src/main/java/weldcross/control/ControlExtension.java
+++ b/gateway/src/main/java/weldcross/control/ControlExtension.java
@@ -61,7 +61,7 @@
     this.consensus = consensus;
     this.config = config;
     this.status = new ClusterStatus(mesh, membership, consensus, config);
-    consensus.operator(this::onProposalDecided);
+    consensus.setOperatorListener(this::onProposalDecided);
   }
 
   private static Thread newThread(Runnable task) {
@@ -124,29 +124,29 @@
     }
     pendingForgets
         .computeIfAbsent(name.get(), forgotten -> new CompletableFuture<>())
-        .thenAccept(result -> response.complete(ControlJson.object("verdict", result.name())));
-    consensus.agreement().forget(name.get());
+        .thenAccept(result -> response.complete(ControlJson.object("verdict", result.wireName())));
+    consensus.service().forget(name.get());
   }
 
   private void onProposalDecided(Proposal proposal, ProposalResult result) {
-    CompletableFuture<ProposalResult> pending = pendingForgets.remove(proposal.of());
+    CompletableFuture<ProposalResult> pending = pendingForgets.remove(proposal.member());
     if (pending != null) {
       pending.complete(result);
     }
   }
 
   private void leave(Optional<PeerName> name, CompletableFuture<String> response) {
-    consensus.agreement().leave(RESPONSE_TIMEOUT);
+    consensus.service().leave(RESPONSE_TIMEOUT);
     replyPhase(response);
   }
 
   private void join(Optional<PeerName> name, CompletableFuture<String> response) {
-    consensus.agreement().join();
+    consensus.service().join();
     replyPhase(response);
   }
 
   private void replyPhase(CompletableFuture<String> response) {
-    String phase = consensus.agreement().agreed().phase().name();
+    String phase = consensus.service().viewClient().phase().name();
     response.complete(ControlJson.object("phase", phase));
   }
 }
--- a/gateway/src/main/java/weldcross/mesh/net/IncarnationStore.java
+++ b/gateway/src/main/java/weldcross/mesh/net/IncarnationStore.java
@@ -9,6 +9,7 @@
 import java.util.logging.Logger;
 import weldcross.extension.ExtensionContext;
 import weldcross.storage.AsyncRecordLog;
+import weldcross.storage.CorruptLogException;
 import weldcross.storage.RecordLog;
 
 /**
@@ -69,7 +70,7 @@
 
   /** Writes that wait for the disk. */
   int pendingWrites() {
-    return log.waiting();
+    return log.queued();
   }
 
   @Override
@@ -77,7 +78,7 @@
     log.close();
   }
 
-  private final class LastNumberReader implements AsyncRecordLog.Opened {
+  private final class LastNumberReader implements AsyncRecordLog.OpenListener {
     private long last;
 
     @Override
@@ -91,7 +92,7 @@
     }
 
     @Override
-    public void opened(RecordLog.Found found) {
+    public void opened(RecordLog.Recovered found) {
       if (found.tornBytes() > 0) {
         LOG.warning(() -> "mesh: torn end of log cut off: bytes=" + found.tornBytes());
       }
@@ -108,9 +109,9 @@
     boolean accepted =
         log.append(
             encode(number),
-            new AsyncRecordLog.Told() {
+            new AsyncRecordLog.WriteListener() {
               @Override
-              public void sure(long recordNumber) {
+              public void durable(long recordNumber) {
                 current = number;
                 failure = Optional.empty();
                 onStored.accept(number);
@@ -118,7 +119,7 @@
               }
 
               @Override
-              public void lost(IOException cause) {
+              public void failed(IOException cause) {
                 onFailure(cause);
               }
             });
@@ -133,14 +134,14 @@
         log.snapshot(
             recordNumber,
             encode(number),
-            new AsyncRecordLog.Told() {
+            new AsyncRecordLog.WriteListener() {
               @Override
-              public void sure(long upTo) {
+              public void durable(long upTo) {
                 // Nothing depends on it: it only saves space.
               }
 
               @Override
-              public void lost(IOException cause) {
+              public void failed(IOException cause) {
                 LOG.warning(() -> "mesh: snapshot failed: reason=" + cause.getMessage());
               }
             });
@@ -158,7 +159,7 @@
    * process. Serving goes on without the mesh.
    */
   private void onFailure(IOException cause) {
-    boolean retry = !(cause instanceof RecordLog.Damaged);
+    boolean retry = !(cause instanceof CorruptLogException);
     if (!failure.equals(Optional.of(cause.getMessage()))) {
       failure = Optional.of(cause.getMessage());
       LOG.severe(
--- a/gateway/src/main/java/weldcross/storage/AsyncRecordLog.java
+++ b/gateway/src/main/java/weldcross/storage/AsyncRecordLog.java
@@ -10,227 +10,257 @@
 import java.util.function.Consumer;
 
 /**
- * A {@link RecordLog} on a thread of its own, for a reducer that never waits: what is asked is
- * taken at once, and told by an event when it is sure or lost. What waits while the disk is at work
- * goes to it as one commit. A disk that is stuck holds up this log alone; {@link #waiting} tells
- * how much waits for it.
+ * A {@link RecordLog} on a thread of its own, for an event loop that must not wait.
+ *
+ * <p>Writes are queued, and their outcome is reported by a listener on the event loop. Records that
+ * are queued while storage is busy are committed together. Storage that is stuck delays this log
+ * alone; {@link #queued} tells how much waits for it. All methods are called on the event loop.
  */
 public final class AsyncRecordLog implements AutoCloseable {
 
-  /** What was kept, told once a log was opened, as one event. */
-  public interface Opened {
+  /** Takes what a log holds once it is opened, all in one task on the event loop. */
+  public interface OpenListener extends RecordLog.Reader {
 
-    /** At most once, first. */
+    @Override
     void snapshot(long upTo, ByteBuffer content);
 
+    @Override
     void record(long number, ByteBuffer content);
 
-    /** All of it was told; from now on records are taken. */
-    void opened(RecordLog.Found found);
+    /** The snapshot and all records have been passed; from now on writes are taken. */
+    void opened(RecordLog.Recovered recovered);
 
     /**
-     * {@link RecordLog.Damaged} where what was sure cannot be read: opening again would not help.
+     * The log could not be opened.
+     *
+     * @param reason a {@link CorruptLogException} where opening it again does not help
      */
-    void failed(IOException why);
+    void failed(IOException reason);
   }
 
-  /** What became of a record. */
-  public interface Told {
+  /** Takes the outcome of a write, on the event loop. */
+  public interface WriteListener {
 
-    void sure(long number);
+    /**
+     * The record or snapshot is durable.
+     *
+     * @param number of the record, or of the last record that the snapshot replaces
+     */
+    void durable(long number);
 
     /**
-     * It is not kept, where {@link RecordLog.NotTaken}; else that is not known, and nothing more is
-     * taken until the log is opened again.
+     * The write failed.
+     *
+     * @param reason a {@link WriteRejectedException} where nothing was stored; else that is
+     *     unknown, and every write fails until the log is opened again
      */
-    void lost(IOException why);
+    void failed(IOException reason);
+  }
+
+  /** A queued record, or snapshot if {@code snapshotUpTo} is not {@link #NO_SNAPSHOT}. */
+  private record Write(ByteBuffer content, long snapshotUpTo, WriteListener listener) {
+
+    boolean isSnapshot() {
+      return snapshotUpTo != NO_SNAPSHOT;
+    }
   }
 
-  private record Waiting(ByteBuffer content, long snapshotUpTo, Told told) {}
+  /** Writes a batch, and returns the number of its first record, or of its snapshot. */
+  private interface BatchWrite {
+    long run() throws IOException;
+  }
 
   private static final long NO_SNAPSHOT = -1;
 
-  private final Path directory;
+  private final Path path;
   private final long segmentBytes;
-  private final int mostWaiting;
-  private final Consumer<Runnable> post;
-  private final LinkedBlockingQueue<Runnable> work = new LinkedBlockingQueue<>();
-  private final LinkedBlockingQueue<Waiting> asked = new LinkedBlockingQueue<>();
-  private final AtomicInteger waiting = new AtomicInteger();
-  private final Thread thread;
-  private StorageDirectory disk;
+  private final int maxQueued;
+  private final Consumer<Runnable> eventLoop;
+  private final LinkedBlockingQueue<Runnable> tasks = new LinkedBlockingQueue<>();
+  private final LinkedBlockingQueue<Write> writes = new LinkedBlockingQueue<>();
+  private final AtomicInteger queued = new AtomicInteger();
+
+  // Used by the log's thread alone.
+  private StorageDirectory directory;
   private RecordLog log;
 
   /**
-   * @param mostWaiting records and snapshots that may wait; more are not taken
-   * @param post hands what is to be told to the thread that asked
+   * Starts the log's thread; {@link #open} opens the log.
+   *
+   * @param path of the log's directory, which is created if absent
+   * @param segmentBytes length in bytes beyond which a segment is followed by another
+   * @param maxQueued records and snapshots that may be queued
+   * @param eventLoop runs the listeners
    */
-  public AsyncRecordLog(
-      Path directory, long segmentBytes, int mostWaiting, Consumer<Runnable> post) {
-    this.directory = directory;
+  public AsyncRecordLog(Path path, long segmentBytes, int maxQueued, Consumer<Runnable> eventLoop) {
+    this.path = path;
     this.segmentBytes = segmentBytes;
-    this.mostWaiting = mostWaiting;
-    this.post = post;
-    thread = new Thread(this::work, "disk " + directory.getFileName());
+    this.maxQueued = maxQueued;
+    this.eventLoop = eventLoop;
+    Thread thread = new Thread(this::runTasks, "disk " + path.getFileName());
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Opens the log, or opens it again after it failed; all that was asked before is lost. */
-  public void open(Opened opened) {
-    work.add(
+  /** Opens the log, or opens it again after a failure. */
+  public void open(OpenListener listener) {
+    tasks.add(
         () -> {
-          List<Runnable> found = new ArrayList<>();
+          List<Runnable> events = new ArrayList<>();
           try {
-            end();
-            disk = FileStorageDirectory.at(directory);
-            log =
-                RecordLog.open(
-                    disk,
-                    segmentBytes,
-                    new RecordLog.Reader() {
-                      @Override
-                      public void snapshot(long upTo, ByteBuffer content) {
-                        found.add(() -> opened.snapshot(upTo, content));
-                      }
-
-                      @Override
-                      public void record(long number, ByteBuffer content) {
-                        found.add(() -> opened.record(number, content));
-                      }
-                    });
-            RecordLog.Found all = log.found();
-            found.add(() -> opened.opened(all));
+            reopen(listener, events);
           } catch (IOException e) {
-            found.clear();
-            found.add(() -> opened.failed(e));
-            endQuietly();
+            events.clear();
+            events.add(() -> listener.failed(e));
+            closeLogQuietly();
           }
-          post.accept(() -> found.forEach(Runnable::run));
+          eventLoop.accept(() -> events.forEach(Runnable::run));
         });
   }
 
-  /** False where too much waits already: the disk does not keep up, or is stuck. */
-  public boolean append(ByteBuffer content, Told told) {
-    return ask(new Waiting(content, NO_SNAPSHOT, told));
+  private void reopen(OpenListener listener, List<Runnable> events) throws IOException {
+    closeLog();
+    directory = FileStorageDirectory.at(path);
+    log =
+        RecordLog.open(
+            directory,
+            segmentBytes,
+            new RecordLog.Reader() {
+              @Override
+              public void snapshot(long upTo, ByteBuffer content) {
+                events.add(() -> listener.snapshot(upTo, content));
+              }
+
+              @Override
+              public void record(long number, ByteBuffer content) {
+                events.add(() -> listener.record(number, content));
+              }
+            });
+    RecordLog.Recovered recovered = log.recovered();
+    events.add(() -> listener.opened(recovered));
   }
 
   /**
-   * A snapshot in place of all records up to one that is sure; told as sure under that record's
-   * number. False where too much waits already.
+   * Queues a record.
+   *
+   * @return false where too much is queued already; the listener is not called then
    */
-  public boolean snapshot(long upTo, ByteBuffer content, Told told) {
-    return ask(new Waiting(content, upTo, told));
+  public boolean append(ByteBuffer content, WriteListener listener) {
+    return enqueue(new Write(content, NO_SNAPSHOT, listener));
   }
 
-  private boolean ask(Waiting one) {
-    if (waiting.get() >= mostWaiting) {
+  /**
+   * Queues a snapshot.
+   *
+   * @param upTo number of a durable record, the last that the snapshot replaces
+   * @return false where too much is queued already; the listener is not called then
+   */
+  public boolean snapshot(long upTo, ByteBuffer content, WriteListener listener) {
+    return enqueue(new Write(content, upTo, listener));
+  }
+
+  private boolean enqueue(Write write) {
+    if (queued.get() >= maxQueued) {
       return false;
     }
-    waiting.incrementAndGet();
-    asked.add(one);
-    work.add(this::takeAll);
+    queued.incrementAndGet();
+    writes.add(write);
+    tasks.add(this::writeQueued);
     return true;
   }
 
-  /** Records and snapshots asked for and not told of. */
-  public int waiting() {
-    return waiting.get();
+  /** Number of records and snapshots that are queued or being written. */
+  public int queued() {
+    return queued.get();
   }
 
-  /** Ends as soon as the disk lets it; what was not told as sure may be kept or not. */
+  /** Closes the log once the tasks queued so far are done, without waiting for that. */
   @Override
   public void close() {
-    work.add(
+    tasks.add(
         () -> {
-          endQuietly();
+          closeLogQuietly();
           Thread.currentThread().interrupt();
         });
   }
 
-  private void work() {
+  private void runTasks() {
     try {
       while (!Thread.currentThread().isInterrupted()) {
-        work.take().run();
+        tasks.take().run();
       }
     } catch (InterruptedException e) {
       // Closed: nobody waits for anything more.
     }
   }
 
-  /**
-   * All records that wait, as one commit; a snapshot is kept by itself, between those around it.
-   */
-  private void takeAll() {
-    List<Waiting> batch = new ArrayList<>();
-    while (!asked.isEmpty() && asked.peek().snapshotUpTo() == NO_SNAPSHOT) {
-      batch.add(asked.poll());
+  /** Writes all queued records by one commit, or one snapshot where that is next. */
+  private void writeQueued() {
+    List<Write> records = new ArrayList<>();
+    while (!writes.isEmpty() && !writes.peek().isSnapshot()) {
+      records.add(writes.poll());
     }
-    if (batch.isEmpty() && !asked.isEmpty()) {
-      Waiting one = asked.poll();
-      tell(
-          List.of(one),
-          () -> {
-            log.snapshot(one.snapshotUpTo(), one.content());
-            return one.snapshotUpTo();
-          });
-    } else if (!batch.isEmpty()) {
-      tell(
-          batch,
-          () -> {
-            long first = 0;
-            for (Waiting one : batch) {
-              long number = log.add(one.content());
-              first = first == 0 ? number : first;
-            }
-            log.commit();
-            return first;
-          });
+    if (!records.isEmpty()) {
+      write(records, () -> commit(records));
+    } else if (!writes.isEmpty()) {
+      Write snapshot = writes.poll();
+      write(List.of(snapshot), () -> takeSnapshot(snapshot));
     }
   }
 
-  private interface Step {
-    long run() throws IOException;
+  private long commit(List<Write> records) throws IOException {
+    long firstNumber = log.lastRecord() + 1;
+    for (Write record : records) {
+      log.append(record.content());
+    }
+    log.commit();
+    return firstNumber;
   }
 
-  private void tell(List<Waiting> batch, Step step) {
+  private long takeSnapshot(Write snapshot) throws IOException {
+    log.snapshot(snapshot.snapshotUpTo(), snapshot.content());
+    return snapshot.snapshotUpTo();
+  }
+
+  private void write(List<Write> batch, BatchWrite batchWrite) {
     Runnable outcome;
     try {
       if (log == null) {
         throw new IOException("the log is not open");
       }
-      long first = step.run();
-      outcome =
-          () -> {
-            for (int k = 0; k < batch.size(); k++) {
-              batch.get(k).told().sure(first + k);
-            }
-          };
+      long firstNumber = batchWrite.run();
+      outcome = () -> reportDurable(batch, firstNumber);
     } catch (IOException e) {
-      outcome = () -> batch.forEach(one -> one.told().lost(e));
+      outcome = () -> batch.forEach(write -> write.listener().failed(e));
+    }
+    queued.addAndGet(-batch.size());
+    eventLoop.accept(outcome);
+  }
+
+  private static void reportDurable(List<Write> batch, long firstNumber) {
+    for (int k = 0; k < batch.size(); k++) {
+      batch.get(k).listener().durable(firstNumber + k);
     }
-    waiting.addAndGet(-batch.size());
-    post.accept(outcome);
   }
 
-  private void endQuietly() {
+  private void closeLogQuietly() {
     try {
-      end();
+      closeLog();
     } catch (IOException e) {
-      // It is given up; what was sure is on the disk.
+      // Durable records stay so, and nothing more is written.
     }
   }
 
-  private void end() throws IOException {
-    RecordLog before = log;
-    StorageDirectory place = disk;
+  private void closeLog() throws IOException {
+    RecordLog closedLog = log;
+    StorageDirectory closedDirectory = directory;
     log = null;
-    disk = null;
-    if (before != null) {
-      before.close();
+    directory = null;
+    if (closedLog != null) {
+      closedLog.close();
     }
-    if (place != null) {
-      place.close();
+    if (closedDirectory != null) {
+      closedDirectory.close();
     }
   }
 }
--- a/gateway/src/main/java/weldcross/storage/FileStorageDirectory.java
+++ b/gateway/src/main/java/weldcross/storage/FileStorageDirectory.java
@@ -10,15 +10,20 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 import java.util.Comparator;
+import java.util.Optional;
 import java.util.ServiceLoader;
 import java.util.SortedSet;
 import java.util.TreeSet;
+import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** A directory of the file system as it is. */
+/**
+ * A directory of the file system. A lock file keeps other processes out; it is no stored data and
+ * not among the names.
+ */
 public final class FileStorageDirectory implements StorageDirectory {
 
-  private static final String LOCK = "lock";
+  private static final String LOCK_FILE = "lock";
 
   private final Path directory;
   private final FileChannel lockFile;
@@ -29,23 +34,30 @@
     Files.createDirectories(directory);
     lockFile =
         FileChannel.open(
-            directory.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-    lock = lock(lockFile);
-    if (lock == null) {
+            directory.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    Optional<FileLock> acquired = tryLock(lockFile);
+    if (acquired.isEmpty()) {
       lockFile.close();
-      throw new DirectoryInUse(directory.toString());
+      throw new DirectoryInUseException(directory.toString());
     }
+    lock = acquired.get();
   }
 
-  private static FileLock lock(FileChannel file) throws IOException {
+  private static Optional<FileLock> tryLock(FileChannel file) throws IOException {
     try {
-      return file.tryLock();
+      return Optional.ofNullable(file.tryLock());
     } catch (OverlappingFileLockException e) {
-      return null;
+      return Optional.empty();
     }
   }
 
-  /** The disk for a directory: the one of the highest rank that the class path has. */
+  /**
+   * Opens a directory by the registered factory of the highest rank.
+   *
+   * @param directory created if absent, with its parents
+   * @throws DirectoryInUseException where it is already open, in this process or another
+   * @throws IOException where it cannot be created, read or written
+   */
   public static StorageDirectory at(Path directory) throws IOException {
     return ServiceLoader.load(Factory.class).stream()
         .map(ServiceLoader.Provider::get)
@@ -54,7 +66,7 @@
         .open(directory);
   }
 
-  /** Opens directories as they are. */
+  /** The default factory, of rank zero. */
   public static final class Plain implements Factory {
 
     @Override
@@ -71,9 +83,9 @@
   @Override
   public SortedSet<String> names() throws IOException {
     try (Stream<Path> all = Files.list(directory)) {
-      SortedSet<String> names = new TreeSet<>();
-      all.map(p -> p.getFileName().toString()).filter(n -> !n.equals(LOCK)).forEach(names::add);
-      return names;
+      return all.map(path -> path.getFileName().toString())
+          .filter(name -> !name.equals(LOCK_FILE))
+          .collect(Collectors.toCollection(TreeSet::new));
     }
   }
 
@@ -85,7 +97,7 @@
             StandardOpenOption.CREATE,
             StandardOpenOption.READ,
             StandardOpenOption.WRITE);
-    return new PlainFile(channel);
+    return new ChannelFile(channel);
   }
 
   @Override
@@ -111,7 +123,7 @@
     lockFile.close();
   }
 
-  private record PlainFile(FileChannel channel) implements File {
+  private record ChannelFile(FileChannel channel) implements File {
 
     @Override
     public long size() throws IOException {
@@ -119,8 +131,8 @@
     }
 
     @Override
-    public void read(long at, ByteBuffer into) throws IOException {
-      for (long from = at; into.hasRemaining(); ) {
+    public void read(long position, ByteBuffer into) throws IOException {
+      for (long from = position; into.hasRemaining(); ) {
         int read = channel.read(into, from);
         if (read < 0) {
           return;
@@ -130,8 +142,8 @@
     }
 
     @Override
-    public void write(long at, ByteBuffer from) throws IOException {
-      for (long to = at; from.hasRemaining(); ) {
+    public void write(long position, ByteBuffer from) throws IOException {
+      for (long to = position; from.hasRemaining(); ) {
         to += channel.write(from, to);
       }
     }
--- a/gateway/src/main/java/weldcross/storage/RecordLog.java
+++ b/gateway/src/main/java/weldcross/storage/RecordLog.java
@@ -5,483 +5,266 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.SortedSet;
 import java.util.TreeMap;
-import java.util.zip.CRC32C;
 
 /**
- * Records that survive the loss of the process and of power, in the order in which they were added.
- * What is added is sure once {@link #commit} returned, many records by one write and one force. A
- * snapshot stands for all records up to one of them, after which those are deleted. Used by one
- * thread at a time, and a slow disk makes it wait: callers that must not wait use it on a thread of
- * its own.
+ * A log of records that survives the loss of the process and of power, in the order in which they
+ * were appended.
  *
- * <p>Files are segments of frames. A frame is what one commit wrote, under one checksum and a
- * number that grows by one; a frame is begun only once the one before it is forced. So a frame that
- * cannot be read is the torn end of the log, never acknowledged, unless one of a higher number can
- * be read behind it: then it was forced and is damaged, which is told and never passed over.
+ * <p>{@link #append} takes a record, {@link #commit} makes all that were appended durable by one
+ * write and one force. A {@link #snapshot} replaces all records up to one of them, which are then
+ * deleted. Records are numbered from one, without gaps. Used by one thread at a time, which waits
+ * for storage; {@link AsyncRecordLog} is for callers that must not wait. {@link LogFormat}
+ * describes the files.
  */
 public final class RecordLog implements Closeable {
 
-  /** What can be done with it. */
+  /** The states of a log. */
   public enum State {
+    /** Records and snapshots are taken. */
     OPEN,
-    /** A force failed: what is on disk is not known, and only opening it anew tells. */
+    /** A force failed, so what is durable is unknown until the log is opened again. */
     FAILED,
+    /** The log has been closed. */
     CLOSED
   }
 
-  /** What was found when it was opened. */
-  public record Found(long snapshotUpTo, long last, long tornBytes) {}
-
   /**
-   * Takes what is kept, in order, when a log is opened: at most one snapshot, then the records
-   * behind it.
+   * What was found when the log was opened.
+   *
+   * @param snapshotUpTo number of the last record that the snapshot replaces; zero where there is
+   *     no snapshot
+   * @param lastRecord number of the last record; zero where there is none
+   * @param tornBytes length of an unfinished write that was cut from the end
    */
+  public record Recovered(long snapshotUpTo, long lastRecord, long tornBytes) {}
+
+  /** Takes what a log holds when it is opened: at most one snapshot, then the records behind it. */
   public interface Reader {
 
     /**
-     * @param upTo the record up to which it stands for all
+     * Takes the snapshot.
+     *
+     * @param upTo number of the last record that it replaces
+     * @throws IOException which {@link RecordLog#open} throws in turn
      */
-    void snapshot(long upTo, ByteBuffer content);
+    void snapshot(long upTo, ByteBuffer content) throws IOException;
 
-    void record(long number, ByteBuffer content);
-  }
-
-  /** Something that was sure once cannot be read, or is missing. */
-  public static final class Damaged extends IOException {
-    private static final long serialVersionUID = 1;
-
-    Damaged(String file, long at, String what) {
-      super(file + " at byte " + at + ": " + what);
-    }
-  }
-
-  /**
-   * The batch was not taken, as the disk would not have it; nothing of it is kept, and the next may
-   * be.
-   */
-  public static final class NotTaken extends IOException {
-    private static final long serialVersionUID = 1;
-
-    NotTaken(IOException why) {
-      super("not written: " + why.getMessage(), why);
-    }
+    /**
+     * Takes the next record.
+     *
+     * @param content read-only
+     * @throws IOException which {@link RecordLog#open} throws in turn
+     */
+    void record(long number, ByteBuffer content) throws IOException;
   }
 
-  /** A record may be no longer than this, nor a snapshot; a length beyond it is damage. */
-  public static final int LONGEST = 16 << 20;
-
-  private static final int SEGMENT_MAGIC = 0x57584C47;
-  private static final int SNAPSHOT_MAGIC = 0x5758534E;
-  private static final int VERSION = 1;
-
-  /** Magic, version, first record. */
-  private static final int SEGMENT_HEAD = 16;
+  /** Maximum length of a record and of a snapshot, in bytes. */
+  public static final int MAX_RECORD_BYTES = 16 << 20;
 
-  /** Length, checksum; then, under the checksum: frame, first record, count. */
-  private static final int FRAME_HEAD = 8 + 20;
-
-  private static final String SEGMENT = "log-";
-  private static final String SNAPSHOT = "snapshot-";
-  private static final String HALF = ".half";
-
-  private final StorageDirectory disk;
+  private final StorageDirectory directory;
   private final long segmentBytes;
+  private final Recovered recovered;
 
-  /** First records of the segments, the last of which is written to. */
-  private final TreeMap<Long, String> segments = new TreeMap<>();
+  /** Names of the segments by their first records. */
+  private final TreeMap<Long, String> segments;
 
   private final List<ByteBuffer> pending = new ArrayList<>();
-  private int pendingBytes;
   private State state = State.OPEN;
-  private StorageDirectory.File file;
-  private long fileBytes, frame, last, snapshotUpTo;
-  private Found found;
 
-  private RecordLog(StorageDirectory disk, long segmentBytes) {
-    this.disk = disk;
+  /** The last segment, which is written to. */
+  private SegmentFile segment;
+
+  private long lastFrame;
+  private long lastRecord;
+  private long snapshotUpTo;
+
+  private RecordLog(StorageDirectory directory, long segmentBytes, RecordLogRecovery recovery)
+      throws IOException {
+    this.directory = directory;
     this.segmentBytes = segmentBytes;
+    this.recovered = recovery.recovered();
+    this.segments = recovery.segments();
+    this.lastFrame = recovery.lastFrame();
+    this.lastRecord = recovered.lastRecord();
+    this.snapshotUpTo = recovered.snapshotUpTo();
+    this.segment = recovery.lastSegment().orElse(null);
+    if (segment == null) {
+      startSegment();
+    }
   }
 
   /**
-   * Reads all that is kept and cuts a torn end; what is kept afterwards is forced anew, as what a
-   * failed force left in memory may look kept and not be.
+   * Opens a log, passes what it holds to a reader and cuts a torn end.
    *
-   * @param segmentBytes a segment is closed once it is longer
-   * @throws Damaged where what was sure cannot be read; nothing is changed then
+   * @param directory used by this log alone, and not closed with it
+   * @param segmentBytes length in bytes beyond which a segment is followed by another
+   * @throws CorruptLogException where something durable cannot be read; nothing is changed then
+   * @throws IOException where the directory cannot be read or written, or the reader throws
    */
-  public static RecordLog open(StorageDirectory disk, long segmentBytes, Reader reader)
+  public static RecordLog open(StorageDirectory directory, long segmentBytes, Reader reader)
       throws IOException {
-    RecordLog log = new RecordLog(disk, segmentBytes);
-    log.recover(reader);
-    return log;
+    return new RecordLog(directory, segmentBytes, RecordLogRecovery.run(directory, reader));
   }
 
+  /** The state of the log. */
   public State state() {
     return state;
   }
 
-  public Found found() {
-    return found;
+  /** What was found when the log was opened. */
+  public Recovered recovered() {
+    return recovered;
   }
 
-  /** The number of the last record that is sure; zero where there is none. */
-  public long last() {
-    return last;
+  /** Number of the last durable record; zero where there is none. */
+  public long lastRecord() {
+    return lastRecord;
   }
 
-  /** Bytes in segments, for the decision when a snapshot pays. */
-  public long lastSegmentBytes() {
-    return fileBytes;
-  }
-
-  // ---- Writing
-
   /**
-   * Adds a record to the next commit, copying it.
+   * Appends a copy of a record to the next commit.
    *
-   * @return the number that it has if that commit succeeds
+   * @param content at most {@link #MAX_RECORD_BYTES}
+   * @return the number that the record has if the commit succeeds
+   * @throws IllegalArgumentException where the content is too long
    */
-  public long add(ByteBuffer content) {
-    if (content.remaining() > LONGEST) {
-      throw new IllegalArgumentException("a record of " + content.remaining() + " bytes");
+  public long append(ByteBuffer content) {
+    if (content.remaining() > MAX_RECORD_BYTES) {
+      throw new IllegalArgumentException(
+          "a record of " + content.remaining() + " bytes, more than " + MAX_RECORD_BYTES);
     }
-    ByteBuffer copy = ByteBuffer.allocate(content.remaining()).put(content.duplicate()).flip();
-    pending.add(copy);
-    pendingBytes += Integer.BYTES + copy.remaining();
-    return last + pending.size();
+    pending.add(ByteBuffer.allocate(content.remaining()).put(content.duplicate()).flip());
+    return lastRecord + pending.size();
   }
 
   /**
-   * Returns once all that was added is sure.
+   * Returns once all appended records are durable.
    *
-   * @throws NotTaken where nothing of it was, as on a full disk; what was added is gone, the log
-   *     goes on
-   * @throws IOException where it is not known: the log is failed, and only opening it anew tells
+   * @throws WriteRejectedException where none of them is, as on full storage; they are dropped and
+   *     the log stays open
+   * @throws IOException where that is unknown; the log has failed, and only opening it again tells
    */
   public void commit() throws IOException {
-    mustBeOpen();
+    ensureOpen();
     if (pending.isEmpty()) {
       return;
     }
-    ByteBuffer bytes = frame(frame + 1, last + 1, pending, pendingBytes);
-    int count = pending.size();
+    List<ByteBuffer> records = List.copyOf(pending);
     pending.clear();
-    pendingBytes = 0;
-    if (fileBytes > segmentBytes) {
+    ByteBuffer frame = LogFormat.encodeFrame(lastFrame + 1, lastRecord + 1, records);
+    if (segment.size() > segmentBytes) {
       try {
-        begin(last + 1);
+        startSegment();
       } catch (IOException e) {
-        throw new NotTaken(e);
+        throw new WriteRejectedException(e);
       }
     }
-    write(bytes);
-    force(file);
-    fileBytes += bytes.limit();
-    frame++;
-    last += count;
+    write(frame);
+    lastFrame++;
+    lastRecord += records.size();
   }
 
-  private void write(ByteBuffer bytes) throws IOException {
+  private void write(ByteBuffer frame) throws IOException {
     try {
-      file.write(fileBytes, bytes);
+      segment.write(frame);
     } catch (IOException e) {
-      try {
-        file.truncate(fileBytes);
-      } catch (IOException worse) {
-        state = State.FAILED;
-        throw worse;
-      }
-      throw new NotTaken(e);
+      rollBack();
+      throw new WriteRejectedException(e);
     }
-  }
-
-  private void force(StorageDirectory.File what) throws IOException {
     try {
-      what.force();
+      segment.commit(frame.limit());
     } catch (IOException e) {
       state = State.FAILED;
       throw e;
     }
   }
 
-  /** A new segment; the one before it is whole and forced by then. */
-  private void begin(long first) throws IOException {
-    String name = name(SEGMENT, first);
-    StorageDirectory.File next = disk.open(name);
+  private void rollBack() throws IOException {
     try {
-      next.truncate(0);
-      next.write(0, segmentHead(first));
-      next.force();
-      disk.forceNames();
+      segment.rollBack();
     } catch (IOException e) {
-      next.close();
-      disk.delete(name);
+      state = State.FAILED;
       throw e;
     }
-    if (file != null) {
-      file.close();
+  }
+
+  /** Begins the next segment; the one before it is whole and durable by then. */
+  private void startSegment() throws IOException {
+    long firstRecord = lastRecord + 1;
+    SegmentFile next = SegmentFile.create(directory, firstRecord);
+    if (segment != null) {
+      segment.close();
     }
-    file = next;
-    fileBytes = SEGMENT_HEAD;
-    segments.put(first, name);
+    segment = next;
+    segments.put(firstRecord, LogFormat.segmentName(firstRecord));
   }
 
   /**
-   * Keeps a snapshot in place of all records up to one that is sure; returns once it is sure and
-   * they are gone.
+   * Replaces all records up to one by a snapshot; returns once the snapshot is durable and records
+   * that are no longer needed are deleted.
    *
-   * @param upTo between the last snapshot's and {@link #last()}
+   * @param upTo from the last snapshot's number to {@link #lastRecord()}
+   * @param content at most {@link #MAX_RECORD_BYTES}
+   * @throws IllegalArgumentException where the number or the content is out of range
+   * @throws IOException where it fails; the snapshot before it, or this one, is in force
    */
   public void snapshot(long upTo, ByteBuffer content) throws IOException {
-    mustBeOpen();
-    if (upTo < snapshotUpTo || upTo > last || content.remaining() > LONGEST) {
-      throw new IllegalArgumentException("a snapshot up to " + upTo + " of " + last);
-    }
-    ByteBuffer body =
-        ByteBuffer.allocate(16 + content.remaining())
-            .putInt(SNAPSHOT_MAGIC)
-            .putInt(VERSION)
-            .putLong(upTo)
-            .put(content.duplicate())
-            .flip();
-    String before = name(SNAPSHOT, snapshotUpTo);
-    String name = name(SNAPSHOT, upTo);
-    try (StorageDirectory.File half = disk.open(name + HALF)) {
-      half.truncate(0);
-      half.write(0, ByteBuffer.allocate(4).putInt(crc(body)).flip());
-      half.write(4, body);
-      half.force();
-    }
-    disk.rename(name + HALF, name);
-    disk.forceNames();
+    ensureOpen();
+    if (upTo < snapshotUpTo || upTo > lastRecord || content.remaining() > MAX_RECORD_BYTES) {
+      throw new IllegalArgumentException(
+          "a snapshot up to "
+              + upTo
+              + ", not from "
+              + snapshotUpTo
+              + " to "
+              + lastRecord
+              + ", or "
+              + content.remaining()
+              + " bytes, more than "
+              + MAX_RECORD_BYTES);
+    }
+    writeSnapshot(upTo, content);
     if (snapshotUpTo > 0 && snapshotUpTo < upTo) {
-      disk.delete(before);
+      directory.delete(LogFormat.snapshotName(snapshotUpTo));
     }
     snapshotUpTo = upTo;
-    // A segment goes once the next begins no later than the first record that is still wanted.
-    while (segments.size() > 1 && segments.higherKey(segments.firstKey()) <= upTo + 1) {
-      disk.delete(segments.pollFirstEntry().getValue());
+    deleteReplacedSegments();
+  }
+
+  private void writeSnapshot(long upTo, ByteBuffer content) throws IOException {
+    String name = LogFormat.snapshotName(upTo);
+    ByteBuffer body = LogFormat.encodeSnapshotBody(upTo, content);
+    try (StorageDirectory.File file = directory.open(name + LogFormat.TEMPORARY_SUFFIX)) {
+      file.truncate(0);
+      file.write(0, LogFormat.encodeSnapshotChecksum(body));
+      file.write(LogFormat.SNAPSHOT_CHECKSUM_BYTES, body);
+      file.force();
+    }
+    directory.rename(name + LogFormat.TEMPORARY_SUFFIX, name);
+    directory.forceNames();
+  }
+
+  /** Deletes each segment whose successor begins no later than the first record still needed. */
+  private void deleteReplacedSegments() throws IOException {
+    long firstNeeded = snapshotUpTo + 1;
+    while (segments.size() > 1 && segments.higherKey(segments.firstKey()) <= firstNeeded) {
+      directory.delete(segments.pollFirstEntry().getValue());
     }
   }
 
-  private void mustBeOpen() throws IOException {
+  private void ensureOpen() throws IOException {
     if (state != State.OPEN) {
       throw new IOException("the log is " + state);
     }
   }
 
-  /** What was added and not committed is gone. */
+  /** Closes the log; records that were appended and not committed are dropped. */
   @Override
   public void close() throws IOException {
     state = State.CLOSED;
-    if (file != null) {
-      file.close();
-    }
-  }
-
-  // ---- Reading
-
-  private void recover(Reader reader) throws IOException {
-    SortedSet<String> names = disk.names();
-    for (String name : names) {
-      if (name.endsWith(HALF)) {
-        disk.delete(name);
-      } else if (name.startsWith(SNAPSHOT)) {
-        snapshotUpTo = Math.max(snapshotUpTo, number(SNAPSHOT, name));
-      } else if (name.startsWith(SEGMENT)) {
-        segments.put(number(SEGMENT, name), name);
-      }
-    }
-    if (snapshotUpTo > 0) {
-      reader.snapshot(snapshotUpTo, readSnapshot(name(SNAPSHOT, snapshotUpTo)));
-    }
-    last = segments.isEmpty() ? snapshotUpTo : segments.firstKey() - 1;
-    if (last > snapshotUpTo) {
-      throw new Damaged(
-          segments.firstEntry().getValue(),
-          0,
-          "records from " + (snapshotUpTo + 1) + " on are missing");
-    }
-    long torn = 0;
-    for (long first : List.copyOf(segments.keySet())) {
-      torn = readSegment(first, first == segments.lastKey(), reader);
-    }
-    if (last < snapshotUpTo) {
-      throw new Damaged(
-          name(SNAPSHOT, snapshotUpTo), 0, "records up to it are missing from the log");
-    }
-    found = new Found(snapshotUpTo, last, torn);
-    if (segments.isEmpty()) {
-      begin(last + 1);
-    }
-  }
-
-  private ByteBuffer readSnapshot(String name) throws IOException {
-    ByteBuffer all = readAll(name);
-    if (all.remaining() < 20) {
-      throw new Damaged(name, 0, "cut short");
-    }
-    int crc = all.getInt();
-    if (crc != crc(all)
-        || all.getInt() != SNAPSHOT_MAGIC
-        || all.getInt() != VERSION
-        || all.getLong() != snapshotUpTo) {
-      throw new Damaged(name, 0, "not what was written");
-    }
-    return all;
-  }
-
-  /** Returns how many bytes of its end were torn. */
-  private long readSegment(long first, boolean isLast, Reader reader) throws IOException {
-    String name = segments.get(first);
-    ByteBuffer all = readAll(name);
-    int size = all.limit();
-    int at = 0;
-    if (size < SEGMENT_HEAD || !all.slice(0, SEGMENT_HEAD).equals(segmentHead(first))) {
-      tornOrDamaged(name, all, 0, isLast, frame + 1);
-    } else if (first != last + 1) {
-      throw new Damaged(name, 0, "records from " + (last + 1) + " on are missing");
-    } else {
-      at = SEGMENT_HEAD;
-      for (int next = frameAt(all, at, reader); next > 0; next = frameAt(all, at, reader)) {
-        at = next;
-      }
-      if (at < size) {
-        tornOrDamaged(name, all, at, isLast, frame + 2);
-      }
-    }
-    if (at < size && !readAll(name).equals(all.slice(0, size))) {
-      throw new Damaged(name, at, "reads differently each time");
-    }
-    if (isLast) {
-      rewrite(first, all.slice(0, at));
-    }
-    return (long) size - at;
-  }
-
-  /**
-   * Reads one whole frame that follows on what was read; returns where it ends, or zero where there
-   * is none.
-   */
-  private int frameAt(ByteBuffer all, int at, Reader reader) {
-    int end = wholeFrame(all, at);
-    if (end == 0) {
-      return 0;
-    }
-    ByteBuffer in = all.slice(at + 8, end - at - 8);
-    long number = in.getLong();
-    long first = in.getLong();
-    if ((frame != 0 && number != frame + 1) || first != last + 1) {
-      return 0;
-    }
-    frame = number;
-    for (int count = in.getInt(); count > 0; count--) {
-      int length = in.getInt();
-      last++;
-      if (last > snapshotUpTo) {
-        reader.record(last, in.slice(in.position(), length).asReadOnlyBuffer());
-      }
-      in.position(in.position() + length);
-    }
-    return end;
-  }
-
-  /** Where the frame that begins there ends; zero where none does whose checksum holds. */
-  private static int wholeFrame(ByteBuffer all, int at) {
-    if (at + FRAME_HEAD > all.limit()) {
-      return 0;
-    }
-    int length = all.getInt(at);
-    if (length < FRAME_HEAD - 8 || length > all.limit() - at - 8) {
-      return 0;
-    }
-    return crc(all.slice(at + 8, length)) == all.getInt(at + 4) ? at + 8 + length : 0;
-  }
-
-  /**
-   * A torn end is cut; but where a later frame can be read, or a later segment was begun, this
-   * place was sure.
-   *
-   * @param later the least number of a frame that was begun only once this place was forced
-   */
-  private void tornOrDamaged(String name, ByteBuffer all, int at, boolean isLast, long later)
-      throws IOException {
-    if (!isLast) {
-      throw new Damaged(name, at, "cannot be read, though a later segment was begun");
-    }
-    for (int p = at + 1; p + FRAME_HEAD <= all.limit(); p++) {
-      long number = all.getLong(p + 8);
-      if (number >= later && number - later < all.limit() && wholeFrame(all, p) > 0) {
-        throw new Damaged(name, at, "cannot be read, though a later frame can at byte " + p);
-      }
-    }
-  }
-
-  /** The last segment is written and forced anew before anything is added to it. */
-  private void rewrite(long first, ByteBuffer whole) throws IOException {
-    String name = name(SEGMENT, first);
-    StorageDirectory.File half = disk.open(name + HALF);
-    half.truncate(0);
-    half.write(0, whole.remaining() < SEGMENT_HEAD ? segmentHead(first) : whole);
-    half.force();
-    disk.rename(name + HALF, name);
-    disk.forceNames();
-    file = half;
-    fileBytes = Math.max(SEGMENT_HEAD, whole.limit());
-  }
-
-  private ByteBuffer readAll(String name) throws IOException {
-    try (StorageDirectory.File in = disk.open(name)) {
-      if (in.size() > Integer.MAX_VALUE - 8) {
-        throw new Damaged(name, 0, "longer than any that is written");
-      }
-      ByteBuffer all = ByteBuffer.allocate((int) in.size());
-      in.read(0, all);
-      return all.flip();
-    }
-  }
-
-  // ---- Forms
-
-  private static ByteBuffer frame(long number, long first, List<ByteBuffer> records, int bytes) {
-    ByteBuffer out = ByteBuffer.allocate(FRAME_HEAD + bytes);
-    out.putInt(FRAME_HEAD - 8 + bytes)
-        .putInt(0)
-        .putLong(number)
-        .putLong(first)
-        .putInt(records.size());
-    for (ByteBuffer record : records) {
-      out.putInt(record.remaining()).put(record.duplicate());
-    }
-    out.putInt(4, crc(out.slice(8, out.capacity() - 8)));
-    return out.flip();
-  }
-
-  private static ByteBuffer segmentHead(long first) {
-    return ByteBuffer.allocate(SEGMENT_HEAD)
-        .putInt(SEGMENT_MAGIC)
-        .putInt(VERSION)
-        .putLong(first)
-        .flip();
-  }
-
-  private static int crc(ByteBuffer of) {
-    CRC32C crc = new CRC32C();
-    crc.update(of.duplicate());
-    return (int) crc.getValue();
-  }
-
-  private static String name(String kind, long number) {
-    return kind + String.format("%016x", number);
-  }
-
-  private static long number(String kind, String name) throws IOException {
-    try {
-      return Long.parseUnsignedLong(name.substring(kind.length()), 16);
-    } catch (NumberFormatException e) {
-      throw new Damaged(name, 0, "a name that is none of this log's");
+    if (segment != null) {
+      segment.close();
     }
   }
 }
--- a/gateway/src/main/java/weldcross/storage/StorageDirectory.java
+++ b/gateway/src/main/java/weldcross/storage/StorageDirectory.java
@@ -3,74 +3,77 @@
 import java.io.Closeable;
 import java.io.IOException;
 import java.nio.ByteBuffer;
+import java.nio.file.Path;
 import java.util.SortedSet;
 
 /**
- * All that is asked of files, in one directory that nobody else uses while this is open. Found by
- * {@link java.util.ServiceLoader} through {@link Factory}, so that a disk that lies can be put on
- * the class path; the product holds {@link FileStorageDirectory} alone. Used by one thread at a
- * time.
+ * The operations on files that a log needs, in one directory that has one user at a time.
+ *
+ * <p>Implementations are found by {@link java.util.ServiceLoader} through {@link Factory}, so that
+ * one that injects faults can be put on the class path; the gateway itself has {@link
+ * FileStorageDirectory} alone. Used by one thread at a time.
  */
 public interface StorageDirectory extends Closeable {
 
-  /** Opens disks for directories. */
+  /** Opens storage directories; registered as a service. */
   interface Factory {
 
-    /** Which of several is taken: the highest; the plain one has zero. */
+    /** Of several factories the one of the highest rank is used; the default one has zero. */
     int rank();
 
     /**
-     * @param directory made if absent, with all above it
-     * @throws DirectoryInUse where another process or this one has it open
-     * @throws IOException where it cannot be made, read or written
+     * Opens a directory.
+     *
+     * @param directory created if absent, with its parents
+     * @throws DirectoryInUseException where it is already open, in this process or another
+     * @throws IOException where it cannot be created, read or written
      */
-    StorageDirectory open(java.nio.file.Path directory) throws IOException;
+    StorageDirectory open(Path directory) throws IOException;
   }
 
-  /** Names of all files, in their order. */
+  /** The names of all files, in their natural order. */
   SortedSet<String> names() throws IOException;
 
-  /** Opens the file, which is made if absent; the name is one that {@link #names} could give. */
+  /**
+   * Opens a file, which is created if absent.
+   *
+   * @param name without path
+   */
   File open(String name) throws IOException;
 
-  /** The new name may be in use: it then means this file from one moment to the next. */
+  /** Renames a file in one step, replacing one that has the new name. */
   void rename(String from, String to) throws IOException;
 
+  /** Deletes a file, which must exist. */
   void delete(String name) throws IOException;
 
-  /**
-   * Returns once names that were made, changed or deleted will be found so after a loss of power.
-   */
+  /** Returns once created, renamed and deleted names are durable. */
   void forceNames() throws IOException;
 
-  /** One open file. */
+  /** An open file. */
   interface File extends Closeable {
 
+    /** The file's length in bytes. */
     long size() throws IOException;
 
-    /** Reads up to the buffer's remaining bytes; fewer only where the file ends. */
-    void read(long at, ByteBuffer into) throws IOException;
-
     /**
-     * Writes all that remains in the buffer, or throws; then any part of it may have been written.
+     * Fills the buffer from a position on; it has bytes remaining only where the file ends.
+     *
+     * @param position in bytes from the file's start
      */
-    void write(long at, ByteBuffer from) throws IOException;
-
-    void truncate(long size) throws IOException;
+    void read(long position, ByteBuffer into) throws IOException;
 
     /**
-     * Returns once all that was written will be found after a loss of power; where it throws,
-     * nothing is sure.
+     * Writes all remaining bytes of the buffer. Where it throws, any part may have been written.
+     *
+     * @param position in bytes from the file's start
      */
-    void force() throws IOException;
-  }
+    void write(long position, ByteBuffer from) throws IOException;
 
-  /** The directory is in use. */
-  final class DirectoryInUse extends IOException {
-    private static final long serialVersionUID = 1;
+    /** Cuts the file at a length in bytes; a shorter file stays as it is. */
+    void truncate(long size) throws IOException;
 
-    public DirectoryInUse(String directory) {
-      super("in use by another process: " + directory);
-    }
+    /** Returns once everything written is durable; where it throws, nothing is known of it. */
+    void force() throws IOException;
   }
 }
--- a/gateway/src/test/java/weldcross/config/ExtensionsConfigTest.java
+++ b/gateway/src/test/java/weldcross/config/ExtensionsConfigTest.java
@@ -109,8 +109,8 @@
     ExtensionsConfig config = read(WITH_CONSENSUS);
     assertEquals("here/n0,n1,n2", config.consensus().orElseThrow().group());
     assertTrue(config.consensus().orElseThrow().isVoter());
-    assertEquals(300, config.consensus().orElseThrow().part());
-    assertEquals(3, config.consensus().orElseThrow().silence().toSeconds());
+    assertEquals(300, config.consensus().orElseThrow().weight());
+    assertEquals(3, config.consensus().orElseThrow().leaderTimeout().toSeconds());
     assertEquals(7100, config.controlAddress().orElseThrow().getPort());
   }
 
