--- a/benchmarks/src/main/java/weldcross/benchmarks/RecordLogBenchmark.java
+++ b/benchmarks/src/main/java/weldcross/benchmarks/RecordLogBenchmark.java
@@ -20,8 +20,8 @@
 import weldcross.storage.StorageDirectory;
 
 /**
- * What the log's frames cost beside a plain file of lengths and bytes, on a disk that does nothing:
- * the encoding and the checksum alone. One operation is a commit of so many records of 100 bytes.
+ * The cost of the record log's encoding and checksums compared with a plain file of lengths and
+ * bytes, on storage that does nothing. One operation is a commit of some records of 100 bytes.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -31,8 +31,8 @@
 @Fork(1)
 public class RecordLogBenchmark {
 
-  /** Takes everything and keeps nothing. */
-  private static final class NoDisk implements StorageDirectory {
+  /** Accepts all writes and stores nothing. */
+  private static final class NullDirectory implements StorageDirectory {
 
     @Override
     public SortedSet<String> names() {
@@ -48,10 +48,10 @@
         }
 
         @Override
-        public void read(long at, ByteBuffer into) {}
+        public void read(long position, ByteBuffer into) {}
 
         @Override
-        public void write(long at, ByteBuffer from) {
+        public void write(long position, ByteBuffer from) {
           from.position(from.limit());
         }
 
@@ -86,11 +86,12 @@
   private RecordLog log;
   private StorageDirectory.File plain;
 
+  /** Opens the log and the plain file. */
   @Setup
   public void open() throws IOException {
     log =
         RecordLog.open(
-            new NoDisk(),
+            new NullDirectory(),
             Long.MAX_VALUE,
             new RecordLog.Reader() {
               @Override
@@ -99,26 +100,28 @@
               @Override
               public void record(long number, ByteBuffer content) {}
             });
-    plain = new NoDisk().open("plain");
+    plain = new NullDirectory().open("plain");
   }
 
+  /** Commits the records to the record log. */
   @Benchmark
   public void recordLog() throws IOException {
     for (int k = 0; k < records; k++) {
-      log.add(record);
+      log.append(record);
     }
     log.commit();
   }
 
+  /** Writes the records to the plain file, and forces it. */
   @Benchmark
   public void plainFile() throws IOException {
     for (int k = 0; k < records; k++) {
-      ByteBuffer out =
+      ByteBuffer bytes =
           ByteBuffer.allocate(4 + record.remaining())
               .putInt(record.remaining())
               .put(record.duplicate())
               .flip();
-      plain.write(0, out);
+      plain.write(0, bytes);
     }
     plain.force();
   }
--- a/benchmarks/src/main/java/weldcross/benchmarks/StorageMeasurements.java
+++ b/benchmarks/src/main/java/weldcross/benchmarks/StorageMeasurements.java
@@ -6,6 +6,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
+import java.util.Comparator;
 import java.util.stream.Stream;
 import org.HdrHistogram.Histogram;
 import weldcross.storage.FileStorageDirectory;
@@ -13,125 +14,150 @@
 import weldcross.storage.StorageDirectory;
 
 /**
- * The record log on a real disk beside a plain file that is forced for each record: records a
- * second, how long one is not sure, bytes written for each byte kept; and how long it takes to read
- * a million records back. The argument is a directory on the disk to be measured.
+ * Compares the record log on a real disk with a plain file that is forced for each record: records
+ * per second, duration of a commit, bytes written per byte of content; and the time it takes to
+ * read a million records.
  */
 public final class StorageMeasurements {
 
-  private static final int RECORD = 100, COMMITS = 2000, MANY = 1_000_000;
+  private static final int RECORD_BYTES = 100;
+  private static final int COMMITS = 2000;
+  private static final int MANY_RECORDS = 1_000_000;
+  private static final int MANY_RECORDS_PER_COMMIT = 1000;
+  private static final long SEGMENT_BYTES = 8 << 20;
 
   private StorageMeasurements() {}
 
+  /**
+   * Runs all measurements and prints their figures.
+   *
+   * @param args a directory on the disk to be measured, which is deleted afterwards; default {@code
+   *     target/storage-figures}
+   */
   public static void main(String[] args) throws IOException {
     Path directory =
         Files.createDirectories(Path.of(args.length > 0 ? args[0] : "target/storage-figures"));
-    Path plain = directory.resolve("plain");
+    measurePlainFile(directory.resolve("plain"));
+    for (int batch : new int[] {1, 16, 256}) {
+      measureCommits(directory.resolve("log-" + batch), batch);
+    }
+    measureReading(directory.resolve("many"));
+    delete(directory);
+  }
+
+  private static void measurePlainFile(Path path) throws IOException {
     try (FileChannel file =
         FileChannel.open(
-            plain,
+            path,
             StandardOpenOption.CREATE,
             StandardOpenOption.WRITE,
             StandardOpenOption.TRUNCATE_EXISTING)) {
-      tell(
-          "plain file, forced each",
-          1,
-          time(
+      Histogram micros =
+          measure(
               COMMITS,
               () -> {
-                file.write(ByteBuffer.allocate(4 + RECORD).putInt(RECORD).rewind());
+                file.write(ByteBuffer.allocate(4 + RECORD_BYTES).putInt(RECORD_BYTES).rewind());
                 file.force(false);
-              }),
-          file.size());
+              });
+      print("plain file, forced each", 1, micros, file.size());
     }
-    for (int batch : new int[] {1, 16, 256}) {
-      Path place = directory.resolve("log-" + batch);
-      try (StorageDirectory disk = FileStorageDirectory.at(place);
-          RecordLog log = open(disk, new long[1])) {
-        Histogram times =
-            time(
-                COMMITS / Math.max(1, batch / 16),
-                () -> {
-                  for (int k = 0; k < batch; k++) {
-                    log.add(ByteBuffer.allocate(RECORD));
-                  }
-                  log.commit();
-                });
-        tell("record log, " + batch + " a commit", batch, times, bytes(place));
-      }
+  }
+
+  private static void measureCommits(Path path, int batch) throws IOException {
+    try (StorageDirectory directory = FileStorageDirectory.at(path);
+        RecordLog log = open(directory, new RecordCounter())) {
+      Histogram micros =
+          measure(
+              COMMITS / Math.max(1, batch / 16),
+              () -> {
+                for (int k = 0; k < batch; k++) {
+                  log.append(ByteBuffer.allocate(RECORD_BYTES));
+                }
+                log.commit();
+              });
+      print("record log, " + batch + " a commit", batch, micros, bytesIn(path));
     }
-    Path place = directory.resolve("many");
-    try (StorageDirectory disk = FileStorageDirectory.at(place);
-        RecordLog log = open(disk, new long[1])) {
-      for (int k = 0; k < MANY; k++) {
-        log.add(ByteBuffer.allocate(RECORD).putInt(0, k));
-        if (k % 1000 == 999) {
+  }
+
+  private static void measureReading(Path path) throws IOException {
+    try (StorageDirectory directory = FileStorageDirectory.at(path);
+        RecordLog log = open(directory, new RecordCounter())) {
+      for (int k = 1; k <= MANY_RECORDS; k++) {
+        log.append(ByteBuffer.allocate(RECORD_BYTES).putInt(0, k));
+        if (k % MANY_RECORDS_PER_COMMIT == 0) {
           log.commit();
         }
       }
     }
-    long[] read = new long[1];
+    RecordCounter counter = new RecordCounter();
     long began = System.nanoTime();
-    try (StorageDirectory disk = FileStorageDirectory.at(place);
-        RecordLog log = open(disk, read)) {
+    try (StorageDirectory directory = FileStorageDirectory.at(path);
+        RecordLog log = open(directory, counter)) {
       System.out.printf(
           "%d records (%d MB) read back in %d ms%n",
-          read[0], bytes(place) >> 20, (System.nanoTime() - began) / 1_000_000);
+          counter.records, bytesIn(path) >> 20, (System.nanoTime() - began) / 1_000_000);
     }
-    try (Stream<Path> all = Files.walk(directory)) {
-      for (Path each : all.sorted(java.util.Comparator.reverseOrder()).toList()) {
-        Files.delete(each);
+  }
+
+  private static RecordLog open(StorageDirectory directory, RecordCounter counter)
+      throws IOException {
+    return RecordLog.open(directory, SEGMENT_BYTES, counter);
+  }
+
+  private static void delete(Path directory) throws IOException {
+    try (Stream<Path> paths = Files.walk(directory)) {
+      for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
+        Files.delete(path);
       }
     }
   }
 
-  private interface Step {
-    void run() throws IOException;
+  /** Counts the records that a log holds. */
+  private static final class RecordCounter implements RecordLog.Reader {
+    private long records;
+
+    @Override
+    public void snapshot(long upTo, ByteBuffer content) {}
+
+    @Override
+    public void record(long number, ByteBuffer content) {
+      records++;
+    }
   }
 
-  private static RecordLog open(StorageDirectory disk, long[] read) throws IOException {
-    return RecordLog.open(
-        disk,
-        8 << 20,
-        new RecordLog.Reader() {
-          @Override
-          public void snapshot(long upTo, ByteBuffer content) {}
-
-          @Override
-          public void record(long number, ByteBuffer content) {
-            read[0]++;
-          }
-        });
+  private interface Commit {
+    void run() throws IOException;
   }
 
-  private static Histogram time(int times, Step step) throws IOException {
-    Histogram histogram = new Histogram(3);
+  private static Histogram measure(int times, Commit commit) throws IOException {
+    Histogram micros = new Histogram(3);
     for (int k = 0; k < times; k++) {
       long began = System.nanoTime();
-      step.run();
-      histogram.recordValue((System.nanoTime() - began) / 1000);
+      commit.run();
+      micros.recordValue((System.nanoTime() - began) / 1000);
     }
-    return histogram;
+    return micros;
   }
 
-  private static long bytes(Path place) throws IOException {
-    try (Stream<Path> all = Files.list(place)) {
+  private static long bytesIn(Path directory) throws IOException {
+    try (Stream<Path> files = Files.list(directory)) {
       long sum = 0;
-      for (Path each : all.toList()) {
-        sum += Files.size(each);
+      for (Path file : files.toList()) {
+        sum += Files.size(file);
       }
       return sum;
     }
   }
 
-  private static void tell(String what, int batch, Histogram micros, long bytes) {
+  private static void print(String name, int batch, Histogram micros, long bytes) {
     double seconds = micros.getMean() * micros.getTotalCount() / 1e6;
+    long records = micros.getTotalCount() * batch;
     System.out.printf(
         "%-28s %8.0f records/s, commit median %d us, p99 %d us, %.2f bytes written a byte kept%n",
-        what,
-        micros.getTotalCount() * batch / seconds,
+        name,
+        records / seconds,
         micros.getValueAtPercentile(50),
         micros.getValueAtPercentile(99),
-        (double) bytes / (micros.getTotalCount() * batch * (double) RECORD));
+        bytes / (records * (double) RECORD_BYTES));
   }
 }
--- a/gateway/src/main/java/weldcross/consensus/net/ConsensusService.java
+++ b/gateway/src/main/java/weldcross/consensus/net/ConsensusService.java
@@ -238,7 +238,7 @@
               + held.members()
               + " other="
               + other.members()
-              + " reason=a majority of the voters lost stored data; compare them, and stop one side");
+              + " reason=a majority of the voters lost stored data; compare them, stop one side");
     }
 
     @Override
--- a/gateway/src/main/java/weldcross/consensus/raft/RaftVoter.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/RaftVoter.java
@@ -1,16 +1,9 @@
 package weldcross.consensus.raft;
 
-import io.microraft.RaftConfig;
-import io.microraft.RaftEndpoint;
-import io.microraft.RaftNode;
 import io.microraft.executor.RaftNodeExecutor;
 import io.microraft.model.message.AppendEntriesRequest;
 import io.microraft.model.message.InstallSnapshotRequest;
-import io.microraft.model.message.PreVoteRequest;
 import io.microraft.model.message.RaftMessage;
-import io.microraft.model.message.TriggerLeaderElectionRequest;
-import io.microraft.model.message.VoteRequest;
-import io.microraft.transport.Transport;
 import java.io.IOException;
 import java.time.Clock;
 import java.time.Duration;
@@ -21,19 +14,15 @@
 import java.util.function.LongSupplier;
 import java.util.logging.Level;
 import weldcross.consensus.ConsensusConfig;
-import weldcross.consensus.LogPosition;
 import weldcross.consensus.MembershipView;
 import weldcross.consensus.Proposal;
 import weldcross.consensus.ProposalOutcome;
-import weldcross.consensus.ProposalResult;
 import weldcross.consensus.VoterRecovery;
 import weldcross.consensus.wire.ConsensusMessage;
 import weldcross.consensus.wire.RaftEnvelope;
-import weldcross.consensus.wire.RecoveryQuery;
 import weldcross.consensus.wire.RecoveryReply;
 import weldcross.mesh.PeerName;
 import weldcross.storage.CorruptLogException;
-import weldcross.storage.StorageDirectory;
 
 /**
  * One voter: a node of the consensus library (MicroRaft) with its storage and its messages.
@@ -71,30 +60,17 @@
   /** A voter that waits logs a warning once in so many queries. */
   private static final int QUERIES_PER_WARNING = 20;
 
-  /**
-   * A node that has heard no leader for so many leader timeouts is restarted, in the highest known
-   * term. MicroRaft 0.7 leaves a node stuck in two cases: one that was collecting pre-votes when a
-   * leader appeared does not stand again once that leader is gone, and one whose pre-votes are
-   * rejected for its old term never learns of the new one. A node of a minority, and one whose
-   * process was paused, are restarted too, which loses nothing that is stored.
-   */
-  private static final int LEADER_TIMEOUTS_UNTIL_RESTART = 4;
-
-  private static final Duration ELECTION_TIMEOUT = Duration.ofMillis(500);
-  private static final int COMMITS_PER_SNAPSHOT = 256;
-
   private final ConsensusConfig config;
   private final RaftNodeExecutor executor;
-  private final Clock clock;
-  private final Random random;
+  private final VoterNode.Runtime runtime;
   private final LongSupplier nonces;
   private final RaftVoterActions actions;
+  private final LeaderWatch leaderWatch;
+  private final VoterMessenger messenger;
+  private final VoterStorage storage = new VoterStorage();
   private final AcknowledgementHistory history = new AcknowledgementHistory();
-  private volatile RaftNode node;
+  private volatile VoterNode node;
   private volatile Phase phase = Phase.OPENING;
-  private StorageDirectory directory;
-  private PersistentRaftStore store;
-  private FailStopRaftStore nodeStore;
   private VoterId self;
   private VoterRecovery recovery;
   private String loggedFailure;
@@ -111,8 +87,6 @@
   /** Whether there is a stored log that is not used. */
   private boolean logUnusable;
 
-  private long leaderHeardAtMillis;
-
   /**
    * Creates a voter that has yet to be started.
    *
@@ -130,10 +104,11 @@
       RaftVoterActions actions) {
     this.config = config;
     this.executor = executor;
-    this.clock = clock;
-    this.random = random;
+    this.leaderWatch = new LeaderWatch(clock, config.leaderTimeout());
+    this.runtime = new VoterNode.Runtime(executor, clock, random);
     this.nonces = nonces;
     this.actions = actions;
+    this.messenger = new VoterMessenger(config, actions);
   }
 
   /** Opens the storage and begins the recovery; may be called from any thread, once. */
@@ -153,25 +128,12 @@
   private void close() {
     generation++;
     if (node != null) {
-      nodeStore.detach();
       node.terminate();
       node = null;
     }
-    if (store != null) {
-      store.close();
-    } else if (directory != null) {
-      try {
-        directory.close();
-      } catch (IOException e) {
-        // Nothing was written since it was opened.
-      }
-    }
-    store = null;
-    directory = null;
+    storage.close();
   }
 
-  // ---- Storage and recovery
-
   private void open() {
     if (phase == Phase.ENDED) {
       return;
@@ -199,8 +161,7 @@
   }
 
   private VoterRecovery.LogSummary openStore() throws IOException {
-    directory = actions.openDirectory();
-    store = PersistentRaftStore.open(directory);
+    PersistentRaftStore store = storage.open(actions.openDirectory());
     if (store.tornBytes() > 0) {
       actions.log(
           Level.WARNING, "voter log repaired, torn end cut: tornBytes=" + store.tornBytes());
@@ -223,17 +184,6 @@
     }
   }
 
-  /** Reports a failure of the node's store, which is within a call of the node. */
-  private void storageFailedInNode(IOException failure) {
-    int failedGeneration = generation;
-    executor.execute(
-        () -> {
-          if (generation == failedGeneration) {
-            storageFailed(failure);
-          }
-        });
-  }
-
   /**
    * Asks the other voters what they know of this one. It also does so while it catches up, as what
    * it waits for may be lost by whoever had it, and while it votes without a leader, as another
@@ -252,19 +202,14 @@
     if (phase == Phase.JOINING || (phase == Phase.VOTING && leader().isPresent())) {
       return;
     }
-    RecoveryQuery query = RecoveryQuery.newBuilder().setIdentity(selfId()).build();
-    sendToOthers(message().setRecoveryQuery(query).build());
+    messenger.sendRecoveryQuery(selfId());
     if (++queries % QUERIES_PER_WARNING == 0) {
       logWaiting();
     }
   }
 
   private boolean hasLostLeader() {
-    Duration timeout = config.leaderTimeout().multipliedBy(LEADER_TIMEOUTS_UNTIL_RESTART);
-    return node != null
-        && phase != Phase.JOINING
-        && !isLeader()
-        && clock.millis() - leaderHeardAtMillis > timeout.toMillis();
+    return node != null && phase != Phase.JOINING && !node.isLeader() && leaderWatch.isExpired();
   }
 
   private void logWaiting() {
@@ -285,12 +230,12 @@
         }
         case RESUME -> startNode(Phase.VOTING);
         case CATCH_UP -> {
-          store.useUpTerm(recovery.highestTerm(), self);
+          storage.store().useUpTerm(recovery.highestTerm(), self);
           startNode(Phase.LEARNING);
         }
         case NEW_IDENTITY -> {
           self = new VoterId(config.self(), nonces.getAsLong());
-          store = PersistentRaftStore.recreate(directory);
+          storage.recreate();
           identityReplaced = false;
           initializeStore(false, 0);
           startNode(Phase.JOINING);
@@ -308,43 +253,19 @@
   private void initializeStore(boolean voting, int usedTerm) throws IOException {
     List<String> founders =
         config.voters().stream().map(voter -> VoterId.founder(voter).getId()).toList();
-    store.initialize(self, founders, voting, usedTerm);
+    storage.store().initialize(self, founders, voting, usedTerm);
   }
 
   private void startNode(Phase next) {
-    nodeStore = new FailStopRaftStore(store, this::storageFailedInNode);
     logStart();
     loggedFailure = null;
-    leaderHeardAtMillis = clock.millis();
+    leaderWatch.reset();
     phase = next;
-    int nodeGeneration = generation;
-    node =
-        RaftNode.newBuilder()
-            .setGroupId(config.group())
-            .setRestoredState(store.restore())
-            .setConfig(raftConfig())
-            .setExecutor(executor)
-            .setTransport(new MessageTransport(nodeGeneration))
-            .setStateMachine(
-                new ReplicatedView(config.self(), view -> viewCommitted(nodeGeneration, view)))
-            .setStore(nodeStore)
-            .setModelFactory(RaftRecordCodec.MODELS)
-            .setRandom(random)
-            .setClock(clock)
-            .build();
+    node = new VoterNode(self, config, runtime, storage.store(), new NodeListener());
     node.start();
     voteIfCaughtUp();
   }
 
-  private RaftConfig raftConfig() {
-    return RaftConfig.newBuilder()
-        .setLeaderElectionTimeoutMillis(ELECTION_TIMEOUT.toMillis())
-        .setLeaderHeartbeatPeriodSecs(config.heartbeatPeriod().toSeconds())
-        .setLeaderHeartbeatTimeoutSecs(config.leaderTimeout().toSeconds())
-        .setCommitCountToTakeSnapshot(COMMITS_PER_SNAPSHOT)
-        .build();
-  }
-
   private void logStart() {
     VoterRecovery.Decision decision = recovery.decision();
     boolean mayHaveLostData =
@@ -356,21 +277,14 @@
         "voter started: voter=" + self + " decision=" + decision + reason);
   }
 
-  private void viewCommitted(int nodeGeneration, MembershipView view) {
-    if (nodeGeneration == generation) {
-      actions.viewCommitted(view);
-    }
-  }
-
   /** Starts a new node on the same store. */
   private void restartNode() {
     actions.log(Level.INFO, "voter node restarted: voter=" + self + " reason=no leader heard");
     generation++;
-    nodeStore.detach();
     node.terminate();
     try {
-      store.flush();
-      store.useUpTerm(highestTermHeard, self);
+      storage.store().flush();
+      storage.store().useUpTerm(highestTermHeard, self);
       startNode(phase);
       queryPeriodically(generation);
     } catch (IOException e) {
@@ -389,7 +303,7 @@
     if (generation != requestedGeneration || phase != Phase.JOINING) {
       return;
     }
-    sendToOthers(message().setAdmissionRequest(self.getId()).build());
+    messenger.sendAdmissionRequest(self);
     executor.schedule(
         () -> requestAdmissionPeriodically(requestedGeneration),
         QUERY_PERIOD.toMillis(),
@@ -397,8 +311,7 @@
   }
 
   private void voteIfCaughtUp() {
-    boolean admitted =
-        phase == Phase.JOINING && node.getCommittedMembers().getVotingMembers().contains(self);
+    boolean admitted = phase == Phase.JOINING && node.isVotingMember();
     if (admitted || (phase == Phase.LEARNING && hasCaughtUp())) {
       phase = Phase.VOTING;
       actions.log(Level.INFO, "voter caught up and votes: voter=" + self);
@@ -406,11 +319,9 @@
   }
 
   private boolean hasCaughtUp() {
-    return recovery.localLogChanged(store.summary()) == VoterRecovery.Decision.RESUME;
+    return recovery.localLogChanged(storage.summary()) == VoterRecovery.Decision.RESUME;
   }
 
-  // ---- Messages
-
   /** Takes a message of another gateway; may be called from any thread. */
   public void receive(PeerName from, ConsensusMessage message) {
     executor.execute(
@@ -439,10 +350,11 @@
       return;
     }
     if (message instanceof AppendEntriesRequest || message instanceof InstallSnapshotRequest) {
-      leaderHeardAtMillis = clock.millis();
+      leaderWatch.reset();
     }
-    history.record(message, store::termAt);
-    if (phase == Phase.LEARNING && mayElectIncompleteLog(message)) {
+    history.record(message, storage.store()::termAt);
+    if (phase == Phase.LEARNING
+        && ElectionFilter.mayElectIncompleteLog(message, recovery.target())) {
       return;
     }
     node.handle(message);
@@ -454,21 +366,6 @@
         });
   }
 
-  /**
-   * Whether a message would have this voter elect a candidate, or itself, that may lack entries it
-   * helped to commit before its restart.
-   */
-  private boolean mayElectIncompleteLog(RaftMessage message) {
-    LogPosition target = recovery.target();
-    if (message instanceof VoteRequest request) {
-      return new LogPosition(request.getLastLogTerm(), request.getLastLogIndex()).isBefore(target);
-    }
-    if (message instanceof PreVoteRequest request) {
-      return new LogPosition(request.getLastLogTerm(), request.getLastLogIndex()).isBefore(target);
-    }
-    return message instanceof TriggerLeaderElectionRequest;
-  }
-
   private void reply(PeerName from, String identity) {
     if (phase == Phase.OPENING) {
       return;
@@ -476,13 +373,12 @@
     RecoveryReplies.Knowledge knowledge =
         new RecoveryReplies.Knowledge(
             Optional.ofNullable(self),
-            Optional.ofNullable(node),
-            store == null ? VoterRecovery.LogSummary.NONE : store.summary(),
+            Optional.ofNullable(node).map(VoterNode::raft),
+            storage.summary(),
             self != null && phase != Phase.JOINING,
             logUnusable,
             history);
-    RecoveryReply reply = RecoveryReplies.create(identity, knowledge);
-    actions.send(from, message().setRecoveryReply(reply).build());
+    messenger.sendRecoveryReply(from, RecoveryReplies.create(identity, knowledge));
   }
 
   private void receiveReply(PeerName from, RecoveryReply reply) {
@@ -490,12 +386,12 @@
     if (phase == Phase.OPENING
         || phase == Phase.JOINING
         || !reply.getIdentity().equals(selfId())
-        || !others().contains(from)) {
+        || !messenger.isOtherVoter(from)) {
       return;
     }
     highestTermHeard = Math.max(highestTermHeard, reply.getTerm());
     if (phase == Phase.LEARNING) {
-      recovery.localLogChanged(store.summary());
+      recovery.localLogChanged(storage.summary());
     }
     recovery.replied(from, RecoveryReplies.decode(reply));
     if (phase == Phase.VOTING) {
@@ -514,8 +410,8 @@
   }
 
   private void admit(VoterId candidate) {
-    if (node != null && isLeader() && config.voters().contains(candidate.name())) {
-      new VoterAdmission(node, actions).admit(candidate);
+    if (node != null && node.isLeader() && config.voters().contains(candidate.name())) {
+      new VoterAdmission(node.raft(), actions).admit(candidate);
     }
   }
 
@@ -528,48 +424,25 @@
   public void propose(PeerName proposer, long number, Proposal proposal) {
     executor.execute(
         () -> {
-          if (node == null || !isLeader()) {
+          if (node == null || !node.isLeader()) {
             actions.proposalAnswered(proposer, number, new ProposalOutcome.NotLeader(leader()));
             return;
           }
-          node.<Object>replicate(MembershipCodec.encodeProposal(proposal))
-              .whenComplete(
-                  (committed, failure) -> {
-                    // After a failure it may be committed or not: the proposer proposes it again.
-                    if (failure == null) {
-                      ProposalResult result = (ProposalResult) committed.getResult();
-                      actions.proposalAnswered(
-                          proposer, number, new ProposalOutcome.Committed(result, leader()));
-                    }
-                  });
+          node.replicate(
+              proposal,
+              result ->
+                  actions.proposalAnswered(
+                      proposer, number, new ProposalOutcome.Committed(result, leader())));
         });
   }
 
-  private ConsensusMessage.Builder message() {
-    return ConsensusMessage.newBuilder().setGroup(config.group());
-  }
-
-  private void sendToOthers(ConsensusMessage message) {
-    others().forEach(voter -> actions.send(voter, message));
-  }
-
-  private List<PeerName> others() {
-    return config.voters().stream().filter(voter -> !voter.equals(config.self())).toList();
-  }
-
   private String selfId() {
     return self == null ? "" : self.getId();
   }
 
-  private boolean isLeader() {
-    return self.equals(node.getTerm().getLeaderEndpoint());
-  }
-
   /** The leader as far as this voter knows; may be called from any thread. */
   public Optional<PeerName> leader() {
-    return Optional.ofNullable(node)
-        .map(raft -> raft.getTerm().getLeaderEndpoint())
-        .map(leader -> ((VoterId) leader).name());
+    return Optional.ofNullable(node).flatMap(VoterNode::leader);
   }
 
   /** The phase of this voter; may be called from any thread. */
@@ -584,33 +457,40 @@
         + " voter="
         + self
         + " log="
-        + (store == null ? "none" : store.summary())
+        + storage.summary()
         + " leader="
         + leader().map(PeerName::name).orElse("none")
         + (recovery == null ? "" : " " + recovery.describe());
   }
 
-  /** Sends the messages of one node; those of an earlier one are dropped. */
-  private final class MessageTransport implements Transport {
-    private final int nodeGeneration;
+  /** Takes what the present node does. */
+  private final class NodeListener implements VoterNode.Listener {
 
-    MessageTransport(int nodeGeneration) {
-      this.nodeGeneration = nodeGeneration;
+    @Override
+    public void send(PeerName to, RaftEnvelope envelope) {
+      messenger.sendRaft(to, envelope);
     }
 
     @Override
-    public void send(RaftEndpoint to, RaftMessage message) {
-      boolean standsForElection =
-          message instanceof VoteRequest || message instanceof PreVoteRequest;
-      if (nodeGeneration == generation && (phase == Phase.VOTING || !standsForElection)) {
-        RaftEnvelope envelope = RaftMessageEncoder.encode(message);
-        actions.send(((VoterId) to).name(), message().setRaft(envelope).build());
-      }
+    public boolean mayStandForElection() {
+      return phase == Phase.VOTING;
     }
 
     @Override
-    public boolean isReachable(RaftEndpoint endpoint) {
-      return true;
+    public void viewCommitted(MembershipView view) {
+      actions.viewCommitted(view);
+    }
+
+    /** Acts once the node's call that has failed is over. */
+    @Override
+    public void storageFailed(IOException failure) {
+      int failedGeneration = generation;
+      executor.execute(
+          () -> {
+            if (generation == failedGeneration) {
+              RaftVoter.this.storageFailed(failure);
+            }
+          });
     }
   }
 }
--- a/gateway/src/main/java/weldcross/storage/AsyncRecordLog.java
+++ b/gateway/src/main/java/weldcross/storage/AsyncRecordLog.java
@@ -252,8 +252,8 @@
   }
 
   private void closeLog() throws IOException {
-    RecordLog closedLog = log;
-    StorageDirectory closedDirectory = directory;
+    final RecordLog closedLog = log;
+    final StorageDirectory closedDirectory = directory;
     log = null;
     directory = null;
     if (closedLog != null) {
--- a/gateway/src/main/java/weldcross/storage/SegmentFile.java
+++ b/gateway/src/main/java/weldcross/storage/SegmentFile.java
@@ -45,7 +45,7 @@
   static SegmentFile rewrite(StorageDirectory directory, long firstRecord, ByteBuffer intact)
       throws IOException {
     String name = LogFormat.segmentName(firstRecord);
-    long size = Math.max(LogFormat.SEGMENT_HEADER_BYTES, intact.limit());
+    final long size = Math.max(LogFormat.SEGMENT_HEADER_BYTES, intact.limit());
     StorageDirectory.File file = directory.open(name + LogFormat.TEMPORARY_SUFFIX);
     file.truncate(0);
     file.write(
--- a/gateway/src/test/java/weldcross/consensus/net/ConsensusTest.java
+++ b/gateway/src/test/java/weldcross/consensus/net/ConsensusTest.java
@@ -95,7 +95,7 @@
     simulation.node(0).partition = 1;
     simulation.node(3).partition = 1;
     simulation.node(4).kill();
-    long before = simulation.node(0).view().number();
+    final long before = simulation.node(0).view().number();
     simulation.node(3).service.memberDied(simulation.node(4).name, 1);
     simulation.node(1).service.memberDied(simulation.node(3).name, 1);
     assertWithin(
