--- a/gateway/src/main/java/weldcross/gateway/Gateway.java
+++ b/gateway/src/main/java/weldcross/gateway/Gateway.java
@@ -274,7 +274,7 @@
   }
 
   /** The code of the request path has been run often enough to be compiled. */
-  void warmed() {
+  void warmUpCompleted() {
     warmedUp = true;
     serveIfReady();
   }
@@ -327,7 +327,7 @@
    * All that was received on any connection when {@link Transport#afterPendingReads} was called has
    * been read.
    */
-  void heard(long connection) {
+  void pendingReadsDone(long connection) {
     if (!discovery.pendingReadsDone(connection)) {
       serverConnections.pendingReadsDone(connection);
     }
--- a/gateway/src/main/java/weldcross/gateway/MinaTransport.java
+++ b/gateway/src/main/java/weldcross/gateway/MinaTransport.java
@@ -182,7 +182,7 @@
     Runnable onClosed =
         () -> {
           if (open.decrementAndGet() == 0) {
-            loop.post(Gateway::warmed);
+            loop.post(Gateway::warmUpCompleted);
           }
         };
     for (int index = 0; index < WARM_UP_CONNECTIONS; index++) {
@@ -249,7 +249,7 @@
 
   @Override
   public void afterPendingReads(long connection) {
-    processor.afterPendingReads(() -> loop.post(gateway -> gateway.heard(connection)));
+    processor.afterPendingReads(() -> loop.post(gateway -> gateway.pendingReadsDone(connection)));
   }
 
   @Override
--- a/gateway/src/test/java/weldcross/gateway/MultipleDeploymentsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/MultipleDeploymentsTest.java
@@ -10,13 +10,11 @@
 import org.junit.jupiter.api.Test;
 import weldcross.config.ConfigValues;
 import weldcross.config.GatewayConfig;
-import weldcross.gateway.GatewayTest.Wire;
-import weldcross.gateway.GatewayTest.World;
 import weldcross.pgwire.MessageEncoder;
 
 /**
- * Two gateways of two customers in one process, the first told to read the other's configuration
- * while it serves: nothing of the one is found in the other.
+ * Two gateways with different configurations in one process, of which the first reloads the other's
+ * while it serves: neither affects the other.
  */
 class MultipleDeploymentsTest {
 
@@ -41,24 +39,24 @@
     "\"connectTimeout\":400000"
   };
 
-  private final World one = World.serving();
-  private final World other = World.serving(OTHER);
-  private int named;
+  private final GatewayHarness one = GatewayHarness.serving();
+  private final GatewayHarness other = GatewayHarness.serving(OTHER);
+  private int nextRequest;
 
   @BeforeEach
   void firstReadsTheOthersConfiguration() {
-    byte[] text = GatewayTest.config(OTHER);
-    one.tell(g -> g.configReload().reload(GatewayConfig.of(ConfigValues.ofJson(text))));
+    byte[] text = TestConfig.json(OTHER);
+    one.dispatch(g -> g.configReload().reload(GatewayConfig.of(ConfigValues.ofJson(text))));
   }
 
   /** Asks, and returns the client's connection. */
-  private long ask(World w, boolean write, String method, String tenant) {
-    String id = "a" + (900 + named++);
-    long client = w.connect();
-    w.deadlines.put(id, w.now.plusMillis(900));
-    w.askedBy.put(id, client);
+  private long ask(GatewayHarness harness, boolean write, String method, String tenant) {
+    String id = "a" + (900 + nextRequest++);
+    long client = harness.connect();
+    harness.history.deadlines.put(id, harness.now.plusMillis(900));
+    harness.history.clientOf.put(id, client);
     String comment = " /* id=" + id + ",c=" + method + ",d=900,cluster=0,t=" + tenant + " */";
-    w.say(
+    harness.send(
         client,
         MessageEncoder.query(
             write
@@ -67,69 +65,76 @@
     return client;
   }
 
-  private static String answer(World w, long client) {
-    return w.wires.get(client).take().replaceAll("(?s).*\0C(\\w{5})\0M([\\w, ]+)\0.*", "$1 $2");
+  private static String answer(GatewayHarness harness, long client) {
+    return harness
+        .connections
+        .get(client)
+        .takeReceived()
+        .replaceAll("(?s).*\0C(\\w{5})\0M([\\w, ]+)\0.*", "$1 $2");
   }
 
-  private static List<Long> statements(World w) {
-    return w.asked().stream().filter(l -> !w.wires.get(l).statement.startsWith("SHOW")).toList();
+  private static List<Long> statements(GatewayHarness harness) {
+    return harness.busyConnections().stream()
+        .filter(l -> !harness.connections.get(l).statement.startsWith("SHOW"))
+        .toList();
   }
 
   @Test
-  void methodsAndTenantsOfTheOneAreUnknownToTheOther() {
+  void requestClassesAndTenantsAreUnknownToOtherDeployments() {
     assertEquals("22023 unknown method", answer(one, ask(one, false, "browse", "acme")));
     assertEquals("22023 unknown tenant", answer(one, ask(one, false, "look", "zeta")));
     assertEquals("22023 unknown method", answer(other, ask(other, false, "look", "zeta")));
     assertEquals("22023 unknown tenant", answer(other, ask(other, false, "browse", "acme")));
     ask(one, false, "look", "acme");
     ask(other, false, "browse", "zeta");
-    for (World w : List.of(one, other)) {
-      assertEquals(1, statements(w).size());
+    for (GatewayHarness harness : List.of(one, other)) {
+      assertEquals(1, statements(harness).size());
     }
-    assertTrue(one.wires.get(statements(one).get(0)).statement.contains("t=acme"));
-    assertTrue(other.wires.get(statements(other).get(0)).statement.contains("t=zeta"));
+    assertTrue(one.connections.get(statements(one).get(0)).statement.contains("t=acme"));
+    assertTrue(other.connections.get(statements(other).get(0)).statement.contains("t=zeta"));
   }
 
   /** What may be sent again at the one may never run twice at the other. */
   @Test
-  void effectsStayWithTheirCustomer() {
-    one.writes.add("a900");
+  void effectsStayWithTheirDeployment() {
+    one.history.writes.add("a900");
     long mine = ask(one, true, "file", "acme");
-    one.end(statements(one).get(0));
+    one.closeByServer(statements(one).get(0));
     assertEquals("58000 failed", answer(one, mine).substring(0, 12));
     assertTrue(statements(one).isEmpty());
-    long theirs = ask(other, true, "order", "zeta");
-    Wire wire = other.wires.get(statements(other).get(0));
-    assertTrue(wire.statement.startsWith("INSERT"));
+    final long theirs = ask(other, true, "order", "zeta");
+    FakeConnection carrying = other.connections.get(statements(other).get(0));
+    assertTrue(carrying.statement.startsWith("INSERT"));
     // The model of the first customer's rules would take a second send for a broken rule.
-    other.mayHaveRun.clear();
-    other.outOn.clear();
-    long link = statements(other).get(0);
-    wire.statement = null;
-    wire.open = false;
-    other.tell(g -> g.serverConnections().closed(link, wire.reader.partialResponse()));
-    other.flush();
-    other.wait(150);
+    other.history.mayHaveRun.clear();
+    other.history.openAttempts.clear();
+    long connection = statements(other).get(0);
+    carrying.statement = null;
+    carrying.open = false;
+    other.dispatch(
+        g -> g.serverConnections().closed(connection, carrying.serverDecoder.partialResponse()));
+    other.completeWrites();
+    other.advance(150);
     assertFalse(statements(other).isEmpty(), "an idempotent write goes out again");
-    assertEquals("", other.wires.get(theirs).take(), "and is not given up");
+    assertEquals("", other.connections.get(theirs).takeReceived(), "and is not given up");
   }
 
   @Test
-  void boundsStayWithTheirCustomer() {
-    for (World w : List.of(one, other)) {
-      w.wait(400);
+  void stalenessBoundsStayWithTheirDeployment() {
+    for (GatewayHarness harness : List.of(one, other)) {
+      harness.advance(400);
     }
     ask(one, false, "look", "acme");
-    assertFalse(one.wires.get(statements(one).get(0)).server.equals("s-0"), "within 800 ms");
+    assertFalse(one.connections.get(statements(one).get(0)).server.equals("s-0"), "within 800 ms");
     ask(other, false, "browse", "zeta");
-    other.wait(60);
-    assertEquals("s-0", other.wires.get(statements(other).get(0)).server, "past 150 ms");
+    other.advance(60);
+    assertEquals("s-0", other.connections.get(statements(other).get(0)).server, "past 150 ms");
   }
 
   /** What the one has learnt of servers of the same names the other has to learn by itself. */
   @Test
-  void whatIsLearntStaysWithItsCustomer() {
-    World fresh = World.listed(OTHER);
+  void learnedStateStaysWithItsDeployment() {
+    GatewayHarness fresh = GatewayHarness.withEndpointList(OTHER);
     ask(fresh, false, "browse", "zeta");
     assertTrue(statements(fresh).isEmpty(), "it knows no position yet");
     assertEquals(Duration.ZERO, fresh.now);
@@ -139,19 +144,20 @@
 
   /** What a reload cannot change is said to wait for a restart, and none of it holds before. */
   @Test
-  void onlyDiscoveryMovesWithAReload() {
+  void reloadChangesOnlyTheDiscoveryAddress() {
     assertEquals(
         List.of("settings"),
-        GatewayConfig.of(ConfigValues.ofJson(GatewayTest.config()))
-            .keysThatNeedRestart(GatewayConfig.of(ConfigValues.ofJson(GatewayTest.config(OTHER)))));
-    one.silent.addAll(List.of("s-0", "s-1", "s-2"));
-    List.copyOf(one.wires.keySet()).stream()
-        .filter(n -> n < 0 && one.wires.get(n).port == 0 && one.wires.get(n).open)
-        .forEach(one::end);
+        GatewayConfig.of(ConfigValues.ofJson(TestConfig.json()))
+            .keysThatNeedRestart(GatewayConfig.of(ConfigValues.ofJson(TestConfig.json(OTHER)))));
+    one.unreachable.addAll(List.of("s-0", "s-1", "s-2"));
+    List.copyOf(one.connections.keySet()).stream()
+        .filter(
+            n -> n < 0 && one.connections.get(n).discoveryPort == 0 && one.connections.get(n).open)
+        .forEach(one::closeByServer);
     long client = ask(one, false, "look", "acme");
-    one.wait(900);
+    one.advance(900);
     assertTrue(
-        one.wires.get(client).take().contains("D500\0"),
+        one.connections.get(client).takeReceived().contains("D500\0"),
         "come back after the first customer's time");
   }
 }
