--- a/gateway/src/main/java/weldcross/control/ClusterStatus.java
+++ b/gateway/src/main/java/weldcross/control/ClusterStatus.java
@@ -4,6 +4,7 @@
 import java.io.IOException;
 import java.time.Duration;
 import java.util.Optional;
+import java.util.SortedSet;
 import java.util.TreeSet;
 import weldcross.consensus.ConsensusConfig;
 import weldcross.consensus.Member;
@@ -77,8 +78,8 @@
   }
 
   /** All gateways that are configured, detected or agreed on, by name. */
-  private TreeSet<PeerName> names(MembershipView view) {
-    TreeSet<PeerName> names = new TreeSet<>(view.members().keySet());
+  private SortedSet<PeerName> names(MembershipView view) {
+    SortedSet<PeerName> names = new TreeSet<>(view.members().keySet());
     membership.failureDetector().members().forEach(update -> names.add(update.member()));
     names.addAll(mesh.connections().peers());
     names.add(config.self());
--- a/gateway/src/main/java/weldcross/control/ControlExtension.java
+++ b/gateway/src/main/java/weldcross/control/ControlExtension.java
@@ -4,6 +4,8 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
@@ -37,8 +39,8 @@
   private final ConsensusConfig config;
   private final ClusterStatus status;
 
-  /** Proposals to forget a gateway that operators wait for, by the name of that gateway. */
-  private final Map<PeerName, CompletableFuture<ProposalResult>> pendingForgets = new TreeMap<>();
+  /** Requests to forget a gateway that wait for a decision, by the name of that gateway. */
+  private final Map<PeerName, List<CompletableFuture<String>>> pendingForgets = new TreeMap<>();
 
   private final ExecutorService threads =
       Executors.newFixedThreadPool(THREADS, ControlExtension::newThread);
@@ -122,16 +124,15 @@
           new IllegalArgumentException("forget wants the name of another gateway"));
       return;
     }
-    pendingForgets
-        .computeIfAbsent(name.get(), forgotten -> new CompletableFuture<>())
-        .thenAccept(result -> response.complete(ControlJson.object("verdict", result.wireName())));
+    pendingForgets.computeIfAbsent(name.get(), forgotten -> new ArrayList<>()).add(response);
     consensus.service().forget(name.get());
   }
 
   private void onProposalDecided(Proposal proposal, ProposalResult result) {
-    CompletableFuture<ProposalResult> pending = pendingForgets.remove(proposal.member());
+    List<CompletableFuture<String>> pending = pendingForgets.remove(proposal.member());
     if (pending != null) {
-      pending.complete(result);
+      String json = ControlJson.object("verdict", result.wireName());
+      pending.forEach(response -> response.complete(json));
     }
   }
 
--- /dev/null
+++ b/gateway/src/test/java/weldcross/mesh/InboundConnectionsTest.java
@@ -0,0 +1,92 @@
+package weldcross.mesh;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.Optional;
+import org.junit.jupiter.api.Test;
+
+/** One peer; a handshake has 200 ms, an established connection is silent for at most 400 ms. */
+class InboundConnectionsTest {
+
+  private static final PeerName PEER_NAME = new PeerName("peer");
+  private static final Incarnation FIRST = new Incarnation(1, 1);
+  private static final Incarnation SECOND = new Incarnation(2, 2);
+  private static final MeshConfig CONFIG =
+      MeshSimulation.config(new PeerName("self"), List.of(PEER_NAME));
+
+  private final Peer peer = new Peer(PEER_NAME);
+  private final RecordingTransport transport = new RecordingTransport();
+  private final InboundConnections connections = new InboundConnections(CONFIG, transport);
+
+  private static Duration millis(long count) {
+    return Duration.ofMillis(count);
+  }
+
+  private void establish(Duration now, long id, Incarnation incarnation) {
+    assertTrue(connections.accept(now, id));
+    connections.establish(now, connections.find(id).orElseThrow(), peer, incarnation);
+  }
+
+  @Test
+  void thirdConnectionOfOnePeerIsClosed() {
+    assertTrue(connections.accept(millis(0), 1));
+    assertTrue(connections.accept(millis(0), 2));
+    assertFalse(connections.accept(millis(0), 3));
+    assertEquals(List.of("close 3"), transport.takeCalls());
+  }
+
+  @Test
+  void laterConnectionTakesThePlaceOfTheEstablishedOne() {
+    establish(millis(0), 1, FIRST);
+    establish(millis(0), 2, FIRST);
+    assertEquals(List.of("close 1"), transport.takeCalls());
+    assertEquals(connections.find(2), connections.findEstablished(PEER_NAME));
+    assertEquals(Optional.empty(), connections.find(1));
+  }
+
+  @Test
+  void connectionOfAnEarlierIncarnationIsClosed() {
+    establish(millis(0), 1, FIRST);
+    connections.closeOfEarlierIncarnation(peer, FIRST);
+    assertEquals(List.of(), transport.takeCalls());
+    connections.closeOfEarlierIncarnation(peer, SECOND);
+    assertEquals(List.of("close 1"), transport.takeCalls());
+    assertEquals(Optional.empty(), connections.findEstablished(PEER_NAME));
+  }
+
+  @Test
+  void endOfAReplacedConnectionLeavesTheEstablishedOne() {
+    establish(millis(0), 1, FIRST);
+    establish(millis(0), 2, FIRST);
+    assertEquals(Optional.empty(), connections.remove(1));
+    assertTrue(connections.findEstablished(PEER_NAME).isPresent());
+    assertTrue(connections.remove(2).isPresent());
+    assertEquals(Optional.empty(), connections.findEstablished(PEER_NAME));
+  }
+
+  @Test
+  void callerWithoutAHandshakeExpiresAfterTheConnectTimeout() {
+    connections.accept(millis(0), 1);
+    assertEquals(Optional.of(millis(200)), connections.nextTimer());
+    connections.onTimer(millis(199));
+    assertEquals(List.of(), transport.takeCalls());
+    connections.onTimer(millis(200));
+    assertEquals(List.of("close 1"), transport.takeCalls());
+    assertEquals(Optional.empty(), connections.nextTimer());
+  }
+
+  @Test
+  void establishedConnectionExpiresAfterTheHeartbeatTimeoutOfSilence() {
+    establish(millis(0), 1, FIRST);
+    connections.find(1).orElseThrow().heard(millis(300));
+    assertEquals(Optional.of(millis(700)), connections.nextTimer());
+    connections.onTimer(millis(699));
+    assertEquals(List.of(), transport.takeCalls());
+    connections.onTimer(millis(700));
+    assertEquals(List.of("close 1"), transport.takeCalls());
+  }
+}
--- /dev/null
+++ b/gateway/src/test/java/weldcross/mesh/net/IncarnationStoreTest.java
@@ -0,0 +1,74 @@
+package weldcross.mesh.net;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.Optional;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import weldcross.extension.StandaloneEventLoop;
+
+@Timeout(30)
+class IncarnationStoreTest {
+
+  private static final Duration WAIT = Duration.ofSeconds(10);
+
+  @TempDir private Path folder;
+  private final StandaloneEventLoop loop = StandaloneEventLoop.start("gateway");
+  private final BlockingQueue<Long> stored = new LinkedBlockingQueue<>();
+
+  @AfterEach
+  void stopLoop() {
+    loop.stop();
+  }
+
+  private IncarnationStore open(Path directory) {
+    IncarnationStore store = new IncarnationStore(directory, loop, stored::add);
+    loop.post(store::open);
+    return store;
+  }
+
+  private long nextStored() throws InterruptedException {
+    return Optional.ofNullable(stored.poll(WAIT.toMillis(), TimeUnit.MILLISECONDS)).orElse(-1L);
+  }
+
+  @Test
+  void eachStartStoresTheNextNumber() throws InterruptedException {
+    for (long expected = 1; expected <= 3; expected++) {
+      try (IncarnationStore store = open(folder)) {
+        assertEquals(expected, nextStored());
+      }
+    }
+  }
+
+  @Test
+  void numberAboveAKnownOneIsStoredAndFollowedByTheNextStart() throws InterruptedException {
+    try (IncarnationStore store = open(folder)) {
+      assertEquals(1, nextStored());
+      loop.post(() -> store.storeAbove(6));
+      assertEquals(7, nextStored());
+    }
+    try (IncarnationStore store = open(folder)) {
+      assertEquals(8, nextStored());
+    }
+  }
+
+  @Test
+  void storeTriesAgainUntilTheDiskWorks() throws Exception {
+    Path blocked = folder.resolve("blocked");
+    Files.writeString(blocked, "a file where the directory should be");
+    try (IncarnationStore store = open(blocked)) {
+      assertEquals(null, stored.poll(300, TimeUnit.MILLISECONDS));
+      Files.delete(blocked);
+      assertEquals(1, nextStored());
+      assertEquals(Optional.empty(), store.failure());
+    }
+  }
+}
