--- a/gateway/src/test/java/weldcross/routing/RouterHarness.java
+++ b/gateway/src/test/java/weldcross/routing/RouterHarness.java
@@ -203,11 +203,6 @@
     return arrive(consistency, 0, Duration.ZERO);
   }
 
-  /** Lets such a request arrive and returns the attempt that the router sends at once. */
-  SentAttempt send(Consistency consistency) {
-    return onlyInFlight(arrive(consistency));
-  }
-
   /** Lets a request arrive and returns its name; {@code sinceWrite} is zero for no write. */
   String arrive(Consistency consistency, int group, Duration sinceWrite) {
     TrackedRequest entry = new TrackedRequest();
@@ -231,6 +226,14 @@
     return name;
   }
 
+  /**
+   * Lets a request arrive as {@link #arrive(Consistency)} does and returns the attempt that the
+   * router sends at once.
+   */
+  SentAttempt send(Consistency consistency) {
+    return onlyInFlight(arrive(consistency));
+  }
+
   /** Ends an attempt; a server that responds says whether it is the primary. */
   void end(SentAttempt sent, AttemptOutcome outcome) {
     end(sent, outcome, sent.at);
