--- a/gateway/src/main/java/weldcross/cli/ClusterCommand.java
+++ b/gateway/src/main/java/weldcross/cli/ClusterCommand.java
@@ -152,6 +152,7 @@
         names = "--it-has-ended",
         required = true,
         description = "Says that you looked: its process is gone.")
+    @SuppressWarnings("UnusedVariable") // Required as a confirmation; its value says no more.
     private boolean hasEnded;
 
     @Override
--- a/gateway/src/main/java/weldcross/config/JsonConfigParser.java
+++ b/gateway/src/main/java/weldcross/config/JsonConfigParser.java
@@ -47,7 +47,7 @@
 
   private void addObject(String prefix) throws IOException {
     while (parser.nextToken() == JsonToken.FIELD_NAME) {
-      String key = prefix + parser.getCurrentName();
+      String key = prefix + parser.currentName();
       addValue(parser.nextToken(), key);
     }
   }
--- a/gateway/src/main/java/weldcross/config/LoadReport.java
+++ b/gateway/src/main/java/weldcross/config/LoadReport.java
@@ -26,7 +26,7 @@
   public static LoadReport read(String pairs, char separator) {
     BigDecimal position = null;
     Boolean primary = null;
-    for (String pair : pairs.split(",")) {
+    for (String pair : pairs.split(",", -1)) {
       int separatorIndex = pair.indexOf(separator);
       String name = pair.substring(0, Math.max(0, separatorIndex)).strip();
       if (name.equals(POSITION_KEY)) {
--- a/gateway/src/main/java/weldcross/pgwire/MessageEncoder.java
+++ b/gateway/src/main/java/weldcross/pgwire/MessageEncoder.java
@@ -67,7 +67,7 @@
    * @param detail the detail field; null for none
    */
   public static ByteBuffer error(String sqlState, String message, String detail) {
-    return join(error("ERROR", sqlState, message, detail), READY_FOR_QUERY);
+    return join(errorResponse("ERROR", sqlState, message, detail), READY_FOR_QUERY);
   }
 
   /**
@@ -77,7 +77,7 @@
    * @param message the reason
    */
   public static ByteBuffer fatal(String sqlState, String message) {
-    return join(error("FATAL", sqlState, message, null));
+    return join(errorResponse("FATAL", sqlState, message, null));
   }
 
   /**
@@ -123,7 +123,8 @@
     return join(message('Q', text + "\0"));
   }
 
-  private static byte[] error(String severity, String sqlState, String message, String detail) {
+  private static byte[] errorResponse(
+      String severity, String sqlState, String message, String detail) {
     return message(
         'E',
         "S"
--- a/gateway/src/main/java/weldcross/pgwire/ServerResponse.java
+++ b/gateway/src/main/java/weldcross/pgwire/ServerResponse.java
@@ -83,7 +83,7 @@
       }
       case 'E' -> {
         requireOrder(sqlState == null);
-        sqlState = sqlState(message);
+        sqlState = readSqlState(message);
       }
       case 'S' -> readParameter(message);
       case 'N' -> {
@@ -198,7 +198,7 @@
   }
 
   /** Returns the code field of an error; throws if there is none. */
-  private static String sqlState(ByteBuffer error) throws ProtocolException {
+  private static String readSqlState(ByteBuffer error) throws ProtocolException {
     int at = HEADER_SIZE;
     String code = "";
     while (at < error.limit() && error.get(at) != 0) {
--- a/gateway/src/test/java/weldcross/config/StoredConfigFilesTest.java
+++ b/gateway/src/test/java/weldcross/config/StoredConfigFilesTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.URISyntaxException;
 import java.nio.file.Path;
@@ -36,8 +37,8 @@
   @Test
   void gatewayFileGivesAddressesAndLimits() {
     assertEquals("n0", gateway.name());
-    assertEquals(new InetSocketAddress("127.0.0.1", 6543), gateway.listenAddress());
-    assertEquals(new InetSocketAddress("127.0.0.1", 8500), gateway.discoveryAddress());
+    assertEquals(loopback(6543), gateway.listenAddress());
+    assertEquals(loopback(8500), gateway.discoveryAddress());
     assertEquals(0x8c1f30d27a5be964L, gateway.seed());
     assertEquals(1024, gateway.maxDescriptors());
     assertEquals(List.of("entry-read", "entry-write"), gateway.requestClassNames());
@@ -118,8 +119,8 @@
             4096 << 10),
         mesh.config());
     PeerAddresses addresses = mesh.addresses();
-    InetSocketAddress own = new InetSocketAddress("127.0.0.1", 7000);
-    InetSocketAddress others = new InetSocketAddress("127.0.0.1", 7001);
+    InetSocketAddress own = loopback(7000);
+    InetSocketAddress others = loopback(7001);
     assertEquals(own, addresses.listenAddress());
     assertEquals(Optional.of(own), addresses.datagramListenAddress());
     assertEquals(others, addresses.connectAddresses().get(peer));
@@ -129,6 +130,10 @@
     assertEquals(Optional.empty(), extensions.controlAddress());
   }
 
+  private static InetSocketAddress loopback(int port) {
+    return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+  }
+
   private static String fixture(String name) throws URISyntaxException {
     return Path.of(StoredConfigFilesTest.class.getResource(name).toURI()).toString();
   }
--- a/gateway/src/test/java/weldcross/gateway/GossipSocketTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GossipSocketTest.java
@@ -11,6 +11,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import weldcross.gossip.GossipMessage;
@@ -23,6 +25,23 @@
 
   private final LinkedBlockingQueue<ServerId> received = new LinkedBlockingQueue<>();
 
+  private InetSocketAddress receiverAddress;
+  private GossipSocket receiver;
+  private GossipSocket sender;
+
+  @BeforeEach
+  void open() throws IOException {
+    receiverAddress = freeAddress();
+    receiver = new GossipSocket(receiverAddress, received::add);
+    sender = new GossipSocket(freeAddress(), server -> {});
+  }
+
+  @AfterEach
+  void close() {
+    receiver.close();
+    sender.close();
+  }
+
   private static InetSocketAddress freeAddress() throws IOException {
     try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
       return new InetSocketAddress(free.getLocalAddress(), free.getLocalPort());
@@ -30,11 +49,10 @@
   }
 
   /** A datagram may be lost, so it is sent until one arrives. */
-  private ServerId sendUntilReceived(
-      GossipSocket sender, InetSocketAddress receiver, byte[] message) throws Exception {
+  private ServerId sendUntilReceived() throws InterruptedException {
     ServerId server = null;
     for (int attempt = 0; server == null && attempt < 100; attempt++) {
-      sender.send(receiver, message);
+      sender.send(receiverAddress, GossipMessage.encode(SERVER));
       server = received.poll(200, TimeUnit.MILLISECONDS);
     }
     return server;
@@ -42,24 +60,15 @@
 
   @Test
   void messageReachesTheOtherSocket() throws Exception {
-    InetSocketAddress receiverAddress = freeAddress();
-    try (GossipSocket receiver = new GossipSocket(receiverAddress, received::add);
-        GossipSocket sender = new GossipSocket(freeAddress(), server -> {})) {
-      assertEquals(
-          SERVER, sendUntilReceived(sender, receiverAddress, GossipMessage.encode(SERVER)));
-    }
+    assertEquals(SERVER, sendUntilReceived());
   }
 
   @Test
   void messageThatIsTooLongIsIgnored() throws Exception {
-    InetSocketAddress receiverAddress = freeAddress();
-    try (GossipSocket receiver = new GossipSocket(receiverAddress, received::add);
-        GossipSocket sender = new GossipSocket(freeAddress(), server -> {})) {
-      sender.send(receiverAddress, "s".repeat(257).getBytes(StandardCharsets.US_ASCII));
-      assertEquals(
-          SERVER, sendUntilReceived(sender, receiverAddress, GossipMessage.encode(SERVER)));
-      assertTrue(received.stream().allMatch(SERVER::equals), received.toString());
-    }
+    byte[] tooLong = "s".repeat(GossipMessage.MAX_BYTES + 1).getBytes(StandardCharsets.US_ASCII);
+    sender.send(receiverAddress, tooLong);
+    assertEquals(SERVER, sendUntilReceived());
+    assertTrue(received.stream().allMatch(SERVER::equals), received.toString());
   }
 
   @Test
--- a/gateway/src/test/java/weldcross/gateway/IdleConnectionsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/IdleConnectionsTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -22,7 +23,8 @@
   private final ServerConnection newest = connection(-3, FIRST_SERVER);
 
   private static ServerConnection connection(long number, ServerId server) {
-    return new ServerConnection(number, server, new InetSocketAddress("127.0.0.1", 6543));
+    return new ServerConnection(
+        number, server, new InetSocketAddress(InetAddress.getLoopbackAddress(), 6543));
   }
 
   private void addAll() {
--- /dev/null
+++ b/gateway/src/test/java/weldcross/pgwire/ClientMessageDecoderTest.java
@@ -0,0 +1,189 @@
+package weldcross.pgwire;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static weldcross.pgwire.WireMessages.READ;
+import static weldcross.pgwire.WireMessages.bytes;
+import static weldcross.pgwire.WireMessages.message;
+import static weldcross.pgwire.WireMessages.pieces;
+import static weldcross.pgwire.WireMessages.query;
+import static weldcross.pgwire.WireMessages.start;
+import static weldcross.pgwire.WireMessages.text;
+import static weldcross.pgwire.WireMessages.untyped;
+import static weldcross.pgwire.WireMessages.write;
+
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+class ClientMessageDecoderTest {
+
+  /** Records what a client sent, as text. */
+  private static final class RecordingSink implements ClientMessageDecoder.Sink {
+    final List<String> events = new ArrayList<>();
+    int startedMessages;
+
+    @Override
+    public void encryptionRequested() {
+      events.add("encryption");
+    }
+
+    @Override
+    public void startupReceived() {
+      events.add("started");
+    }
+
+    @Override
+    public void statementReceived(Statement statement) {
+      events.add(
+          "statement "
+              + statement.id()
+              + " "
+              + statement.key()
+              + " "
+              + statement.isWrite()
+              + " "
+              + text(statement.withTimeout(77)).hashCode());
+    }
+
+    @Override
+    public void emptyQueryReceived() {
+      events.add("empty");
+    }
+
+    @Override
+    public void statementRejected(String sqlState, String message) {
+      events.add("rejected " + sqlState);
+    }
+
+    @Override
+    public void messageStarted() {
+      startedMessages++;
+    }
+
+    @Override
+    public void protocolError(String sqlState, String message) {
+      events.add("error " + sqlState);
+    }
+
+    @Override
+    public void terminated() {
+      events.add("terminated");
+    }
+
+    @Override
+    public void cancelRequested(int processId, int secretKey) {
+      events.add("cancel " + processId + " " + secretKey);
+    }
+  }
+
+  /** A cancel request is the only message of its connection. */
+  @Test
+  void cancelRequestIsDecodedOnlyIfWhole() {
+    byte[] cancel =
+        ByteBuffer.allocate(16).putInt(16).putInt(80877102).putInt(7).putInt(-9).array();
+    assertEquals(List.of("cancel 7 -9"), decode(bytes(cancel, query("")), null));
+    assertEquals(List.of("cancel 7 -9"), decode(cancel, new SplittableRandom(1)));
+    assertEquals(List.of("terminated"), decode(untyped(80877102), null), "without a key");
+  }
+
+  @Test
+  void streamDecodesTheSameInPiecesOfAnySize() {
+    byte[] stream =
+        bytes(
+            untyped(80877103),
+            untyped(80877104),
+            start(),
+            query(READ),
+            query(""),
+            query(READ),
+            query("SELECT 1"),
+            query(write("00ff".repeat(30_000))),
+            message('X', ""));
+    List<String> whole = decode(stream, null);
+    assertEquals(List.of("encryption", "encryption", "started"), whole.subList(0, 3));
+    assertEquals(
+        List.of("empty", "rejected 42601", "terminated"),
+        List.of(whole.get(4), whole.get(6), whole.get(8)));
+    for (long seed = 0; seed < 200; seed++) {
+      assertEquals(whole, decode(stream, new SplittableRandom(seed)), "seed " + seed);
+    }
+  }
+
+  @Test
+  void startedMessageIsReportedOnce() {
+    RecordingSink sink = new RecordingSink();
+    ClientMessageDecoder decoder = new ClientMessageDecoder(sink);
+    decoder.feed(ByteBuffer.wrap(start()));
+    assertEquals(0, sink.startedMessages);
+    for (int k = 0; k < 9; k++) {
+      decoder.feed(ByteBuffer.wrap(query(READ), k, 1));
+    }
+    assertEquals(1, sink.startedMessages);
+    decoder.feed(ByteBuffer.wrap(query(READ), 9, query(READ).length - 9));
+    decoder.feed(ByteBuffer.wrap(query(READ), 0, 50));
+    assertEquals(2, sink.startedMessages);
+  }
+
+  /** Whatever a client sends, each statement is decoded as it is, or rejected with an error. */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4, 5, 6})
+  void noiseIsNeverTakenForStatement(long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    byte[] good = bytes(start(), query(READ), query(write("00ff")), query(READ));
+    for (int round = 0; round < 3000; round++) {
+      byte[] stream = good.clone();
+      for (int n = random.nextInt(3); n >= 0; n--) {
+        int at = random.nextInt(stream.length);
+        if (random.nextInt(3) == 0) {
+          ByteBuffer.wrap(stream).putInt(Math.min(at, stream.length - 4), random.nextInt());
+        } else if (random.nextBoolean()) {
+          stream[at] = (byte) random.nextInt(256);
+        } else {
+          stream =
+              bytes(
+                  Arrays.copyOf(stream, at),
+                  Arrays.copyOfRange(good, random.nextInt(good.length), good.length));
+        }
+      }
+      for (String event : decode(stream, random)) {
+        assertTrue(
+            event.matches(
+                "started|encryption|empty|terminated|(rejected|error) \\w{5}|statement .*"),
+            event);
+      }
+    }
+  }
+
+  @Test
+  void protocolViolationEndsStream() {
+    byte[] tooLong =
+        ByteBuffer.allocate(5).put((byte) 'Q').putInt(FrameDecoder.MAX_LENGTH + 1).array();
+    byte[] tooShort = ByteBuffer.allocate(5).put((byte) 'Q').putInt(3).array();
+    for (byte[] bad : List.of(tooLong, tooShort, message('?', ""))) {
+      assertEquals(
+          List.of("started", "error 08P01"), decode(bytes(start(), bad, query(READ)), null));
+    }
+    for (char extended : "PBDECHSF".toCharArray()) {
+      assertEquals(
+          List.of("started", "error 0A000"), decode(bytes(start(), message(extended, "\0")), null));
+    }
+    assertEquals(List.of("error 0A000"), decode(untyped(2 << 16), null));
+    assertEquals(List.of("terminated"), decode(untyped(80877102), null));
+    assertEquals(List.of("error 08P01"), decode(new byte[] {0, 0, 0, 4}, null));
+  }
+
+  private static List<String> decode(byte[] stream, SplittableRandom random) {
+    RecordingSink sink = new RecordingSink();
+    ClientMessageDecoder decoder = new ClientMessageDecoder(sink);
+    for (ByteBuffer piece : pieces(stream, random)) {
+      decoder.feed(piece);
+    }
+    return sink.events;
+  }
+}
