--- a/gateway/src/main/java/weldcross/discovery/HttpResponseDecoder.java
+++ b/gateway/src/main/java/weldcross/discovery/HttpResponseDecoder.java
@@ -24,7 +24,7 @@
   public interface Sink {
 
     /**
-     * Receives a whole response.
+     * Receives a complete response.
      *
      * @param status the status code
      * @param body the body, without any transfer coding
@@ -94,7 +94,7 @@
     }
   }
 
-  /** Returns whether a response has begun and is not whole. */
+  /** Returns whether a response has begun and is not complete. */
   public boolean isInResponse() {
     return state != State.STATUS || line.size() > 0;
   }
--- a/gateway/src/main/java/weldcross/gateway/DiscoveryWatcher.java
+++ b/gateway/src/main/java/weldcross/gateway/DiscoveryWatcher.java
@@ -152,7 +152,7 @@
     }
   }
 
-  /** An answer is whole. */
+  /** An answer is complete. */
   void responseReceived(long number, int status, byte[] body) {
     DiscoverySession session = sessionOf(number);
     if (session == null) {
--- a/gateway/src/main/java/weldcross/gateway/ServerConnection.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerConnection.java
@@ -46,9 +46,4 @@
     this.server = server;
     this.address = address;
   }
-
-  @Override
-  public String toString() {
-    return server.name() + " at " + address;
-  }
 }
--- a/gateway/src/main/java/weldcross/gateway/ServerConnectionPool.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerConnectionPool.java
@@ -256,7 +256,7 @@
   }
 
   /**
-   * The response to the current request is whole.
+   * The response to the current request is complete.
    *
    * @param hasTrailingBytes whether bytes follow it: the response counts, its connection is of no
    *     further use
--- a/gateway/src/main/java/weldcross/pgwire/ClientMessageDecoder.java
+++ b/gateway/src/main/java/weldcross/pgwire/ClientMessageDecoder.java
@@ -90,7 +90,7 @@
     }
   }
 
-  /** Returns the number of whole messages that were decoded so far. */
+  /** Returns the number of complete messages that were decoded so far. */
   public int messageCount() {
     return messageCount;
   }
--- a/gateway/src/main/java/weldcross/pgwire/FrameDecoder.java
+++ b/gateway/src/main/java/weldcross/pgwire/FrameDecoder.java
@@ -3,8 +3,9 @@
 import java.nio.ByteBuffer;
 
 /**
- * Cuts a stream into messages. A message that lies whole in what was read is passed on as a slice
- * of it, without a copy; only a message that is split is copied, once, to a buffer of its size.
+ * Cuts a stream into messages. A message that lies completely in what was read is passed on as a
+ * slice of it, without a copy; only a message that is split is copied, once, to a buffer of its
+ * size.
  */
 public final class FrameDecoder {
 
@@ -30,7 +31,7 @@
   public interface Sink {
 
     /**
-     * Receives a whole message.
+     * Receives a complete message.
      *
      * @param type the type byte, or {@link #UNTYPED}
      * @param message the message with its header; the body starts at {@link #bodyOffset}
@@ -95,7 +96,7 @@
     return partial != null || header.position() > 0;
   }
 
-  /** Passes the next message on without a copy; returns false if it does not lie whole in here. */
+  /** Passes the next message on without a copy; returns false if its end has not arrived. */
   private boolean passOnInPlace(ByteBuffer in, Sink sink) throws ProtocolException {
     if (isInMessage() || in.remaining() < headerSize()) {
       return false;
@@ -110,7 +111,7 @@
     return true;
   }
 
-  /** Copies what there is of a message that is split, and passes it on once it is whole. */
+  /** Copies what there is of a message that is split, and passes it on once it is complete. */
   private void collect(ByteBuffer in, Sink sink) throws ProtocolException {
     if (partial == null) {
       copy(in, header, headerSize() - header.position());
--- a/gateway/src/main/java/weldcross/pgwire/ServerMessageDecoder.java
+++ b/gateway/src/main/java/weldcross/pgwire/ServerMessageDecoder.java
@@ -18,7 +18,7 @@
     void ready();
 
     /**
-     * A response is whole.
+     * A response is complete.
      *
      * @param response the response
      * @param hasTrailingBytes whether bytes follow it, so that the stream is of no further use
@@ -44,7 +44,7 @@
   private boolean responseStarted;
   private boolean broken;
 
-  /** The response that became whole in this call; null if none did. */
+  /** The response that became complete in this call; null if none did. */
   private ServerResponse complete;
 
   /** Set by the thread that writes requests, cleared by the one that feeds. */
@@ -72,7 +72,7 @@
       frames.feed(in, this);
     } catch (ProtocolException e) {
       broken = true;
-      // A whole response stays good, whatever follows it.
+      // A complete response stays good, whatever follows it.
       if (complete == null) {
         sink.protocolError(e.getMessage());
       }
--- a/gateway/src/main/java/weldcross/pgwire/ServerResponse.java
+++ b/gateway/src/main/java/weldcross/pgwire/ServerResponse.java
@@ -64,7 +64,7 @@
     }
   }
 
-  /** Adds one message; returns true if the response is whole, that is with ReadyForQuery. */
+  /** Adds one message; returns true if the response is complete, that is with ReadyForQuery. */
   boolean add(byte type, ByteBuffer message) throws ProtocolException {
     switch (type) {
       case 'T' -> {
--- a/gateway/src/main/java/weldcross/pgwire/Statement.java
+++ b/gateway/src/main/java/weldcross/pgwire/Statement.java
@@ -51,8 +51,8 @@
   /**
    * Parses a query.
    *
-   * @param query the whole message, whose body starts at {@link FrameDecoder#bodyOffset}; must not
-   *     change afterwards
+   * @param query the message, whose body starts at {@link FrameDecoder#bodyOffset}; must not change
+   *     afterwards
    * @throws ProtocolException if the query is not of one of the two forms served, or its comment
    *     lacks a field
    */
--- a/gateway/src/test/java/weldcross/config/StoredConfigFilesTest.java
+++ b/gateway/src/test/java/weldcross/config/StoredConfigFilesTest.java
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void gatewayFileGivesRouting() {
+  void gatewayFileGivesRequestClasses() {
     RequestClass read =
         new RequestClass(
             Consistency.SESSION,
@@ -76,9 +76,14 @@
             Duration.ofMillis(600),
             3,
             0.5);
+    assertEquals(List.of(read, write), gateway.routing().requestClasses());
+  }
+
+  @Test
+  void gatewayFileGivesRouting() {
     assertEquals(
         new RoutingConfig(
-            List.of(read, write),
+            gateway.routing().requestClasses(),
             1,
             new ZoneId(0),
             true,
--- a/gateway/src/test/java/weldcross/gateway/SocketLimitsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/SocketLimitsTest.java
@@ -27,19 +27,19 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * The loops that MINA runs for a gateway end each of their rounds: a round that does not is the end
- * of its gateway. Other connections are served meanwhile, which is what would fail.
+ * The threads of MINA must complete each of their rounds, as one that does not stops the gateway.
+ * Each test checks this by round trips on another connection.
  */
 @Timeout(60)
 class SocketLimitsTest {
 
-  /** Round trips of another client: each is a round of the processor at least. */
-  private static final int OTHERS = 300;
+  /** Round trips of another client; each takes at least one round of the processor. */
+  private static final int ROUND_TRIPS = 300;
 
   private final ExecutorService threads = Executors.newCachedThreadPool();
   private final GatheringIoProcessor processor = new GatheringIoProcessor(threads, () -> {});
-  private final AtomicInteger looks = new AtomicInteger();
-  private final AtomicBoolean full = new AtomicBoolean();
+  private final AtomicInteger acceptAttempts = new AtomicInteger();
+  private final AtomicBoolean outOfDescriptors = new AtomicBoolean();
   private final LinkedBlockingQueue<IoSession> sessions = new LinkedBlockingQueue<>();
   private final ConnectionLimitAcceptor acceptor =
       new ConnectionLimitAcceptor(
@@ -47,16 +47,16 @@
           processor,
           100,
           () -> {
-            looks.incrementAndGet();
-            if (full.get()) {
+            acceptAttempts.incrementAndGet();
+            if (outOfDescriptors.get()) {
               throw new UncheckedIOException(new IOException("Too many open files"));
             }
             return 0;
           });
-  private InetSocketAddress at;
+  private InetSocketAddress address;
 
   @BeforeEach
-  void echo() throws IOException {
+  void startEchoServer() throws IOException {
     acceptor.setHandler(
         new IoHandlerAdapter() {
           @Override
@@ -72,127 +72,122 @@
           }
         });
     acceptor.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-    at = acceptor.getLocalAddress();
+    address = acceptor.getLocalAddress();
   }
 
   @AfterEach
-  void end() {
+  void stopServer() {
     acceptor.dispose();
     threads.shutdownNow();
   }
 
   private Socket connect() throws IOException {
-    Socket socket = new Socket(at.getAddress(), at.getPort());
+    Socket socket = new Socket(address.getAddress(), address.getPort());
     socket.setSoTimeout(20_000);
     return socket;
   }
 
-  private static void isServed(Socket client, int times) throws IOException {
+  private static void assertServed(Socket client, int times) throws IOException {
     for (int k = 0; k < times; k++) {
       client.getOutputStream().write(k);
       assertEquals(k & 0xff, client.getInputStream().read());
     }
   }
 
-  /** What asks for itself in every round of the processor gets one turn a round. */
   @Test
-  void whatAsksForItselfAfterEachReadingLeavesOthersServed() throws IOException {
-    AtomicBoolean ends = new AtomicBoolean();
-    AtomicInteger turns = new AtomicInteger();
+  void taskThatResubmitsItselfDoesNotBlockReads() throws IOException {
+    AtomicBoolean stopped = new AtomicBoolean();
+    AtomicInteger runs = new AtomicInteger();
     try (Socket client = connect()) {
-      isServed(client, 1);
-      Runnable again =
+      assertServed(client, 1);
+      Runnable task =
           new Runnable() {
             @Override
             public void run() {
-              turns.incrementAndGet();
-              if (!ends.get()) {
+              runs.incrementAndGet();
+              if (!stopped.get()) {
                 processor.afterPendingReads(this);
               }
             }
           };
-      processor.afterPendingReads(again);
-      isServed(client, OTHERS);
-      assertTrue(turns.get() > 1, "it did ask for itself: " + turns);
+      processor.afterPendingReads(task);
+      assertServed(client, ROUND_TRIPS);
+      assertTrue(runs.get() > 1, "it resubmitted itself: " + runs);
     } finally {
-      ends.set(true);
+      stopped.set(true);
     }
   }
 
-  /**
-   * Without descriptors accepting fails at once each time; it is tried once a second, and goes on
-   * by itself.
-   */
+  /** Without descriptors each accept fails at once; MINA tries again after a second. */
   @Test
-  void withoutDescriptorsAcceptingPausesAndGoesOn() throws Exception {
-    try (Socket before = connect()) {
-      isServed(before, 1);
-      int looked = looks.get();
-      full.set(true);
-      long began = System.nanoTime();
-      try (Socket waits = connect()) {
+  void acceptingWithoutDescriptorsPausesAndResumes() throws Exception {
+    try (Socket client = connect()) {
+      assertServed(client, 1);
+      int before = acceptAttempts.get();
+      outOfDescriptors.set(true);
+      long start = System.nanoTime();
+      try (Socket waiting = connect()) {
         int served = 0;
-        while (looks.get() < looked + 2 && System.nanoTime() - began < 20_000_000_000L) {
-          isServed(before, 1);
+        while (acceptAttempts.get() < before + 2 && System.nanoTime() - start < 20_000_000_000L) {
+          assertServed(client, 1);
           served++;
         }
-        long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
+        long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
         assertTrue(millis >= 500, "tried again after " + millis + " ms");
-        assertTrue(served > OTHERS, "others were served meanwhile: " + served);
-        full.set(false);
-        isServed(waits, 1);
+        assertTrue(served > ROUND_TRIPS, "others were served meanwhile: " + served);
+        outOfDescriptors.set(false);
+        assertServed(waiting, 1);
       }
     }
   }
 
-  /** Counts how often it is tried to be written. */
-  private static final class Counted extends CompositeBuffer {
-    final AtomicInteger tries = new AtomicInteger();
+  /** Counts the attempts to write it. */
+  private static final class CountingBuffer extends CompositeBuffer {
+    final AtomicInteger attempts = new AtomicInteger();
 
-    Counted(ByteBuffer... parts) {
+    CountingBuffer(ByteBuffer... parts) {
       super(parts);
     }
 
     @Override
     long writeTo(GatheringByteChannel channel) throws IOException {
-      tries.incrementAndGet();
+      attempts.incrementAndGet();
       return super.writeTo(channel);
     }
   }
 
   /**
-   * Who takes nothing costs a try when it might take more, not one a round; once it reads it gets
-   * all.
+   * A client that does not read costs no attempt in each round, and gets everything once it does.
    */
   @Test
-  void writeWithoutProgressWaitsForRoom() throws Exception {
-    byte[] much = new byte[24 << 20];
-    for (int k = 0; k < much.length; k++) {
-      much[k] = (byte) (k * 31);
+  void blockedWriteIsRetriedOnlyWhenWritable() throws Exception {
+    byte[] content = new byte[24 << 20];
+    for (int k = 0; k < content.length; k++) {
+      content[k] = (byte) (k * 31);
     }
-    try (Socket takesNothing = connect();
+    try (Socket blocked = connect();
         Socket other = connect()) {
-      isServed(takesNothing, 1);
-      isServed(other, 1);
-      IoSession stuck = sessions.poll(10, TimeUnit.SECONDS);
-      Counted message =
-          new Counted(
-              ByteBuffer.wrap(much, 0, 1000).slice(),
-              ByteBuffer.wrap(much, 1000, much.length - 1000).slice());
-      stuck.write(message);
-      for (int k = 0; message.tries.get() == 0; k++) {
-        assertTrue(k < OTHERS, "it is tried");
-        isServed(other, 1);
+      assertServed(blocked, 1);
+      assertServed(other, 1);
+      IoSession session = sessions.poll(10, TimeUnit.SECONDS);
+      CountingBuffer message =
+          new CountingBuffer(
+              ByteBuffer.wrap(content, 0, 1000).slice(),
+              ByteBuffer.wrap(content, 1000, content.length - 1000).slice());
+      session.write(message);
+      for (int k = 0; message.attempts.get() == 0; k++) {
+        assertTrue(k < ROUND_TRIPS, "no attempt to write");
+        assertServed(other, 1);
       }
-      isServed(other, OTHERS);
-      int tries = message.tries.get();
-      isServed(other, OTHERS);
+      assertServed(other, ROUND_TRIPS);
+      int attempts = message.attempts.get();
+      assertServed(other, ROUND_TRIPS);
       assertTrue(
-          message.tries.get() - tries < OTHERS / 10,
-          "tried " + (message.tries.get() - tries) + " times while nothing was taken");
-      byte[] got = new byte[much.length];
-      new DataInputStream(takesNothing.getInputStream()).readFully(got);
-      assertArrayEquals(much, got);
+          message.attempts.get() - attempts < ROUND_TRIPS / 10,
+          "attempted " + (message.attempts.get() - attempts) + " times while nothing was taken");
+      byte[] received = new byte[content.length];
+      new DataInputStream(blocked.getInputStream()).readFully(received);
+      assertArrayEquals(content, received);
     }
   }
 }
