--- a/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
+++ b/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
@@ -104,7 +104,7 @@
     return service;
   }
 
-  /** Sets who is told what became of operators' proposals; called before the start. */
+  /** Sets the listener for results of operators' proposals; called before the start. */
   public void setOperatorListener(BiConsumer<Proposal, ProposalResult> listener) {
     operatorListener = listener;
   }
--- a/gateway/src/main/java/weldcross/consensus/raft/AcknowledgementHistory.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/AcknowledgementHistory.java
@@ -15,7 +15,7 @@
 final class AcknowledgementHistory {
 
   /**
-   * What one identity has said.
+   * What one identity has acknowledged and voted for.
    *
    * @param acknowledged the last log entry that it acknowledged
    * @param votedTerm the highest term in which it granted its vote; zero where it never did
@@ -52,7 +52,10 @@
     byIdentity.put(sender, known);
   }
 
-  /** What an identity has said; {@link Acknowledgement#NONE} where it was never heard. */
+  /**
+   * What an identity has acknowledged and voted for; {@link Acknowledgement#NONE} where it was
+   * never heard.
+   */
   Acknowledgement of(VoterId identity) {
     return byIdentity.getOrDefault(identity, Acknowledgement.NONE);
   }
--- a/gateway/src/main/java/weldcross/storage/RecordLogRecovery.java
+++ b/gateway/src/main/java/weldcross/storage/RecordLogRecovery.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 
 /**
- * Reads a record log when it is opened, cuts its torn end, and tells that from damage.
+ * Reads a record log when it is opened, cuts its torn end, and distinguishes that from corruption.
  *
  * <p>A frame is begun only once the one before it is durable. So a place that cannot be read is the
  * torn end, which was never reported as durable, unless an intact frame of a higher number follows
--- a/gateway/src/test/java/weldcross/consensus/MembershipStateMachineTest.java
+++ b/gateway/src/test/java/weldcross/consensus/MembershipStateMachineTest.java
@@ -56,7 +56,7 @@
 
   /**
    * Numbers have no gaps, an ended incarnation stays ended, and a copy that gets the same proposals
-   * gives the same stateMachine.
+   * gives the same views.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
@@ -66,15 +66,7 @@
     MembershipStateMachine copy = new MembershipStateMachine();
     Map<PeerName, Long> highestEnded = new TreeMap<>();
     for (int step = 0; step < 5000; step++) {
-      PeerName name = List.of(A, B, C).get(random.nextInt(3));
-      long incarnation = 1L + random.nextInt(40);
-      Proposal proposal =
-          switch (random.nextInt(4)) {
-            case 0 -> Proposal.dead(name, incarnation, B);
-            case 1 -> Proposal.leave(member(name, incarnation));
-            case 2 -> Proposal.forget(name, B, stateMachine.view().number() - random.nextInt(2));
-            default -> Proposal.join(member(name, incarnation));
-          };
+      Proposal proposal = randomProposal(random, stateMachine.view().number());
       MembershipView before = stateMachine.view();
       ProposalResult result = stateMachine.apply(proposal);
       assertEquals(result, copy.apply(proposal));
@@ -82,32 +74,8 @@
       assertEquals(
           before.number() + (result == ProposalResult.APPLIED ? 1 : 0),
           stateMachine.view().number());
-      before
-          .members()
-          .values()
-          .forEach(
-              m -> {
-                if (!stateMachine.view().contains(m.name(), m.incarnation())) {
-                  highestEnded.merge(m.name(), m.incarnation(), Math::max);
-                }
-              });
-      stateMachine
-          .view()
-          .members()
-          .values()
-          .forEach(
-              m ->
-                  assertTrue(
-                      m.incarnation() > highestEnded.getOrDefault(m.name(), 0L)
-                          || (before.contains(m.name(), m.incarnation())
-                              && m.incarnation() >= highestEnded.getOrDefault(m.name(), 0L))));
-      for (PeerName lost : List.of(A, B, C)) {
-        Optional<PeerName> successor = stateMachine.view().successorOf(lost);
-        assertTrue(
-            successor.isEmpty()
-                || (!successor.get().equals(lost)
-                    && stateMachine.view().members().containsKey(successor.get())));
-      }
+      assertEndedStayEnded(before, stateMachine.view(), highestEnded);
+      List.of(A, B, C).forEach(lost -> assertSuccessorIsAnotherMember(stateMachine.view(), lost));
       if (step % 500 == 0) {
         MembershipStateMachine restored = new MembershipStateMachine();
         restored.restore(copy.view(), Map.copyOf(copy.ended()));
@@ -115,4 +83,38 @@
       }
     }
   }
+
+  private static Proposal randomProposal(SplittableRandom random, long viewNumber) {
+    PeerName name = List.of(A, B, C).get(random.nextInt(3));
+    long incarnation = 1L + random.nextInt(40);
+    return switch (random.nextInt(4)) {
+      case 0 -> Proposal.dead(name, incarnation, B);
+      case 1 -> Proposal.leave(member(name, incarnation));
+      case 2 -> Proposal.forget(name, B, viewNumber - random.nextInt(2));
+      default -> Proposal.join(member(name, incarnation));
+    };
+  }
+
+  /** Takes note of members that ended with this view, and checks that none has come back. */
+  private static void assertEndedStayEnded(
+      MembershipView before, MembershipView view, Map<PeerName, Long> highestEnded) {
+    for (Member each : before.members().values()) {
+      if (!view.contains(each.name(), each.incarnation())) {
+        highestEnded.merge(each.name(), each.incarnation(), Math::max);
+      }
+    }
+    for (Member each : view.members().values()) {
+      long ended = highestEnded.getOrDefault(each.name(), 0L);
+      assertTrue(
+          each.incarnation() > ended
+              || (before.contains(each.name(), each.incarnation()) && each.incarnation() >= ended));
+    }
+  }
+
+  private static void assertSuccessorIsAnotherMember(MembershipView view, PeerName lost) {
+    Optional<PeerName> successor = view.successorOf(lost);
+    assertTrue(
+        successor.isEmpty()
+            || (!successor.get().equals(lost) && view.members().containsKey(successor.get())));
+  }
 }
--- a/gateway/src/test/java/weldcross/consensus/net/ConsensusTest.java
+++ b/gateway/src/test/java/weldcross/consensus/net/ConsensusTest.java
@@ -6,6 +6,7 @@
 
 import java.time.Duration;
 import java.util.List;
+import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -367,45 +368,66 @@
     ConsensusSimulation.Node faulty =
         simulation.allNodes.get(simulation.random.nextInt(simulation.voters.size()));
     for (int step = 0; step < steps; step++) {
-      ConsensusSimulation.Node node =
-          simulation.allNodes.get(simulation.random.nextInt(simulation.allNodes.size()));
-      ConsensusSimulation.Node other =
-          simulation.allNodes.get(simulation.random.nextInt(simulation.allNodes.size()));
-      switch (simulation.random.nextInt(14)) {
-        case 0, 1 -> {
-          if (node.alive) {
-            node.kill();
-          }
-        }
-        case 2, 3, 4 -> {
-          if (!node.alive) {
-            node.start();
-          }
-        }
-        case 5 -> node.paused = node.alive;
-        case 6, 7 -> {
-          if (node.paused && node.alive) {
-            node.resume();
-          }
+      injectFault(simulation, faulty);
+      simulation.run(Duration.ofMillis(simulation.random.nextInt(4000)));
+    }
+    return simulation;
+  }
+
+  private static void injectFault(ConsensusSimulation simulation, ConsensusSimulation.Node faulty) {
+    SplittableRandom random = simulation.random;
+    ConsensusSimulation.Node node =
+        simulation.allNodes.get(random.nextInt(simulation.allNodes.size()));
+    ConsensusSimulation.Node other =
+        simulation.allNodes.get(random.nextInt(simulation.allNodes.size()));
+    int kind = random.nextInt(14);
+    if (kind <= 7) {
+      changeProcess(node, kind);
+    } else if (kind <= 11) {
+      changeNetwork(simulation, node, other, kind);
+    } else if (kind == 12) {
+      faulty.directory.forceLies = !faulty.directory.forceLies;
+    } else if (!other.alive && node.alive && !node.paused) {
+      node.service.memberDied(other.name, other.incarnation);
+    }
+  }
+
+  private static void changeProcess(ConsensusSimulation.Node node, int kind) {
+    switch (kind) {
+      case 0, 1 -> {
+        if (node.alive) {
+          node.kill();
         }
-        case 8 -> node.partition = simulation.random.nextInt(2);
-        case 9 -> simulation.allNodes.forEach(n -> n.partition = 0);
-        case 10 -> simulation.cutPairs.add(List.of(node, other));
-        case 11 -> {
-          simulation.cutPairs.clear();
-          simulation.loss = simulation.random.nextBoolean() ? 0.2 : 0;
-          simulation.delay = 1 + simulation.random.nextInt(100);
+      }
+      case 2, 3, 4 -> {
+        if (!node.alive) {
+          node.start();
         }
-        case 12 -> faulty.directory.forceLies = !faulty.directory.forceLies;
-        default -> {
-          if (!other.alive && node.alive && !node.paused) {
-            node.service.memberDied(other.name, other.incarnation);
-          }
+      }
+      case 5 -> node.paused = node.alive;
+      default -> {
+        if (node.paused && node.alive) {
+          node.resume();
         }
       }
-      simulation.run(Duration.ofMillis(simulation.random.nextInt(4000)));
     }
-    return simulation;
+  }
+
+  private static void changeNetwork(
+      ConsensusSimulation simulation,
+      ConsensusSimulation.Node node,
+      ConsensusSimulation.Node other,
+      int kind) {
+    switch (kind) {
+      case 8 -> node.partition = simulation.random.nextInt(2);
+      case 9 -> simulation.allNodes.forEach(each -> each.partition = 0);
+      case 10 -> simulation.cutPairs.add(List.of(node, other));
+      default -> {
+        simulation.cutPairs.clear();
+        simulation.loss = simulation.random.nextBoolean() ? 0.2 : 0;
+        simulation.delay = 1 + simulation.random.nextInt(100);
+      }
+    }
   }
 
   @ParameterizedTest
--- a/gateway/src/test/java/weldcross/consensus/raft/RaftMessageCodecTest.java
+++ b/gateway/src/test/java/weldcross/consensus/raft/RaftMessageCodecTest.java
@@ -78,20 +78,11 @@
   }
 
   private static Stream<Arguments> envelopes() {
-    return Stream.concat(replicationEnvelopes(), electionEnvelopes());
+    return Stream.of(appendEnvelopes(), snapshotEnvelopes(), electionEnvelopes())
+        .flatMap(each -> each);
   }
 
-  private static Stream<Arguments> replicationEnvelopes() {
-    RaftEnvelope.Builder install =
-        envelope(RaftMessageKind.INSTALL_SNAPSHOT)
-            .setFlag(true)
-            .setLogTerm(5)
-            .setLogIndex(9)
-            .setChunkNumber(2)
-            .addAllSnapshotted(List.of("n0#0", "n1#0"))
-            .setGroup(GROUP)
-            .setQueryNumber(21)
-            .setFlowControlNumber(22);
+  private static Stream<Arguments> appendEnvelopes() {
     return Stream.of(
         Arguments.of(
             AppendEntriesRequest.class,
@@ -117,7 +108,21 @@
                 .setLogIndex(5)
                 .setQueryNumber(21)
                 .setFlowControlNumber(22)
-                .build()),
+                .build()));
+  }
+
+  private static Stream<Arguments> snapshotEnvelopes() {
+    RaftEnvelope.Builder install =
+        envelope(RaftMessageKind.INSTALL_SNAPSHOT)
+            .setFlag(true)
+            .setLogTerm(5)
+            .setLogIndex(9)
+            .setChunkNumber(2)
+            .addAllSnapshotted(List.of("n0#0", "n1#0"))
+            .setGroup(GROUP)
+            .setQueryNumber(21)
+            .setFlowControlNumber(22);
+    return Stream.of(
         Arguments.of(InstallSnapshotRequest.class, install.build()),
         Arguments.of(InstallSnapshotRequest.class, install.setChunk(chunk()).build()),
         Arguments.of(
--- a/gateway/src/test/java/weldcross/storage/FaultyStorageDirectory.java
+++ b/gateway/src/test/java/weldcross/storage/FaultyStorageDirectory.java
@@ -124,60 +124,7 @@
       throw new AccessDeniedException(name);
     }
     Content content = visible.computeIfAbsent(name, n -> new Content());
-    return new File() {
-      @Override
-      public long size() {
-        return content.visible.length;
-      }
-
-      @Override
-      public void read(long at, ByteBuffer into) {
-        int count = Math.min(into.remaining(), content.visible.length - (int) at);
-        int from = into.position();
-        into.put(content.visible, (int) at, count);
-        if (readFlips && count > 0) {
-          int where = from + random.nextInt(count);
-          into.put(where, (byte) (into.get(where) ^ 1 << random.nextInt(8)));
-        }
-      }
-
-      @Override
-      public void write(long at, ByteBuffer from) throws IOException {
-        if (readOnly) {
-          throw new AccessDeniedException(name);
-        }
-        step();
-        int count = (int) Math.min(from.remaining(), remainingBytes);
-        remainingBytes -= count;
-        byte[] grown =
-            Arrays.copyOf(content.visible, Math.max(content.visible.length, (int) at + count));
-        from.get(grown, (int) at, count);
-        content.visible = grown;
-        if (from.hasRemaining()) {
-          throw new IOException("full");
-        }
-      }
-
-      @Override
-      public void truncate(long size) {
-        content.visible =
-            Arrays.copyOf(content.visible, (int) Math.min(size, content.visible.length));
-      }
-
-      @Override
-      public void force() throws IOException {
-        step();
-        if (forceFails) {
-          throw new IOException("force failed");
-        }
-        if (!forceLies) {
-          content.durable = content.visible.clone();
-        }
-      }
-
-      @Override
-      public void close() {}
-    };
+    return new FaultyFile(name, content);
   }
 
   @Override
@@ -202,4 +149,68 @@
 
   @Override
   public void close() {}
+
+  /** One open file. */
+  private final class FaultyFile implements File {
+    private final String name;
+    private final Content content;
+
+    FaultyFile(String name, Content content) {
+      this.name = name;
+      this.content = content;
+    }
+
+    @Override
+    public long size() {
+      return content.visible.length;
+    }
+
+    @Override
+    public void read(long position, ByteBuffer into) {
+      int count = Math.min(into.remaining(), content.visible.length - (int) position);
+      int from = into.position();
+      into.put(content.visible, (int) position, count);
+      if (readFlips && count > 0) {
+        int where = from + random.nextInt(count);
+        into.put(where, (byte) (into.get(where) ^ 1 << random.nextInt(8)));
+      }
+    }
+
+    @Override
+    public void write(long position, ByteBuffer from) throws IOException {
+      if (readOnly) {
+        throw new AccessDeniedException(name);
+      }
+      step();
+      int count = (int) Math.min(from.remaining(), remainingBytes);
+      remainingBytes -= count;
+      byte[] grown =
+          Arrays.copyOf(content.visible, Math.max(content.visible.length, (int) position + count));
+      from.get(grown, (int) position, count);
+      content.visible = grown;
+      if (from.hasRemaining()) {
+        throw new IOException("full");
+      }
+    }
+
+    @Override
+    public void truncate(long size) {
+      content.visible =
+          Arrays.copyOf(content.visible, (int) Math.min(size, content.visible.length));
+    }
+
+    @Override
+    public void force() throws IOException {
+      step();
+      if (forceFails) {
+        throw new IOException("force failed");
+      }
+      if (!forceLies) {
+        content.durable = content.visible.clone();
+      }
+    }
+
+    @Override
+    public void close() {}
+  }
 }
--- a/gateway/src/test/java/weldcross/storage/RecordLogTest.java
+++ b/gateway/src/test/java/weldcross/storage/RecordLogTest.java
@@ -68,62 +68,95 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
   void durableRecordsSurviveRandomCrashes(long seed) throws IOException {
-    SplittableRandom random = new SplittableRandom(seed);
-    FaultyStorageDirectory directory = new FaultyStorageDirectory(seed);
-    long durable = 0;
-    long appended = 0;
-    int crashes = 0;
-    RecordLog log = open(directory, new Contents());
+    CrashingLog crashing = new CrashingLog(seed);
     for (int step = 0; step < 1500; step++) {
+      crashing.step();
+    }
+    assertTrue(crashing.crashes > 50 && crashing.durable > 500);
+  }
+
+  /** A log that is written, loses power and is opened again, at random. */
+  private static final class CrashingLog {
+    private final SplittableRandom random;
+    private final FaultyStorageDirectory directory;
+    private RecordLog log;
+
+    /** The last record that was reported as durable, and the last that was ever appended. */
+    private long durable;
+
+    private long appended;
+    private int crashes;
+
+    CrashingLog(long seed) throws IOException {
+      random = new SplittableRandom(seed);
+      directory = new FaultyStorageDirectory(seed);
+      log = open(directory, new Contents());
+    }
+
+    void step() throws IOException {
       int kind = random.nextInt(100);
       if (kind < 70) {
-        int records = 1 + random.nextInt(6);
-        appended = Math.max(appended, log.lastRecord() + records);
-        directory.forceFails = kind == 0;
-        directory.remainingBytes = kind == 1 ? random.nextInt(200) : Long.MAX_VALUE;
-        try {
-          commit(log, records);
-          durable = log.lastRecord();
-        } catch (WriteRejectedException e) {
-          assertEquals(RecordLog.State.OPEN, log.state());
-          assertEquals(durable, log.lastRecord());
-        } catch (IOException e) {
-          assertEquals(RecordLog.State.FAILED, log.state());
-        }
-        directory.forceFails = false;
-        directory.remainingBytes = Long.MAX_VALUE;
+        commitRecords(kind == 0, kind == 1);
       } else if (kind < 80 && log.state() == RecordLog.State.OPEN && log.lastRecord() > 0) {
-        long upTo = Math.max(log.recovered().snapshotUpTo(), log.lastRecord() - random.nextInt(20));
-        try {
-          log.snapshot(upTo, ByteBuffer.allocate(8).putLong(upTo).flip());
-        } catch (IllegalArgumentException e) {
-          assertTrue(e.getMessage().contains("a snapshot up to"), "a later one was taken");
-        }
+        takeSnapshot();
       }
       if (log.state() == RecordLog.State.FAILED || kind >= 92) {
         if (kind % 2 == 0) {
-          // Appended and perhaps written, not forced.
-          directory.forceFails = true;
-          appended = Math.max(appended, log.lastRecord() + 3);
-          if (log.state() == RecordLog.State.OPEN) {
-            RecordLog dying = log;
-            assertThrows(IOException.class, () -> commit(dying, 3));
-          }
-          directory.forceFails = false;
+          appendWithoutForce();
         }
-        crashes++;
-        directory.loseBuffers();
-        Contents contents = new Contents();
-        log = open(directory, contents);
-        assertTrue(
-            contents.last >= durable,
-            "lost: durable up to " + durable + ", read up to " + contents.last);
-        assertTrue(contents.last <= appended, "more than was appended");
-        assertEquals(contents.last, log.lastRecord());
+        crash();
+      }
+    }
+
+    private void commitRecords(boolean forceFails, boolean isAlmostFull) throws IOException {
+      int records = 1 + random.nextInt(6);
+      appended = Math.max(appended, log.lastRecord() + records);
+      directory.forceFails = forceFails;
+      directory.remainingBytes = isAlmostFull ? random.nextInt(200) : Long.MAX_VALUE;
+      try {
+        commit(log, records);
         durable = log.lastRecord();
+      } catch (WriteRejectedException e) {
+        assertEquals(RecordLog.State.OPEN, log.state());
+        assertEquals(durable, log.lastRecord());
+      } catch (IOException e) {
+        assertEquals(RecordLog.State.FAILED, log.state());
+      }
+      directory.forceFails = false;
+      directory.remainingBytes = Long.MAX_VALUE;
+    }
+
+    private void takeSnapshot() throws IOException {
+      long upTo = Math.max(log.recovered().snapshotUpTo(), log.lastRecord() - random.nextInt(20));
+      try {
+        log.snapshot(upTo, ByteBuffer.allocate(8).putLong(upTo).flip());
+      } catch (IllegalArgumentException e) {
+        assertTrue(e.getMessage().contains("a snapshot up to"), "a later one was taken");
+      }
+    }
+
+    /** Appends records that are perhaps written, and not forced. */
+    private void appendWithoutForce() {
+      directory.forceFails = true;
+      appended = Math.max(appended, log.lastRecord() + 3);
+      if (log.state() == RecordLog.State.OPEN) {
+        assertThrows(IOException.class, () -> commit(log, 3));
       }
+      directory.forceFails = false;
+    }
+
+    private void crash() throws IOException {
+      crashes++;
+      directory.loseBuffers();
+      Contents contents = new Contents();
+      log = open(directory, contents);
+      assertTrue(
+          contents.last >= durable,
+          "lost: durable up to " + durable + ", read up to " + contents.last);
+      assertTrue(contents.last <= appended, "more than was appended");
+      assertEquals(contents.last, log.lastRecord());
+      durable = log.lastRecord();
     }
-    assertTrue(crashes > 50 && durable > 500);
   }
 
   /** The process ends at any byte of its last write. */
