--- a/gateway/src/test/java/weldcross/gateway/GatewayTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayTest.java
@@ -17,10 +17,7 @@
 /** The rules that a gateway must keep, through random events on a {@link GatewayHarness}. */
 class GatewayTest {
 
-  /**
-   * Clients that ask, leave and wait, servers that answer, miss, refuse, break, hang or stay
-   * silent.
-   */
+  /** Clients send, disconnect and wait; servers answer, fail, close, hang or are unreachable. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
   void requestRulesHoldThroughRandomEvents(long seed) {
@@ -31,38 +28,13 @@
     List<Long> clients = new ArrayList<>();
     for (int step = 0; step < 2000; step++) {
       int kind = random.nextInt(100);
-      List<Long> asked = harness.busyConnections();
+      List<Long> busy = harness.busyConnections();
       if (kind < 25) {
-        List<Long> free = clients.stream().filter(c -> !harness.history.isWaiting(c)).toList();
-        long client =
-            free.isEmpty() || random.nextInt(4) == 0
-                ? harness.connect()
-                : free.get(random.nextInt(free.size()));
-        clients.remove(client);
-        boolean write = random.nextInt(3) == 0;
-        if (write) {
-          harness.history.writes.add("a" + harness.nextRequest);
-        }
-        harness.request(client, write, 50 + random.nextInt(2000));
-        clients.add(client);
+        sendRandomRequest(harness, clients, random);
       } else if (kind < 27 && !clients.isEmpty()) {
         harness.disconnect(clients.remove(random.nextInt(clients.size())));
-      } else if (kind < 70 && !asked.isEmpty()) {
-        long connection = asked.get(random.nextInt(asked.size()));
-        int how = random.nextInt(40);
-        boolean misses =
-            RequestHistory.idOf(harness.connections.get(connection).statement) != null
-                && harness.connections.get(connection).statement.startsWith("INSERT")
-                && !harness.connections.get(connection).server.equals("s-0");
-        if (how == 0) {
-          harness.closeByServer(connection);
-        } else {
-          harness.answer(
-              connection,
-              misses
-                  ? "25006"
-                  : how == 1 ? "XX000" : how == 2 ? "53300" : how == 3 ? "99999" : null);
-        }
+      } else if (kind < 70 && !busy.isEmpty()) {
+        answerAtRandom(harness, busy.get(random.nextInt(busy.size())), random);
       } else if (kind == 71) {
         String server = "s-" + random.nextInt(3);
         if (!harness.unreachable.remove(server)) {
@@ -88,7 +60,45 @@
         "hardly any served: " + harness.history.answers);
   }
 
-  /** Ids, keys, clients and servers always new: what is kept is what is open and listed. */
+  private static void sendRandomRequest(
+      GatewayHarness harness, List<Long> clients, SplittableRandom random) {
+    List<Long> free = clients.stream().filter(c -> !harness.history.isWaiting(c)).toList();
+    long client =
+        free.isEmpty() || random.nextInt(4) == 0
+            ? harness.connect()
+            : free.get(random.nextInt(free.size()));
+    clients.remove(client);
+    boolean write = random.nextInt(3) == 0;
+    if (write) {
+      harness.history.writes.add("a" + harness.nextRequest);
+    }
+    harness.request(client, write, 50 + random.nextInt(2000));
+    clients.add(client);
+  }
+
+  /** Answers with a row mostly; a replica answers a write with SQLSTATE 25006. */
+  private static void answerAtRandom(GatewayHarness harness, long number, SplittableRandom random) {
+    int kind = random.nextInt(40);
+    FakeConnection connection = harness.connections.get(number);
+    boolean writeAtReplica =
+        RequestHistory.idOf(connection.statement) != null
+            && connection.statement.startsWith("INSERT")
+            && !connection.server.equals("s-0");
+    if (kind == 0) {
+      harness.closeByServer(number);
+      return;
+    }
+    String failure =
+        switch (kind) {
+          case 1 -> "XX000";
+          case 2 -> "53300";
+          case 3 -> "99999";
+          default -> null;
+        };
+    harness.answer(number, writeAtReplica ? "25006" : failure);
+  }
+
+  /** With ids, keys, clients and servers that are always new. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void stateIsBoundedByWhatIsOpenAndListed(long seed) {
