--- a/gateway/src/main/java/weldcross/config/ExtensionsConfigReader.java
+++ b/gateway/src/main/java/weldcross/config/ExtensionsConfigReader.java
@@ -54,6 +54,14 @@
           "agreement.silence_s",
           "control.listen");
 
+  private static final Duration DEFAULT_HEARTBEAT_INTERVAL = Duration.ofMillis(250);
+  private static final int DEFAULT_HEARTBEATS_UNTIL_STALLED = 6;
+  private static final int MIN_HEARTBEATS_UNTIL_STALLED = 2;
+  private static final Duration DEFAULT_MIN_BACKOFF = Duration.ofMillis(100);
+  private static final Duration DEFAULT_MAX_BACKOFF = Duration.ofSeconds(5);
+  private static final Duration DEFAULT_CONNECT_TIMEOUT = Duration.ofSeconds(1);
+  private static final Duration DEFAULT_VIEW_POLL_INTERVAL = Duration.ofSeconds(1);
+  private static final Duration DEFAULT_QUOTA_RAISE_DELAY = Duration.ofSeconds(30);
   private static final int MAX_VOTERS = 7;
   private static final int DEFAULT_TRAFFIC_PER_MILLE = 1000;
   private static final int DEFAULT_MAX_QUEUED = 4096;
@@ -131,14 +139,16 @@
   }
 
   private ExtensionsConfig.Mesh mesh(PeerName self) {
-    Duration heartbeat = link.millis("beat_ms", Duration.ofMillis(250), 10);
-    Duration stalledAfter = link.millis("stalled_after_ms", heartbeat.multipliedBy(6), 10);
-    if (stalledAfter.compareTo(heartbeat.multipliedBy(2)) < 0) {
+    Duration heartbeat = link.millis("beat_ms", DEFAULT_HEARTBEAT_INTERVAL, 10);
+    Duration stalledAfter =
+        link.millis(
+            "stalled_after_ms", heartbeat.multipliedBy(DEFAULT_HEARTBEATS_UNTIL_STALLED), 10);
+    if (stalledAfter.compareTo(heartbeat.multipliedBy(MIN_HEARTBEATS_UNTIL_STALLED)) < 0) {
       throw link.invalid(
           "stalled_after_ms", "at least twice beat_ms, as one sign of life may be late");
     }
-    Duration minBackoff = link.millis("shortest_rest_ms", Duration.ofMillis(100), 1);
-    Duration maxBackoff = link.millis("longest_rest_ms", Duration.ofSeconds(5), 1);
+    Duration minBackoff = link.millis("shortest_rest_ms", DEFAULT_MIN_BACKOFF, 1);
+    Duration maxBackoff = link.millis("longest_rest_ms", DEFAULT_MAX_BACKOFF, 1);
     if (maxBackoff.compareTo(minBackoff) < 0) {
       throw link.invalid("longest_rest_ms", "no less than shortest_rest_ms");
     }
@@ -149,7 +159,7 @@
             List.copyOf(peers),
             heartbeat,
             stalledAfter,
-            link.millis("dial_within_ms", Duration.ofSeconds(1), 10),
+            link.millis("dial_within_ms", DEFAULT_CONNECT_TIMEOUT, 10),
             minBackoff,
             maxBackoff,
             (int) link.integer("most_waiting", DEFAULT_MAX_QUEUED, 1),
@@ -230,8 +240,8 @@
             detector.zone(),
             detector.trafficWeight(),
             voters,
-            agreement.millis("period_ms", Duration.ofSeconds(1), 50),
-            agreement.millis("share_after_ms", Duration.ofSeconds(30), 0),
+            agreement.millis("period_ms", DEFAULT_VIEW_POLL_INTERVAL, 50),
+            agreement.millis("share_after_ms", DEFAULT_QUOTA_RAISE_DELAY, 0),
             agreement.flag("trust_disk", false),
             Duration.ofSeconds(heartbeatSeconds),
             Duration.ofSeconds(electionTimeoutSeconds)));
--- a/gateway/src/test/java/weldcross/gateway/DiscoveryModel.java
+++ b/gateway/src/test/java/weldcross/gateway/DiscoveryModel.java
@@ -401,27 +401,29 @@
 
   private void sendList(long number, FakeConnection connection, Address address, Request request) {
     int revision = address.revision();
-    boolean complete = !request.isWatch();
-    String members =
-        request.since() >= revision
-            ? ""
-            : members(Math.max(0, request.since()), revision, complete);
-    String body =
-        "{\"revision\":"
-            + revision
-            + ",\"complete\":"
-            + complete
-            + ",\"members\":["
-            + members
-            + "]}";
+    byte[] body = body(request, revision).getBytes(StandardCharsets.UTF_8);
     connection.takeReceived();
     connection.answeredAt = harness.now;
     sentRevision = Math.max(sentRevision, revision);
     for (int sent = 2; sent <= revision; sent++) {
       notified.merge(sent, now(), DiscoveryModel::earlier);
     }
-    byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-    harness.dispatch(gateway -> gateway.discovery().responseReceived(number, 200, bytes));
+    harness.dispatch(gateway -> gateway.discovery().responseReceived(number, 200, body));
+  }
+
+  private String body(Request request, int revision) {
+    boolean complete = !request.isWatch();
+    String members =
+        request.since() >= revision
+            ? ""
+            : members(Math.max(0, request.since()), revision, complete);
+    return "{\"revision\":"
+        + revision
+        + ",\"complete\":"
+        + complete
+        + ",\"members\":["
+        + members
+        + "]}";
   }
 
   // ---- The list
