--- a/gateway/src/test/java/weldcross/gateway/DiscoveryModel.java
+++ b/gateway/src/test/java/weldcross/gateway/DiscoveryModel.java
@@ -401,13 +401,13 @@
 
   private void sendList(long number, FakeConnection connection, Address address, Request request) {
     int revision = address.revision();
-    byte[] body = body(request, revision).getBytes(StandardCharsets.UTF_8);
     connection.takeReceived();
     connection.answeredAt = harness.now;
     sentRevision = Math.max(sentRevision, revision);
     for (int sent = 2; sent <= revision; sent++) {
       notified.merge(sent, now(), DiscoveryModel::earlier);
     }
+    byte[] body = body(request, revision).getBytes(StandardCharsets.UTF_8);
     harness.dispatch(gateway -> gateway.discovery().responseReceived(number, 200, body));
   }
 
