--- a/gateway/src/main/java/weldcross/gateway/ClientConnections.java
+++ b/gateway/src/main/java/weldcross/gateway/ClientConnections.java
@@ -117,7 +117,7 @@
   }
 
   /** A message has begun, which its client has to end in time. */
-  void messageBegun(long number) {
+  void messageStarted(long number) {
     ClientConnection client = open.get(number);
     if (client == null) {
       return;
@@ -135,7 +135,7 @@
   }
 
   /** A message cannot be read, and so nothing that follows it can be. */
-  void protocolViolated(long number, String sqlState, String text) {
+  void protocolError(long number, String sqlState, String text) {
     ClientConnection client = open.get(number);
     if (client != null) {
       closeWithError(client, sqlState, text);
--- a/gateway/src/main/java/weldcross/gateway/RequestPipeline.java
+++ b/gateway/src/main/java/weldcross/gateway/RequestPipeline.java
@@ -87,7 +87,7 @@
   }
 
   /** A client sent a statement that is not served here. */
-  void invalidStatementReceived(long number, String sqlState, String text) {
+  void statementRejected(long number, String sqlState, String text) {
     countStatement(number);
     logRejected(text);
     enqueue(number, request -> respond(request, MessageEncoder.error(sqlState, text, null)));
--- a/gateway/src/test/java/weldcross/gateway/GatewayProcessTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayProcessTest.java
@@ -85,18 +85,20 @@
     gateway.stop();
   }
 
+  private GatewayProcess serveWith64Descriptors(Primary primary) throws IOException {
+    String config = LoopbackFakes.text(fakes.discovery(primary)).replace("1024", "64");
+    GatewayProcess gateway =
+        new GatewayProcess(
+            GatewayConfig.of(ConfigValues.ofJson(config.getBytes(StandardCharsets.UTF_8))));
+    CompletableFuture.supplyAsync(gateway::serve);
+    return gateway;
+  }
+
   /** Hundreds of silent clients take no place of an active one. */
   @Test
   void surplusConnectionsAreClosedByTheAcceptor() throws Exception {
     Primary primary = new Primary();
-    GatewayProcess gateway =
-        new GatewayProcess(
-            GatewayConfig.of(
-                ConfigValues.ofJson(
-                    LoopbackFakes.text(fakes.discovery(primary))
-                        .replace("1024", "64")
-                        .getBytes(StandardCharsets.UTF_8))));
-    CompletableFuture.supplyAsync(gateway::serve);
+    GatewayProcess gateway = serveWith64Descriptors(primary);
     InetSocketAddress address = gateway.listening().get(20, TimeUnit.SECONDS);
     List<Socket> silent = new ArrayList<>();
     try (Client usual = new Client(address)) {
@@ -129,10 +131,7 @@
     gateway.stop();
   }
 
-  /**
-   * One that comes before the ends of those before it were read is still one too many, and comes
-   * again.
-   */
+  /** Tries again while the closes of earlier connections have not been read. */
   private static boolean isServedWithin(Duration time, InetSocketAddress address) {
     long until = System.nanoTime() + time.toNanos();
     while (System.nanoTime() < until) {
@@ -151,14 +150,7 @@
   @Test
   void connectionClosedByTheAcceptorGetsNoAnswer() throws Exception {
     Primary primary = new Primary();
-    GatewayProcess gateway =
-        new GatewayProcess(
-            GatewayConfig.of(
-                ConfigValues.ofJson(
-                    LoopbackFakes.text(fakes.discovery(primary))
-                        .replace("1024", "64")
-                        .getBytes(StandardCharsets.UTF_8))));
-    CompletableFuture.supplyAsync(gateway::serve);
+    GatewayProcess gateway = serveWith64Descriptors(primary);
     InetSocketAddress address = gateway.listening().get(20, TimeUnit.SECONDS);
     List<Client> busy = new ArrayList<>();
     List<Socket> surplus = new ArrayList<>();
@@ -172,31 +164,16 @@
         Client client = k == 0 ? busy.get(0) : new Client(address);
         // A client that has sent a statement is not evicted.
         client.ask("");
-        client.send(
-            MessageEncoder.query(
-                "INSERT INTO kv (name, content) VALUES ('k', '\\x0f') RETURNING content"
-                    + " /* id=b"
-                    + k
-                    + ",c=entry-write,d=20000,cluster=0 */"));
+        sendWrite(client, "b" + k);
         if (k > 0) {
           busy.add(client);
         }
       }
-      int withoutAnswer = 0;
       // All at once: one after the other, on a slow machine, those before have left by then.
       for (int k = 0; k < 200; k++) {
         surplus.add(new Socket(address.getAddress(), address.getPort()));
       }
-      for (Socket each : surplus) {
-        each.setSoTimeout(5000);
-        try {
-          each.getOutputStream().write(MessageEncoder.startup().array());
-          withoutAnswer += each.getInputStream().read() < 0 ? 1 : 0;
-        } catch (IOException e) {
-          withoutAnswer++;
-        }
-      }
-      assertTrue(withoutAnswer > 0, "all got an answer");
+      assertTrue(countWithoutAnswer(surplus) > 0, "all got an answer");
       primary.stuck.countDown();
       for (Client each : busy) {
         each.answer();
@@ -213,6 +190,28 @@
     gateway.stop();
   }
 
+  private static void sendWrite(Client client, String id) throws IOException {
+    client.send(
+        MessageEncoder.query(
+            "INSERT INTO kv (name, content) VALUES ('k', '\\x0f') RETURNING content /* id="
+                + id
+                + ",c=entry-write,d=20000,cluster=0 */"));
+  }
+
+  private static int countWithoutAnswer(List<Socket> clients) throws IOException {
+    int count = 0;
+    for (Socket client : clients) {
+      client.setSoTimeout(5000);
+      try {
+        client.getOutputStream().write(MessageEncoder.startup().array());
+        count += client.getInputStream().read() < 0 ? 1 : 0;
+      } catch (IOException e) {
+        count++;
+      }
+    }
+    return count;
+  }
+
   @Test
   void addressInUseEndsTheStart() throws Exception {
     Primary primary = new Primary();
