--- a/gateway/src/main/java/weldcross/pgwire/ServerResponse.java
+++ b/gateway/src/main/java/weldcross/pgwire/ServerResponse.java
@@ -64,7 +64,7 @@
     }
   }
 
-  /** Adds one message; returns true if the response is whole, that is with ReadyForQuery. */
+  /** Adds one message; returns true if the response is complete, that is with ReadyForQuery. */
   boolean add(byte type, ByteBuffer message) throws ProtocolException {
     switch (type) {
       case 'T' -> {
@@ -83,7 +83,7 @@
       }
       case 'E' -> {
         requireOrder(sqlState == null);
-        sqlState = sqlState(message);
+        sqlState = readSqlState(message);
       }
       case 'S' -> readParameter(message);
       case 'N' -> {
@@ -198,7 +198,7 @@
   }
 
   /** Returns the code field of an error; throws if there is none. */
-  private static String sqlState(ByteBuffer error) throws ProtocolException {
+  private static String readSqlState(ByteBuffer error) throws ProtocolException {
     int at = HEADER_SIZE;
     String code = "";
     while (at < error.limit() && error.get(at) != 0) {
