--- a/gateway/src/main/java/weldcross/control/ControlRequestHandler.java
+++ b/gateway/src/main/java/weldcross/control/ControlRequestHandler.java
@@ -28,7 +28,7 @@
      *
      * @param name the gateway that the request names; empty where it names none
      * @param response to be completed with the JSON body, at once or later; if exceptionally, the
-     *     message is told to the operator
+     *     message is the fault in the reply
      */
     void begin(Optional<PeerName> name, CompletableFuture<String> response);
   }
--- a/gateway/src/main/java/weldcross/mesh/net/MeshExtension.java
+++ b/gateway/src/main/java/weldcross/mesh/net/MeshExtension.java
@@ -29,6 +29,9 @@
  */
 public final class MeshExtension implements GatewayExtension, PeerConnectionListener {
 
+  /** The name of the table that configures the mesh, which users of the file know. */
+  private static final String NAME = "link";
+
   private static final Logger LOG = Logger.getLogger(MeshExtension.class.getName());
 
   private final MeshConfig config;
@@ -96,7 +99,7 @@
 
   @Override
   public String name() {
-    return "link";
+    return NAME;
   }
 
   @Override
--- a/gateway/src/test/java/weldcross/membership/MembershipUpdateTest.java
+++ b/gateway/src/test/java/weldcross/membership/MembershipUpdateTest.java
@@ -11,6 +11,8 @@
 import java.util.Optional;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import weldcross.mesh.PeerName;
 
 class MembershipUpdateTest {
@@ -148,6 +150,35 @@
     }
   }
 
+  /** Both updates are of one member, given by state, incarnation and version. */
+  @ParameterizedTest
+  @CsvSource({
+    "ALIVE, 2, 0, DEAD, 1, 9, true",
+    "DEAD, 1, 9, ALIVE, 2, 0, false",
+    "ALIVE, 1, 1, UNREACHABLE, 1, 0, true",
+    "ALIVE, 1, 0, SUSPECT, 1, 0, false",
+    "SUSPECT, 1, 0, ALIVE, 1, 0, true",
+    "UNREACHABLE, 1, 0, SUSPECT, 1, 0, true",
+    "SUSPECT, 1, 0, SUSPECT, 1, 0, false",
+    "DEAD, 1, 0, ALIVE, 1, 5, true",
+    "ALIVE, 1, 5, DEAD, 1, 0, false",
+    "DEAD, 1, 5, DEAD, 1, 0, false"
+  })
+  void laterIncarnationThenDeathThenVersionThenWorseStateWins(
+      MemberState state,
+      long incarnation,
+      long version,
+      MemberState previousState,
+      long previousIncarnation,
+      long previousVersion,
+      boolean expected) {
+    MembershipUpdate update = new MembershipUpdate(C, incarnation, version, state, "", 1, A);
+    MembershipUpdate previous =
+        new MembershipUpdate(C, previousIncarnation, previousVersion, previousState, "", 1, B);
+    assertEquals(expected, update.overrides(Optional.of(previous)));
+    assertTrue(update.overrides(Optional.empty()));
+  }
+
   /**
    * Updates about one gateway in any order, with loss and repeats, while it restarts or refutes.
    */
--- a/gateway/src/test/java/weldcross/mesh/net/IncarnationStoreTest.java
+++ b/gateway/src/test/java/weldcross/mesh/net/IncarnationStoreTest.java
@@ -1,6 +1,7 @@
 package weldcross.mesh.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -42,9 +43,9 @@
   @Test
   void eachStartStoresTheNextNumber() throws InterruptedException {
     for (long expected = 1; expected <= 3; expected++) {
-      try (IncarnationStore store = open(folder)) {
-        assertEquals(expected, nextStored());
-      }
+      IncarnationStore store = open(folder);
+      assertEquals(expected, nextStored());
+      store.close();
     }
   }
 
@@ -55,9 +56,9 @@
       loop.post(() -> store.storeAbove(6));
       assertEquals(7, nextStored());
     }
-    try (IncarnationStore store = open(folder)) {
-      assertEquals(8, nextStored());
-    }
+    IncarnationStore next = open(folder);
+    assertEquals(8, nextStored());
+    next.close();
   }
 
   @Test
@@ -65,7 +66,7 @@
     Path blocked = folder.resolve("blocked");
     Files.writeString(blocked, "a file where the directory should be");
     try (IncarnationStore store = open(blocked)) {
-      assertEquals(null, stored.poll(300, TimeUnit.MILLISECONDS));
+      assertNull(stored.poll(300, TimeUnit.MILLISECONDS), "nothing while the disk fails");
       Files.delete(blocked);
       assertEquals(1, nextStored());
       assertEquals(Optional.empty(), store.failure());
