--- a/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
+++ b/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
@@ -17,6 +17,7 @@
 import weldcross.consensus.wire.ConsensusMessage;
 import weldcross.extension.ExtensionContext;
 import weldcross.extension.GatewayExtension;
+import weldcross.extension.RestartableTimer;
 import weldcross.membership.MemberState;
 import weldcross.membership.net.MembershipExtension;
 import weldcross.mesh.Incarnation;
@@ -57,7 +58,7 @@
   private final VoterExecutor executor;
   private final ConsensusService service;
   private ExtensionContext context;
-  private Duration wakeAt;
+  private RestartableTimer timer;
   private boolean left;
   private BiConsumer<Proposal, ProposalResult> operatorListener = (proposal, result) -> {};
 
@@ -119,16 +120,7 @@
   @Override
   public void start(ExtensionContext gateway) {
     context = gateway;
-  }
-
-  @Override
-  public boolean isReady() {
-    return true;
-  }
-
-  @Override
-  public void reloaded() {
-    // The configuration is fixed from the start on.
+    timer = new RestartableTimer(gateway, now -> service.onTimer());
   }
 
   @Override
@@ -195,14 +187,7 @@
 
     @Override
     public void wakeAt(Duration when) {
-      wakeAt = when;
-      context.at(
-          when,
-          () -> {
-            if (when.equals(wakeAt)) {
-              service.onTimer();
-            }
-          });
+      timer.schedule(when);
     }
 
     @Override
