--- a/gateway/src/test/java/weldcross/mesh/net/IncarnationStoreTest.java
+++ b/gateway/src/test/java/weldcross/mesh/net/IncarnationStoreTest.java
@@ -2,12 +2,14 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.Optional;
 import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
@@ -36,6 +38,19 @@
     return store;
   }
 
+  /** Closes the store once its last snapshot is written, which its disk thread does by itself. */
+  private void close(IncarnationStore store) throws InterruptedException {
+    CountDownLatch snapshotBegun = new CountDownLatch(1);
+    loop.post(snapshotBegun::countDown);
+    assertTrue(snapshotBegun.await(WAIT.toMillis(), TimeUnit.MILLISECONDS), "the loop runs");
+    long deadline = System.nanoTime() + WAIT.toNanos();
+    while (store.pendingWrites() > 0) {
+      assertTrue(System.nanoTime() < deadline, "the disk writes in time");
+      Thread.onSpinWait();
+    }
+    store.close();
+  }
+
   private long nextStored() throws InterruptedException {
     return Optional.ofNullable(stored.poll(WAIT.toMillis(), TimeUnit.MILLISECONDS)).orElse(-1L);
   }
@@ -45,31 +60,31 @@
     for (long expected = 1; expected <= 3; expected++) {
       IncarnationStore store = open(folder);
       assertEquals(expected, nextStored());
-      store.close();
+      close(store);
     }
   }
 
   @Test
   void numberAboveAKnownOneIsStoredAndFollowedByTheNextStart() throws InterruptedException {
-    try (IncarnationStore store = open(folder)) {
-      assertEquals(1, nextStored());
-      loop.post(() -> store.storeAbove(6));
-      assertEquals(7, nextStored());
-    }
+    IncarnationStore store = open(folder);
+    assertEquals(1, nextStored());
+    loop.post(() -> store.storeAbove(6));
+    assertEquals(7, nextStored());
+    close(store);
     IncarnationStore next = open(folder);
     assertEquals(8, nextStored());
-    next.close();
+    close(next);
   }
 
   @Test
   void storeTriesAgainUntilTheDiskWorks() throws Exception {
     Path blocked = folder.resolve("blocked");
     Files.writeString(blocked, "a file where the directory should be");
-    try (IncarnationStore store = open(blocked)) {
-      assertNull(stored.poll(300, TimeUnit.MILLISECONDS), "nothing while the disk fails");
-      Files.delete(blocked);
-      assertEquals(1, nextStored());
-      assertEquals(Optional.empty(), store.failure());
-    }
+    IncarnationStore store = open(blocked);
+    assertNull(stored.poll(300, TimeUnit.MILLISECONDS), "nothing while the disk fails");
+    Files.delete(blocked);
+    assertEquals(1, nextStored());
+    assertEquals(Optional.empty(), store.failure());
+    close(store);
   }
 }
