--- a/chaos/src/main/java/weldcross/chaos/ChaosRun.java
+++ b/chaos/src/main/java/weldcross/chaos/ChaosRun.java
@@ -8,262 +8,267 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
-import java.util.function.Consumer;
-import java.util.stream.Stream;
+import java.util.function.IntConsumer;
+import weldcross.chaos.history.ChaosRunResult;
 import weldcross.chaos.history.History;
 import weldcross.chaos.history.HistoryChecker;
 import weldcross.chaos.load.LoadGenerator;
-import weldcross.chaos.process.ManagedProcess;
+import weldcross.chaos.process.Await;
 import weldcross.chaos.scenario.Fault;
 import weldcross.chaos.scenario.Nemesis;
 import weldcross.chaos.scenario.Scenario;
 import weldcross.fakes.ReplicatedStoreModel;
 
-/** One play of a scenario: load, faults in their time, healing, and the evidence of all of it. */
+/** One run of a scenario: load, faults at their times, healing, and the history of all of it. */
 public final class ChaosRun {
 
-  /** After a process serves again or a way is free, calls that were held are still answered. */
-  private static final Duration SETTLES = Duration.ofSeconds(3);
+  /** After a process is ready or a path open again, calls that were held are still answered. */
+  private static final Duration AFTERMATH = Duration.ofSeconds(3);
 
-  /**
-   * What came of it.
-   *
-   * @param played the scenario with all faults written down
-   * @param ready when each start of a gateway after the first was ready, by name, since the load
-   *     began
-   */
-  public record Result(
-      Scenario played,
-      long seed,
-      History evidence,
-      List<HistoryChecker.Breach> breaches,
-      List<String> ready,
-      String where) {
+  private static final Duration CONVERGENCE_TIMEOUT = Duration.ofSeconds(30);
+  private static final long MIN_WAIT_NANOS = TimeUnit.MICROSECONDS.toNanos(100);
+  private static final long MAX_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-    public boolean isClean() {
-      return breaches.isEmpty();
-    }
-  }
+  /** The end of a fault that is not healed yet. */
+  private static final long UNHEALED = Long.MAX_VALUE / 2;
 
+  /** A fault begins or ends. */
   private record Step(Duration at, boolean begins, Fault fault) {}
 
-  private static final Duration AGREES_WITHIN = Duration.ofSeconds(30);
+  private final Scenario scenario;
+  private final ChaosCluster cluster;
+  private final FaultInjector injector;
+  private final LoadGenerator load;
+  private final long startNanos;
+  private final List<CompletableFuture<Void>> healing = new ArrayList<>();
+
+  /** Guards {@link #faults} and {@link #restarts}, which healing tasks write. */
+  private final Object lock = new Object();
 
-  private ChaosRun() {}
+  private final List<History.FaultInterval> faults = new ArrayList<>();
+  private final List<String> restarts = new ArrayList<>();
+
+  private ChaosRun(Scenario scenario, ChaosCluster cluster, LoadGenerator load, long startNanos) {
+    this.scenario = scenario;
+    this.cluster = cluster;
+    this.injector = new FaultInjector(cluster);
+    this.load = load;
+    this.startNanos = startNanos;
+  }
 
   /**
-   * Plays it; the schedule is written down before it begins, to be played again.
+   * Runs a scenario; its schedule is written to the directory before it begins, to be run again.
    *
-   * @param directory of this trial alone
-   * @param progress told how many seconds of it are over
+   * @param scenario what to run
+   * @param seed of the faults drawn, the load and the proxy's losses
+   * @param directory of this run alone, created if absent
+   * @param progress is given how many seconds are over
+   * @return its history, checked against all rules
+   * @throws IOException if a gateway doesn't start, or is not there at the end
+   * @throws InterruptedException if the calling thread is interrupted
    */
-  public static Result play(
-      Scenario scenario, long seed, Path directory, Consumer<Integer> progress)
+  public static ChaosRunResult run(
+      Scenario scenario, long seed, Path directory, IntConsumer progress)
       throws IOException, InterruptedException {
-    List<Fault> faults = new Nemesis(scenario, seed).faults();
-    Scenario played = scenario.with(faults);
+    Scenario scheduled = scenario.with(new Nemesis(scenario, seed).faults());
     Files.createDirectories(directory);
-    Files.writeString(directory.resolve("schedule.toml"), "# seed " + seed + "\n" + played.toml());
-    try (ChaosCluster ground = new ChaosCluster(scenario, seed, directory)) {
-      ground.start();
-      for (ChaosCluster.Gateway each : ground.gateways()) {
-        each.keepCopy();
+    Files.writeString(
+        directory.resolve("schedule.toml"), "# seed " + seed + "\n" + scheduled.toml());
+    try (ChaosCluster cluster = new ChaosCluster(scenario, seed, directory)) {
+      cluster.start();
+      for (GatewayNode gateway : cluster.gateways()) {
+        gateway.copyRecords();
       }
-      long zero = ground.clock().nanos();
+      long startNanos = cluster.clock().nanos();
       try (LoadGenerator load =
           new LoadGenerator(
-              ground.gateways().stream().map(ChaosCluster.Gateway::address).toList(),
+              cluster.gateways().stream().map(GatewayNode::clientAddress).toList(),
               scenario.groups(),
-              () -> ground.clock().nanos() - zero,
+              () -> cluster.clock().nanos() - startNanos,
               seed)) {
-        return new ChaosRun().run(played, seed, ground, load, zero, progress, directory);
+        ChaosRun run = new ChaosRun(scheduled, cluster, load, startNanos);
+        History history = run.record(progress);
+        return new ChaosRunResult(
+            scheduled,
+            seed,
+            history,
+            HistoryChecker.check(history),
+            List.copyOf(run.restarts),
+            directory.toString());
       }
     }
   }
 
-  private final List<History.Trouble> troubles = new ArrayList<>();
-  private final List<String> ready = new ArrayList<>();
-  private final List<CompletableFuture<Void>> healing = new ArrayList<>();
+  private History record(IntConsumer progress) throws IOException, InterruptedException {
+    load.start(scenario.rate());
+    runSchedule(progress);
+    for (CompletableFuture<Void> each : healing) {
+      each.join();
+    }
+    Long convergedAfterMillis = scenario.voters() == 0 ? null : awaitConvergence();
+    load.stop();
+    requireAllAlive();
+    return new History(
+        load.operations(),
+        load.unexpectedMessages(),
+        commitsSinceStart(cluster.store(), startNanos),
+        readsSinceStart(cluster.store(), startNanos),
+        List.copyOf(faults),
+        cluster.gateways().stream().flatMap(gateway -> gateway.views().stream()).toList(),
+        convergedAfterMillis);
+  }
 
-  private Result run(
-      Scenario played,
-      long seed,
-      ChaosCluster ground,
-      LoadGenerator load,
-      long zero,
-      Consumer<Integer> progress,
-      Path directory)
-      throws IOException, InterruptedException {
+  private List<Step> schedule() {
     List<Step> steps = new ArrayList<>();
-    for (Fault each : played.faults()) {
-      steps.add(new Step(each.at(), true, each));
-      steps.add(new Step(each.until(), false, each));
+    for (Fault fault : scenario.faults()) {
+      steps.add(new Step(fault.at(), true, fault));
+      steps.add(new Step(fault.until(), false, fault));
     }
     steps.sort(Comparator.comparing(Step::at));
-    FaultInjector havoc = new FaultInjector(ground);
-    load.begin(played.rate());
-    int told = -1;
-    for (long now = 0; now < played.lasting().toNanos(); ) {
+    return steps;
+  }
+
+  private void runSchedule(IntConsumer progress) throws IOException {
+    List<Step> steps = schedule();
+    long end = scenario.lasting().toNanos();
+    int reportedSeconds = -1;
+    for (long now = 0; now < end; now = elapsedNanos()) {
       while (!steps.isEmpty() && steps.get(0).at().toNanos() <= now) {
-        step(steps.remove(0), played, ground, havoc, zero);
+        take(steps.remove(0));
       }
-      if (now / 1_000_000_000L > told) {
-        told = (int) (now / 1_000_000_000L);
-        progress.accept(told);
+      int seconds = (int) TimeUnit.NANOSECONDS.toSeconds(now);
+      if (seconds > reportedSeconds) {
+        reportedSeconds = seconds;
+        progress.accept(seconds);
       }
-      long next = steps.isEmpty() ? played.lasting().toNanos() : steps.get(0).at().toNanos();
-      LockSupport.parkNanos(Math.max(100_000, Math.min(next - now, 50_000_000)));
-      now = ground.clock().nanos() - zero;
+      long next = steps.isEmpty() ? end : steps.get(0).at().toNanos();
+      LockSupport.parkNanos(Math.max(MIN_WAIT_NANOS, Math.min(next - now, MAX_WAIT_NANOS)));
     }
-    for (Step left : steps) {
-      step(left, played, ground, havoc, zero);
+    for (Step step : steps) {
+      take(step);
     }
-    for (CompletableFuture<Void> each : healing) {
-      each.join();
+  }
+
+  private long elapsedNanos() {
+    return cluster.clock().nanos() - startNanos;
+  }
+
+  private void take(Step step) throws IOException {
+    if (step.begins()) {
+      begin(step.fault());
+    } else {
+      // A process that stops or starts takes its time; other faults go on meanwhile.
+      healing.add(CompletableFuture.runAsync(() -> heal(step.fault())));
     }
-    Long agreedAfter = played.voters() == 0 ? null : agreed(ground);
-    load.end();
-    for (ChaosCluster.Gateway each : ground.gateways()) {
-      if (!each.child().isAlive()) {
-        throw new IOException(
-            each.name()
-                + " is not there at the end, status "
-                + each.child().status()
-                + ", see "
-                + each.log());
-      }
+  }
+
+  private void begin(Fault fault) throws IOException {
+    long from = elapsedNanos();
+    injector.begin(fault);
+    synchronized (lock) {
+      faults.add(
+          new History.FaultInterval(
+              from, UNHEALED, injector.excusedGateways(fault), fault.describe()));
     }
-    History evidence =
-        new History(
-            load.asked(),
-            load.unasked(),
-            shift(ground.store().effects(), zero),
-            shiftReads(ground.store().reads(), zero),
-            List.copyOf(troubles),
-            ground.gateways().stream().flatMap(g -> g.views().stream()).toList(),
-            agreedAfter);
-    return new Result(
-        played,
-        seed,
-        evidence,
-        HistoryChecker.of(evidence),
-        List.copyOf(ready),
-        directory.toString());
   }
 
-  /** Milliseconds from now until all hold one view of all; below zero where that does not come. */
-  private static long agreed(ChaosCluster ground) {
-    long from = System.nanoTime();
+  private void heal(Fault fault) {
     try {
-      ManagedProcess.until("all hold one view of all", AGREES_WITHIN, ground::agree);
-      return (System.nanoTime() - from) / 1_000_000;
+      injector.end(fault, scenario.lag());
+      if (fault.kind().isOnGateway() && fault.kind() != Fault.Kind.DISK) {
+        awaitRestart(fault);
+      }
+      markHealed(fault, elapsedNanos());
     } catch (IOException e) {
-      return -1;
+      throw new IllegalStateException(e);
     }
   }
 
-  private void step(Step step, Scenario played, ChaosCluster ground, FaultInjector havoc, long zero)
-      throws IOException {
-    Fault fault = step.fault();
-    if (step.begins()) {
-      long from = ground.clock().nanos() - zero;
-      havoc.begin(fault);
-      synchronized (troubles) {
-        // Until it is healed, without an end.
-        troubles.add(
-            new History.Trouble(from, Long.MAX_VALUE / 2, havoc.excused(fault), fault.describe()));
-      }
-      return;
+  private void awaitRestart(Fault fault) throws IOException {
+    GatewayNode gateway = cluster.gateway(fault.on());
+    gateway.awaitReady();
+    long millis = TimeUnit.NANOSECONDS.toMillis(elapsedNanos());
+    synchronized (lock) {
+      restarts.add(gateway.name() + " ready again at " + millis + " ms after " + fault.describe());
     }
-    // A process that is told to stop, or starts, takes its time; others' faults go on meanwhile.
-    healing.add(
-        CompletableFuture.runAsync(
-            () -> {
-              try {
-                havoc.end(fault, played.lag());
-                if (fault.kind().isOnGateway() && fault.kind() != Fault.Kind.DISK) {
-                  ChaosCluster.Gateway gateway = ground.gateway(fault.on());
-                  gateway.awaitReady();
-                  synchronized (troubles) {
-                    ready.add(
-                        gateway.name()
-                            + " ready again at "
-                            + (ground.clock().nanos() - zero) / 1_000_000
-                            + " ms after "
-                            + fault.describe());
-                  }
-                }
-                healed(fault, havoc, ground.clock().nanos() - zero);
-              } catch (IOException e) {
-                throw new IllegalStateException(e);
-              }
-            }));
   }
 
-  private void healed(Fault fault, FaultInjector havoc, long at) {
-    synchronized (troubles) {
-      for (int k = 0; k < troubles.size(); k++) {
-        History.Trouble t = troubles.get(k);
-        if (t.until() == Long.MAX_VALUE / 2 && t.what().equals(fault.describe())) {
-          troubles.set(
-              k,
-              new History.Trouble(
-                  t.from(), at + SETTLES.toNanos(), havoc.excused(fault), t.what()));
+  private void markHealed(Fault fault, long at) {
+    synchronized (lock) {
+      for (int index = 0; index < faults.size(); index++) {
+        History.FaultInterval interval = faults.get(index);
+        if (interval.until() == UNHEALED && interval.description().equals(fault.describe())) {
+          faults.set(
+              index,
+              new History.FaultInterval(
+                  interval.from(),
+                  at + AFTERMATH.toNanos(),
+                  injector.excusedGateways(fault),
+                  interval.description()));
           return;
         }
       }
     }
   }
 
-  private static List<ReplicatedStoreModel.Effect> shift(
-      List<ReplicatedStoreModel.Effect> all, long zero) {
-    return all.stream()
+  /** Milliseconds from now until all gateways hold one view of all; -1 if that does not come. */
+  private long awaitConvergence() {
+    long from = System.nanoTime();
+    try {
+      Await.until("all hold one view of all", CONVERGENCE_TIMEOUT, cluster::hasConverged);
+      return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
+    } catch (IOException e) {
+      return -1;
+    }
+  }
+
+  private void requireAllAlive() throws IOException {
+    for (GatewayNode gateway : cluster.gateways()) {
+      if (!gateway.process().isAlive()) {
+        throw new IOException(
+            gateway.name()
+                + " is not there at the end, status "
+                + gateway.process().exitStatus()
+                + ", see "
+                + gateway.log());
+      }
+    }
+  }
+
+  /** Returns all writes of a store, their times counted from the start of the load. */
+  static List<ReplicatedStoreModel.Commit> commitsSinceStart(
+      ReplicatedStoreModel store, long startNanos) {
+    return store.commits().stream()
         .map(
-            e ->
-                new ReplicatedStoreModel.Effect(
-                    e.at() - zero,
-                    e.rpc(),
-                    e.group(),
-                    e.server(),
-                    e.key(),
-                    e.value(),
-                    e.sequence(),
-                    e.connection()))
+            commit ->
+                new ReplicatedStoreModel.Commit(
+                    commit.at() - startNanos,
+                    commit.rpc(),
+                    commit.group(),
+                    commit.server(),
+                    commit.key(),
+                    commit.value(),
+                    commit.sequence(),
+                    commit.connection()))
         .toList();
   }
 
-  private static List<ReplicatedStoreModel.Read> shiftReads(
-      List<ReplicatedStoreModel.Read> all, long zero) {
-    return all.stream()
+  /** Returns all reads of a store, their times counted from the start of the load. */
+  static List<ReplicatedStoreModel.Read> readsSinceStart(
+      ReplicatedStoreModel store, long startNanos) {
+    return store.reads().stream()
         .map(
-            r ->
+            read ->
                 new ReplicatedStoreModel.Read(
-                    r.at() - zero,
-                    r.rpc(),
-                    r.group(),
-                    r.server(),
-                    r.key(),
-                    r.position() - zero,
-                    r.seen()))
+                    read.at() - startNanos,
+                    read.rpc(),
+                    read.group(),
+                    read.server(),
+                    read.key(),
+                    read.position() - startNanos,
+                    read.seen()))
         .toList();
   }
-
-  /** Log lines of all gateways that name the RPC, in order of time. */
-  public static List<String> lines(Path directory, String rpc) throws IOException {
-    List<String> all = new ArrayList<>();
-    try (Stream<Path> homes = Files.list(directory)) {
-      for (Path log :
-          homes.map(h -> h.resolve("log")).filter(Files::isRegularFile).sorted().toList()) {
-        String name = log.getParent().getFileName().toString();
-        try (Stream<String> lines = Files.lines(log)) {
-          lines
-              .filter(l -> !rpc.isEmpty() && l.contains(rpc))
-              .forEach(l -> all.add(l + " [" + name + "]"));
-        }
-      }
-    }
-    all.sort(Comparator.naturalOrder());
-    return all;
-  }
 }
--- a/chaos/src/main/java/weldcross/chaos/FaultInjector.java
+++ b/chaos/src/main/java/weldcross/chaos/FaultInjector.java
@@ -4,149 +4,183 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.function.UnaryOperator;
 import weldcross.chaos.proxy.NetworkPath;
 import weldcross.chaos.scenario.Fault;
 import weldcross.fakes.FakePostgresServer;
 
-/** Has faults happen on a ground, and heals them. */
+/** Makes faults act on a cluster, and heals them. */
 final class FaultInjector {
 
-  private final ChaosCluster ground;
+  private static final Duration TERMINATION_TIMEOUT = Duration.ofSeconds(10);
+  private static final String CLIENTS = "clients";
 
-  FaultInjector(ChaosCluster ground) {
-    this.ground = ground;
+  private final ChaosCluster cluster;
+
+  FaultInjector(ChaosCluster cluster) {
+    this.cluster = cluster;
   }
 
   /**
-   * Gateways whose clients may rightly be told nothing: its process dies or stands still, or
-   * nothing passes between it and them. Every other trouble is the gateway's to answer for, in
-   * time.
+   * Returns the gateways whose clients may get no answer because of a fault: their process dies or
+   * stands still, or nothing passes between it and them. All other faults a gateway has to answer
+   * for, in time.
    */
-  List<String> excused(Fault fault) {
+  List<String> excusedGateways(Fault fault) {
     return switch (fault.kind()) {
       case KILL, CLOCK, PAUSE -> List.of(fault.on());
       case TERM, DISK, SPLIT, SERVER_KILL, LAG, SERVER_STALL, ANSWERS_LOST -> List.of();
-      default ->
-          fault.on().equals("clients")
-              ? others(fault).stream().filter(h -> h.startsWith("n")).toList()
-              : others(fault).contains("clients") ? List.of(fault.on()) : List.of();
+      default -> excusedByNetworkFault(fault);
     };
   }
 
-  /** Begins it; returns once it acts. */
-  void begin(Fault f) throws IOException {
-    ChaosCluster.Gateway gateway = f.kind().isOnGateway() ? ground.gateway(f.on()) : null;
-    switch (f.kind()) {
-      case KILL, CLOCK -> gateway.child().kill();
-      case TERM -> gateway.child().term();
-      case PAUSE -> gateway.child().pause();
-      case DISK -> gateway.disk(f.how());
-      case STALL -> ways(f, true, true, w -> w.withHeld(true));
-      case STALL_ONE_WAY -> ways(f, true, false, w -> w.withHeld(true));
-      case CUT -> ways(f, true, true, w -> w.withCut(true));
-      case CUT_ONE_WAY -> ways(f, true, false, w -> w.withCut(true));
-      case RESET -> others(f).forEach(to -> ground.relay().reset(f.on(), to));
-      case REFUSE -> others(f).forEach(to -> ground.relay().refuse(f.on(), to, true));
-      case DELAY ->
-          ways(
-              f,
-              true,
-              true,
-              w -> w.withTrouble(Duration.ofMillis(Long.parseLong(f.how())), 0, 0, 0));
+  private List<String> excusedByNetworkFault(Fault fault) {
+    if (fault.on().equals(CLIENTS)) {
+      return peersOf(fault).stream().filter(host -> host.startsWith("n")).toList();
+    }
+    return peersOf(fault).contains(CLIENTS) ? List.of(fault.on()) : List.of();
+  }
+
+  /** Begins a fault; returns once it acts. */
+  void begin(Fault fault) throws IOException {
+    switch (fault.kind()) {
+      case KILL, CLOCK -> gateway(fault).process().kill();
+      case TERM -> gateway(fault).process().terminate();
+      case PAUSE -> gateway(fault).process().pause();
+      case DISK -> gateway(fault).setDiskFaults(fault.how());
+      case STALL -> changeBothWays(fault, path -> path.withHeld(true));
+      case STALL_ONE_WAY -> changeOneWay(fault, path -> path.withHeld(true));
+      case CUT -> changeBothWays(fault, path -> path.withCut(true));
+      case CUT_ONE_WAY -> changeOneWay(fault, path -> path.withCut(true));
+      case RESET -> resetConnections(fault);
+      case REFUSE -> refuseConnections(fault, true);
+      case DELAY -> {
+        Duration delay = Duration.ofMillis(Long.parseLong(fault.how()));
+        changeBothWays(fault, path -> path.withImpairment(delay, 0, 0, 0));
+      }
       case LOSS -> {
-        double share = Double.parseDouble(f.how());
-        ways(f, true, true, w -> w.withTrouble(Duration.ZERO, share, share / 2, share / 2));
+        double share = Double.parseDouble(fault.how());
+        changeBothWays(
+            fault, path -> path.withImpairment(Duration.ZERO, share, share / 2, share / 2));
       }
-      case SPLIT -> split(f, true);
-      case SERVER_KILL -> ground.server(f.on()).kill();
-      case LAG -> ground.server(f.on()).lag(Duration.ofMillis(Long.parseLong(f.how())));
-      case SERVER_STALL -> ground.server(f.on()).stalled(true);
-      case ANSWERS_LOST -> ground.server(f.on()).losingAnswers(true);
-      default -> throw new IllegalArgumentException(f.kind().word());
+      case SPLIT -> split(fault, true);
+      case SERVER_KILL -> server(fault).kill();
+      case LAG -> server(fault).setLag(Duration.ofMillis(Long.parseLong(fault.how())));
+      case SERVER_STALL -> server(fault).setStalled(true);
+      case ANSWERS_LOST -> server(fault).setLosingAnswers(true);
     }
   }
 
-  /** Heals it; returns once that is asked for, processes may still be starting. */
-  void end(Fault f, Duration usualLag) throws IOException {
-    ChaosCluster.Gateway gateway = f.kind().isOnGateway() ? ground.gateway(f.on()) : null;
-    switch (f.kind()) {
+  /**
+   * Heals a fault; returns once that is begun, while processes may still be starting.
+   *
+   * @param usualLag the lag of replicas without a fault
+   */
+  void end(Fault fault, Duration usualLag) throws IOException {
+    switch (fault.kind()) {
       case KILL -> {
-        gateway.recordsAre(f.how());
-        gateway.start();
-      }
-      case CLOCK -> {
-        gateway.wallOff(Long.parseLong(f.how()));
-        gateway.start();
-        gateway.wallOff(0);
+        gateway(fault).restoreRecords(fault.how());
+        gateway(fault).start();
       }
+      case CLOCK -> startWithClockOffset(gateway(fault), Long.parseLong(fault.how()));
       case TERM -> {
-        gateway.child().await(Duration.ofSeconds(10));
-        gateway.child().kill();
-        gateway.start();
+        gateway(fault).process().awaitExit(TERMINATION_TIMEOUT);
+        gateway(fault).process().kill();
+        gateway(fault).start();
       }
-      case PAUSE -> gateway.child().resume();
-      case DISK -> gateway.disk("");
-      case STALL -> ways(f, true, true, w -> w.withHeld(false));
-      case STALL_ONE_WAY -> ways(f, true, false, w -> w.withHeld(false));
-      case CUT -> ways(f, true, true, w -> w.withCut(false));
-      case CUT_ONE_WAY -> ways(f, true, false, w -> w.withCut(false));
-      case REFUSE -> others(f).forEach(to -> ground.relay().refuse(f.on(), to, false));
-      case DELAY, LOSS -> ways(f, true, true, w -> w.withTrouble(Duration.ZERO, 0, 0, 0));
-      case SPLIT -> split(f, false);
+      case PAUSE -> gateway(fault).process().resume();
+      case DISK -> gateway(fault).setDiskFaults("");
+      case STALL -> changeBothWays(fault, path -> path.withHeld(false));
+      case STALL_ONE_WAY -> changeOneWay(fault, path -> path.withHeld(false));
+      case CUT -> changeBothWays(fault, path -> path.withCut(false));
+      case CUT_ONE_WAY -> changeOneWay(fault, path -> path.withCut(false));
+      case REFUSE -> refuseConnections(fault, false);
+      case DELAY, LOSS ->
+          changeBothWays(fault, path -> path.withImpairment(Duration.ZERO, 0, 0, 0));
+      case SPLIT -> split(fault, false);
       case SERVER_KILL -> {
-        FakePostgresServer server = ground.server(f.on());
-        server.start();
-        ground.list(server);
+        server(fault).start();
+        cluster.publish(server(fault));
       }
-      case LAG -> ground.server(f.on()).lag(usualLag);
-      case SERVER_STALL -> ground.server(f.on()).stalled(false);
-      case ANSWERS_LOST -> ground.server(f.on()).losingAnswers(false);
-      default -> {
-        // What happens in an instant needs no healing.
+      case LAG -> server(fault).setLag(usualLag);
+      case SERVER_STALL -> server(fault).setStalled(false);
+      case ANSWERS_LOST -> server(fault).setLosingAnswers(false);
+      case RESET -> {
+        // It acts in an instant and needs no healing.
       }
     }
   }
 
-  private List<String> others(Fault f) {
-    return f.to().equals("*") ? ground.othersOf(f.on()) : List.of(f.to());
+  private GatewayNode gateway(Fault fault) {
+    return cluster.gateway(fault.on());
   }
 
-  private interface Change {
-    NetworkPath of(NetworkPath before);
+  private FakePostgresServer server(Fault fault) {
+    return cluster.server(fault.on());
   }
 
-  private void ways(Fault f, boolean there, boolean back, Change change) {
-    for (String to : others(f)) {
-      if (there) {
-        change(f.on(), to, change);
-      }
-      if (back) {
-        change(to, f.on(), change);
-      }
+  private static void startWithClockOffset(GatewayNode gateway, long offsetMillis)
+      throws IOException {
+    gateway.setClockOffsetMillis(offsetMillis);
+    gateway.start();
+    gateway.setClockOffsetMillis(0);
+  }
+
+  /** The hosts at the other end of a network fault. */
+  private List<String> peersOf(Fault fault) {
+    return fault.to().equals("*") ? cluster.hostsOtherThan(fault.on()) : List.of(fault.to());
+  }
+
+  private void resetConnections(Fault fault) {
+    for (String peer : peersOf(fault)) {
+      cluster.proxy().resetConnections(fault.on(), peer);
+    }
+  }
+
+  private void refuseConnections(Fault fault, boolean on) {
+    for (String peer : peersOf(fault)) {
+      cluster.proxy().refuseConnections(fault.on(), peer, on);
+    }
+  }
+
+  private void changeOneWay(Fault fault, UnaryOperator<NetworkPath> change) {
+    for (String peer : peersOf(fault)) {
+      changePath(fault.on(), peer, change);
+    }
+  }
+
+  private void changeBothWays(Fault fault, UnaryOperator<NetworkPath> change) {
+    for (String peer : peersOf(fault)) {
+      changePath(fault.on(), peer, change);
+      changePath(peer, fault.on(), change);
     }
   }
 
-  private void change(String from, String to, Change change) {
-    ground.relay().set(from, to, change.of(ground.relay().way(from, to)));
+  private void changePath(String from, String to, UnaryOperator<NetworkPath> change) {
+    cluster.proxy().setPath(from, to, change.apply(cluster.proxy().path(from, to)));
   }
 
-  /** Gateways of different sides do not reach each other; a name may stand on several sides. */
-  private void split(Fault f, boolean on) {
+  /** Cuts gateways off that share no side; a name may stand on several sides. */
+  private void split(Fault fault, boolean on) {
     List<List<String>> sides = new ArrayList<>();
-    for (String side : f.how().split("\\|", -1)) {
-      sides.add(List.of(side.split(",")));
+    for (String side : fault.how().split("\\|", -1)) {
+      sides.add(List.of(side.split(",", -1)));
     }
-    for (ChaosCluster.Gateway a : ground.gateways()) {
-      for (ChaosCluster.Gateway b : ground.gateways()) {
-        boolean known =
-            sides.stream().anyMatch(s -> s.contains(a.name()))
-                && sides.stream().anyMatch(s -> s.contains(b.name()));
-        boolean together =
-            sides.stream().anyMatch(s -> s.contains(a.name()) && s.contains(b.name()));
-        if (a != b && known && !together) {
-          change(a.name(), b.name(), w -> w.withCut(on));
+    for (GatewayNode gateway : cluster.gateways()) {
+      for (GatewayNode peer : cluster.gateways()) {
+        if (gateway != peer && areApart(sides, gateway.name(), peer.name())) {
+          changePath(gateway.name(), peer.name(), path -> path.withCut(on));
         }
       }
     }
   }
+
+  private static boolean areApart(List<List<String>> sides, String gateway, String peer) {
+    boolean bothNamed =
+        sides.stream().anyMatch(side -> side.contains(gateway))
+            && sides.stream().anyMatch(side -> side.contains(peer));
+    boolean together =
+        sides.stream().anyMatch(side -> side.contains(gateway) && side.contains(peer));
+    return bothNamed && !together;
+  }
 }
--- a/chaos/src/main/java/weldcross/chaos/Main.java
+++ b/chaos/src/main/java/weldcross/chaos/Main.java
@@ -1,13 +1,16 @@
 package weldcross.chaos;
 
 import java.io.IOException;
+import java.io.PrintWriter;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
 import java.time.LocalDateTime;
+import java.time.ZoneOffset;
 import java.time.format.DateTimeFormatter;
 import java.util.List;
 import java.util.concurrent.Callable;
+import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 import me.tongfei.progressbar.ProgressBar;
 import me.tongfei.progressbar.ProgressBarBuilder;
@@ -16,33 +19,49 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
+import weldcross.chaos.history.ChaosRunResult;
+import weldcross.chaos.history.GatewayLogs;
 import weldcross.chaos.history.HistoryChecker;
-import weldcross.chaos.report.LatencyStatistics;
-import weldcross.chaos.report.Report;
+import weldcross.chaos.report.RunReport;
+import weldcross.chaos.report.RunStatistics;
+import weldcross.chaos.report.RunStore;
 import weldcross.chaos.scenario.Scenario;
 import weldcross.config.InvalidConfigException;
 
-/** The command line of the trial ground. */
+/** The command line of the chaos runs. */
 @Command(
     name = "weldcross-chaos",
     mixinStandardHelpOptions = true,
-    subcommands = {Main.Run.class, Main.ListAll.class, Main.Again.class},
-    description =
-        "Plays scenarios on real gateway processes and judges them by the servers' record.",
+    subcommands = {Main.Run.class, Main.ListScenarios.class, Main.Report.class},
+    description = "Runs scenarios on real gateway processes and checks the recorded history.",
     synopsisSubcommandLabel = "COMMAND")
 public final class Main implements Runnable {
 
-  /**
-   * Clean; a rule was broken; the command line or a scenario cannot be used; the trial could not be
-   * played.
-   */
-  static final int CLEAN = 0, BREACH = 1, USAGE = 2, BROKEN = 70;
+  /** Exit status: all rules were kept. */
+  static final int CLEAN = 0;
+
+  /** Exit status: a rule was broken. */
+  static final int VIOLATION = 1;
+
+  /** Exit status: the command line or a scenario cannot be used. */
+  static final int USAGE = 2;
 
-  /** The first breaches are told whole. */
-  private static final int TOLD = 5;
+  /** Exit status: the scenario could not be run. */
+  static final int INTERNAL_ERROR = 70;
+
+  /** So many violations are printed with their log lines. */
+  private static final int MAX_PRINTED_VIOLATIONS = 5;
 
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
+  /** Creates the command; picocli calls this. */
+  public Main() {}
+
+  /**
+   * Runs the command line and exits.
+   *
+   * @param args the arguments of the process
+   */
   public static void main(String[] args) {
     System.exit(run(args));
   }
@@ -50,13 +69,13 @@
   static int run(String... args) {
     return new CommandLine(new Main())
         .setExecutionExceptionHandler(
-            (fault, line, parsed) -> {
-              if (fault instanceof InvalidConfigException) {
-                line.getErr().println("weldcross-chaos: " + fault.getMessage());
+            (exception, commandLine, parsed) -> {
+              if (exception instanceof InvalidConfigException) {
+                commandLine.getErr().println("weldcross-chaos: " + exception.getMessage());
                 return USAGE;
               }
-              fault.printStackTrace(line.getErr());
-              return BROKEN;
+              exception.printStackTrace(commandLine.getErr());
+              return INTERNAL_ERROR;
             })
         .execute(args);
   }
@@ -66,25 +85,29 @@
     throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
   }
 
+  /** Runs a scenario, once or with several seeds. */
   @Command(
       name = "run",
       mixinStandardHelpOptions = true,
-      description = "Plays a scenario; ends with 1 at a breach.")
+      description = "Runs a scenario; exits with 1 if a rule was broken.")
   static final class Run implements Callable<Integer> {
 
+    private static final DateTimeFormatter DIRECTORY_TIME =
+        DateTimeFormatter.ofPattern("yyyyMMdd'T'HHmmss");
+
     @Parameters(
         arity = "1",
         paramLabel = "SCENARIO",
-        description = "A TOML file, or a schedule written by a trial.")
+        description = "A TOML file, or a schedule written by a run.")
     private String file;
 
     @Option(
         names = "--seed",
         defaultValue = "1",
-        description = "Of the first play (default: ${DEFAULT-VALUE}).")
+        description = "Of the first run (default: ${DEFAULT-VALUE}).")
     private long seed;
 
-    @Option(names = "--times", defaultValue = "1", description = "Plays, each with the next seed.")
+    @Option(names = "--times", defaultValue = "1", description = "Runs, each with the next seed.")
     private int times;
 
     @Option(names = "--seconds", description = "In place of the scenario's.")
@@ -93,7 +116,7 @@
     @Option(
         names = "--out",
         defaultValue = "target/trials",
-        description = "Where trials leave their directories.")
+        description = "Where runs leave their directories.")
     private Path out;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -104,65 +127,66 @@
       Scenario scenario = seconds == null ? read : read.lasting(Duration.ofSeconds(seconds));
       int status = CLEAN;
       for (long next = seed; next < seed + times; next++) {
-        Path directory =
-            out.resolve(
-                scenario.name()
-                    + "-"
-                    + next
-                    + "-"
-                    + LocalDateTime.now().format(DateTimeFormatter.ofPattern("yyyyMMdd'T'HHmmss")));
-        status = Math.max(status, one(scenario, next, directory));
+        status = Math.max(status, runOnce(scenario, next));
       }
       return status;
     }
 
-    private int one(Scenario scenario, long next, Path directory)
-        throws IOException, InterruptedException {
-      java.io.PrintWriter told = spec.commandLine().getOut();
-      told.println(scenario.name() + ", seed " + next + ": " + directory);
-      ChaosRun.Result trial;
-      try (ProgressBar bar =
-          new ProgressBarBuilder()
-              .setTaskName("plays")
-              .setUnit(" s", 1)
-              .setStyle(ProgressBarStyle.ASCII)
-              .setInitialMax(scenario.lasting().toSeconds())
-              .setUpdateIntervalMillis(1000)
-              .build()) {
-        trial = ChaosRun.play(scenario, next, directory, bar::stepTo);
+    private int runOnce(Scenario scenario, long runSeed) throws IOException, InterruptedException {
+      String time = LocalDateTime.now(ZoneOffset.UTC).format(DIRECTORY_TIME);
+      Path directory = out.resolve(scenario.name() + "-" + runSeed + "-" + time);
+      PrintWriter terminal = spec.commandLine().getOut();
+      terminal.println(scenario.name() + ", seed " + runSeed + ": " + directory);
+      ChaosRunResult result;
+      try (ProgressBar bar = progressBar(scenario)) {
+        result = ChaosRun.run(scenario, runSeed, directory, bar::stepTo);
       }
-      Report.keep(trial, directory);
-      told.println(new LatencyStatistics(trial).describe());
-      trial.ready().forEach(told::println);
-      tell(trial, directory, told);
-      told.println("report: " + Report.write(trial, directory));
-      told.flush();
-      return trial.isClean() ? CLEAN : BREACH;
+      RunStore.write(result, directory);
+      terminal.println(new RunStatistics(result).describe());
+      result.restarts().forEach(terminal::println);
+      printViolations(result, directory, terminal);
+      terminal.println("report: " + RunReport.write(result, directory));
+      terminal.flush();
+      return result.isClean() ? CLEAN : VIOLATION;
+    }
+
+    private static ProgressBar progressBar(Scenario scenario) {
+      return new ProgressBarBuilder()
+          .setTaskName("runs")
+          .setUnit(" s", 1)
+          .setStyle(ProgressBarStyle.ASCII)
+          .setInitialMax(scenario.lasting().toSeconds())
+          .setUpdateIntervalMillis(1000)
+          .build();
     }
   }
 
-  private static void tell(ChaosRun.Result trial, Path directory, java.io.PrintWriter told)
+  private static void printViolations(ChaosRunResult result, Path directory, PrintWriter terminal)
       throws IOException {
-    List<HistoryChecker.Breach> all = trial.breaches();
-    told.println(all.isEmpty() ? "no rule broken" : all.size() + " BREACHES");
-    for (HistoryChecker.Breach each : all.subList(0, Math.min(TOLD, all.size()))) {
-      told.println(
-          each.rule().words
+    List<HistoryChecker.Violation> violations = result.violations();
+    terminal.println(violations.isEmpty() ? "no rule broken" : violations.size() + " VIOLATIONS");
+    for (HistoryChecker.Violation violation :
+        violations.subList(0, Math.min(MAX_PRINTED_VIOLATIONS, violations.size()))) {
+      terminal.println(
+          violation.rule().description()
               + ": "
-              + each.rpc()
+              + violation.rpc()
               + " at "
-              + each.at() / 1_000_000
+              + TimeUnit.NANOSECONDS.toMillis(violation.at())
               + " ms, "
-              + each.what());
-      ChaosRun.lines(directory, each.rpc()).forEach(l -> told.println("    " + l));
+              + violation.description());
+      for (String line : GatewayLogs.linesOf(directory, violation.rpc())) {
+        terminal.println("    " + line);
+      }
     }
   }
 
+  /** Lists the scenarios of a directory. */
   @Command(
       name = "list",
       mixinStandardHelpOptions = true,
       description = "Lists the scenarios of a directory.")
-  static final class ListAll implements Callable<Integer> {
+  static final class ListScenarios implements Callable<Integer> {
 
     @Parameters(arity = "0..1", defaultValue = "chaos/scenarios", paramLabel = "DIRECTORY")
     private Path directory;
@@ -171,51 +195,56 @@
 
     @Override
     public Integer call() throws IOException {
-      try (Stream<Path> all = Files.list(directory)) {
-        for (Path each : all.filter(p -> p.toString().endsWith(".toml")).sorted().toList()) {
-          Scenario s = Scenario.read(each.toString());
-          spec.commandLine()
-              .getOut()
-              .printf(
-                  "%-44s %4d s, %d gateways, %d servers, %d RPCs a second: %s%n",
-                  each,
-                  s.lasting().toSeconds(),
-                  s.gateways(),
-                  s.groups() * s.serversPerGroup(),
-                  s.rate(),
-                  s.about());
+      try (Stream<Path> files = Files.list(directory)) {
+        for (Path file : files.filter(f -> f.toString().endsWith(".toml")).sorted().toList()) {
+          print(file, Scenario.read(file.toString()));
         }
       }
       return CLEAN;
     }
+
+    private void print(Path file, Scenario scenario) {
+      spec.commandLine()
+          .getOut()
+          .printf(
+              "%-44s %4d s, %d gateways, %d servers, %d requests a second: %s%n",
+              file,
+              scenario.lasting().toSeconds(),
+              scenario.gateways(),
+              scenario.groups() * scenario.serversPerGroup(),
+              scenario.rate(),
+              scenario.about());
+    }
   }
 
+  /** Checks the stored history of a run again. */
   @Command(
       name = "report",
       mixinStandardHelpOptions = true,
-      description = "Judges the evidence of a trial again and makes its page anew.")
-  static final class Again implements Callable<Integer> {
+      description = "Checks the stored history of a run again and writes its report anew.")
+  static final class Report implements Callable<Integer> {
 
-    @Parameters(arity = "1", paramLabel = "DIRECTORY", description = "Of a trial.")
+    @Parameters(arity = "1", paramLabel = "DIRECTORY", description = "Of a run.")
     private Path directory;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() throws IOException {
-      ChaosRun.Result kept = Report.kept(directory);
-      ChaosRun.Result trial =
-          new ChaosRun.Result(
-              kept.played(),
-              kept.seed(),
-              kept.evidence(),
-              HistoryChecker.of(kept.evidence()),
-              kept.ready(),
-              kept.where());
-      spec.commandLine().getOut().println(new LatencyStatistics(trial).describe());
-      tell(trial, directory, spec.commandLine().getOut());
-      spec.commandLine().getOut().println("report: " + Report.write(trial, directory));
-      return trial.isClean() ? CLEAN : BREACH;
+      ChaosRunResult stored = RunStore.read(directory);
+      ChaosRunResult result =
+          new ChaosRunResult(
+              stored.scenario(),
+              stored.seed(),
+              stored.history(),
+              HistoryChecker.check(stored.history()),
+              stored.restarts(),
+              stored.directory());
+      PrintWriter terminal = spec.commandLine().getOut();
+      terminal.println(new RunStatistics(result).describe());
+      printViolations(result, directory, terminal);
+      terminal.println("report: " + RunReport.write(result, directory));
+      return result.isClean() ? CLEAN : VIOLATION;
     }
   }
 }
--- a/chaos/src/main/java/weldcross/chaos/agent/LyingStorageDirectory.java
+++ b/chaos/src/main/java/weldcross/chaos/agent/LyingStorageDirectory.java
@@ -34,7 +34,7 @@
 public final class LyingStorageDirectory implements StorageDirectory {
 
   /** The path of the file of words; without it the disk is honest. */
-  public static final String WORDS = "weldcross.chaos.disk";
+  public static final String FAULTS_FILE = "weldcross.chaos.disk";
 
   private static final int ASIDE = 16;
 
@@ -49,7 +49,7 @@
     @Override
     public StorageDirectory open(Path directory) throws IOException {
       return new LyingStorageDirectory(
-          new FileStorageDirectory.Plain().open(directory), System.getProperty(WORDS));
+          new FileStorageDirectory.Plain().open(directory), System.getProperty(FAULTS_FILE));
     }
   }
 
--- a/chaos/src/main/java/weldcross/chaos/agent/ShiftedClock.java
+++ b/chaos/src/main/java/weldcross/chaos/agent/ShiftedClock.java
@@ -4,14 +4,17 @@
 import java.time.Instant;
 import java.time.InstantSource;
 
-/** Within a gateway of a trial: a wall clock that is off by what the process was told. */
+/** A wall clock within a gateway of a run that is off by what its process was started with. */
 public final class ShiftedClock implements InstantSource {
 
-  /** In milliseconds. */
-  public static final String OFF = "weldcross.chaos.wall";
+  /** The system property that says by how many milliseconds it is fast. */
+  public static final String OFFSET_MILLIS = "weldcross.chaos.wall";
+
+  /** Creates a clock; the service loader calls this. */
+  public ShiftedClock() {}
 
   @Override
   public Instant instant() {
-    return Instant.now().plus(Duration.ofMillis(Long.getLong(OFF, 0)));
+    return Instant.now().plus(Duration.ofMillis(Long.getLong(OFFSET_MILLIS, 0)));
   }
 }
--- a/chaos/src/main/java/weldcross/chaos/history/History.java
+++ b/chaos/src/main/java/weldcross/chaos/history/History.java
@@ -1,55 +1,88 @@
 package weldcross.chaos.history;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
+import java.util.Optional;
 import weldcross.chaos.load.ClientOperation;
 import weldcross.fakes.ReplicatedStoreModel;
 
 /**
- * What a trial leaves to judge by: what clients saw, what servers did, and when which host had
- * trouble. All times since the load began, in nanoseconds.
+ * What a run recorded: what clients saw, what servers did, and when which host had a fault. All
+ * times are nanoseconds since the load began.
  *
- * @param unasked what clients were told that nobody had asked for
- * @param views what gateways said they had agreed on
- * @param agreedAfter milliseconds from the end of all troubles until all held one view of all;
- *     below zero where that did not come, null where nothing is agreed
+ * @param operations what clients sent and got
+ * @param unexpectedMessages what clients got that they had not asked for
+ * @param commits all writes that servers applied
+ * @param reads all reads that servers served
+ * @param faults when hosts had faults
+ * @param views the membership views that gateways logged
+ * @param convergedAfterMillis from the end of all faults until all gateways held one view of all;
+ *     below zero if that did not come, null if nothing is agreed on
  */
 public record History(
-    List<ClientOperation> asked,
-    List<String> unasked,
-    List<ReplicatedStoreModel.Effect> effects,
+    @JsonProperty("asked") List<ClientOperation> operations,
+    @JsonProperty("unasked") List<String> unexpectedMessages,
+    @JsonProperty("effects") List<ReplicatedStoreModel.Commit> commits,
     List<ReplicatedStoreModel.Read> reads,
-    List<Trouble> troubles,
-    List<Held> views,
-    Long agreedAfter) {
+    @JsonProperty("troubles") List<FaultInterval> faults,
+    List<ReportedView> views,
+    @JsonProperty("agreedAfter") Long convergedAfterMillis) {
 
-  /** Of a trial without agreement. */
+  /**
+   * Creates the history of a run without consensus.
+   *
+   * @param operations what clients sent and got
+   * @param unexpectedMessages what clients got that they had not asked for
+   * @param commits all writes that servers applied
+   * @param reads all reads that servers served
+   * @param faults when hosts had faults
+   */
   public History(
-      List<ClientOperation> asked,
-      List<String> unasked,
-      List<ReplicatedStoreModel.Effect> effects,
+      List<ClientOperation> operations,
+      List<String> unexpectedMessages,
+      List<ReplicatedStoreModel.Commit> commits,
       List<ReplicatedStoreModel.Read> reads,
-      List<Trouble> troubles) {
-    this(asked, unasked, effects, reads, troubles, List.of(), null);
+      List<FaultInterval> faults) {
+    this(operations, unexpectedMessages, commits, reads, faults, List.of(), null);
   }
 
   /**
-   * A view that a gateway said it held, in the order in which it said so.
+   * A membership view that a gateway logged, in the order of its log.
    *
+   * @param gateway its name
    * @param process which of the gateway's processes, from 1
-   * @param members as it told them, with their lives
+   * @param number the number of the view
+   * @param members as it logged them, with their incarnations
    */
-  public record Held(String gateway, int process, long number, String members) {}
+  public record ReportedView(String gateway, int process, long number, String members) {}
 
   /**
-   * A span in which something was wrong by order of the scenario, with what it left behind.
+   * A time in which a scenario had a fault act, with its after-effects.
    *
-   * @param until when it was healed and had been looked at: a process serves again, a way is free
-   * @param hosts gateways whose clients it excuses from an answer
+   * @param from when it began
+   * @param until when it was healed and had been waited for
+   * @param hosts gateways whose clients may get no answer because of it
+   * @param description what it was
    */
-  public record Trouble(long from, long until, List<String> hosts, String what) {
+  public record FaultInterval(
+      long from, long until, List<String> hosts, @JsonProperty("what") String description) {
 
-    boolean touches(String host, long begin, long end) {
-      return hosts.contains(host) && from <= end && until >= begin;
+    boolean excuses(ClientOperation operation) {
+      return hosts.contains(operation.gateway())
+          && from <= operation.ended()
+          && until >= operation.sent();
     }
+
+    boolean isNear(ClientOperation operation, long aftermathNanos) {
+      return from <= operation.ended() && until + aftermathNanos >= operation.sent();
+    }
+  }
+
+  /** The fault that explains why a client got no answer. */
+  Optional<String> excuseFor(ClientOperation operation) {
+    return faults.stream()
+        .filter(fault -> fault.excuses(operation))
+        .map(FaultInterval::description)
+        .findFirst();
   }
 }
--- a/chaos/src/main/java/weldcross/chaos/history/HistoryChecker.java
+++ b/chaos/src/main/java/weldcross/chaos/history/HistoryChecker.java
@@ -1,235 +1,278 @@
 package weldcross.chaos.history;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
+import java.util.concurrent.TimeUnit;
 import weldcross.chaos.load.ClientOperation;
-import weldcross.chaos.load.LoadGenerator;
+import weldcross.chaos.load.ClientOperation.Outcome;
 import weldcross.fakes.ReplicatedStoreModel;
 
 /**
- * Judges a trial by the servers' own record and what clients saw; knows nothing of the program.
- * Pure. What a trouble explains is a loss and is told in the report; what nothing explains is a
- * breach.
+ * Checks the history of a run by the servers' own record and what clients saw; knows nothing of the
+ * gateway. An unanswered request that a fault excuses is a loss, which the report counts; one that
+ * nothing excuses is a violation.
  */
 public final class HistoryChecker {
 
-  /** The rules, as the operators word them. */
+  /** The rules that every run must keep. */
   public enum Rule {
+    /** Each request gets one answer in time. */
     ONE_ANSWER("one final answer per RPC, in time, none after"),
+    /** No write is applied twice. */
     ONE_EFFECT("no effect twice"),
+    /** An acknowledged write has been applied. */
     EFFECT_THERE("what was answered as done is done"),
+    /** A rejected write has not been applied. */
     REFUSED_HARMLESS("what was refused has not run"),
+    /** No read is staler than its class allows. */
     FRESH("no stale read"),
+    /** Membership views of one number have the same members. */
     ONE_VIEW("views of one number are one"),
+    /** Within one process membership views never go back. */
     NO_VIEW_BACK("views never go back in one process"),
+    /** All gateways hold one view once all faults are healed. */
     AGREES("all agree once all troubles are over");
 
-    public final String words;
+    private final String description;
 
-    Rule(String words) {
-      this.words = words;
+    Rule(String description) {
+      this.description = description;
+    }
+
+    /**
+     * Describes the rule for a reader of the report.
+     *
+     * @return one line
+     */
+    public String description() {
+      return description;
     }
   }
 
   /**
-   * @param at when it was sent
+   * A rule that was broken.
+   *
+   * @param rule which one
+   * @param rpc the id of the request, or what else broke it; empty for none
+   * @param at when the request was sent, in nanoseconds since the load began
+   * @param description what was found
    */
-  public record Breach(Rule rule, String rpc, long at, String what) {}
+  public record Violation(
+      Rule rule, String rpc, long at, @JsonProperty("what") String description) {}
 
-  /** A late clock tick of the server beside the client's. */
-  private static final long SLACK = LoadGenerator.SLACK.toNanos();
+  /** A server's clock may be a tick behind its client's. */
+  private static final long CLOCK_SLACK_NANOS = ClientOperation.DEADLINE_SLACK.toNanos();
 
-  /** What a trouble leaves behind: calls that were held, servers that were doubted. */
-  private static final long AFTERMATH = Duration.ofSeconds(3).toNanos();
+  /** After a fault calls may still be held, and servers ejected. */
+  private static final long AFTERMATH_NANOS = Duration.ofSeconds(3).toNanos();
 
-  private final History evidence;
-  private final Map<String, List<ReplicatedStoreModel.Effect>> effects = new HashMap<>();
-  private final Map<String, Long> sequences = new HashMap<>();
-  private final Map<String, List<ReplicatedStoreModel.Read>> reads = new HashMap<>();
-  private final List<Breach> breaches = new ArrayList<>();
+  private final History history;
+  private final Map<String, List<ReplicatedStoreModel.Commit>> commitsByRequest = new HashMap<>();
+  private final Map<String, Long> sequencesByValue = new HashMap<>();
+  private final Map<String, List<ReplicatedStoreModel.Read>> readsByRequest = new HashMap<>();
+  private final List<Violation> violations = new ArrayList<>();
 
-  private HistoryChecker(History evidence) {
-    this.evidence = evidence;
-    for (ReplicatedStoreModel.Effect each : evidence.effects()) {
-      effects.computeIfAbsent(each.rpc(), r -> new ArrayList<>()).add(each);
-      sequences.put(each.value(), each.sequence());
+  private HistoryChecker(History history) {
+    this.history = history;
+    for (ReplicatedStoreModel.Commit commit : history.commits()) {
+      commitsByRequest.computeIfAbsent(commit.rpc(), id -> new ArrayList<>()).add(commit);
+      sequencesByValue.put(commit.value(), commit.sequence());
     }
-    for (ReplicatedStoreModel.Read each : evidence.reads()) {
-      reads.computeIfAbsent(each.rpc(), r -> new ArrayList<>()).add(each);
+    for (ReplicatedStoreModel.Read read : history.reads()) {
+      readsByRequest.computeIfAbsent(read.rpc(), id -> new ArrayList<>()).add(read);
     }
   }
 
-  /** All breaches, in the order of their RPCs. */
-  public static List<Breach> of(History evidence) {
-    HistoryChecker audit = new HistoryChecker(evidence);
+  /**
+   * Checks a history against all rules.
+   *
+   * @param history of a whole run
+   * @return all violations, those of requests first and in their order
+   */
+  public static List<Violation> check(History history) {
+    HistoryChecker checker = new HistoryChecker(history);
+    Set<String> ids = checker.checkOperations();
+    checker.checkViews();
+    checker.checkUnexpectedMessages();
+    checker.checkUnknownCommits(ids);
+    return checker.violations;
+  }
+
+  private Set<String> checkOperations() {
     Set<String> ids = new HashSet<>();
-    for (ClientOperation each : evidence.asked()) {
-      if (!ids.add(each.rpc())) {
-        audit.breach(Rule.ONE_ANSWER, each, "answered twice");
-      }
-      audit.answers(each);
-      audit.effects(each);
-      audit.freshness(each);
-    }
-    audit.views();
-    evidence
-        .unasked()
-        .forEach(
-            words ->
-                audit.breaches.add(
-                    new Breach(
-                        Rule.ONE_ANSWER,
-                        "",
-                        0,
-                        "nobody had asked for: " + words.replaceAll("[^ -~]", "."))));
-    audit.effects.forEach(
-        (rpc, all) -> {
-          if (!ids.contains(rpc)) {
-            audit.breaches.add(
-                new Breach(Rule.ONE_EFFECT, rpc, all.get(0).at(), "an effect of no RPC"));
-          }
-        });
-    return audit.breaches;
-  }
-
-  private void breach(Rule rule, ClientOperation of, String what) {
-    breaches.add(
-        new Breach(
-            rule,
-            of.rpc(),
-            of.sent(),
-            of.method().word
-                + " of "
-                + of.session()
-                + " by "
-                + of.gateway()
-                + ", "
-                + of.outcome()
-                + ": "
-                + what));
-  }
-
-  private void views() {
-    Map<Long, History.Held> first = new HashMap<>();
-    Map<String, Long> last = new HashMap<>();
-    for (History.Held each : evidence.views()) {
-      History.Held one = first.putIfAbsent(each.number(), each);
-      if (one != null && !one.members().equals(each.members())) {
-        breaches.add(
-            new Breach(
-                Rule.ONE_VIEW,
-                "view " + each.number() + " is",
-                0,
-                one.gateway()
-                    + " has "
-                    + one.members()
-                    + ", "
-                    + each.gateway()
-                    + " has "
-                    + each.members()));
-      }
-      Long before = last.put(each.gateway() + "/" + each.process(), each.number());
-      if (before != null && before >= each.number()) {
-        breaches.add(
-            new Breach(
-                Rule.NO_VIEW_BACK,
-                "view " + each.number() + " is",
-                0,
-                each.gateway() + " had " + before + " before"));
+    for (ClientOperation operation : history.operations()) {
+      if (!ids.add(operation.rpc())) {
+        report(Rule.ONE_ANSWER, operation, "answered twice");
       }
+      checkAnswer(operation);
+      checkCommits(operation);
+      checkFreshness(operation);
     }
-    if (evidence.agreedAfter() != null && evidence.agreedAfter() < 0) {
-      breaches.add(new Breach(Rule.AGREES, "", 0, "they did not"));
-    }
+    return ids;
   }
 
-  private void answers(ClientOperation a) {
-    if (a.outcome() == ClientOperation.ClientOutcome.SILENT
-        || a.outcome() == ClientOperation.ClientOutcome.ENDED) {
-      if (reason(evidence, a) == null) {
-        breach(Rule.ONE_ANSWER, a, "no answer, and no trouble of its gateway explains it");
-      }
+  private void checkAnswer(ClientOperation operation) {
+    boolean unanswered =
+        operation.outcome() == Outcome.TIMED_OUT
+            || operation.outcome() == Outcome.CONNECTION_CLOSED;
+    if (unanswered && history.excuseFor(operation).isEmpty()) {
+      report(Rule.ONE_ANSWER, operation, "no answer, and no fault of its gateway explains it");
     }
-    if (a.outcome() == ClientOperation.ClientOutcome.OK
-        && a.method().write
-        && !a.value().equals(a.rpc())) {
-      breach(Rule.ONE_ANSWER, a, "another's value: " + a.value());
+    if (operation.outcome() == Outcome.OK
+        && operation.type().isWrite()
+        && !operation.value().equals(operation.rpc())) {
+      report(Rule.ONE_ANSWER, operation, "another's value: " + operation.value());
     }
   }
 
-  private void effects(ClientOperation a) {
-    List<ReplicatedStoreModel.Effect> mine = effects.getOrDefault(a.rpc(), List.of());
-    if (mine.size() > 1) {
-      breach(Rule.ONE_EFFECT, a, mine.size() + " effects, at " + mine);
+  private void checkCommits(ClientOperation operation) {
+    List<ReplicatedStoreModel.Commit> commits =
+        commitsByRequest.getOrDefault(operation.rpc(), List.of());
+    if (commits.size() > 1) {
+      report(Rule.ONE_EFFECT, operation, commits.size() + " effects, at " + commits);
     }
-    if (a.outcome() == ClientOperation.ClientOutcome.OK && a.method().write && mine.isEmpty()) {
-      breach(Rule.EFFECT_THERE, a, "no server has it");
+    if (operation.outcome() == Outcome.OK && operation.type().isWrite() && commits.isEmpty()) {
+      report(Rule.EFFECT_THERE, operation, "no server has it");
     }
-    if ((a.outcome() == ClientOperation.ClientOutcome.PUSHED_BACK
-            || a.outcome() == ClientOperation.ClientOutcome.NOT_TAKEN)
-        && !mine.isEmpty()) {
-      breach(Rule.REFUSED_HARMLESS, a, "it ran, at " + mine);
+    boolean promisedNoEffect =
+        operation.outcome() == Outcome.REJECTED || operation.outcome() == Outcome.NOT_SENT;
+    if (promisedNoEffect && !commits.isEmpty()) {
+      report(Rule.REFUSED_HARMLESS, operation, "it ran, at " + commits);
     }
   }
 
-  private void freshness(ClientOperation a) {
-    if (a.outcome() != ClientOperation.ClientOutcome.OK || a.method().write) {
+  private void checkFreshness(ClientOperation operation) {
+    if (operation.outcome() != Outcome.OK) {
       return;
     }
-    if (a.method().need.equals("session") && !a.after().isEmpty()) {
-      long seen = a.value().isEmpty() ? 0 : sequences.getOrDefault(a.value(), 0L);
-      long wrote = sequences.getOrDefault(a.after(), 0L);
-      if (seen < wrote) {
-        breach(
-            Rule.FRESH, a, "saw commit " + seen + " of its key, its session had written " + wrote);
+    switch (operation.type()) {
+      case SESSION_READ -> checkSessionRead(operation);
+      case BOUNDED_READ -> checkBoundedRead(operation);
+      case WRITE -> {
+        // A write returns no stored data.
       }
     }
-    if (a.method().need.equals("bounded")) {
-      // Its answer is that of one of the reads done for it: the freshest that gave this value. The
-      // bound
-      // counts from the send, which is no earlier than the client's.
-      long seen = a.value().isEmpty() ? 0 : sequences.getOrDefault(a.value(), 0L);
-      long freshest =
-          reads.getOrDefault(a.rpc(), List.of()).stream()
-              .filter(r -> r.seen() == seen)
-              .mapToLong(ReplicatedStoreModel.Read::position)
-              .max()
-              .orElse(Long.MIN_VALUE);
-      if (freshest < a.sent() - a.method().bound.toNanos() - SLACK) {
-        breach(
-            Rule.FRESH,
-            a,
-            "data of " + (a.sent() - freshest) / 1_000_000 + " ms before it was sent");
-      }
+  }
+
+  private void checkSessionRead(ClientOperation operation) {
+    if (operation.after().isEmpty()) {
+      return;
+    }
+    long seen = sequenceOf(operation.value());
+    long written = sequenceOf(operation.after());
+    if (seen < written) {
+      report(
+          Rule.FRESH,
+          operation,
+          "saw commit " + seen + " of its key, its session had written " + written);
+    }
+  }
+
+  /**
+   * The answer is that of one of the reads done for the request: the freshest that gave this value.
+   * The bound counts from the attempt's send, which is no earlier than the client's.
+   */
+  private void checkBoundedRead(ClientOperation operation) {
+    long seen = sequenceOf(operation.value());
+    long freshest =
+        readsByRequest.getOrDefault(operation.rpc(), List.of()).stream()
+            .filter(read -> read.seen() == seen)
+            .mapToLong(ReplicatedStoreModel.Read::position)
+            .max()
+            .orElse(Long.MIN_VALUE);
+    long bound = operation.type().stalenessBound().toNanos();
+    if (freshest < operation.sent() - bound - CLOCK_SLACK_NANOS) {
+      long age = TimeUnit.NANOSECONDS.toMillis(operation.sent() - freshest);
+      report(Rule.FRESH, operation, "data of " + age + " ms before it was sent");
     }
   }
 
-  /** The trouble that explains why a client was told nothing; null where there is none. */
-  public static String reason(History evidence, ClientOperation a) {
-    for (History.Trouble each : evidence.troubles()) {
-      if (each.touches(a.gateway(), a.sent(), a.ended())) {
-        return each.what();
+  private long sequenceOf(String value) {
+    return value.isEmpty() ? 0 : sequencesByValue.getOrDefault(value, 0L);
+  }
+
+  private void checkViews() {
+    Map<Long, History.ReportedView> firstByNumber = new HashMap<>();
+    Map<String, Long> lastByProcess = new HashMap<>();
+    for (History.ReportedView view : history.views()) {
+      History.ReportedView first = firstByNumber.putIfAbsent(view.number(), view);
+      if (first != null && !first.members().equals(view.members())) {
+        String found = describe(first) + ", " + describe(view);
+        violations.add(new Violation(Rule.ONE_VIEW, subject(view), 0, found));
+      }
+      Long before = lastByProcess.put(view.gateway() + "/" + view.process(), view.number());
+      if (before != null && before >= view.number()) {
+        String found = view.gateway() + " had " + before + " before";
+        violations.add(new Violation(Rule.NO_VIEW_BACK, subject(view), 0, found));
       }
     }
-    return null;
+    if (history.convergedAfterMillis() != null && history.convergedAfterMillis() < 0) {
+      violations.add(new Violation(Rule.AGREES, "", 0, "they did not"));
+    }
+  }
+
+  private static String subject(History.ReportedView view) {
+    return "view " + view.number() + " is";
+  }
+
+  private static String describe(History.ReportedView view) {
+    return view.gateway() + " has " + view.members();
+  }
+
+  private void checkUnexpectedMessages() {
+    for (String message : history.unexpectedMessages()) {
+      String printable = message.replaceAll("[^ -~]", ".");
+      violations.add(new Violation(Rule.ONE_ANSWER, "", 0, "not asked for: " + printable));
+    }
+  }
+
+  private void checkUnknownCommits(Set<String> ids) {
+    commitsByRequest.forEach(
+        (id, commits) -> {
+          if (!ids.contains(id)) {
+            long at = commits.get(0).at();
+            violations.add(new Violation(Rule.ONE_EFFECT, id, at, "an effect of no request"));
+          }
+        });
+  }
+
+  private void report(Rule rule, ClientOperation operation, String found) {
+    String description =
+        operation.type().className()
+            + " of "
+            + operation.session()
+            + " by "
+            + operation.gateway()
+            + ", "
+            + operation.outcome()
+            + ": "
+            + found;
+    violations.add(new Violation(rule, operation.rpc(), operation.sent(), description));
   }
 
   /**
-   * The trouble nearest before a refusal or failure, within its aftermath; null where there is
-   * none.
+   * Finds the fault that explains why a request was not served: one that excuses it, or the last
+   * one that acted near it.
+   *
+   * @param history of a whole run
+   * @param operation one of its operations
+   * @return the description of the fault; empty if there is none within its aftermath
    */
-  public static String cause(History evidence, ClientOperation a) {
-    String reason = reason(evidence, a);
-    for (History.Trouble each : evidence.troubles()) {
-      if (reason == null && each.from() <= a.ended() && each.until() + AFTERMATH >= a.sent()) {
-        reason = each.what();
-      }
+  public static Optional<String> likelyCause(History history, ClientOperation operation) {
+    Optional<String> excuse = history.excuseFor(operation);
+    if (excuse.isPresent()) {
+      return excuse;
     }
-    return reason;
+    return history.faults().stream()
+        .filter(fault -> fault.isNear(operation, AFTERMATH_NANOS))
+        .map(History.FaultInterval::description)
+        .findFirst();
   }
 }
--- a/chaos/src/main/java/weldcross/chaos/process/LoopbackSubnet.java
+++ b/chaos/src/main/java/weldcross/chaos/process/LoopbackSubnet.java
@@ -6,50 +6,67 @@
 import java.net.ServerSocket;
 
 /**
- * A part of the loopback range that belongs to one trial: 127.x.y.0/24, claimed by a socket for as
- * long as the trial lives, so that two trials at once share no address.
+ * A part of the loopback range that belongs to one run: 127.x.y.0/24, claimed by a listening socket
+ * for as long as the run lasts, so that two runs at once share no address.
  */
 public final class LoopbackSubnet implements AutoCloseable {
 
-  private static final int CLAIM = 7999;
+  /** The port on host 1 of a subnet that its owner listens on. */
+  private static final int CLAIM_PORT = 7999;
 
-  private final int x, y;
+  private static final int FIRST_SECOND_OCTET = 64;
+  private static final int SECOND_OCTETS = 64;
+  private static final int THIRD_OCTETS = 250;
+
+  private final int secondOctet;
+  private final int thirdOctet;
   private final ServerSocket claim;
 
-  private LoopbackSubnet(int x, int y, ServerSocket claim) {
-    this.x = x;
-    this.y = y;
+  private LoopbackSubnet(int secondOctet, int thirdOctet, ServerSocket claim) {
+    this.secondOctet = secondOctet;
+    this.thirdOctet = thirdOctet;
     this.claim = claim;
   }
 
-  /** The first that nobody holds. */
+  /**
+   * Claims the first free subnet.
+   *
+   * @return the subnet, held until it is closed
+   * @throws IOException if none is free
+   */
   public static LoopbackSubnet claim() throws IOException {
-    for (int n = 0; n < 64 * 250; n++) {
-      int x = 64 + n / 250;
-      int y = 1 + n % 250;
+    for (int index = 0; index < SECOND_OCTETS * THIRD_OCTETS; index++) {
+      int secondOctet = FIRST_SECOND_OCTET + index / THIRD_OCTETS;
+      int thirdOctet = 1 + index % THIRD_OCTETS;
       try {
-        return new LoopbackSubnet(x, y, new ServerSocket(CLAIM, 1, address(x, y, 1)));
+        ServerSocket claim = new ServerSocket(CLAIM_PORT, 1, address(secondOctet, thirdOctet, 1));
+        return new LoopbackSubnet(secondOctet, thirdOctet, claim);
       } catch (BindException e) {
-        // Another trial's.
+        // Another run holds this one.
       }
     }
     throw new IOException("no part of the loopback range is free");
   }
 
-  private static InetAddress address(int x, int y, int host) throws IOException {
-    return InetAddress.getByAddress(new byte[] {127, (byte) x, (byte) y, (byte) host});
+  private static InetAddress address(int secondOctet, int thirdOctet, int host) throws IOException {
+    return InetAddress.getByAddress(
+        new byte[] {127, (byte) secondOctet, (byte) thirdOctet, (byte) host});
   }
 
   /**
-   * @param host from 2 to 250
+   * Returns an address of the subnet.
+   *
+   * @param host its last octet, from 2 to 250
+   * @return the address
+   * @throws IOException never for a valid octet
    */
   public InetAddress host(int host) throws IOException {
-    return address(x, y, host);
+    return address(secondOctet, thirdOctet, host);
   }
 
   @Override
   public String toString() {
-    return "127." + x + "." + y + ".0/24";
+    return "127." + secondOctet + "." + thirdOctet + ".0/24";
   }
 
   @Override
--- a/chaos/src/main/java/weldcross/chaos/process/ManagedProcess.java
+++ b/chaos/src/main/java/weldcross/chaos/process/ManagedProcess.java
@@ -6,12 +6,18 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalInt;
 import java.util.concurrent.TimeUnit;
-import java.util.function.BooleanSupplier;
 
-/** One process that a trial started, with signals, and its log in a file that its lives share. */
+/** A process that a run started, with signals; its output goes to a file shared by its restarts. */
 public final class ManagedProcess {
 
+  /** How long the system may take to show the effect of a signal. */
+  private static final Duration SIGNAL_TIMEOUT = Duration.ofSeconds(10);
+
+  private static final char STOPPED = 'T';
+  private static final char UNKNOWN = '?';
+
   private final Process process;
   private final ProcessReaper reaper;
 
@@ -25,71 +31,109 @@
             .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
     builder.environment().putAll(environment);
     process = builder.start();
-    reaper.born(process.pid());
+    reaper.started(process.pid());
   }
 
+  /**
+   * Returns the id that the system gave it.
+   *
+   * @return its process id
+   */
   public long id() {
     return process.pid();
   }
 
+  /**
+   * Returns whether it has not ended.
+   *
+   * @return true while it runs, also while it is stopped
+   */
   public boolean isAlive() {
     return process.isAlive();
   }
 
-  /** Null while it lives. */
-  public Integer status() {
-    return process.isAlive() ? null : process.exitValue();
+  /**
+   * Returns how it ended.
+   *
+   * @return its exit status; empty while it lives
+   */
+  public OptionalInt exitStatus() {
+    return process.isAlive() ? OptionalInt.empty() : OptionalInt.of(process.exitValue());
   }
 
-  public void term() throws IOException {
+  /**
+   * Sends SIGTERM and returns at once.
+   *
+   * @throws IOException if the signal cannot be sent
+   */
+  public void terminate() throws IOException {
     signal("TERM");
   }
 
-  /** Returns once it is gone. */
+  /**
+   * Sends SIGKILL and waits for its end.
+   *
+   * @throws IOException if the signal cannot be sent
+   */
   public void kill() throws IOException {
     if (process.isAlive()) {
       signal("KILL");
-      await(Duration.ofSeconds(10));
+      awaitExit(SIGNAL_TIMEOUT);
     }
   }
 
-  /** Returns once the system shows it stopped. */
+  /**
+   * Sends SIGSTOP and waits until the system shows it stopped.
+   *
+   * @throws IOException if the signal cannot be sent or does not act in time
+   */
   public void pause() throws IOException {
     signal("STOP");
-    until(
-        "process " + id() + " stopped", Duration.ofSeconds(10), () -> state() == 'T' || !isAlive());
+    Await.until(
+        "process " + id() + " stopped", SIGNAL_TIMEOUT, () -> state() == STOPPED || !isAlive());
   }
 
-  /** Returns once the system no longer shows it stopped. */
+  /**
+   * Sends SIGCONT and waits until the system no longer shows it stopped.
+   *
+   * @throws IOException if the signal cannot be sent or does not act in time
+   */
   public void resume() throws IOException {
     signal("CONT");
-    until("process " + id() + " goes on", Duration.ofSeconds(10), () -> state() != 'T');
+    Await.until("process " + id() + " continues", SIGNAL_TIMEOUT, () -> state() != STOPPED);
   }
 
-  /** As the system has it: R, S, T and so on; '?' where there is none. */
+  /**
+   * Returns its state as the system has it.
+   *
+   * @return R, S, T and so on; '?' if there is no such process
+   */
   public char state() {
     try {
       String stat = Files.readString(Path.of("/proc/" + id() + "/stat"));
       return stat.charAt(stat.lastIndexOf(')') + 2);
     } catch (IOException e) {
-      return '?';
+      return UNKNOWN;
     }
   }
 
-  /** Milliseconds of processor time, or zero where that cannot be told. */
-  public long cpuMillis() {
-    return process.info().totalCpuDuration().map(Duration::toMillis).orElse(0L);
-  }
-
-  public boolean await(Duration most) throws IOException {
+  /**
+   * Waits for its end.
+   *
+   * @param timeout how long to wait at most
+   * @return whether it has ended
+   * @throws IOException if the waiting thread is interrupted
+   */
+  public boolean awaitExit(Duration timeout) throws IOException {
     try {
-      boolean gone = process.waitFor(most.toMillis(), TimeUnit.MILLISECONDS);
-      if (gone) {
-        reaper.ended(id());
+      boolean exited = process.waitFor(timeout.toMillis(), TimeUnit.MILLISECONDS);
+      if (exited) {
+        reaper.exited(id());
       }
-      return gone;
+      return exited;
     } catch (InterruptedException e) {
-      throw new IOException(e);
+      Thread.currentThread().interrupt();
+      throw new IOException("interrupted while waiting for process " + id(), e);
     }
   }
 
@@ -104,19 +148,8 @@
         throw new IOException("kill -" + name + " " + id() + " ended with " + status);
       }
     } catch (InterruptedException e) {
-      throw new IOException(e);
-    }
-  }
-
-  /** Waits for a condition, bounded; looked at every few milliseconds. */
-  public static void until(String what, Duration most, BooleanSupplier condition)
-      throws IOException {
-    long end = System.nanoTime() + most.toNanos();
-    while (!condition.getAsBoolean()) {
-      if (System.nanoTime() > end) {
-        throw new IOException("not within " + most.toMillis() + " ms: " + what);
-      }
-      java.util.concurrent.locks.LockSupport.parkNanos(5_000_000);
+      Thread.currentThread().interrupt();
+      throw new IOException("interrupted while sending " + name + " to process " + id(), e);
     }
   }
 }
--- a/chaos/src/main/java/weldcross/chaos/process/ProcessReaper.java
+++ b/chaos/src/main/java/weldcross/chaos/process/ProcessReaper.java
@@ -5,43 +5,43 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Ends what a trial started, also where the trial itself is killed: a process of its own that is
- * told of each child and ends those it knows once it hears no more. A child started in the instant
- * of the kill may be missed: it is told of as soon as its id is known.
+ * Ends what a run started, also if the run itself is killed: a process of its own that is told of
+ * each child and kills those it knows once its standard input ends. A child started in the instant
+ * of the kill may be missed, as its id is known only after its start.
  */
 final class ProcessReaper implements AutoCloseable {
 
   private static final String SCRIPT =
       "declare -A known; while read -r word id; do if [ \"$word\" = + ]; then "
-          + "known[$id]=1; else unset \"known[$id]\"; fi; done; for id in \"${!known[@]}\"; do kill -KILL \"$id\"; done";
+          + "known[$id]=1; else unset \"known[$id]\"; fi; done; "
+          + "for id in \"${!known[@]}\"; do kill -KILL \"$id\"; done";
 
-  private final Process process;
-  private final OutputStream words;
+  private final OutputStream commands;
 
   ProcessReaper() throws IOException {
-    process =
+    commands =
         new ProcessBuilder("setsid", "bash", "-c", SCRIPT)
             .redirectOutput(ProcessBuilder.Redirect.DISCARD)
             .redirectError(ProcessBuilder.Redirect.DISCARD)
-            .start();
-    words = process.getOutputStream();
+            .start()
+            .getOutputStream();
   }
 
-  synchronized void born(long id) throws IOException {
-    say("+ " + id);
+  synchronized void started(long id) throws IOException {
+    send("+ " + id);
   }
 
-  synchronized void ended(long id) throws IOException {
-    say("- " + id);
+  synchronized void exited(long id) throws IOException {
+    send("- " + id);
   }
 
-  private void say(String line) throws IOException {
-    words.write((line + "\n").getBytes(StandardCharsets.US_ASCII));
-    words.flush();
+  private void send(String line) throws IOException {
+    commands.write((line + "\n").getBytes(StandardCharsets.US_ASCII));
+    commands.flush();
   }
 
   @Override
   public void close() throws IOException {
-    words.close();
+    commands.close();
   }
 }
--- /dev/null
+++ b/chaos/src/main/java/weldcross/chaos/scenario/package-info.java
@@ -0,0 +1,2 @@
+/** What a chaos run plays: scenario files, faults and faults drawn at random. */
+package weldcross.chaos.scenario;
--- a/chaos/src/test/java/weldcross/chaos/ChaosRunTest.java
+++ b/chaos/src/test/java/weldcross/chaos/ChaosRunTest.java
@@ -16,12 +16,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
+import weldcross.chaos.history.ChaosRunResult;
+import weldcross.chaos.history.GatewayLogs;
 import weldcross.chaos.history.HistoryChecker;
 import weldcross.chaos.load.ClientOperation;
 import weldcross.chaos.load.LoadGenerator;
-import weldcross.chaos.process.ManagedProcess;
-import weldcross.chaos.report.LatencyStatistics;
-import weldcross.chaos.report.Report;
+import weldcross.chaos.process.Await;
+import weldcross.chaos.report.RunReport;
+import weldcross.chaos.report.RunStatistics;
+import weldcross.chaos.report.RunStore;
 import weldcross.chaos.scenario.Fault;
 import weldcross.chaos.scenario.Scenario;
 
@@ -33,22 +36,16 @@
 
   private static Scenario scenario(
       String name, int seconds, int gateways, boolean linked, Fault... faults) {
-    return new Scenario(
-        name,
-        "",
-        Duration.ofSeconds(seconds),
-        100,
-        gateways,
-        2,
-        3,
-        Duration.ofMillis(30),
-        Duration.ofMillis(3),
-        linked,
-        0,
-        "FINE",
-        List.of(faults),
-        List.of(),
-        0);
+    return TestScenarios.scenario()
+        .name(name)
+        .lasting(Duration.ofSeconds(seconds))
+        .gateways(gateways)
+        .servers(2, 3)
+        .service(Duration.ofMillis(3))
+        .linked(linked)
+        .log("FINE")
+        .faults(faults)
+        .build();
   }
 
   private static Fault fault(
@@ -56,18 +53,18 @@
     return new Fault(Duration.ofMillis(at), Duration.ofMillis(lasting), kind, on, to, how);
   }
 
-  private ChaosRun.Result play(Scenario scenario) throws Exception {
-    return ChaosRun.play(scenario, 11, folder.resolve(scenario.name()), second -> {});
+  private ChaosRunResult run(Scenario scenario) throws Exception {
+    return ChaosRun.run(scenario, 11, folder.resolve(scenario.name()), second -> {});
   }
 
-  private static String told(ChaosRun.Result trial) {
-    return new LatencyStatistics(trial).describe() + "\n" + trial.breaches();
+  private static String describe(ChaosRunResult result) {
+    return new RunStatistics(result).describe() + "\n" + result.violations();
   }
 
   @Test
-  void killAPauseAndACutLoseRpcsAndBreakNoRule() throws Exception {
-    ChaosRun.Result trial =
-        play(
+  void killPauseAndCutLoseRequestsAndBreakNoRule() throws Exception {
+    ChaosRunResult result =
+        run(
             scenario(
                 "faults",
                 14,
@@ -76,104 +73,79 @@
                 fault(2000, 1500, Fault.Kind.KILL, "n1", "", "old"),
                 fault(6000, 1500, Fault.Kind.PAUSE, "n2", "", ""),
                 fault(6000, 1500, Fault.Kind.CUT, "n0", "s1", "")));
-    assertEquals(List.of(), trial.breaches(), told(trial));
+    assertEquals(List.of(), result.violations(), describe(result));
     Map<String, Long> lost =
-        trial.evidence().asked().stream()
+        result.history().operations().stream()
             .filter(
                 a ->
-                    a.outcome() != ClientOperation.ClientOutcome.OK
-                        && a.outcome() != ClientOperation.ClientOutcome.PUSHED_BACK)
+                    a.outcome() != ClientOperation.Outcome.OK
+                        && a.outcome() != ClientOperation.Outcome.REJECTED)
             .collect(Collectors.groupingBy(ClientOperation::gateway, Collectors.counting()));
-    assertTrue(lost.getOrDefault("n1", 0L) > 0, "the kill acted: " + told(trial));
+    assertTrue(lost.getOrDefault("n1", 0L) > 0, "the kill acted: " + describe(result));
     assertTrue(
-        trial.evidence().asked().stream()
+        result.history().operations().stream()
             .anyMatch(
-                a ->
-                    a.gateway().equals("n2")
-                        && a.outcome() == ClientOperation.ClientOutcome.SILENT),
-        "the pause acted: " + told(trial));
-    LatencyStatistics figures = new LatencyStatistics(trial);
-    assertTrue(figures.getTotal().getServed() > 1000, told(trial));
+                a -> a.gateway().equals("n2") && a.outcome() == ClientOperation.Outcome.TIMED_OUT),
+        "the pause acted: " + describe(result));
+    RunStatistics statistics = new RunStatistics(result);
+    assertTrue(statistics.getTotal().getServed() > 1000, describe(result));
     assertEquals(
         1,
-        trial.ready().stream().filter(r -> r.startsWith("n1")).count(),
-        trial.ready().toString());
+        result.restarts().stream().filter(r -> r.startsWith("n1")).count(),
+        result.restarts().toString());
 
     // The evidence is kept whole, and the page has the faults drawn in.
     Path directory = folder.resolve("faults");
-    Report.keep(trial, directory);
-    assertEquals(trial.evidence(), Report.kept(directory).evidence());
-    String page = Files.readString(Report.write(trial, directory));
+    RunStore.write(result, directory);
+    assertEquals(result.history(), RunStore.read(directory).history());
+    String page = Files.readString(RunReport.write(result, directory));
     assertTrue(page.contains("kill n1 (old)") && page.contains("No rule broken"), page);
     assertEquals(0, Main.run("report", directory.toString()));
     // Log lines of one RPC, of all gateways that had it.
     String rpc =
-        trial.evidence().asked().stream()
-            .filter(a -> a.outcome() == ClientOperation.ClientOutcome.OK)
+        result.history().operations().stream()
+            .filter(a -> a.outcome() == ClientOperation.Outcome.OK)
             .findFirst()
             .get()
             .rpc();
-    assertFalse(ChaosRun.lines(directory, rpc).isEmpty());
+    assertFalse(GatewayLogs.linesOf(directory, rpc).isEmpty());
   }
 
   /** What servers do wrong by order is found by the audit, through real gateways. */
   @Test
-  void plantedBreachesAreFound() throws Exception {
+  void serverFaultsThatBreakRulesAreFound() throws Exception {
     Scenario scenario = scenario("planted", 1, 1, false);
-    try (ChaosCluster ground = new ChaosCluster(scenario, 1, folder.resolve("planted"))) {
-      ground.start();
-      long zero = ground.clock().nanos();
+    try (ChaosCluster cluster = new ChaosCluster(scenario, 1, folder.resolve("planted"))) {
+      cluster.start();
+      long zero = cluster.clock().nanos();
       try (LoadGenerator load =
           new LoadGenerator(
-              List.of(ground.gateways().get(0).address()),
+              List.of(cluster.gateways().get(0).clientAddress()),
               2,
-              () -> ground.clock().nanos() - zero,
+              () -> cluster.clock().nanos() - zero,
               5)) {
-        load.begin(200);
-        ManagedProcess.until("RPCs are served", Duration.ofSeconds(20), () -> load.count() > 200);
-        ground.server("s0").doubling(true);
+        load.start(200);
+        Await.until("RPCs are served", Duration.ofSeconds(20), () -> load.operationCount() > 200);
+        cluster.server("s0").setWritingTwice(true);
         // Replicas that are far behind say that they are not.
         for (String replica : List.of("s1", "s2", "s4", "s5")) {
-          ground.server(replica).boasting(true);
-          ground.server(replica).lag(Duration.ofSeconds(5));
+          cluster.server(replica).setOverstatingPosition(true);
+          cluster.server(replica).setLag(Duration.ofSeconds(5));
         }
-        int before = load.count();
-        ManagedProcess.until(
-            "more are served", Duration.ofSeconds(20), () -> load.count() > before + 600);
-        load.end();
+        int before = load.operationCount();
+        Await.until(
+            "more are served", Duration.ofSeconds(20), () -> load.operationCount() > before + 600);
+        load.stop();
         List<HistoryChecker.Rule> broken =
-            HistoryChecker.of(
+            HistoryChecker.check(
                     new weldcross.chaos.history.History(
-                        load.asked(),
-                        load.unasked(),
-                        ground.store().effects().stream()
-                            .map(
-                                e ->
-                                    new weldcross.fakes.ReplicatedStoreModel.Effect(
-                                        e.at() - zero,
-                                        e.rpc(),
-                                        e.group(),
-                                        e.server(),
-                                        e.key(),
-                                        e.value(),
-                                        e.sequence(),
-                                        e.connection()))
-                            .toList(),
-                        ground.store().reads().stream()
-                            .map(
-                                r ->
-                                    new weldcross.fakes.ReplicatedStoreModel.Read(
-                                        r.at() - zero,
-                                        r.rpc(),
-                                        r.group(),
-                                        r.server(),
-                                        r.key(),
-                                        r.position() - zero,
-                                        r.seen()))
-                            .toList(),
+                        load.operations(),
+                        load.unexpectedMessages(),
+                        ChaosRun.commitsSinceStart(cluster.store(), zero),
+                        ChaosRun.readsSinceStart(cluster.store(), zero),
                         List.of()))
                 .stream()
-                .map(HistoryChecker.Breach::rule)
+                .map(HistoryChecker.Violation::rule)
                 .toList();
         assertTrue(
             broken.contains(HistoryChecker.Rule.ONE_EFFECT)
@@ -188,20 +160,20 @@
    * so.
    */
   @Test
-  void diskThatLiesIsToldByThePeers() throws Exception {
+  void lostIncarnationIsReportedByPeers() throws Exception {
     Scenario scenario = scenario("lying", 1, 3, true);
     Path directory = folder.resolve("lying");
-    try (ChaosCluster ground = new ChaosCluster(scenario, 1, directory)) {
-      ChaosCluster.Gateway one = ground.gateways().get(1);
-      ground.start();
-      ChaosCluster.Gateway zero = ground.gateways().get(0);
+    try (ChaosCluster cluster = new ChaosCluster(scenario, 1, directory)) {
+      GatewayNode one = cluster.gateways().get(1);
+      cluster.start();
+      GatewayNode zero = cluster.gateways().get(0);
       logs(zero, "mesh: connection up: peer=n1 incarnation=1");
-      one.disk("lie");
-      one.child().kill();
+      one.setDiskFaults("lie");
+      one.process().kill();
       one.start();
       logs(zero, "mesh: connection up: peer=n1 incarnation=2");
-      one.child().kill();
-      one.disk("");
+      one.process().kill();
+      one.setDiskFaults("");
       one.start();
       logs(one, "mesh: stored incarnation is outdated");
       logs(zero, "mesh: connection up: peer=n1 incarnation=3");
@@ -209,24 +181,15 @@
     }
   }
 
-  private static void logs(ChaosCluster.Gateway gateway, String words) throws IOException {
-    ManagedProcess.until(
-        gateway.name() + " logs: " + words,
-        Duration.ofSeconds(30),
-        () -> {
-          try {
-            return Files.readString(gateway.log()).contains(words);
-          } catch (IOException e) {
-            return false;
-          }
-        });
+  private static void logs(GatewayNode gateway, String text) throws IOException {
+    GatewayLogAssertions.awaitLog(gateway, 0, text, Duration.ofSeconds(30));
   }
 
   /** A wall clock that is off shows in what a gateway takes for the present, and breaks no rule. */
   @Test
-  void wallClockThatIsOffBreaksNoRule() throws Exception {
-    ChaosRun.Result trial =
-        play(
+  void clockThatIsOffBreaksNoRule() throws Exception {
+    ChaosRunResult result =
+        run(
             scenario(
                 "clock",
                 12,
@@ -234,36 +197,36 @@
                 true,
                 fault(1000, 300, Fault.Kind.CLOCK, "n0", "", "5000"),
                 fault(1000, 300, Fault.Kind.CLOCK, "n1", "", "-5000")));
-    assertEquals(List.of(), trial.breaches(), told(trial));
+    assertEquals(List.of(), result.violations(), describe(result));
   }
 
   @Test
-  void twoTrialsAtOnceShareNothing() throws Exception {
-    CompletableFuture<ChaosRun.Result> other =
+  void twoRunsAtOnceShareNothing() throws Exception {
+    CompletableFuture<ChaosRunResult> other =
         CompletableFuture.supplyAsync(
             () -> {
               try {
-                return play(scenario("left", 4, 2, true));
+                return run(scenario("left", 4, 2, true));
               } catch (Exception e) {
                 throw new IllegalStateException(e);
               }
             });
-    ChaosRun.Result right = play(scenario("right", 4, 2, true));
-    ChaosRun.Result left = other.get();
-    for (ChaosRun.Result each : List.of(left, right)) {
-      assertEquals(List.of(), each.breaches(), told(each));
-      assertTrue(new LatencyStatistics(each).getTotal().getServed() > 300, told(each));
+    ChaosRunResult right = run(scenario("right", 4, 2, true));
+    ChaosRunResult left = other.get();
+    for (ChaosRunResult each : List.of(left, right)) {
+      assertEquals(List.of(), each.violations(), describe(each));
+      assertTrue(new RunStatistics(each).getTotal().getServed() > 300, describe(each));
     }
   }
 
   /** Not even a trial that is killed leaves a process behind, paused ones among them. */
   @Test
-  void trialThatIsKilledLeavesNoProcess() throws Exception {
+  void runThatIsKilledLeavesNoProcess() throws Exception {
     Scenario scenario =
         scenario("killed", 60, 2, false, fault(0, 50_000, Fault.Kind.PAUSE, "n1", "", ""));
     Path file = folder.resolve("killed.toml");
     Files.writeString(file, scenario.toml());
-    Process trial =
+    Process run =
         new ProcessBuilder(
                 ProcessHandle.current().info().command().orElse("java"),
                 "-cp",
@@ -276,21 +239,20 @@
             .redirectErrorStream(true)
             .redirectOutput(folder.resolve("out").toFile())
             .start();
-    ManagedProcess.until(
+    Await.until(
         "two gateways run, one stands still",
         Duration.ofSeconds(40),
-        () ->
-            gateways(trial).size() == 2 && gateways(trial).stream().anyMatch(ChaosRunTest::stands));
-    List<ProcessHandle> gateways = gateways(trial);
-    trial.destroyForcibly();
+        () -> gateways(run).size() == 2 && gateways(run).stream().anyMatch(ChaosRunTest::stands));
+    List<ProcessHandle> gateways = gateways(run);
+    run.destroyForcibly();
     for (ProcessHandle each : gateways) {
-      ManagedProcess.until(
+      Await.until(
           "process " + each.pid() + " is gone", Duration.ofSeconds(20), () -> !each.isAlive());
     }
   }
 
-  private static List<ProcessHandle> gateways(Process trial) {
-    try (Stream<ProcessHandle> all = trial.toHandle().children()) {
+  private static List<ProcessHandle> gateways(Process run) {
+    try (Stream<ProcessHandle> all = run.toHandle().children()) {
       return all.filter(p -> p.info().commandLine().orElse("").contains("weldcross.jar")).toList();
     }
   }
--- a/chaos/src/test/java/weldcross/chaos/ConsensusChaosTest.java
+++ b/chaos/src/test/java/weldcross/chaos/ConsensusChaosTest.java
@@ -3,6 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static weldcross.chaos.GatewayLogAssertions.awaitAllAlive;
+import static weldcross.chaos.GatewayLogAssertions.awaitLog;
+import static weldcross.chaos.GatewayLogAssertions.log;
+import static weldcross.chaos.TestScenarios.LAG;
+import static weldcross.chaos.TestScenarios.fault;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -10,7 +15,6 @@
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -18,172 +22,136 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import weldcross.chaos.process.ManagedProcess;
+import weldcross.chaos.process.Await;
 import weldcross.chaos.scenario.Fault;
-import weldcross.chaos.scenario.Scenario;
 import weldcross.cli.WeldcrossCommand;
 
-/** What gateways agree on, as processes under faults. */
+/** Membership views of gateways as processes under faults. */
 @Timeout(150)
 class ConsensusChaosTest {
 
-  private static final Duration LAG = Duration.ofMillis(30), WITHIN = Duration.ofSeconds(40);
+  private static final Duration TIMEOUT = Duration.ofSeconds(40);
 
   @TempDir private Path folder;
 
-  private ChaosCluster ground(int gateways, int voters) throws IOException {
-    ChaosCluster ground =
+  /** Starts gateways and waits until all see each other alive and hold one view of all. */
+  private ChaosCluster start(int gateways, int voters) throws IOException {
+    ChaosCluster cluster =
         new ChaosCluster(
-            new Scenario(
-                "agreed",
-                "",
-                Duration.ofSeconds(1),
-                100,
-                gateways,
-                1,
-                2,
-                LAG,
-                Duration.ofMillis(2),
-                true,
-                voters,
-                "INFO",
-                List.of(),
-                List.of(),
-                0),
+            TestScenarios.scenario()
+                .gateways(gateways)
+                .servers(1, 2)
+                .linked(true)
+                .voters(voters)
+                .build(),
             3,
             folder);
-    ground.start();
-    agree(ground);
-    return ground;
+    cluster.start();
+    awaitConvergence(cluster);
+    // A peer that was never seen alive cannot become unreachable.
+    awaitAllAlive(cluster, TIMEOUT);
+    return cluster;
   }
 
-  private static void agree(ChaosCluster ground) throws IOException {
-    ManagedProcess.until("all hold one view of all", WITHIN, ground::agree);
+  private static void awaitConvergence(ChaosCluster cluster) throws IOException {
+    Await.until("all hold one view of all", TIMEOUT, cluster::hasConverged);
   }
 
-  private static Fault fault(Fault.Kind kind, String on, String how) {
-    return new Fault(Duration.ZERO, Duration.ZERO, kind, on, "", how);
-  }
-
-  private static String log(ChaosCluster.Gateway gateway) {
-    try {
-      return Files.readString(gateway.log());
-    } catch (IOException e) {
-      return "";
-    }
-  }
-
-  private static void tells(ChaosCluster.Gateway gateway, int from, String words)
-      throws IOException {
-    ManagedProcess.until(
-        gateway.name() + " tells: " + words,
-        WITHIN,
-        () -> log(gateway).substring(from).contains(words));
-  }
-
-  /** As an operator at its control address would. */
-  private static int cluster(ChaosCluster.Gateway at, String... args) {
+  /** Runs a command as an operator would, at the control endpoint of a gateway. */
+  private static int runClusterCommand(GatewayNode gateway, String... args) {
     List<String> all = new ArrayList<>(List.of("cluster"));
     all.addAll(List.of(args));
-    all.addAll(List.of("--at", at.control()));
+    all.addAll(List.of("--at", gateway.controlAddress()));
     return WeldcrossCommand.run(all.toArray(new String[0]));
   }
 
-  /** The view of a gateway names no life of this one. */
-  private static void drops(ChaosCluster.Gateway gateway, String name) throws IOException {
-    ManagedProcess.until(
-        gateway.name() + " drops " + name,
-        WITHIN,
+  /** Waits until the view of a gateway names no incarnation of a member. */
+  private static void awaitRemoved(GatewayNode gateway, String member) throws IOException {
+    Await.until(
+        gateway.name() + " removes " + member,
+        TIMEOUT,
         () ->
             !gateway.lastView().isEmpty()
-                && !(" " + gateway.lastView()).contains(" " + name + ":"));
+                && !(" " + gateway.lastView()).contains(" " + member + ":"));
   }
 
-  /** Proof takes a killed one out; one that stands still stays, as nothing proves that it ended. */
   @Test
-  void killedOneGoesByProofAndAPausedOneStays() throws IOException {
-    try (ChaosCluster ground = ground(4, 3)) {
-      FaultInjector havoc = new FaultInjector(ground);
-      ChaosCluster.Gateway n0 = ground.gateway("n0");
-      Fault pause = fault(Fault.Kind.PAUSE, "n3", "");
-      havoc.begin(pause);
-      tells(n0, 0, "peer=n3 state=UNREACHABLE");
-      Fault kill = fault(Fault.Kind.KILL, "n1", "old");
-      havoc.begin(kill);
-      drops(n0, "n1");
+  void killedMemberIsRemovedByProofAndPausedOneStays() throws IOException {
+    try (ChaosCluster cluster = start(4, 3)) {
+      FaultInjector injector = new FaultInjector(cluster);
+      GatewayNode n0 = cluster.gateway("n0");
+      Fault pause = fault(Fault.Kind.PAUSE, "n3", "", "");
+      injector.begin(pause);
+      awaitLog(n0, 0, "peer=n3 state=UNREACHABLE", TIMEOUT);
+      Fault kill = fault(Fault.Kind.KILL, "n1", "", "old");
+      injector.begin(kill);
+      awaitRemoved(n0, "n1");
       assertTrue(n0.lastView().contains("n3:1"), n0.lastView());
-      havoc.end(pause, LAG);
-      havoc.end(kill, LAG);
-      agree(ground);
+      injector.end(pause, LAG);
+      injector.end(kill, LAG);
+      awaitConvergence(cluster);
       assertTrue(n0.lastView().contains("n1:2"), n0.lastView());
-      // It is out by its own word before its process ends.
-      havoc.begin(fault(Fault.Kind.TERM, "n3", ""));
-      drops(n0, "n3");
-      assertEquals(0, cluster(n0, "status"));
+      // A member that is stopped leaves by its own proposal, before its process ends.
+      injector.begin(fault(Fault.Kind.TERM, "n3", "", ""));
+      awaitRemoved(n0, "n3");
+      assertEquals(0, runClusterCommand(n0, "status"));
     }
   }
 
-  /** A minority agrees on nothing and serves on; only an operator takes out who is silent. */
   @Test
-  void minorityStaysBehindAndAnOperatorForgets() throws IOException {
-    try (ChaosCluster ground = ground(5, 3)) {
-      FaultInjector havoc = new FaultInjector(ground);
-      ChaosCluster.Gateway n0 = ground.gateway("n0");
-      ChaosCluster.Gateway n2 = ground.gateway("n2");
-      Fault split = fault(Fault.Kind.SPLIT, "", "n0,n3|n1,n2,n4");
-      havoc.begin(split);
-      tells(n2, 0, "peer=n0 state=UNREACHABLE");
-      tells(n0, 0, "peer=n2 state=UNREACHABLE");
+  void minorityAgreesOnNothingAndServesUntilAnOperatorForgets() throws IOException {
+    try (ChaosCluster cluster = start(5, 3)) {
+      FaultInjector injector = new FaultInjector(cluster);
+      GatewayNode n0 = cluster.gateway("n0");
+      GatewayNode n2 = cluster.gateway("n2");
+      Fault split = fault(Fault.Kind.SPLIT, "", "", "n0,n3|n1,n2,n4");
+      injector.begin(split);
+      awaitLog(n2, 0, "peer=n0 state=UNREACHABLE", TIMEOUT);
+      awaitLog(n0, 0, "peer=n2 state=UNREACHABLE", TIMEOUT);
       String before = n0.lastView();
-      // Asked of the minority nothing is done; of the majority it is.
-      assertEquals(1, cluster(n0, "forget", "n1", "--it-has-ended"));
-      assertEquals(0, cluster(n2, "forget", "n0", "--it-has-ended"));
-      drops(n2, "n0");
+      // A request to the minority has no effect, one to the majority has.
+      assertEquals(1, runClusterCommand(n0, "forget", "n1", "--it-has-ended"));
+      assertEquals(0, runClusterCommand(n2, "forget", "n0", "--it-has-ended"));
+      awaitRemoved(n2, "n0");
       assertEquals(before, n0.lastView());
-      assertTrue(n0.isReady() && n2.isReady(), "serving stops for nothing");
-      havoc.end(split, LAG);
-      // It lives, and comes back as a later life by itself.
-      agree(ground);
+      assertTrue(n0.isReady() && n2.isReady(), "both sides serve");
+      injector.end(split, LAG);
+      // The forgotten member still runs, and joins again by itself as a later incarnation.
+      awaitConvergence(cluster);
       assertTrue(n2.lastView().contains("n0:2"), n2.lastView());
-      assertFalse(log(n2).contains("state=DEAD"), "nobody ended");
+      assertFalse(log(n2).contains("state=DEAD"), "no process ended");
     }
   }
 
-  /**
-   * A voter whose disk lost what it had said was kept votes no more; another one of its name takes
-   * its place.
-   */
   @Test
-  void voterThatComesBackBehindIsAnotherOne() throws Exception {
-    try (ChaosCluster ground = ground(3, 3)) {
-      // Neither leads: the leader remembers what they acknowledged.
-      List<ChaosCluster.Gateway> others = new ArrayList<>(ground.gateways());
-      others.remove(ground.gateway(leader(ground.gateway("n0"))));
-      ChaosCluster.Gateway liar = others.get(0);
-      ChaosCluster.Gateway other = others.get(1);
-      liar.disk("lie");
-      // Something to be kept, which that disk then loses.
-      other.child().kill();
-      drops(liar, other.name());
+  void voterThatLostDurableRecordsIsReplacedByANewIdentity() throws Exception {
+    try (ChaosCluster cluster = start(3, 3)) {
+      // Neither of these leads: the leader remembers what they acknowledged.
+      List<GatewayNode> followers = new ArrayList<>(cluster.gateways());
+      followers.remove(cluster.gateway(leader(cluster.gateway("n0"))));
+      GatewayNode lying = followers.get(0);
+      GatewayNode other = followers.get(1);
+      lying.setDiskFaults("lie");
+      // Something is to be stored, which the disk then loses.
+      other.process().kill();
+      awaitRemoved(lying, other.name());
       other.start();
-      agree(ground);
-      liar.child().kill();
-      liar.disk("");
-      int from = log(liar).length();
-      liar.start();
-      tells(liar, from, "decision=NEW_IDENTITY reason=local log");
-      agree(ground);
-      tells(liar, from, "voter caught up and votes");
+      awaitConvergence(cluster);
+      lying.process().kill();
+      lying.setDiskFaults("");
+      int from = log(lying).length();
+      lying.start();
+      awaitLog(lying, from, "decision=NEW_IDENTITY reason=local log", TIMEOUT);
+      awaitConvergence(cluster);
+      awaitLog(lying, from, "voter caught up and votes", TIMEOUT);
     }
   }
 
-  private static String leader(ChaosCluster.Gateway asked) throws Exception {
+  private static String leader(GatewayNode gateway) throws Exception {
+    URI status = URI.create("http://" + gateway.controlAddress() + "/cluster");
     String json =
         HttpClient.newHttpClient()
-            .send(
-                HttpRequest.newBuilder(URI.create("http://" + asked.control() + "/cluster"))
-                    .build(),
-                HttpResponse.BodyHandlers.ofString())
+            .send(HttpRequest.newBuilder(status).build(), HttpResponse.BodyHandlers.ofString())
             .body();
     return new ObjectMapper().readTree(json).get("leader").asText();
   }
--- a/chaos/src/test/java/weldcross/chaos/FaultInjectorTest.java
+++ b/chaos/src/test/java/weldcross/chaos/FaultInjectorTest.java
@@ -4,6 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static weldcross.chaos.TestScenarios.LAG;
+import static weldcross.chaos.TestScenarios.fault;
 
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -22,10 +24,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import weldcross.chaos.load.ClientOperation;
 import weldcross.chaos.load.LoadGenerator;
-import weldcross.chaos.load.Method;
-import weldcross.chaos.process.ManagedProcess;
+import weldcross.chaos.load.RequestType;
+import weldcross.chaos.process.Await;
 import weldcross.chaos.scenario.Fault;
-import weldcross.chaos.scenario.Scenario;
 import weldcross.fakes.ReplicatedStoreModel;
 
 /**
@@ -35,72 +36,38 @@
 @Timeout(120)
 class FaultInjectorTest {
 
-  private static final Duration LAG = Duration.ofMillis(30);
-
   @TempDir private Path folder;
 
-  private ChaosCluster ground(int gateways) throws IOException {
+  private ChaosCluster cluster(int gateways) throws IOException {
     return new ChaosCluster(
-        new Scenario(
-            "havoc",
-            "",
-            Duration.ofSeconds(1),
-            100,
-            gateways,
-            1,
-            3,
-            LAG,
-            Duration.ofMillis(2),
-            true,
-            0,
-            "FINE",
-            List.of(),
-            List.of(),
-            0),
-        3,
-        folder);
-  }
-
-  private static Fault fault(Fault.Kind kind, String on, String to, String how) {
-    return new Fault(Duration.ZERO, Duration.ZERO, kind, on, to, how);
+        TestScenarios.scenario().gateways(gateways).linked(true).log("FINE").build(), 3, folder);
   }
 
-  /** Lines of the log from this place on. */
-  private static void logs(ChaosCluster.Gateway gateway, int from, String words)
-      throws IOException {
-    ManagedProcess.until(
-        gateway.name() + " logs: " + words,
-        Duration.ofSeconds(30),
-        () -> {
-          try {
-            return Files.readString(gateway.log()).substring(from).contains(words);
-          } catch (IOException e) {
-            return false;
-          }
-        });
+  private static void logs(GatewayNode gateway, int from, String text) throws IOException {
+    GatewayLogAssertions.awaitLog(gateway, from, text, Duration.ofSeconds(30));
   }
 
-  private static int length(ChaosCluster.Gateway gateway) throws IOException {
+  private static int length(GatewayNode gateway) throws IOException {
     return Files.readString(gateway.log()).length();
   }
 
   /** Sides that overlap: n1 hears both, n0 and n2 do not hear each other; then all do again. */
   @Test
-  void splitWhoseSidesOverlapPartsOnlyThoseWithoutACommonSide() throws IOException {
-    try (ChaosCluster ground = ground(3)) {
-      ground.start();
-      ChaosCluster.Gateway n0 = ground.gateway("n0");
-      ChaosCluster.Gateway n2 = ground.gateway("n2");
+  void splitCutsOffOnlyGatewaysWithoutACommonSide() throws IOException {
+    try (ChaosCluster cluster = cluster(3)) {
+      cluster.start();
+      GatewayNode n0 = cluster.gateway("n0");
+      GatewayNode n2 = cluster.gateway("n2");
       logs(n0, 0, "mesh: connection up: peer=n2");
       logs(n2, 0, "mesh: connection up: peer=n0");
-      FaultInjector havoc = new FaultInjector(ground);
+      FaultInjector injector = new FaultInjector(cluster);
       Fault split = fault(Fault.Kind.SPLIT, "", "", "n0,n1|n1,n2");
-      havoc.begin(split);
+      injector.begin(split);
       logs(n0, 0, "mesh: connection down: peer=n2 reason=HEARTBEAT_TIMEOUT");
       logs(n2, 0, "mesh: connection down: peer=n0 reason=HEARTBEAT_TIMEOUT");
-      assertFalse(Files.readString(ground.gateway("n1").log()).contains("connection down"));
+      assertFalse(Files.readString(cluster.gateway("n1").log()).contains("connection down"));
       int from = length(n0);
-      havoc.end(split, LAG);
+      injector.end(split, LAG);
       logs(n0, from, "mesh: connection up: peer=n2");
     }
   }
@@ -110,21 +77,21 @@
    * better, and say so.
    */
   @Test
-  void gatewayComesBackWithItsRecordsOldEarlierOrEmpty() throws IOException {
-    try (ChaosCluster ground = ground(2)) {
-      ChaosCluster.Gateway n1 = ground.gateway("n1");
-      ground.start();
-      logs(ground.gateway("n0"), 0, "mesh: connection up: peer=n1 incarnation=1");
-      n1.keepCopy();
-      FaultInjector havoc = new FaultInjector(ground);
+  void killedGatewayStartsWithOldEarlierOrNoRecords() throws IOException {
+    try (ChaosCluster cluster = cluster(2)) {
+      GatewayNode n1 = cluster.gateway("n1");
+      cluster.start();
+      logs(cluster.gateway("n0"), 0, "mesh: connection up: peer=n1 incarnation=1");
+      n1.copyRecords();
+      FaultInjector injector = new FaultInjector(cluster);
       String[][] lives = {{"old", "2"}, {"earlier", "3"}, {"empty", "4"}};
       for (String[] life : lives) {
         int from = length(n1);
         Fault kill = fault(Fault.Kind.KILL, "n1", "", life[0]);
-        havoc.begin(kill);
-        assertEquals('?', n1.child().state());
-        havoc.end(kill, LAG);
-        logs(ground.gateway("n0"), 0, "mesh: connection up: peer=n1 incarnation=" + life[1]);
+        injector.begin(kill);
+        assertEquals('?', n1.process().state());
+        injector.end(kill, LAG);
+        logs(cluster.gateway("n0"), 0, "mesh: connection up: peer=n1 incarnation=" + life[1]);
         boolean told =
             Files.readString(n1.log())
                 .substring(from)
@@ -135,25 +102,25 @@
   }
 
   @Test
-  void sigtermIsAStopInOrderAndSigstopIsNoticedByNobodyInside() throws IOException {
-    try (ChaosCluster ground = ground(2)) {
-      ground.start();
-      ChaosCluster.Gateway n0 = ground.gateway("n0");
-      ChaosCluster.Gateway n1 = ground.gateway("n1");
+  void sigstopIsNotNoticedWithinAndSigtermStopsGracefully() throws IOException {
+    try (ChaosCluster cluster = cluster(2)) {
+      cluster.start();
+      GatewayNode n0 = cluster.gateway("n0");
+      GatewayNode n1 = cluster.gateway("n1");
       logs(n0, 0, "mesh: connection up: peer=n1");
       logs(n1, 0, "mesh: connection up: peer=n0");
-      FaultInjector havoc = new FaultInjector(ground);
+      FaultInjector injector = new FaultInjector(cluster);
       Fault pause = fault(Fault.Kind.PAUSE, "n1", "", "");
-      havoc.begin(pause);
-      assertEquals('T', n1.child().state());
+      injector.begin(pause);
+      assertEquals('T', n1.process().state());
       assertFalse(n1.isReady());
       logs(n0, 0, "mesh: connection down: peer=n1 reason=HEARTBEAT_TIMEOUT");
-      havoc.end(pause, LAG);
+      injector.end(pause, LAG);
       logs(n1, 0, "mesh: connection down: peer=n0");
-      ManagedProcess.until("serves again", Duration.ofSeconds(20), n1::isReady);
-      havoc.begin(fault(Fault.Kind.TERM, "n1", "", ""));
-      assertTrue(n1.child().await(Duration.ofSeconds(20)));
-      assertEquals(0, n1.child().status());
+      Await.until("serves again", Duration.ofSeconds(20), n1::isReady);
+      injector.begin(fault(Fault.Kind.TERM, "n1", "", ""));
+      assertTrue(n1.process().awaitExit(Duration.ofSeconds(20)));
+      assertEquals(0, n1.process().exitStatus().getAsInt());
       logs(n1, 0, "DRAINING to STOPPED");
     }
   }
@@ -163,13 +130,13 @@
    * same.
    */
   @Test
-  void withoutADiskTheLinkWaitsAndServiceGoesOn() throws IOException {
-    try (ChaosCluster ground = ground(2)) {
-      ground.gateway("n0").start();
-      ChaosCluster.Gateway n1 = ground.gateway("n1");
+  void meshWaitsForAWorkingDiskWhileServiceGoesOn() throws IOException {
+    try (ChaosCluster cluster = cluster(2)) {
+      cluster.gateway("n0").start();
+      GatewayNode n1 = cluster.gateway("n1");
       for (String words : List.of("full", "fail", "stuck")) {
         int from = Files.exists(n1.log()) ? length(n1) : 0;
-        n1.disk(words);
+        n1.setDiskFaults(words);
         n1.start();
         n1.awaitReady();
         if (!words.equals("stuck")) {
@@ -178,10 +145,10 @@
         assertFalse(
             Files.readString(n1.log()).substring(from).contains("mesh: started: incarnation="),
             words);
-        n1.disk("");
+        n1.setDiskFaults("");
         logs(n1, from, "mesh: started: incarnation=");
         logs(n1, from, "mesh: connection up: peer=n0");
-        n1.child().kill();
+        n1.process().kill();
       }
     }
   }
@@ -191,22 +158,22 @@
    * have them.
    */
   @Test
-  void wallClockThatIsOffShowsInWhereBoundedReadsGo() throws Exception {
-    try (ChaosCluster ground = ground(2)) {
-      ground.gateway("n1").wallOff(5000);
-      ground.start();
-      long zero = ground.clock().nanos();
+  void clockThatIsFastSendsBoundedReadsToThePrimary() throws Exception {
+    try (ChaosCluster cluster = cluster(2)) {
+      cluster.gateway("n1").setClockOffsetMillis(5000);
+      cluster.start();
+      long zero = cluster.clock().nanos();
       try (LoadGenerator load =
           new LoadGenerator(
-              ground.gateways().stream().map(ChaosCluster.Gateway::address).toList(),
+              cluster.gateways().stream().map(GatewayNode::clientAddress).toList(),
               1,
-              () -> ground.clock().nanos() - zero,
+              () -> cluster.clock().nanos() - zero,
               9)) {
-        load.begin(200);
-        ManagedProcess.until("RPCs are served", Duration.ofSeconds(30), () -> load.count() > 1200);
-        load.end();
+        load.start(200);
+        Await.until("RPCs are served", Duration.ofSeconds(30), () -> load.operationCount() > 1200);
+        load.stop();
         Set<String> atReplicas =
-            ground.store().reads().stream()
+            cluster.store().reads().stream()
                 .filter(r -> !r.server().equals("s0"))
                 .map(ReplicatedStoreModel.Read::rpc)
                 .collect(Collectors.toSet());
@@ -218,22 +185,22 @@
   }
 
   private static long browsed(LoadGenerator load, String gateway, Set<String> among) {
-    return load.asked().stream()
+    return load.operations().stream()
         .filter(
             a ->
-                a.method() == Method.BROWSE
+                a.type() == RequestType.BOUNDED_READ
                     && a.gateway().equals(gateway)
-                    && a.outcome() == ClientOperation.ClientOutcome.OK
+                    && a.outcome() == ClientOperation.Outcome.OK
                     && among.contains(a.rpc()))
         .count();
   }
 
   /** What a server says of its position, asked at its own address, in Unix seconds. */
-  private static double position(ChaosCluster ground, String server) throws IOException {
+  private static double position(ChaosCluster cluster, String server) throws IOException {
     try (Socket socket =
         new Socket(
-            ground.server(server).address().getAddress(),
-            ground.server(server).address().getPort())) {
+            cluster.server(server).address().getAddress(),
+            cluster.server(server).address().getPort())) {
       socket.setSoTimeout(500);
       byte[] start = "user\0trial\0\0".getBytes(StandardCharsets.US_ASCII);
       byte[] query = "SHOW stats\0".getBytes(StandardCharsets.US_ASCII);
@@ -264,43 +231,46 @@
    * effect.
    */
   @Test
-  void serversDoWrongAsOrdered() throws Exception {
-    try (ChaosCluster ground = ground(1)) {
-      ground.start();
-      long zero = ground.clock().nanos();
+  void serverFaultsActAsInjected() throws Exception {
+    try (ChaosCluster cluster = cluster(1)) {
+      cluster.start();
+      long zero = cluster.clock().nanos();
       try (LoadGenerator load =
           new LoadGenerator(
-              List.of(ground.gateway("n0").address()), 1, () -> ground.clock().nanos() - zero, 4)) {
-        load.begin(200);
-        ManagedProcess.until("RPCs are served", Duration.ofSeconds(30), () -> load.count() > 300);
-        FaultInjector havoc = new FaultInjector(ground);
+              List.of(cluster.gateway("n0").clientAddress()),
+              1,
+              () -> cluster.clock().nanos() - zero,
+              4)) {
+        load.start(200);
+        Await.until("RPCs are served", Duration.ofSeconds(30), () -> load.operationCount() > 300);
+        FaultInjector injector = new FaultInjector(cluster);
         Fault lost = fault(Fault.Kind.ANSWERS_LOST, "s0", "", "");
-        havoc.begin(lost);
-        ManagedProcess.until(
+        injector.begin(lost);
+        Await.until(
             "an answer got lost after its effect",
             Duration.ofSeconds(30),
             () ->
-                load.asked().stream()
+                load.operations().stream()
                     .anyMatch(
                         a ->
-                            a.outcome() == ClientOperation.ClientOutcome.ABORTED
-                                && ground.store().effects().stream()
+                            a.outcome() == ClientOperation.Outcome.FAILED
+                                && cluster.store().commits().stream()
                                     .anyMatch(e -> e.rpc().equals(a.rpc()))));
-        havoc.end(lost, LAG);
+        injector.end(lost, LAG);
         Fault lag = fault(Fault.Kind.LAG, "s1", "", "3000");
-        havoc.begin(lag);
-        double behind = System.currentTimeMillis() / 1000.0 - position(ground, "s1");
+        injector.begin(lag);
+        double behind = System.currentTimeMillis() / 1000.0 - position(cluster, "s1");
         assertTrue(behind > 2.9 && behind < 4, behind + " s behind");
         Fault stall = fault(Fault.Kind.SERVER_STALL, "s2", "", "");
-        havoc.begin(stall);
-        assertThrows(SocketTimeoutException.class, () -> position(ground, "s2"));
-        havoc.end(stall, LAG);
-        assertTrue(position(ground, "s2") > 0);
+        injector.begin(stall);
+        assertThrows(SocketTimeoutException.class, () -> position(cluster, "s2"));
+        injector.end(stall, LAG);
+        assertTrue(position(cluster, "s2") > 0);
         Fault kill = fault(Fault.Kind.SERVER_KILL, "s1", "", "");
-        havoc.begin(kill);
-        logs(ground.gateway("n0"), 0, "connection failed: endpoint=s1");
-        havoc.end(kill, LAG);
-        havoc.end(lag, LAG);
+        injector.begin(kill);
+        logs(cluster.gateway("n0"), 0, "connection failed: endpoint=s1");
+        injector.end(kill, LAG);
+        injector.end(lag, LAG);
       }
     }
   }
--- a/chaos/src/test/java/weldcross/chaos/FaultProxyTest.java
+++ b/chaos/src/test/java/weldcross/chaos/FaultProxyTest.java
@@ -21,25 +21,27 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import weldcross.chaos.process.ManagedProcess;
+import weldcross.chaos.process.Await;
 import weldcross.chaos.proxy.FaultProxy;
 import weldcross.chaos.proxy.NetworkPath;
+import weldcross.chaos.proxy.Route;
 
 /** Each trouble between hosts really acts: one that does nothing would prove nothing. */
 @Timeout(60)
 class FaultProxyTest {
 
   private final InetAddress here = InetAddress.getLoopbackAddress();
-  private FaultProxy relay;
+  private FaultProxy proxy;
   private ServerSocket server;
-  private FaultProxy.Route route;
-  private Socket near, far;
+  private Route route;
+  private Socket near;
+  private Socket far;
 
   @BeforeEach
   void connect() throws IOException {
-    relay = new FaultProxy(here, 1);
+    proxy = new FaultProxy(here, 1);
     server = new ServerSocket(0, 50, here);
-    route = relay.stream("a", "b", (InetSocketAddress) server.getLocalSocketAddress());
+    route = proxy.openRoute("a", "b", (InetSocketAddress) server.getLocalSocketAddress());
     near = new Socket(route.address().getAddress(), route.address().getPort());
     far = server.accept();
     passes(near, far, 1);
@@ -51,7 +53,7 @@
     near.close();
     far.close();
     server.close();
-    relay.close();
+    proxy.close();
   }
 
   private static void passes(Socket from, Socket to, int value) throws IOException {
@@ -67,28 +69,28 @@
   }
 
   @Test
-  void whatIsHeldInOneDirectionWaitsAndThenComes() throws IOException {
-    relay.set("a", "b", NetworkPath.FREE.withHeld(true));
+  void heldDirectionDeliversOnceOpen() throws IOException {
+    proxy.setPath("a", "b", NetworkPath.OPEN.withHeld(true));
     doesNotPass(near, far, 7);
     passes(far, near, 8);
-    ManagedProcess.until("held", Duration.ofSeconds(5), () -> relay.held() == 1);
-    relay.set("a", "b", NetworkPath.FREE);
+    Await.until("held", Duration.ofSeconds(5), () -> proxy.bytesBuffered() == 1);
+    proxy.setPath("a", "b", NetworkPath.OPEN);
     far.setSoTimeout(5000);
     assertEquals(7, far.getInputStream().read());
   }
 
   @Test
-  void cutIsSilentDialsDoNotComeUpAndWhatLivedThroughItIsReset() throws IOException {
-    relay.set("a", "b", NetworkPath.FREE.withCut(true));
-    relay.set("b", "a", NetworkPath.FREE.withCut(true));
+  void cutIsSilentConnectsNobodyAndResetsSurvivors() throws IOException {
+    proxy.setPath("a", "b", NetworkPath.OPEN.withCut(true));
+    proxy.setPath("b", "a", NetworkPath.OPEN.withCut(true));
     doesNotPass(near, far, 7);
     doesNotPass(far, near, 8);
-    assertTrue(relay.swallowed() >= 2, "vanished: " + relay.swallowed());
+    assertTrue(proxy.bytesDropped() >= 2, "vanished: " + proxy.bytesDropped());
     try (Socket dial = new Socket()) {
       assertThrows(SocketTimeoutException.class, () -> dial.connect(route.address(), 400));
     }
-    relay.set("a", "b", NetworkPath.FREE);
-    relay.set("b", "a", NetworkPath.FREE);
+    proxy.setPath("a", "b", NetworkPath.OPEN);
+    proxy.setPath("b", "a", NetworkPath.OPEN);
     near.setSoTimeout(5000);
     assertThrows(
         SocketException.class,
@@ -108,12 +110,12 @@
    * out of order.
    */
   @Test
-  void lossOnAStreamIsDelay() throws IOException {
-    relay.set("a", "b", NetworkPath.FREE.withTrouble(Duration.ZERO, 1, 0, 0));
+  void lossDelaysStreamsInOrder() throws IOException {
+    proxy.setPath("a", "b", NetworkPath.OPEN.withImpairment(Duration.ZERO, 1, 0, 0));
     long from = System.nanoTime();
     passes(near, far, 7);
     long late = System.nanoTime() - from;
-    relay.set("a", "b", NetworkPath.FREE.withTrouble(Duration.ZERO, 0.5, 0, 0));
+    proxy.setPath("a", "b", NetworkPath.OPEN.withImpairment(Duration.ZERO, 0.5, 0, 0));
     for (int k = 0; k < 40; k++) {
       passes(near, far, k);
     }
@@ -125,7 +127,7 @@
    * in it.
    */
   @Test
-  void cutsAndProcessesThatStartDoNotDisturbEachOther() throws Exception {
+  void cutsWorkWhileProcessesAreStarted() throws Exception {
     AtomicBoolean over = new AtomicBoolean();
     CompletableFuture<Integer> starts =
         CompletableFuture.supplyAsync(
@@ -142,7 +144,7 @@
             });
     try {
       for (int k = 0; k < 300; k++) {
-        relay.set("a", "b", NetworkPath.FREE.withCut(k % 2 == 0));
+        proxy.setPath("a", "b", NetworkPath.OPEN.withCut(k % 2 == 0));
       }
     } finally {
       over.set(true);
@@ -156,23 +158,23 @@
 
   /** An end is not told while the way is cut: the other side sees an open, silent connection. */
   @Test
-  void endDoesNotCrossACut() throws IOException {
-    relay.set("a", "b", NetworkPath.FREE.withCut(true));
+  void closeDoesNotCrossACut() throws IOException {
+    proxy.setPath("a", "b", NetworkPath.OPEN.withCut(true));
     near.close();
     far.setSoTimeout(300);
     assertThrows(SocketTimeoutException.class, () -> far.getInputStream().read());
   }
 
   @Test
-  void resetAndRefused() throws IOException {
-    assertEquals(1, relay.reset("a", "b"));
+  void connectionsAreResetAndRefused() throws IOException {
+    assertEquals(1, proxy.resetConnections("a", "b"));
     near.setSoTimeout(5000);
     assertThrows(SocketException.class, () -> near.getInputStream().read());
-    relay.refuse("a", "b", true);
+    proxy.refuseConnections("a", "b", true);
     try (Socket dial = new Socket()) {
       assertThrows(ConnectException.class, () -> dial.connect(route.address(), 1000));
     }
-    relay.refuse("a", "b", false);
+    proxy.refuseConnections("a", "b", false);
     try (Socket again = new Socket(route.address().getAddress(), route.address().getPort());
         Socket taken = server.accept()) {
       passes(again, taken, 9);
@@ -180,14 +182,14 @@
   }
 
   /**
-   * Where nobody listens any more dials are refused, as without a relay, and taken again once
+   * Where nobody listens any more dials are refused, as without a proxy, and taken again once
    * somebody does.
    */
   @Test
-  void whereNobodyListensDialsAreRefusedUntilSomebodyDoes() throws IOException {
+  void connectionsAreRefusedUntilTheTargetListens() throws IOException {
     int port = server.getLocalPort();
     server.close();
-    ManagedProcess.until(
+    Await.until(
         "refused",
         Duration.ofSeconds(10),
         () -> {
@@ -201,7 +203,7 @@
           }
         });
     server = new ServerSocket(port, 50, here);
-    ManagedProcess.until(
+    Await.until(
         "taken again",
         Duration.ofSeconds(10),
         () -> {
@@ -215,8 +217,8 @@
   }
 
   @Test
-  void whatIsDelayedComesLate() throws IOException {
-    relay.set("a", "b", NetworkPath.FREE.withTrouble(Duration.ofMillis(120), 0, 0, 0));
+  void delayedBytesArriveLate() throws IOException {
+    proxy.setPath("a", "b", NetworkPath.OPEN.withImpairment(Duration.ofMillis(120), 0, 0, 0));
     long began = System.nanoTime();
     passes(near, far, 7);
     long took = (System.nanoTime() - began) / 1_000_000;
@@ -224,12 +226,12 @@
   }
 
   @Test
-  void datagramsAreLostRepeatedAndOvertaken() throws IOException {
+  void datagramsAreLostRepeatedAndReordered() throws IOException {
     try (DatagramSocket to = new DatagramSocket(0, here);
         DatagramSocket from = new DatagramSocket(0, here)) {
       InetSocketAddress way =
-          relay.datagrams("a", "b", (InetSocketAddress) to.getLocalSocketAddress());
-      relay.set("a", "b", NetworkPath.FREE.withTrouble(Duration.ZERO, 0.3, 0.3, 0.3));
+          proxy.openDatagramRoute("a", "b", (InetSocketAddress) to.getLocalSocketAddress());
+      proxy.setPath("a", "b", NetworkPath.OPEN.withImpairment(Duration.ZERO, 0.3, 0.3, 0.3));
       int sent = 200;
       for (int k = 0; k < sent; k++) {
         from.send(new DatagramPacket(new byte[] {(byte) k}, 1, way));
@@ -250,12 +252,12 @@
       } catch (SocketTimeoutException e) {
         // All that comes has come.
       }
-      assertEquals(sent - relay.datagramsLost() + relay.datagramsRepeated(), came);
+      assertEquals(sent - proxy.datagramsLost() + proxy.datagramsRepeated(), came);
       assertTrue(
-          relay.datagramsLost() > 20 && relay.datagramsRepeated() > 20 && overtaken > 20,
-          relay.datagramsLost()
+          proxy.datagramsLost() > 20 && proxy.datagramsRepeated() > 20 && overtaken > 20,
+          proxy.datagramsLost()
               + " lost, "
-              + relay.datagramsRepeated()
+              + proxy.datagramsRepeated()
               + " repeated, "
               + overtaken);
     }
--- /dev/null
+++ b/chaos/src/test/java/weldcross/chaos/GatewayLogAssertions.java
@@ -0,0 +1,45 @@
+package weldcross.chaos;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.time.Duration;
+import weldcross.chaos.process.Await;
+
+/** Reads the logs of gateways and waits for their lines. */
+final class GatewayLogAssertions {
+
+  /** How the log line of a detected change begins. */
+  static final String STATE_CHANGED = "membership: member state changed: ";
+
+  private GatewayLogAssertions() {}
+
+  /** Returns the whole log of a gateway; empty if it has written none. */
+  static String log(GatewayNode gateway) {
+    try {
+      return Files.readString(gateway.log());
+    } catch (IOException e) {
+      return "";
+    }
+  }
+
+  /** Waits until the log of a gateway, from an offset on, contains a text. */
+  static void awaitLog(GatewayNode gateway, int from, String text, Duration timeout)
+      throws IOException {
+    Await.until(
+        gateway.name() + " logs: " + text,
+        timeout,
+        () -> log(gateway).substring(from).contains(text));
+  }
+
+  /** Waits until each gateway has logged that it sees each other one alive. */
+  static void awaitAllAlive(ChaosCluster cluster, Duration timeout) throws IOException {
+    for (GatewayNode gateway : cluster.gateways()) {
+      for (GatewayNode peer : cluster.gateways()) {
+        if (gateway != peer) {
+          String line = STATE_CHANGED + "peer=" + peer.name() + " state=ALIVE";
+          awaitLog(gateway, 0, line, timeout);
+        }
+      }
+    }
+  }
+}
--- a/chaos/src/test/java/weldcross/chaos/HistoryCheckerTest.java
+++ b/chaos/src/test/java/weldcross/chaos/HistoryCheckerTest.java
@@ -10,8 +10,8 @@
 import weldcross.chaos.history.HistoryChecker;
 import weldcross.chaos.history.HistoryChecker.Rule;
 import weldcross.chaos.load.ClientOperation;
-import weldcross.chaos.load.ClientOperation.ClientOutcome;
-import weldcross.chaos.load.Method;
+import weldcross.chaos.load.ClientOperation.Outcome;
+import weldcross.chaos.load.RequestType;
 import weldcross.fakes.ReplicatedStoreModel;
 
 /** The audit finds each breach that is planted, and nothing in what is right. */
@@ -19,117 +19,129 @@
 
   private static final long MS = 1_000_000;
 
-  private final List<ClientOperation> asked = new ArrayList<>();
-  private final List<ReplicatedStoreModel.Effect> effects = new ArrayList<>();
+  private final List<ClientOperation> operations = new ArrayList<>();
+  private final List<ReplicatedStoreModel.Commit> commits = new ArrayList<>();
   private final List<ReplicatedStoreModel.Read> reads = new ArrayList<>();
-  private final List<History.Trouble> troubles = new ArrayList<>();
-  private final List<String> unasked = new ArrayList<>();
+  private final List<History.FaultInterval> faults = new ArrayList<>();
+  private final List<String> unexpectedMessages = new ArrayList<>();
 
-  private void ask(
-      String rpc, Method method, long sent, ClientOutcome outcome, String value, String after) {
-    asked.add(
+  private void operation(
+      String rpc, RequestType type, long sent, Outcome outcome, String value, String after) {
+    operations.add(
         new ClientOperation(
-            rpc, "k", method, 0, "n1", sent * MS, (sent + 10) * MS, outcome, value, "", after));
+            rpc, "k", type, 0, "n1", sent * MS, (sent + 10) * MS, outcome, value, "", after));
   }
 
-  private void effect(String rpc, long at) {
-    effects.add(
-        new ReplicatedStoreModel.Effect(at * MS, rpc, 0, "s0", "k", rpc, effects.size() + 1, 1));
+  private void commit(String rpc, long at) {
+    commits.add(
+        new ReplicatedStoreModel.Commit(at * MS, rpc, 0, "s0", "k", rpc, commits.size() + 1, 1));
   }
 
   private void read(String rpc, long at, long position, long seen) {
     reads.add(new ReplicatedStoreModel.Read(at * MS, rpc, 0, "s1", "k", position * MS, seen));
   }
 
-  private void right() {
-    ask("w1", Method.FILING, 100, ClientOutcome.OK, "w1", "");
-    effect("w1", 105);
-    ask("r1", Method.LOOKUP, 200, ClientOutcome.OK, "w1", "w1");
+  private void recordCorrectHistory() {
+    operation("w1", RequestType.WRITE, 100, Outcome.OK, "w1", "");
+    commit("w1", 105);
+    operation("r1", RequestType.SESSION_READ, 200, Outcome.OK, "w1", "w1");
     read("r1", 205, 205, 1);
-    ask("b1", Method.BROWSE, 300, ClientOutcome.OK, "", "");
+    operation("b1", RequestType.BOUNDED_READ, 300, Outcome.OK, "", "");
     read("b1", 305, 50, 0);
-    ask("p1", Method.FILING, 400, ClientOutcome.PUSHED_BACK, "", "w1");
-    ask("a1", Method.FILING, 500, ClientOutcome.ABORTED, "", "w1");
-    effect("a1", 505);
+    operation("p1", RequestType.WRITE, 400, Outcome.REJECTED, "", "w1");
+    operation("a1", RequestType.WRITE, 500, Outcome.FAILED, "", "w1");
+    commit("a1", 505);
   }
 
-  private List<Rule> broken() {
-    return HistoryChecker.of(new History(asked, unasked, effects, reads, troubles)).stream()
-        .map(HistoryChecker.Breach::rule)
+  private List<Rule> brokenRules() {
+    return HistoryChecker.check(new History(operations, unexpectedMessages, commits, reads, faults))
+        .stream()
+        .map(HistoryChecker.Violation::rule)
         .toList();
   }
 
   @Test
-  void whatIsRightIsClean() {
-    right();
-    assertEquals(List.of(), broken());
+  void correctHistoryHasNoViolation() {
+    recordCorrectHistory();
+    assertEquals(List.of(), brokenRules());
   }
 
   @Test
   void secondEffectIsFound() {
-    right();
-    effect("w1", 150);
-    assertEquals(List.of(Rule.ONE_EFFECT), broken());
+    recordCorrectHistory();
+    commit("w1", 150);
+    assertEquals(List.of(Rule.ONE_EFFECT), brokenRules());
   }
 
   @Test
-  void answerWithoutItsEffectAndARefusalWithOneAreFound() {
-    right();
-    ask("w2", Method.FILING, 600, ClientOutcome.OK, "w2", "");
-    effect("p1", 410);
-    assertEquals(List.of(Rule.REFUSED_HARMLESS, Rule.EFFECT_THERE), broken());
+  void answerWithoutEffectAndRejectionWithOneAreFound() {
+    recordCorrectHistory();
+    operation("w2", RequestType.WRITE, 600, Outcome.OK, "w2", "");
+    commit("p1", 410);
+    assertEquals(List.of(Rule.REFUSED_HARMLESS, Rule.EFFECT_THERE), brokenRules());
   }
 
   @Test
-  void asecondAnswerAndAnothersValueAreFound() {
-    right();
-    unasked.add("Dsomething");
-    ask("w3", Method.FILING, 600, ClientOutcome.OK, "w1", "");
-    effect("w3", 605);
-    assertEquals(List.of(Rule.ONE_ANSWER, Rule.ONE_ANSWER), broken());
+  void secondAnswerAndForeignValueAreFound() {
+    recordCorrectHistory();
+    unexpectedMessages.add("Dsomething");
+    operation("w3", RequestType.WRITE, 600, Outcome.OK, "w1", "");
+    commit("w3", 605);
+    assertEquals(List.of(Rule.ONE_ANSWER, Rule.ONE_ANSWER), brokenRules());
   }
 
   @Test
-  void staleReadsAreFoundByTheServersRecord() {
-    right();
-    ask("w4", Method.FILING, 600, ClientOutcome.OK, "w4", "w1");
-    effect("w4", 605);
-    ask("r2", Method.LOOKUP, 700, ClientOutcome.OK, "w1", "w4");
+  void staleReadsAreFoundByServerRecords() {
+    recordCorrectHistory();
+    operation("w4", RequestType.WRITE, 600, Outcome.OK, "w4", "w1");
+    commit("w4", 605);
+    operation("r2", RequestType.SESSION_READ, 700, Outcome.OK, "w1", "w4");
     read("r2", 705, 600, 1);
-    ask("b2", Method.BROWSE, 2000, ClientOutcome.OK, "", "");
+    operation("b2", RequestType.BOUNDED_READ, 2000, Outcome.OK, "", "");
     // Its bound is 800 ms; the freshest read that gave this value was 860 ms behind the send.
     read("b2", 2005, 1140, 0);
-    assertEquals(List.of(Rule.FRESH, Rule.FRESH), broken());
+    assertEquals(List.of(Rule.FRESH, Rule.FRESH), brokenRules());
   }
 
   @Test
-  void lostAnswerIsABreachUnlessATroubleOfItsGatewayExplainsIt() {
-    right();
-    ask("l1", Method.LOOKUP, 3000, ClientOutcome.ENDED, "", "");
-    ask("l2", Method.LOOKUP, 9000, ClientOutcome.SILENT, "", "");
-    troubles.add(new History.Trouble(2900 * MS, 4000 * MS, List.of("n1"), "kill n1"));
-    troubles.add(new History.Trouble(8900 * MS, 9500 * MS, List.of("n2"), "kill n2"));
-    assertEquals(List.of(Rule.ONE_ANSWER), broken());
+  void lostAnswerIsAViolationUnlessAFaultExcusesIt() {
+    recordCorrectHistory();
+    operation("l1", RequestType.SESSION_READ, 3000, Outcome.CONNECTION_CLOSED, "", "");
+    operation("l2", RequestType.SESSION_READ, 9000, Outcome.TIMED_OUT, "", "");
+    faults.add(new History.FaultInterval(2900 * MS, 4000 * MS, List.of("n1"), "kill n1"));
+    faults.add(new History.FaultInterval(8900 * MS, 9500 * MS, List.of("n2"), "kill n2"));
+    assertEquals(List.of(Rule.ONE_ANSWER), brokenRules());
     assertTrue(
-        HistoryChecker.cause(new History(asked, unasked, effects, reads, troubles), asked.get(6))
+        HistoryChecker.likelyCause(
+                new History(operations, unexpectedMessages, commits, reads, faults),
+                operations.get(6))
+            .orElseThrow()
             .contains("n2"));
   }
 
-  private List<Rule> views(Long agreedAfter, History.Held... views) {
-    return HistoryChecker.of(
-            new History(asked, unasked, effects, reads, troubles, List.of(views), agreedAfter))
+  private List<Rule> views(Long agreedAfter, History.ReportedView... views) {
+    return HistoryChecker.check(
+            new History(
+                operations,
+                unexpectedMessages,
+                commits,
+                reads,
+                faults,
+                List.of(views),
+                agreedAfter))
         .stream()
-        .map(HistoryChecker.Breach::rule)
+        .map(HistoryChecker.Violation::rule)
         .toList();
   }
 
-  private static History.Held held(String gateway, int process, long number, String members) {
-    return new History.Held(gateway, process, number, members);
+  private static History.ReportedView held(
+      String gateway, int process, long number, String members) {
+    return new History.ReportedView(gateway, process, number, members);
   }
 
   @Test
-  void twoViewsOfOneNumberAndOnesThatGoBackAreFound() {
-    right();
+  void differingAndRegressingViewsAreFound() {
+    recordCorrectHistory();
     assertEquals(
         List.of(),
         views(
--- a/chaos/src/test/java/weldcross/chaos/LyingStorageDirectoryTest.java
+++ b/chaos/src/test/java/weldcross/chaos/LyingStorageDirectoryTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import weldcross.chaos.agent.LyingStorageDirectory;
-import weldcross.chaos.process.ManagedProcess;
+import weldcross.chaos.process.Await;
 import weldcross.storage.CorruptLogException;
 import weldcross.storage.FileStorageDirectory;
 import weldcross.storage.RecordLog;
@@ -36,18 +36,18 @@
   private final List<String> read = new ArrayList<>();
 
   @BeforeEach
-  void tell() throws IOException {
-    System.setProperty(LyingStorageDirectory.WORDS, folder.resolve("words").toString());
-    words("");
+  void enableFaults() throws IOException {
+    System.setProperty(LyingStorageDirectory.FAULTS_FILE, folder.resolve("words").toString());
+    setFaults("");
   }
 
   @AfterEach
-  void honest() {
-    System.clearProperty(LyingStorageDirectory.WORDS);
+  void disableFaults() {
+    System.clearProperty(LyingStorageDirectory.FAULTS_FILE);
   }
 
-  private void words(String words) throws IOException {
-    Files.writeString(folder.resolve("words"), words);
+  private void setFaults(String faults) throws IOException {
+    Files.writeString(folder.resolve("words"), faults);
   }
 
   private final class ProcessRun {
@@ -90,14 +90,14 @@
   }
 
   @Test
-  void itIsFoundOnTheClassPathAndWithoutWordsIsHonest() throws IOException {
-    ProcessRun life = new ProcessRun();
-    assertTrue(life.disk instanceof LyingStorageDirectory);
+  void directoryIsFoundOnTheClassPathAndHonestWithoutFaults() throws IOException {
+    ProcessRun run = new ProcessRun();
+    assertTrue(run.disk instanceof LyingStorageDirectory);
     for (int k = 1; k <= 40; k++) {
-      life.add(k);
+      run.add(k);
     }
-    life.log.snapshot(20, ByteBuffer.wrap(new byte[] {1}));
-    life.killed();
+    run.log.snapshot(20, ByteBuffer.wrap(new byte[] {1}));
+    run.killed();
     new ProcessRun().killed();
     assertEquals("snapshot 20", read.get(0));
     assertEquals("40 40", read.get(read.size() - 1));
@@ -105,57 +105,57 @@
   }
 
   @Test
-  void forceThatLiesLosesWhatWasSaidToBeSure() throws IOException {
-    ProcessRun life = new ProcessRun();
-    life.add(1);
-    words("lie");
-    life.add(2);
-    life.add(3);
-    life.killed();
-    words("");
+  void lyingForceLosesDurableRecords() throws IOException {
+    ProcessRun run = new ProcessRun();
+    run.add(1);
+    setFaults("lie");
+    run.add(2);
+    run.add(3);
+    run.killed();
+    setFaults("");
     new ProcessRun().killed();
     assertEquals(List.of("1 1"), read);
   }
 
   @Test
-  void forceThatFailsEndsTheLogUntilItIsOpenedAnew() throws IOException {
-    ProcessRun life = new ProcessRun();
-    life.add(1);
-    words("fail");
-    assertThrows(IOException.class, () -> life.add(2));
-    words("");
-    assertEquals(RecordLog.State.FAILED, life.log.state());
-    assertThrows(IOException.class, () -> life.add(3));
-    life.killed();
+  void failedForceEndsTheLogUntilReopened() throws IOException {
+    ProcessRun run = new ProcessRun();
+    run.add(1);
+    setFaults("fail");
+    assertThrows(IOException.class, () -> run.add(2));
+    setFaults("");
+    assertEquals(RecordLog.State.FAILED, run.log.state());
+    assertThrows(IOException.class, () -> run.add(3));
+    run.killed();
     new ProcessRun().killed();
     assertEquals(List.of("1 1"), read);
   }
 
   @Test
-  void fullDiskTakesNothing() throws IOException {
-    ProcessRun life = new ProcessRun();
-    words("full");
-    assertThrows(WriteRejectedException.class, () -> life.add(1));
-    words("");
-    life.add(2);
-    life.killed();
+  void fullDiskRejectsWrites() throws IOException {
+    ProcessRun run = new ProcessRun();
+    setFaults("full");
+    assertThrows(WriteRejectedException.class, () -> run.add(1));
+    setFaults("");
+    run.add(2);
+    run.killed();
     new ProcessRun().killed();
     assertEquals(List.of("1 2"), read);
   }
 
   @Test
-  void slowAndStuckKeepACommitWaiting() throws Exception {
-    ProcessRun life = new ProcessRun();
-    words("slow=150");
+  void slowAndStuckForceDelayCommits() throws Exception {
+    ProcessRun run = new ProcessRun();
+    setFaults("slow=150");
     long began = System.nanoTime();
-    life.add(1);
+    run.add(1);
     assertTrue(System.nanoTime() - began >= 149_000_000);
-    words("stuck");
+    setFaults("stuck");
     CompletableFuture<Void> second =
         CompletableFuture.runAsync(
             () -> {
               try {
-                life.add(2);
+                run.add(2);
               } catch (IOException e) {
                 throw new IllegalStateException(e);
               }
@@ -163,9 +163,9 @@
     assertThrows(
         java.util.concurrent.TimeoutException.class,
         () -> second.get(200, java.util.concurrent.TimeUnit.MILLISECONDS));
-    words("");
+    setFaults("");
     second.get(10, java.util.concurrent.TimeUnit.SECONDS);
-    life.killed();
+    run.killed();
   }
 
   /**
@@ -173,24 +173,23 @@
    * cut.
    */
   @Test
-  void tornWriteIsCutAndTold() throws Exception {
-    ProcessRun life = new ProcessRun();
-    life.add(1);
-    words("torn");
+  void tornWriteIsTruncatedAndReported() throws Exception {
+    ProcessRun run = new ProcessRun();
+    run.add(1);
+    setFaults("torn");
     CompletableFuture.runAsync(
         () -> {
           try {
-            life.add(2);
+            run.add(2);
           } catch (IOException e) {
             throw new IllegalStateException(e);
           }
         });
     Path log = folder.resolve("log").resolve("log-0000000000000001");
     long whole = 16 + 33;
-    ManagedProcess.until(
-        "half is written", Duration.ofSeconds(10), () -> log.toFile().length() > whole);
-    life.killed();
-    words("");
+    Await.until("half is written", Duration.ofSeconds(10), () -> log.toFile().length() > whole);
+    run.killed();
+    setFaults("");
     ProcessRun after = new ProcessRun();
     assertEquals(List.of("1 1"), read);
     assertTrue(after.log.recovered().tornBytes() > 0);
@@ -198,20 +197,20 @@
   }
 
   @Test
-  void flippedBitAndAMisdirectedWriteAreDamageOrAToldEnd() throws IOException {
-    ProcessRun life = new ProcessRun();
+  void flippedBitAndMisdirectedWriteAreReportedAsCorruption() throws IOException {
+    ProcessRun run = new ProcessRun();
     for (int k = 1; k <= 5; k++) {
-      life.add(k);
+      run.add(k);
     }
-    life.killed();
-    words("flip");
+    run.killed();
+    setFaults("flip");
     assertThrows(CorruptLogException.class, ProcessRun::new);
-    words("");
+    setFaults("");
     ProcessRun second = new ProcessRun();
     assertEquals(5, read.size());
-    words("misdirect");
+    setFaults("misdirect");
     second.add(6);
-    words("");
+    setFaults("");
     second.killed();
     assertThrows(
         CorruptLogException.class,
--- a/fakes/src/main/java/weldcross/fakes/FakeDiscoveryCatalog.java
+++ b/fakes/src/main/java/weldcross/fakes/FakeDiscoveryCatalog.java
@@ -5,13 +5,23 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
-/** Discovery's list of servers, numbered by its changes. */
+/** The endpoint list that a fake discovery service serves, numbered by its revisions. */
 public final class FakeDiscoveryCatalog {
 
+  /** The phase of an endpoint that has left the list. */
+  private static final String PHASE_LEFT = "left";
+
   /**
-   * @param phase active, leaving or left
+   * An entry of the list, as discovery's JSON has it.
+   *
+   * @param id the endpoint's name
+   * @param group the replica group it belongs to
+   * @param zone the zone it runs in
+   * @param phase {@code active}, {@code leaving} or {@code left}
+   * @param upSinceMillis Unix time of its last start in milliseconds; zero for long ago
    */
   public record Member(String id, int group, String zone, String phase, long upSinceMillis) {}
 
@@ -19,9 +29,18 @@
   private final TreeMap<Long, Member> changes = new TreeMap<>();
   private long revision;
 
-  public synchronized long set(Member member) {
+  /** Creates an empty list at revision zero. */
+  public FakeDiscoveryCatalog() {}
+
+  /**
+   * Publishes the new state of one endpoint.
+   *
+   * @param member the entry as it is from now on
+   * @return the revision of this change
+   */
+  public synchronized long publish(Member member) {
     revision++;
-    if (member.phase().equals("left")) {
+    if (member.phase().equals(PHASE_LEFT)) {
       members.remove(member.id());
     } else {
       members.put(member.id(), member);
@@ -31,48 +50,68 @@
     return revision;
   }
 
+  /**
+   * Returns the number of changes published so far.
+   *
+   * @return the current revision, zero before the first change
+   */
   public synchronized long revision() {
     return revision;
   }
 
-  /** Waits until something newer is there, or so long; the list then, as discovery words it. */
-  synchronized String after(long since, long millis, Function<String, String> address)
+  /**
+   * Waits for a change after a revision, for a long poll.
+   *
+   * @param since the revision that the caller has
+   * @param timeoutMillis how long to wait at most
+   * @param addressOf host and port of an endpoint, by its name
+   * @return the entries changed since then as JSON; without entries after a timeout
+   */
+  synchronized String awaitChangesSince(
+      long since, long timeoutMillis, Function<String, String> addressOf)
       throws InterruptedException {
-    long until = System.nanoTime() + millis * 1_000_000;
-    for (long left = millis;
-        revision <= since && left > 0;
-        left = (until - System.nanoTime()) / 1_000_000) {
+    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+    long left = timeoutMillis;
+    while (revision <= since && left > 0) {
       wait(left);
+      left = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
     }
     Map<String, Member> changed = new LinkedHashMap<>();
-    changes.tailMap(since, false).values().forEach(m -> changed.put(m.id(), m));
-    return text(false, new ArrayList<>(changed.values()), address);
+    changes.tailMap(since, false).values().forEach(member -> changed.put(member.id(), member));
+    return toJson(false, new ArrayList<>(changed.values()), addressOf);
   }
 
-  synchronized String whole(Function<String, String> address) {
-    return text(true, List.copyOf(members.values()), address);
+  /** Returns the complete list as JSON. */
+  synchronized String snapshot(Function<String, String> addressOf) {
+    return toJson(true, List.copyOf(members.values()), addressOf);
   }
 
-  private String text(boolean complete, List<Member> of, Function<String, String> address) {
-    StringBuilder text =
-        new StringBuilder(
-            "{\"revision\":" + revision + ",\"complete\":" + complete + ",\"members\":[");
-    for (Member m : of) {
-      text.append(text.charAt(text.length() - 1) == '[' ? "" : ",")
-          .append("{\"id\":\"")
-          .append(m.id())
-          .append("\",\"host_port\":\"")
-          .append(address.apply(m.id()))
-          .append("\",\"locality\":\"")
-          .append(m.zone())
-          .append("\",\"cell\":")
-          .append(m.group())
-          .append(",\"phase\":\"")
-          .append(m.phase())
-          .append("\",\"up_since_ms\":")
-          .append(m.upSinceMillis())
-          .append('}');
+  private String toJson(boolean complete, List<Member> listed, Function<String, String> addressOf) {
+    StringBuilder json = new StringBuilder();
+    json.append("{\"revision\":").append(revision);
+    json.append(",\"complete\":").append(complete);
+    json.append(",\"members\":[");
+    String separator = "";
+    for (Member member : listed) {
+      json.append(separator).append(toJson(member, addressOf.apply(member.id())));
+      separator = ",";
     }
-    return text.append("]}").toString();
+    return json.append("]}").toString();
+  }
+
+  private static String toJson(Member member, String address) {
+    return "{\"id\":\""
+        + member.id()
+        + "\",\"host_port\":\""
+        + address
+        + "\",\"locality\":\""
+        + member.zone()
+        + "\",\"cell\":"
+        + member.group()
+        + ",\"phase\":\""
+        + member.phase()
+        + "\",\"up_since_ms\":"
+        + member.upSinceMillis()
+        + "}";
   }
 }
--- a/fakes/src/main/java/weldcross/fakes/FakeDiscoveryServer.java
+++ b/fakes/src/main/java/weldcross/fakes/FakeDiscoveryServer.java
@@ -15,59 +15,75 @@
 import java.util.regex.Pattern;
 
 /**
- * Discovery as one gateway sees it: the list and its watch over HTTP/1.1, with addresses of its
- * own.
+ * Discovery as one gateway sees it: the endpoint list and its long poll over HTTP/1.1, with the
+ * addresses by which this gateway reaches the endpoints.
  */
 public final class FakeDiscoveryServer implements AutoCloseable {
 
-  private static final Pattern WATCH =
+  private static final Pattern LONG_POLL =
       Pattern.compile("GET /catalog/members\\?since=(-?\\d+)&timeout_ms=(\\d+) HTTP/1.1");
 
+  /** Connections that the system may hold before they are accepted. */
+  private static final int BACKLOG = 50;
+
   private final FakeDiscoveryCatalog catalog;
-  private final Function<String, String> address;
-  private final ServerSocket socket;
-  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+  private final Function<String, String> addressOf;
+  private final ServerSocket listener;
+  private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
 
   /**
-   * @param address of each server, host and port, as this gateway reaches it
+   * Starts a server on a free port.
+   *
+   * @param catalog the list to serve
+   * @param host the address to listen on
+   * @param addressOf host and port of an endpoint as this gateway reaches it, by its name
+   * @throws IOException if it cannot listen there
    */
   public FakeDiscoveryServer(
-      FakeDiscoveryCatalog catalog, InetAddress at, Function<String, String> address)
+      FakeDiscoveryCatalog catalog, InetAddress host, Function<String, String> addressOf)
       throws IOException {
     this.catalog = catalog;
-    this.address = address;
-    this.socket = new ServerSocket(0, 50, at);
-    thread(
-        () -> {
-          while (true) {
-            Socket connection = socket.accept();
-            open.add(connection);
-            thread(() -> serve(connection));
-          }
-        });
+    this.addressOf = addressOf;
+    this.listener = new ServerSocket(0, BACKLOG, host);
+    startThread(this::acceptAll);
   }
 
-  private interface Step {
+  /** Work of a thread that ends with its connection or with this server. */
+  @FunctionalInterface
+  private interface ConnectionTask {
     void run() throws IOException, InterruptedException;
   }
 
-  private static void thread(Step step) {
+  private static void startThread(ConnectionTask task) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                step.run();
+                task.run();
               } catch (IOException | InterruptedException e) {
-                // Its connection or this agent has ended.
+                // The connection or this server has been closed.
               }
             },
-            "discovery");
+            "fake-discovery");
     thread.setDaemon(true);
     thread.start();
   }
 
+  /**
+   * Returns where it listens.
+   *
+   * @return the address with the port that the system picked
+   */
   public InetSocketAddress address() {
-    return (InetSocketAddress) socket.getLocalSocketAddress();
+    return (InetSocketAddress) listener.getLocalSocketAddress();
+  }
+
+  private void acceptAll() throws IOException {
+    while (true) {
+      Socket connection = listener.accept();
+      connections.add(connection);
+      startThread(() -> serve(connection));
+    }
   }
 
   private void serve(Socket connection) throws IOException, InterruptedException {
@@ -75,36 +91,45 @@
       BufferedReader in =
           new BufferedReader(
               new InputStreamReader(connection.getInputStream(), StandardCharsets.US_ASCII));
-      for (String asked = in.readLine(); asked != null; asked = in.readLine()) {
-        for (String head = in.readLine(); head != null && !head.isEmpty(); ) {
-          head = in.readLine();
-        }
-        Matcher watch = WATCH.matcher(asked);
-        String body =
-            watch.matches()
-                ? catalog.after(
-                    Long.parseLong(watch.group(1)), Long.parseLong(watch.group(2)), address)
-                : catalog.whole(address);
-        connection
-            .getOutputStream()
-            .write(
-                ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
-                        + "Content-Length: "
-                        + body.length()
-                        + "\r\n\r\n"
-                        + body)
-                    .getBytes(StandardCharsets.US_ASCII));
+      for (String line = in.readLine(); line != null; line = in.readLine()) {
+        skipHeaders(in);
+        byte[] response = response(body(line)).getBytes(StandardCharsets.US_ASCII);
+        connection.getOutputStream().write(response);
       }
     } finally {
-      open.remove(connection);
+      connections.remove(connection);
+    }
+  }
+
+  private static void skipHeaders(BufferedReader in) throws IOException {
+    String header = in.readLine();
+    while (header != null && !header.isEmpty()) {
+      header = in.readLine();
     }
   }
 
+  private String body(String requestLine) throws InterruptedException {
+    Matcher longPoll = LONG_POLL.matcher(requestLine);
+    if (!longPoll.matches()) {
+      return catalog.snapshot(addressOf);
+    }
+    long since = Long.parseLong(longPoll.group(1));
+    long timeoutMillis = Long.parseLong(longPoll.group(2));
+    return catalog.awaitChangesSince(since, timeoutMillis, addressOf);
+  }
+
+  private static String response(String body) {
+    return "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
+        + body.length()
+        + "\r\n\r\n"
+        + body;
+  }
+
   @Override
   public void close() throws IOException {
-    socket.close();
-    for (Socket each : open) {
-      each.close();
+    listener.close();
+    for (Socket connection : connections) {
+      connection.close();
     }
   }
 }
--- a/fakes/src/main/java/weldcross/fakes/FakePostgresServer.java
+++ b/fakes/src/main/java/weldcross/fakes/FakePostgresServer.java
@@ -1,14 +1,15 @@
 package weldcross.fakes;
 
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
 import java.time.Duration;
+import java.util.ArrayDeque;
+import java.util.Optional;
+import java.util.concurrent.Future;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicLong;
+import java.util.function.Supplier;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.apache.mina.core.RuntimeIoException;
@@ -19,10 +20,10 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /**
- * A server of a group, primary or replica, that speaks PostgreSQL's protocol v3 with simple
- * queries: reads and writes of one key, probes ({@code SELECT 1}, {@code SHOW stats}) and the
- * question what became of an RPC ({@code SELECT outcome FROM rpcs WHERE id = '...'}). Tells its
- * role and position beside its answers. What it is to do wrong is set from outside.
+ * A primary or replica of one group that speaks PostgreSQL's protocol v3 with simple queries: reads
+ * and writes of one key, health checks ({@code SELECT 1}, {@code SHOW stats}) and the question
+ * whether a request has had its effect ({@code SELECT outcome FROM rpcs WHERE id = '...'}). It
+ * reports its role and position beside its answers. Faults are switched on and off from outside.
  */
 public final class FakePostgresServer implements AutoCloseable {
 
@@ -30,161 +31,229 @@
       Pattern.compile("SELECT content FROM kv WHERE name = '([^']*)' /\\* (.*) \\*/");
   private static final Pattern WRITE =
       Pattern.compile(
-          "INSERT INTO kv \\(name, content\\) VALUES \\('([^']*)', '\\\\x([0-9a-f]*)'\\) RETURNING content /\\* (.*) \\*/");
+          "INSERT INTO kv \\(name, content\\) VALUES \\('([^']*)', '\\\\x([0-9a-f]*)'\\)"
+              + " RETURNING content /\\* (.*) \\*/");
   private static final Pattern OUTCOME =
       Pattern.compile("SELECT outcome FROM rpcs WHERE id = '([^']*)'.*");
-  private static final Pattern ID = Pattern.compile("(?:^|,)id=([^,]+)");
-  private static final AtomicLong CONNECTIONS = new AtomicLong();
+  private static final Pattern REQUEST_ID = Pattern.compile("(?:^|,)id=([^,]+)");
+  private static final String SELECT_TAG = "SELECT 1";
 
-  /** What one connection has sent and is not worked on. */
-  private static final class Stream {
-    final long number = CONNECTIONS.incrementAndGet();
-    byte[] rest = new byte[0];
-    boolean started, busy;
-  }
+  private static final String READ_ONLY_TRANSACTION = "25006";
+  private static final String TOO_MANY_CONNECTIONS = "53300";
+  private static final String PROTOCOL_VIOLATION = "08P01";
+  private static final String INTERNAL_ERROR = "XX000";
+
+  /** The attribute of a session that holds its {@link PostgresClientStream}. */
+  private static final String STREAM = "stream";
 
   private final String name;
   private final int group;
   private final ReplicatedStoreModel store;
   private final ReplicatedStoreModel.Clock clock;
-  private final ScheduledExecutorService timer;
-  private final InetSocketAddress at;
+  private final ScheduledExecutorService executor;
+  private final InetSocketAddress address;
   private final int workers;
-  private final int mostQueued;
-  private final java.util.ArrayDeque<Runnable> queue = new java.util.ArrayDeque<>();
+  private final int maxQueued;
+
+  /** Statements that wait for a worker; guards {@link #busyWorkers} as well. */
+  private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
+
   private NioSocketAcceptor acceptor;
-  private int working;
-  private volatile boolean primary;
-  private volatile Duration lag, service;
-  private volatile boolean stalled, failing, losingAnswers, boasting, doubling;
-  private volatile long upSince;
+  private int busyWorkers;
+  private final boolean primary;
+  private volatile Duration lag;
+  private volatile Duration serviceTime;
+  private volatile boolean stalled;
+  private volatile boolean failing;
+  private volatile boolean losingAnswers;
+  private volatile boolean overstatingPosition;
+  private volatile boolean writingTwice;
+  private volatile long upSinceMillis;
 
   /**
-   * @param address where it listens; port zero for any
+   * Starts a server on a free port.
+   *
+   * @param name its name in the endpoint list
+   * @param group its replica group
+   * @param primary whether it takes writes
    * @param lag how far it is behind the primary's history, as a replica
-   * @param service how long a statement takes
+   * @param serviceTime how long a statement takes
    * @param workers statements worked on at a time; twice as many may wait
+   * @param host the address to listen on
+   * @param store the data of all groups
+   * @param clock the clock of the run
+   * @param executor where statements are worked on
+   * @throws IOException if it cannot listen there
    */
   public FakePostgresServer(
       String name,
       int group,
       boolean primary,
       Duration lag,
-      Duration service,
+      Duration serviceTime,
       int workers,
-      InetAddress address,
+      InetAddress host,
       ReplicatedStoreModel store,
       ReplicatedStoreModel.Clock clock,
-      ScheduledExecutorService timer)
+      ScheduledExecutorService executor)
       throws IOException {
     this.name = name;
     this.group = group;
     this.primary = primary;
     this.lag = lag;
-    this.service = service;
+    this.serviceTime = serviceTime;
     this.workers = workers;
-    this.mostQueued = 2 * workers;
+    this.maxQueued = 2 * workers;
     this.store = store;
     this.clock = clock;
-    this.timer = timer;
-    listen(new InetSocketAddress(address, 0));
-    this.at = acceptor.getLocalAddress();
+    this.executor = executor;
+    listen(new InetSocketAddress(host, 0));
+    this.address = acceptor.getLocalAddress();
   }
 
-  private void listen(InetSocketAddress where) throws IOException {
+  private void listen(InetSocketAddress at) throws IOException {
     NioSocketAcceptor next = new NioSocketAcceptor(1);
     next.setReuseAddress(true);
     next.getSessionConfig().setTcpNoDelay(true);
-    next.setHandler(new Handler());
-    next.bind(where);
+    next.setHandler(new ConnectionHandler());
+    next.bind(at);
     acceptor = next;
   }
 
+  /**
+   * Returns its name in the endpoint list.
+   *
+   * @return the name it was created with
+   */
   public String name() {
     return name;
   }
 
+  /**
+   * Returns its replica group.
+   *
+   * @return the group it was created with
+   */
   public int group() {
     return group;
   }
 
+  /**
+   * Returns where it listens.
+   *
+   * @return the same address in each life of its process
+   */
   public InetSocketAddress address() {
-    return at;
+    return address;
   }
 
+  /**
+   * Returns whether it takes writes.
+   *
+   * @return true for the primary of its group
+   */
   public boolean isPrimary() {
     return primary;
   }
 
-  /** Unix milliseconds of its last start; zero for long ago. */
+  /**
+   * Returns when it was last started.
+   *
+   * @return Unix time in milliseconds; zero if it was never started again
+   */
   public long upSinceMillis() {
-    return upSince;
+    return upSinceMillis;
   }
 
-  // ---- What it is to do wrong
-
-  public void lag(Duration by) {
-    lag = by;
+  /**
+   * Sets how far a replica is behind the primary's history.
+   *
+   * @param newLag zero or more
+   */
+  public void setLag(Duration newLag) {
+    lag = newLag;
   }
 
-  public void service(Duration time) {
-    service = time;
+  /**
+   * Sets how long a statement takes.
+   *
+   * @param newServiceTime zero or more
+   */
+  public void setServiceTime(Duration newServiceTime) {
+    serviceTime = newServiceTime;
   }
 
-  /** While set, what is asked waits. */
-  public void stalled(boolean on) {
+  /**
+   * Keeps statements waiting while set.
+   *
+   * @param on whether it stalls from now on
+   */
+  public void setStalled(boolean on) {
     stalled = on;
     if (!on) {
-      timer.execute(this::work);
+      executor.execute(this::startQueuedWork);
     }
   }
 
-  /** While set, statements fail, without an effect. */
-  public void failing(boolean on) {
+  /**
+   * Answers statements with an error and without an effect while set.
+   *
+   * @param on whether it fails from now on
+   */
+  public void setFailing(boolean on) {
     failing = on;
   }
 
-  /** While set, writes have their effect and their connection ends without an answer. */
-  public void losingAnswers(boolean on) {
+  /**
+   * Applies writes and resets their connection in place of an answer while set.
+   *
+   * @param on whether answers are lost from now on
+   */
+  public void setLosingAnswers(boolean on) {
     losingAnswers = on;
   }
 
-  /** While set, it tells the present as its position though it is behind: readers are misled. */
-  public void boasting(boolean on) {
-    boasting = on;
+  /**
+   * Reports the present as its position, though it lags, while set.
+   *
+   * @param on whether the position is wrong from now on
+   */
+  public void setOverstatingPosition(boolean on) {
+    overstatingPosition = on;
   }
 
-  /** While set, each write has its effect twice. */
-  public void doubling(boolean on) {
-    doubling = on;
+  /**
+   * Applies each write twice while set.
+   *
+   * @param on whether writes are doubled from now on
+   */
+  public void setWritingTwice(boolean on) {
+    writingTwice = on;
   }
 
-  /** Its process dies: connections are reset, new ones refused. */
+  /** Ends its process: connections are reset, new ones are refused. */
   public synchronized void kill() {
-    if (acceptor != null) {
-      acceptor.getManagedSessions().values().forEach(FakePostgresServer::reset);
-      acceptor.unbind();
-      acceptor.dispose();
-      acceptor = null;
-      synchronized (queue) {
-        queue.clear();
-      }
+    if (acceptor == null) {
+      return;
     }
-  }
-
-  private static void reset(IoSession session) {
-    try {
-      ((SocketSessionConfig) session.getConfig()).setSoLinger(0);
-    } catch (RuntimeIoException e) {
-      // It has ended already.
+    acceptor.getManagedSessions().values().forEach(FakePostgresServer::reset);
+    acceptor.unbind();
+    acceptor.dispose();
+    acceptor = null;
+    synchronized (queue) {
+      queue.clear();
     }
-    session.closeNow();
   }
 
+  /**
+   * Starts its process again, if it was killed.
+   *
+   * @throws IOException if it cannot listen at its address
+   */
   public synchronized void start() throws IOException {
     if (acceptor == null) {
-      listen(at);
-      upSince = clock.unixMillis(clock.nanos());
+      listen(address);
+      upSinceMillis = clock.unixMillis(clock.nanos());
     }
   }
 
@@ -193,26 +262,27 @@
     kill();
   }
 
-  // ---- Statements
+  private static void reset(IoSession session) {
+    try {
+      ((SocketSessionConfig) session.getConfig()).setSoLinger(0);
+    } catch (RuntimeIoException e) {
+      // The connection has ended already.
+    }
+    session.closeNow();
+  }
 
-  private final class Handler extends IoHandlerAdapter {
+  private final class ConnectionHandler extends IoHandlerAdapter {
 
     @Override
     public void sessionOpened(IoSession session) {
-      session.setAttribute("stream", new Stream());
+      session.setAttribute(STREAM, new PostgresClientStream());
     }
 
     @Override
     public void messageReceived(IoSession session, Object message) {
-      Stream stream = (Stream) session.getAttribute("stream");
-      IoBuffer in = (IoBuffer) message;
-      synchronized (stream) {
-        byte[] all = new byte[stream.rest.length + in.remaining()];
-        System.arraycopy(stream.rest, 0, all, 0, stream.rest.length);
-        in.get(all, stream.rest.length, in.remaining());
-        stream.rest = all;
-      }
-      next(session, stream);
+      PostgresClientStream stream = (PostgresClientStream) session.getAttribute(STREAM);
+      stream.append((IoBuffer) message);
+      handleMessages(session, stream);
     }
 
     @Override
@@ -221,237 +291,194 @@
     }
   }
 
-  /** Takes the next whole message, if none is worked on. */
-  private void next(IoSession session, Stream stream) {
-    String query = null;
-    synchronized (stream) {
-      while (query == null && !stream.busy) {
-        int head = stream.started ? 1 : 0;
-        byte[] r = stream.rest;
-        if (r.length < head + 4) {
+  private void handleMessages(IoSession session, PostgresClientStream stream) {
+    while (true) {
+      PostgresClientStream.Message message = stream.next();
+      switch (message.kind()) {
+        case NONE -> {
           return;
         }
-        int length =
-            (r[head] & 0xff) << 24
-                | (r[head + 1] & 0xff) << 16
-                | (r[head + 2] & 0xff) << 8
-                | (r[head + 3] & 0xff);
-        if (r.length < head + length) {
+        case STARTUP -> send(session, new PostgresMessageWriter().authenticationOk().ready());
+        case QUERY -> {
+          execute(session, stream, message.text());
           return;
         }
-        String body = new String(r, head + 4, length - 4, StandardCharsets.ISO_8859_1);
-        char type = stream.started ? (char) r[0] : 0;
-        stream.rest = java.util.Arrays.copyOfRange(r, head + length, r.length);
-        if (!stream.started) {
-          stream.started = true;
-          session.write(IoBuffer.wrap(new Out().message('R', new byte[4]).ready().bytes()));
-        } else if (type == 'Q') {
-          query = body.substring(0, Math.max(0, body.length() - 1));
-          stream.busy = true;
-        } else {
+        case END -> {
           session.closeOnFlush();
           return;
         }
       }
     }
-    if (query != null) {
-      asked(session, stream, query);
-    }
   }
 
-  private void asked(IoSession session, Stream stream, String query) {
+  private void execute(IoSession session, PostgresClientStream stream, String query) {
     Matcher read = READ.matcher(query);
     Matcher write = WRITE.matcher(query);
     Matcher outcome = OUTCOME.matcher(query);
     if (read.matches()) {
-      String rpc = id(read.group(2));
+      String id = requestId(read.group(2));
       String key = read.group(1);
-      take(session, stream, rpc, () -> read(rpc, key));
+      enqueueRequest(session, stream, id, () -> Optional.of(read(id, key)));
     } else if (write.matches()) {
-      String rpc = id(write.group(3));
+      String id = requestId(write.group(3));
       String key = write.group(1);
       String value = write.group(2);
-      take(session, stream, rpc, () -> write(stream, rpc, key, value));
+      enqueueRequest(session, stream, id, () -> write(stream, id, key, value));
     } else if (outcome.matches()) {
-      take(
-          session,
-          stream,
-          null,
-          () ->
-              primary
-                  ? row(store.isDone(outcome.group(1)) ? "done" : "not done", "SELECT 1")
-                  : new Out().error("25006", "ask the primary").state(this).ready());
+      enqueue(session, stream, () -> Duration.ZERO, () -> Optional.of(outcomeOf(outcome.group(1))));
     } else if (query.equals("SELECT 1")) {
-      take(session, stream, null, () -> row("1", "SELECT 1"));
+      enqueue(session, stream, () -> Duration.ZERO, () -> Optional.of(row("1", SELECT_TAG)));
     } else if (query.equals("SHOW stats")) {
-      take(
-          session,
-          stream,
-          null,
-          () -> row("x0=" + position() / 1000.0 + ",x1=" + (primary ? 1 : 0), "SHOW"));
+      enqueue(session, stream, () -> Duration.ZERO, () -> Optional.of(row(stats(), "SHOW")));
     } else {
-      answer(session, stream, new Out().error("08P01", "no statement of this store").ready());
+      String text = "statement not supported by this server";
+      answer(session, stream, new PostgresMessageWriter().error(PROTOCOL_VIOLATION, text).ready());
     }
   }
 
-  private static String id(String comment) {
-    Matcher id = ID.matcher(comment);
+  private static String requestId(String comment) {
+    Matcher id = REQUEST_ID.matcher(comment);
     return id.find() ? id.group(1) : "";
   }
 
-  private interface Work {
-    /** The answer; null where the connection is to end without one. */
-    Out run();
+  private String stats() {
+    return "x0=" + positionMillis() / 1000.0 + ",x1=" + (primary ? 1 : 0);
   }
 
-  private void take(IoSession session, Stream stream, String rpc, Work work) {
-    if (rpc != null) {
-      store.arrived(new ReplicatedStoreModel.Arrival(clock.nanos(), rpc, name, stream.number));
-    }
-    Runnable task =
+  /** Records a read or write, which takes the service time and may be told to fail. */
+  private void enqueueRequest(
+      IoSession session,
+      PostgresClientStream stream,
+      String id,
+      Supplier<Optional<PostgresMessageWriter>> statement) {
+    store.recordArrival(new ReplicatedStoreModel.Arrival(clock.nanos(), id, name, stream.number()));
+    enqueue(
+        session,
+        stream,
+        () -> serviceTime,
         () ->
-            timer.schedule(
-                () -> {
-                  try {
-                    Out out =
-                        failing && rpc != null
-                            ? new Out().error("XX000", "told to fail").ready()
-                            : work.run();
-                    if (out == null) {
-                      reset(session);
-                    } else {
-                      answer(session, stream, out);
-                    }
-                  } finally {
-                    synchronized (queue) {
-                      working--;
-                    }
-                    work();
-                  }
-                },
-                rpc == null ? 0 : service.toNanos(),
-                TimeUnit.NANOSECONDS);
+            failing
+                ? Optional.of(
+                    new PostgresMessageWriter().error(INTERNAL_ERROR, "told to fail").ready())
+                : statement.get());
+  }
+
+  /**
+   * Has a statement worked on once a worker is free, or rejects it if too many wait.
+   *
+   * @param duration how long it takes, asked once a worker takes it up
+   * @param statement its answer; empty where the connection is reset in place of an answer
+   */
+  private void enqueue(
+      IoSession session,
+      PostgresClientStream stream,
+      Supplier<Duration> duration,
+      Supplier<Optional<PostgresMessageWriter>> statement) {
+    Runnable work = () -> runAfter(duration.get(), () -> complete(session, stream, statement));
     boolean full;
     synchronized (queue) {
-      full = queue.size() >= mostQueued;
+      full = queue.size() >= maxQueued;
       if (!full) {
-        queue.add(task);
+        queue.add(work);
       }
     }
     if (full) {
-      answer(session, stream, new Out().error("53300", "queue full").state(this).ready());
+      PostgresMessageWriter error =
+          new PostgresMessageWriter().error(TOO_MANY_CONNECTIONS, "queue full");
+      answer(session, stream, withState(error).ready());
     } else {
-      work();
+      startQueuedWork();
+    }
+  }
+
+  private void runAfter(Duration duration, Runnable task) {
+    Future<?> unused = executor.schedule(task, duration.toNanos(), TimeUnit.NANOSECONDS);
+  }
+
+  private void complete(
+      IoSession session,
+      PostgresClientStream stream,
+      Supplier<Optional<PostgresMessageWriter>> statement) {
+    try {
+      statement
+          .get()
+          .ifPresentOrElse(response -> answer(session, stream, response), () -> reset(session));
+    } finally {
+      synchronized (queue) {
+        busyWorkers--;
+      }
+      startQueuedWork();
     }
   }
 
-  private void work() {
+  private void startQueuedWork() {
     while (true) {
       Runnable next;
       synchronized (queue) {
-        if (stalled || working >= workers || queue.isEmpty()) {
+        if (stalled || busyWorkers >= workers || queue.isEmpty()) {
           return;
         }
-        working++;
+        busyWorkers++;
         next = queue.poll();
       }
       next.run();
     }
   }
 
-  private long horizon() {
+  /** The time up to which commits are visible here, in nanoseconds of the run's clock. */
+  private long visibleUntil() {
     long now = clock.nanos();
     return primary ? now : now - lag.toNanos();
   }
 
-  private long position() {
-    return clock.unixMillis(boasting ? clock.nanos() : horizon());
+  private long positionMillis() {
+    return clock.unixMillis(overstatingPosition ? clock.nanos() : visibleUntil());
   }
 
-  private Out read(String rpc, String key) {
-    return row(store.read(clock.nanos(), rpc, group, name, key, horizon()), "SELECT 1");
+  private PostgresMessageWriter read(String id, String key) {
+    return row(store.read(clock.nanos(), id, group, name, key, visibleUntil()), SELECT_TAG);
   }
 
-  private Out write(Stream stream, String rpc, String key, String value) {
+  private Optional<PostgresMessageWriter> write(
+      PostgresClientStream stream, String id, String key, String value) {
     if (!primary) {
-      return new Out().error("25006", "cannot write on a replica").state(this).ready();
+      return Optional.of(readOnlyError("cannot write on a replica"));
     }
-    store.commit(clock.nanos(), rpc, group, name, key, value, stream.number);
-    if (doubling) {
-      store.commit(clock.nanos(), rpc, group, name, key, value, stream.number);
+    store.commit(clock.nanos(), id, group, name, key, value, stream.number());
+    if (writingTwice) {
+      store.commit(clock.nanos(), id, group, name, key, value, stream.number());
     }
-    return losingAnswers ? null : row(value, "INSERT 0 1");
+    return losingAnswers ? Optional.empty() : Optional.of(row(value, "INSERT 0 1"));
   }
 
-  private Out row(String value, String tag) {
-    return new Out().row(value, tag).state(this).ready();
+  private PostgresMessageWriter outcomeOf(String id) {
+    return primary
+        ? row(store.isCommitted(id) ? "done" : "not done", SELECT_TAG)
+        : readOnlyError("ask the primary");
   }
 
-  private void answer(IoSession session, Stream stream, Out out) {
-    session.write(IoBuffer.wrap(out.bytes()));
-    synchronized (stream) {
-      stream.busy = false;
-    }
-    next(session, stream);
-  }
-
-  /** Messages of one answer. */
-  private static final class Out {
-    private final ByteArrayOutputStream all = new ByteArrayOutputStream();
-
-    Out message(char type, byte[] body) {
-      all.write(type);
-      int length = body.length + 4;
-      all.write(length >>> 24);
-      all.write(length >>> 16);
-      all.write(length >>> 8);
-      all.write(length);
-      all.writeBytes(body);
-      return this;
-    }
-
-    Out row(String value, String tag) {
-      byte[] text = value.getBytes(StandardCharsets.ISO_8859_1);
-      ByteArrayOutputStream column = new ByteArrayOutputStream();
-      column.writeBytes(new byte[] {0, 1});
-      column.writeBytes("content\0".getBytes(StandardCharsets.ISO_8859_1));
-      column.writeBytes(new byte[] {0, 0, 0, 0, 0, 0, 0, 0, 0, 17, -1, -1, -1, -1, -1, -1, 0, 1});
-      ByteArrayOutputStream data = new ByteArrayOutputStream();
-      data.writeBytes(
-          new byte[] {
-            0,
-            1,
-            (byte) (text.length >>> 24),
-            (byte) (text.length >>> 16),
-            (byte) (text.length >>> 8),
-            (byte) text.length
-          });
-      data.writeBytes(text);
-      return message('T', column.toByteArray())
-          .message('D', data.toByteArray())
-          .message('C', (tag + "\0").getBytes(StandardCharsets.ISO_8859_1));
-    }
+  private PostgresMessageWriter readOnlyError(String text) {
+    return withState(new PostgresMessageWriter().error(READ_ONLY_TRANSACTION, text)).ready();
+  }
 
-    Out error(String code, String text) {
-      return message(
-          'E', ("SERROR\0C" + code + "\0M" + text + "\0\0").getBytes(StandardCharsets.ISO_8859_1));
-    }
+  private PostgresMessageWriter row(String value, String commandTag) {
+    return withState(new PostgresMessageWriter().row(value, commandTag)).ready();
+  }
 
-    Out state(FakePostgresServer of) {
-      return message(
-              'S',
-              ("mode\0" + (of.primary ? "read-write" : "read-only") + "\0")
-                  .getBytes(StandardCharsets.ISO_8859_1))
-          .message(
-              'S', ("wal_time\0" + of.position() + "\0").getBytes(StandardCharsets.ISO_8859_1));
-    }
+  private PostgresMessageWriter withState(PostgresMessageWriter response) {
+    return response
+        .parameter("mode", primary ? "read-write" : "read-only")
+        .parameter("wal_time", Long.toString(positionMillis()));
+  }
 
-    Out ready() {
-      return message('Z', new byte[] {'I'});
-    }
+  private void answer(
+      IoSession session, PostgresClientStream stream, PostgresMessageWriter response) {
+    send(session, response);
+    stream.queryAnswered();
+    handleMessages(session, stream);
+  }
 
-    byte[] bytes() {
-      return all.toByteArray();
-    }
+  private static void send(IoSession session, PostgresMessageWriter response) {
+    session.write(IoBuffer.wrap(response.toByteArray()));
   }
 }
--- a/fakes/src/main/java/weldcross/fakes/ReplicatedStoreModel.java
+++ b/fakes/src/main/java/weldcross/fakes/ReplicatedStoreModel.java
@@ -1,6 +1,5 @@
 package weldcross.fakes;
 
-import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -9,19 +8,25 @@
 import java.util.Set;
 
 /**
- * The data of all groups, and the record of what was done to it, by which trials are judged. One
- * history of commits a group; a replica sees it as it was some time ago. Times are monotonic, in
- * nanoseconds.
+ * The data of all replica groups, and the record of what was done to it, by which a run is checked.
+ * Each group has one history of commits; a replica sees it as it was some time ago. Times are
+ * monotonic, in nanoseconds of {@link Clock}. Safe for use by several threads.
  */
 public final class ReplicatedStoreModel {
 
   /**
-   * A statement that had an effect.
+   * A write that was applied.
    *
+   * @param at when it was applied
+   * @param rpc the id of its request
+   * @param group its replica group
+   * @param server the server that applied it
+   * @param key the key written
+   * @param value the value written
    * @param sequence its place in the group's history, from 1
    * @param connection the connection by which it came
    */
-  public record Effect(
+  public record Commit(
       long at,
       String rpc,
       int group,
@@ -32,86 +37,126 @@
       long connection) {}
 
   /**
-   * A read that a server did.
+   * A read that a server served.
    *
-   * @param position all that was committed until then was to be seen
-   * @param seen the sequence of the commit whose value it gave; zero for none
+   * @param at when it was served
+   * @param rpc the id of its request
+   * @param group its replica group
+   * @param server the server that served it
+   * @param key the key read
+   * @param position all that was committed until then was visible
+   * @param seen the sequence of the commit whose value it returned; zero for none
    */
   public record Read(
       long at, String rpc, int group, String server, String key, long position, long seen) {}
 
-  /** A statement of a client that reached a server, whatever became of it. */
+  /**
+   * A request of a client that reached a server, whatever became of it.
+   *
+   * @param at when it was read
+   * @param rpc its id
+   * @param server the server that it reached
+   * @param connection the connection by which it came
+   */
   public record Arrival(long at, String rpc, String server, long connection) {}
 
-  private final Map<Integer, List<Effect>> histories = new HashMap<>();
-  private final Map<String, List<Effect>> byKey = new HashMap<>();
-  private final Set<String> done = new HashSet<>();
-  private final List<Effect> effects = new ArrayList<>();
+  private final Map<Integer, List<Commit>> histories = new HashMap<>();
+  private final Map<String, List<Commit>> byKey = new HashMap<>();
+  private final Set<String> committed = new HashSet<>();
+  private final List<Commit> commits = new ArrayList<>();
   private final List<Read> reads = new ArrayList<>();
   private final List<Arrival> arrivals = new ArrayList<>();
 
-  synchronized void arrived(Arrival arrival) {
+  /** Creates a store without data. */
+  public ReplicatedStoreModel() {}
+
+  synchronized void recordArrival(Arrival arrival) {
     arrivals.add(arrival);
   }
 
-  /** Nothing is looked at here: whether it was done before is for the audit to find. */
-  synchronized Effect commit(
+  /** Applies a write, also one that was applied before: finding that is the checker's task. */
+  synchronized Commit commit(
       long at, String rpc, int group, String server, String key, String value, long connection) {
-    List<Effect> history = histories.computeIfAbsent(group, g -> new ArrayList<>());
-    Effect effect = new Effect(at, rpc, group, server, key, value, history.size() + 1, connection);
-    history.add(effect);
-    byKey.computeIfAbsent(group + "/" + key, k -> new ArrayList<>()).add(effect);
-    effects.add(effect);
-    done.add(rpc);
-    return effect;
+    List<Commit> history = histories.computeIfAbsent(group, g -> new ArrayList<>());
+    Commit commit = new Commit(at, rpc, group, server, key, value, history.size() + 1, connection);
+    history.add(commit);
+    byKey.computeIfAbsent(group + "/" + key, k -> new ArrayList<>()).add(commit);
+    commits.add(commit);
+    committed.add(rpc);
+    return commit;
   }
 
-  /** The value as it was then, or empty. */
+  /** Returns the value visible at a position, or an empty text. */
   synchronized String read(
       long at, String rpc, int group, String server, String key, long position) {
-    Effect last = null;
-    for (Effect each : byKey.getOrDefault(group + "/" + key, List.of())) {
+    Commit last = null;
+    for (Commit each : byKey.getOrDefault(group + "/" + key, List.of())) {
       if (each.at() <= position) {
         last = each;
       }
     }
-    reads.add(new Read(at, rpc, group, server, key, position, last == null ? 0 : last.sequence()));
+    long sequence = last == null ? 0 : last.sequence();
+    reads.add(new Read(at, rpc, group, server, key, position, sequence));
     return last == null ? "" : last.value();
   }
 
-  /** Whether that RPC had its effect, as the primary's history has it. */
-  synchronized boolean isDone(String rpc) {
-    return done.contains(rpc);
+  /** Returns whether a write with this request id has been applied. */
+  synchronized boolean isCommitted(String rpc) {
+    return committed.contains(rpc);
   }
 
-  public synchronized List<Effect> effects() {
-    return List.copyOf(effects);
+  /**
+   * Returns all writes applied so far.
+   *
+   * @return a copy, in the order of their application
+   */
+  public synchronized List<Commit> commits() {
+    return List.copyOf(commits);
   }
 
+  /**
+   * Returns all reads served so far.
+   *
+   * @return a copy, in their order
+   */
   public synchronized List<Read> reads() {
     return List.copyOf(reads);
   }
 
+  /**
+   * Returns all requests that reached a server so far.
+   *
+   * @return a copy, in their order
+   */
   public synchronized List<Arrival> arrivals() {
     return List.copyOf(arrivals);
   }
 
-  /** What a server's clock reads, monotonic and as Unix time. */
+  /** The clock of a run, monotonic and as Unix time. */
   public static final class Clock {
-    private final long zero = System.nanoTime();
-    private final long unixAtZero = System.currentTimeMillis();
+    private final long zeroNanos = System.nanoTime();
+    private final long unixMillisAtZero = System.currentTimeMillis();
+
+    /** Creates a clock that reads zero now. */
+    public Clock() {}
 
+    /**
+     * Reads the monotonic clock.
+     *
+     * @return nanoseconds since this clock was created
+     */
     public long nanos() {
-      return System.nanoTime() - zero;
+      return System.nanoTime() - zeroNanos;
     }
 
-    /** Rounded down: a position must never look fresher than it is. */
+    /**
+     * Converts to Unix time, rounded down: a position must never look fresher than it is.
+     *
+     * @param nanos a reading of {@link #nanos}
+     * @return Unix time in milliseconds
+     */
     public long unixMillis(long nanos) {
-      return unixAtZero + Math.floorDiv(nanos, 1_000_000L);
-    }
-
-    public Duration since() {
-      return Duration.ofNanos(nanos());
+      return unixMillisAtZero + Math.floorDiv(nanos, 1_000_000L);
     }
   }
 }
