--- a/chaos/src/main/java/weldcross/chaos/agent/LyingStorageDirectory.java
+++ b/chaos/src/main/java/weldcross/chaos/agent/LyingStorageDirectory.java
@@ -17,33 +17,39 @@
 import weldcross.storage.StorageDirectory;
 
 /**
- * Within a gateway of a trial: a disk that keeps what is not forced in the process's memory, so
- * that a kill loses it, and that does wrong what a file of words tells at the moment of each call:
+ * A storage directory with the faults that a file names at the moment of each call. It holds what
+ * is not forced in the memory of the gateway's process, so that a kill loses it. The faults:
  *
  * <pre>
- * lie        a force says yes and does nothing
+ * lie        a force reports success and does nothing
  * fail       a force fails
  * full       a write fails
  * slow=MS    a force takes so long
- * stuck      a force waits until the word is gone
+ * stuck      a force waits until the fault is gone
  * flip       a read has one wrong bit
- * torn       a force writes half of what it should, says nothing and waits for ever
+ * torn       a force writes half of what it should, reports nothing and waits for ever
  * misdirect  a force writes what it should some bytes behind its place
  * </pre>
  */
 public final class LyingStorageDirectory implements StorageDirectory {
 
-  /** The path of the file of words; without it the disk is honest. */
+  /** The system property with the path of the file of faults; without it there are none. */
   public static final String FAULTS_FILE = "weldcross.chaos.disk";
 
-  private static final int ASIDE = 16;
+  /** How far a misdirected write is off. */
+  private static final int MISDIRECTION_BYTES = 16;
 
-  /** Takes the place of the plain disk. */
+  /** A higher rank than that of the default factory. */
+  private static final int RANK = 10;
+
+  private static final long POLL_INTERVAL_NANOS = 5_000_000;
+
+  /** Takes the place of the default factory. */
   public static final class Factory implements StorageDirectory.Factory {
 
     @Override
     public int rank() {
-      return 10;
+      return RANK;
     }
 
     @Override
@@ -54,94 +60,94 @@
   }
 
   private final StorageDirectory real;
-  private final Path words;
+  private final Path faultsFile;
   private final SplittableRandom random = new SplittableRandom(7);
 
   /** Names as this process sees them, each with the file that holds it. */
-  private final Map<String, Kept> seen = new HashMap<>();
+  private final Map<String, StoredFile> files = new HashMap<>();
 
   /** Names that the real disk has under another or that are gone here, until names are forced. */
   private final Set<String> unforced = new HashSet<>();
 
-  LyingStorageDirectory(StorageDirectory real, String words) throws IOException {
+  LyingStorageDirectory(StorageDirectory real, String faultsFile) throws IOException {
     this.real = real;
-    this.words = words == null ? null : Path.of(words);
+    this.faultsFile = faultsFile == null ? null : Path.of(faultsFile);
     for (String name : real.names()) {
-      seen.put(name, new Kept(name));
+      files.put(name, new StoredFile(name));
     }
   }
 
-  private Set<String> told() {
+  private Set<String> faults() {
     try {
-      return words == null || !Files.exists(words)
+      return faultsFile == null || !Files.exists(faultsFile)
           ? Set.of()
-          : Set.copyOf(Arrays.asList(Files.readString(words).strip().split("\\s+")));
+          : Set.copyOf(Arrays.asList(Files.readString(faultsFile).strip().split("\\s+")));
     } catch (IOException e) {
       return Set.of();
     }
   }
 
-  private void obey(Set<String> told) throws IOException {
-    for (String word : told) {
-      if (word.startsWith("slow=")) {
-        LockSupport.parkNanos(Long.parseLong(word.substring(5)) * 1_000_000);
+  private void applyDelays(Set<String> faults) throws IOException {
+    for (String fault : faults) {
+      if (fault.startsWith("slow=")) {
+        LockSupport.parkNanos(Long.parseLong(fault.substring(5)) * 1_000_000);
       }
     }
-    while (told().contains("stuck")) {
-      LockSupport.parkNanos(5_000_000);
+    while (faults().contains("stuck")) {
+      LockSupport.parkNanos(POLL_INTERVAL_NANOS);
     }
-    if (told.contains("fail")) {
+    if (faults.contains("fail")) {
       throw new IOException("told to fail");
     }
   }
 
   @Override
   public SortedSet<String> names() {
-    return new TreeSet<>(seen.keySet());
+    return new TreeSet<>(files.keySet());
   }
 
   @Override
   public File open(String name) throws IOException {
-    Kept kept = seen.get(name);
-    if (kept == null) {
-      kept = new Kept(name);
-      seen.put(name, kept);
+    StoredFile file = files.get(name);
+    if (file == null) {
+      file = new StoredFile(name);
+      files.put(name, file);
       unforced.add(name);
     }
-    kept.load();
-    return new Handle(kept);
+    file.load();
+    return new Handle(file);
   }
 
   @Override
   public void rename(String from, String to) {
-    Kept kept = seen.remove(from);
-    kept.name = to;
-    seen.put(to, kept);
+    StoredFile file = files.remove(from);
+    file.name = to;
+    files.put(to, file);
     unforced.add(from);
     unforced.add(to);
   }
 
   @Override
   public void delete(String name) {
-    seen.remove(name);
+    files.remove(name);
     unforced.add(name);
   }
 
   /**
-   * Names and what is sure of their files reach the real disk together, or not at all where it
+   * Names and what is durable of their files reach the real disk together, or not at all where it
    * lies.
    */
   @Override
   public void forceNames() throws IOException {
-    Set<String> told = told();
-    obey(told);
-    if (told.contains("lie")) {
+    Set<String> faults = faults();
+    applyDelays(faults);
+    if (faults.contains("lie")) {
       return;
     }
     for (String name : unforced) {
-      Kept kept = seen.get(name);
-      if (kept != null) {
-        kept.place(name, told);
+      StoredFile file = files.get(name);
+      if (file != null) {
+        file.place(name, faults);
       } else if (real.names().contains(name)) {
         real.delete(name);
       }
@@ -156,81 +162,81 @@
   }
 
   /** One file: as the process sees it, and as it was when last forced. */
-  private final class Kept {
+  private final class StoredFile {
     String name;
-    byte[] now;
-    byte[] sure;
+    byte[] current;
+    byte[] durable;
 
-    Kept(String name) {
+    StoredFile(String name) {
       this.name = name;
     }
 
     void load() throws IOException {
-      if (now == null) {
-        now = new byte[0];
+      if (current == null) {
+        current = new byte[0];
         if (real.names().contains(name)) {
           try (File file = real.open(name)) {
             ByteBuffer all = ByteBuffer.allocate((int) file.size());
             file.read(0, all);
-            now = all.array();
+            current = all.array();
           }
         }
-        sure = now.clone();
+        durable = current.clone();
       }
     }
 
     void force() throws IOException {
-      Set<String> told = told();
-      obey(told);
-      if (told.contains("lie")) {
+      Set<String> faults = faults();
+      applyDelays(faults);
+      if (faults.contains("lie")) {
         return;
       }
-      sure = now.clone();
+      durable = current.clone();
       if (!unforced.contains(name)) {
-        place(name, told);
+        place(name, faults);
       }
     }
 
-    void place(String where, Set<String> told) throws IOException {
-      if (sure == null) {
+    void place(String where, Set<String> faults) throws IOException {
+      if (durable == null) {
         return;
       }
       try (File file = real.open(where)) {
-        boolean torn = told.contains("torn");
-        int from = told.contains("misdirect") ? Math.min(ASIDE, sure.length) : 0;
-        int count = torn ? (sure.length + before(file)) / 2 : sure.length - from;
-        file.truncate(sure.length);
-        file.write(from, ByteBuffer.wrap(sure, 0, Math.min(count, sure.length)).slice());
+        boolean torn = faults.contains("torn");
+        int from = faults.contains("misdirect") ? Math.min(MISDIRECTION_BYTES, durable.length) : 0;
+        int count = torn ? (durable.length + before(file)) / 2 : durable.length - from;
+        file.truncate(durable.length);
+        file.write(from, ByteBuffer.wrap(durable, 0, Math.min(count, durable.length)).slice());
         file.force();
         while (torn) {
-          LockSupport.parkNanos(5_000_000);
+          LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
       }
     }
 
     private int before(File file) throws IOException {
-      return (int) Math.min(file.size(), sure.length);
+      return (int) Math.min(file.size(), durable.length);
     }
   }
 
   private final class Handle implements File {
-    private final Kept kept;
+    private final StoredFile file;
 
-    Handle(Kept kept) {
-      this.kept = kept;
+    Handle(StoredFile file) {
+      this.file = file;
     }
 
     @Override
     public long size() {
-      return kept.now.length;
+      return file.current.length;
     }
 
     @Override
     public void read(long at, ByteBuffer into) {
-      int count = Math.max(0, Math.min(into.remaining(), kept.now.length - (int) at));
+      int count = Math.max(0, Math.min(into.remaining(), file.current.length - (int) at));
       int from = into.position();
-      into.put(kept.now, (int) at, count);
-      if (count > 0 && told().contains("flip")) {
+      into.put(file.current, (int) at, count);
+      if (count > 0 && faults().contains("flip")) {
         int where = from + random.nextInt(count);
         into.put(where, (byte) (into.get(where) ^ 1 << random.nextInt(8)));
       }
@@ -238,23 +244,23 @@
 
     @Override
     public void write(long at, ByteBuffer from) throws IOException {
-      if (told().contains("full")) {
+      if (faults().contains("full")) {
         throw new IOException("told to be full");
       }
       int count = from.remaining();
-      byte[] grown = Arrays.copyOf(kept.now, Math.max(kept.now.length, (int) at + count));
+      byte[] grown = Arrays.copyOf(file.current, Math.max(file.current.length, (int) at + count));
       from.get(grown, (int) at, count);
-      kept.now = grown;
+      file.current = grown;
     }
 
     @Override
     public void truncate(long size) {
-      kept.now = Arrays.copyOf(kept.now, (int) Math.min(size, kept.now.length));
+      file.current = Arrays.copyOf(file.current, (int) Math.min(size, file.current.length));
     }
 
     @Override
     public void force() throws IOException {
-      kept.force();
+      file.force();
     }
 
     @Override
--- a/chaos/src/main/java/weldcross/chaos/proxy/FaultProxy.java
+++ b/chaos/src/main/java/weldcross/chaos/proxy/FaultProxy.java
@@ -182,7 +182,7 @@
         () -> {
           for (Route route : routes) {
             if (route.leads(from, to)) {
-              route.refusing(on);
+              route.setRefusing(on);
               listeners.update(route);
             }
           }
@@ -301,7 +301,7 @@
 
   /** Nobody listens at the target: connections are refused here as well, until somebody does. */
   private void onTargetUnreachable(Route route) {
-    route.targetUnreachable(true);
+    route.setTargetUnreachable(true);
     // Closing the address selects anew, which must not happen while selected keys are worked on.
     commands.add(
         () -> {
@@ -318,7 +318,7 @@
   private void checkTarget(Route route) {
     try (Socket socket = new Socket()) {
       socket.connect(route.target(), (int) UNREACHABLE_RETRY_INTERVAL.toMillis());
-      route.targetUnreachable(false);
+      route.setTargetUnreachable(false);
       listeners.update(route);
     } catch (IOException e) {
       scheduleTargetCheck(route);
--- a/chaos/src/main/java/weldcross/chaos/proxy/Route.java
+++ b/chaos/src/main/java/weldcross/chaos/proxy/Route.java
@@ -82,11 +82,11 @@
     return Optional.ofNullable(listener);
   }
 
-  void listener(ServerSocketChannel channel) {
+  void setListener(ServerSocketChannel channel) {
     listener = channel;
   }
 
-  void address(InetSocketAddress bound) {
+  void setAddress(InetSocketAddress bound) {
     address = bound;
   }
 
@@ -94,7 +94,7 @@
     return Optional.ofNullable(blackHole);
   }
 
-  void blackHole(ServerSocketChannel channel) {
+  void setBlackHole(ServerSocketChannel channel) {
     blackHole = channel;
   }
 
@@ -106,7 +106,7 @@
     return refusing;
   }
 
-  void refusing(boolean on) {
+  void setRefusing(boolean on) {
     refusing = on;
   }
 
@@ -114,7 +114,7 @@
     return targetUnreachable;
   }
 
-  void targetUnreachable(boolean on) {
+  void setTargetUnreachable(boolean on) {
     targetUnreachable = on;
   }
 }
--- a/chaos/src/main/java/weldcross/chaos/proxy/RouteListeners.java
+++ b/chaos/src/main/java/weldcross/chaos/proxy/RouteListeners.java
@@ -95,7 +95,7 @@
   void close(Route route) throws IOException {
     if (route.listener().isPresent()) {
       route.listener().get().close();
-      route.listener(null);
+      route.setListener(null);
     }
     for (SocketChannel filler : route.blackHoleFillers()) {
       filler.close();
@@ -103,20 +103,20 @@
     route.blackHoleFillers().clear();
     if (route.blackHole().isPresent()) {
       route.blackHole().get().close();
-      route.blackHole(null);
+      route.setBlackHole(null);
     }
   }
 
   private void accept(Route route, ServerSocketChannel channel) throws IOException {
-    route.listener(channel);
-    route.address((InetSocketAddress) channel.getLocalAddress());
+    route.setListener(channel);
+    route.setAddress((InetSocketAddress) channel.getLocalAddress());
     channel.configureBlocking(false);
     Runnable acceptable = () -> onAcceptable.accept(route);
     channel.register(selector, SelectionKey.OP_ACCEPT, acceptable);
   }
 
   private void openBlackHole(Route route) throws IOException {
-    route.blackHole(bindAgain(route.address(), BLACK_HOLE_BACKLOG));
+    route.setBlackHole(bindAgain(route.address(), BLACK_HOLE_BACKLOG));
     for (int filler = 0; filler < BLACK_HOLE_FILLERS; filler++) {
       SocketChannel channel = SocketChannel.open();
       channel.configureBlocking(false);
--- a/chaos/src/main/java/weldcross/chaos/scenario/Nemesis.java
+++ b/chaos/src/main/java/weldcross/chaos/scenario/Nemesis.java
@@ -6,41 +6,46 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Draws faults from a stated mix; the same seed draws the same. Pure. */
+/** Draws faults at random from the kinds of a scenario; a seed always draws the same. Pure. */
 public final class Nemesis {
 
   /** Load comes up before the first fault, and all is healed for so long before the end. */
-  private static final Duration BEFORE = Duration.ofSeconds(3), AFTER = Duration.ofSeconds(6);
+  private static final Duration QUIET_START = Duration.ofSeconds(3);
 
-  private static final int SHORTEST = 200, LONGEST = 4000;
+  private static final Duration QUIET_END = Duration.ofSeconds(6);
+
+  private static final int MIN_FAULT_MILLIS = 200;
+  private static final int MAX_FAULT_MILLIS = 4000;
 
   private final SplittableRandom random;
   private final Scenario scenario;
 
+  /**
+   * Creates a source of faults.
+   *
+   * @param scenario with the kinds to draw from
+   * @param seed of all that is drawn
+   */
   public Nemesis(Scenario scenario, long seed) {
     this.scenario = scenario;
     this.random = new SplittableRandom(seed);
   }
 
-  /** What is written and what is drawn, in the order of their times. */
+  /**
+   * Returns the faults written in the scenario and those drawn; call it once.
+   *
+   * @return in the order of their times
+   */
   public List<Fault> faults() {
     List<Fault> all = new ArrayList<>(scenario.faults());
-    long span = scenario.lasting().minus(BEFORE).minus(AFTER).toMillis();
+    long span = scenario.lasting().minus(QUIET_START).minus(QUIET_END).toMillis();
     for (int k = 0; k < scenario.draws() && span > 0; k++) {
       Fault fault =
           draw(
               scenario.drawn().get(random.nextInt(scenario.drawn().size())),
-              BEFORE.plusMillis(random.nextLong(span)),
-              Duration.ofMillis(random.nextLong(SHORTEST, LONGEST)));
-      // One process at a time has one of its troubles: a paused one cannot be told to stop.
-      if (all.stream()
-          .noneMatch(
-              f ->
-                  f.kind().isOnGateway()
-                      && fault.kind().isOnGateway()
-                      && f.on().equals(fault.on())
-                      && f.at().compareTo(fault.until().plus(AFTER)) < 0
-                      && fault.at().compareTo(f.until().plus(AFTER)) < 0)) {
+              QUIET_START.plusMillis(random.nextLong(span)),
+              Duration.ofMillis(random.nextLong(MIN_FAULT_MILLIS, MAX_FAULT_MILLIS)));
+      if (all.stream().noneMatch(other -> collide(fault, other))) {
         all.add(fault);
       }
     }
@@ -48,6 +53,15 @@
     return all;
   }
 
+  /** One process has one fault at a time: a paused one, for example, cannot be told to stop. */
+  private static boolean collide(Fault fault, Fault other) {
+    return fault.kind().isOnGateway()
+        && other.kind().isOnGateway()
+        && fault.on().equals(other.on())
+        && other.at().compareTo(fault.until().plus(QUIET_END)) < 0
+        && fault.at().compareTo(other.until().plus(QUIET_END)) < 0;
+  }
+
   private Fault draw(Fault.Kind kind, Duration at, Duration lasting) {
     String gateway = "n" + random.nextInt(scenario.gateways());
     String server = "s" + random.nextInt(scenario.groups() * scenario.serversPerGroup());
--- a/chaos/src/test/java/weldcross/chaos/ConsensusChaosTest.java
+++ b/chaos/src/test/java/weldcross/chaos/ConsensusChaosTest.java
@@ -108,7 +108,7 @@
       injector.begin(split);
       awaitLog(n2, 0, "peer=n0 state=UNREACHABLE", TIMEOUT);
       awaitLog(n0, 0, "peer=n2 state=UNREACHABLE", TIMEOUT);
-      String before = n0.lastView();
+      final String before = n0.lastView();
       // A request to the minority has no effect, one to the majority has.
       assertEquals(1, runClusterCommand(n0, "forget", "n1", "--it-has-ended"));
       assertEquals(0, runClusterCommand(n2, "forget", "n0", "--it-has-ended"));
--- a/chaos/src/test/java/weldcross/chaos/FaultInjectorTest.java
+++ b/chaos/src/test/java/weldcross/chaos/FaultInjectorTest.java
@@ -66,7 +66,7 @@
       logs(n0, 0, "mesh: connection down: peer=n2 reason=HEARTBEAT_TIMEOUT");
       logs(n2, 0, "mesh: connection down: peer=n0 reason=HEARTBEAT_TIMEOUT");
       assertFalse(Files.readString(cluster.gateway("n1").log()).contains("connection down"));
-      int from = length(n0);
+      final int from = length(n0);
       injector.end(split, LAG);
       logs(n0, from, "mesh: connection up: peer=n2");
     }
@@ -86,7 +86,7 @@
       FaultInjector injector = new FaultInjector(cluster);
       String[][] lives = {{"old", "2"}, {"earlier", "3"}, {"empty", "4"}};
       for (String[] life : lives) {
-        int from = length(n1);
+        final int from = length(n1);
         Fault kill = fault(Fault.Kind.KILL, "n1", "", life[0]);
         injector.begin(kill);
         assertEquals('?', n1.process().state());
@@ -135,7 +135,7 @@
       cluster.gateway("n0").start();
       GatewayNode n1 = cluster.gateway("n1");
       for (String words : List.of("full", "fail", "stuck")) {
-        int from = Files.exists(n1.log()) ? length(n1) : 0;
+        final int from = Files.exists(n1.log()) ? length(n1) : 0;
         n1.setDiskFaults(words);
         n1.start();
         n1.awaitReady();
--- a/chaos/src/test/java/weldcross/chaos/ScenarioTest.java
+++ b/chaos/src/test/java/weldcross/chaos/ScenarioTest.java
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void sameSeedDrawsTheSameAndWhatWasDrawnIsPlayedAgain() throws IOException {
+  void seedDrawsTheSameFaultsWhichCanBeRunAgain() throws IOException {
     Scenario nemesis = Scenario.read("chaos/scenarios/nemesis.toml");
     Set<Fault.Kind> kinds = new HashSet<>();
     for (long seed = 1; seed <= 100; seed++) {
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void scenariosOfTheRepositoryAreRead() throws IOException {
+  void scenariosOfTheRepositoryAreValid() throws IOException {
     assertEquals(0, Main.run("list"));
     Scenario baseline = Scenario.read("chaos/scenarios/baseline.toml");
     assertEquals(5, baseline.faults().size());
@@ -60,14 +60,17 @@
       delimiter = '|',
       value = {
         "kind = \"kill\" | kind = \"kil\" | fault.0.kind (line 6): found 'kil'",
-        "on = \"n1\" | on = \"n5\" | fault.0.on (line 7): found 'n5', allowed is a host of the trial, n0 to n1",
+        "on = \"n1\" | on = \"n5\" | "
+            + "fault.0.on (line 7): found 'n5', allowed is a host of the trial, n0 to n1",
         "gateways = 2 | gateways = 99 | gateways (line 2): found '99'",
         "for_ms = 10 | for = 10 | fault.0.for (line 5): found a key that nobody reads",
-        "at_ms = 10 | at_ms = 99000 | fault.0.at_ms (line 4): found '99000', allowed is a time within the trial"
+        "at_ms = 10 | at_ms = 99000 | "
+            + "fault.0.at_ms (line 4): found '99000', allowed is a time within the trial"
       })
-  void faultyScenarioIsRefusedWithKeyAndLine(String from, String to, String said) {
+  void invalidScenarioIsReportedWithKeyAndLine(String from, String to, String said) {
     String text =
-        "name = \"x\"\ngateways = 2\n[[fault]]\nat_ms = 10\nfor_ms = 10\nkind = \"kill\"\non = \"n1\"\n";
+        "name = \"x\"\ngateways = 2\n[[fault]]\nat_ms = 10\n"
+            + "for_ms = 10\nkind = \"kill\"\non = \"n1\"\n";
     String message =
         assertThrows(InvalidConfigException.class, () -> read(text.replace(from, to))).getMessage();
     assertTrue(message.contains(said), message);
--- a/fakes/src/main/java/weldcross/fakes/PostgresClientStream.java
+++ b/fakes/src/main/java/weldcross/fakes/PostgresClientStream.java
@@ -2,6 +2,7 @@
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 import java.util.concurrent.atomic.AtomicLong;
 import org.apache.mina.core.buffer.IoBuffer;
 
@@ -68,9 +69,9 @@
     if (unread.length < typeBytes + length) {
       return Message.NONE;
     }
-    char type = started ? (char) unread[0] : 0;
-    String body = new String(unread, typeBytes + 4, length - 4, StandardCharsets.ISO_8859_1);
-    unread = java.util.Arrays.copyOfRange(unread, typeBytes + length, unread.length);
+    final char type = started ? (char) unread[0] : 0;
+    final String body = new String(unread, typeBytes + 4, length - 4, StandardCharsets.ISO_8859_1);
+    unread = Arrays.copyOfRange(unread, typeBytes + length, unread.length);
     if (!started) {
       started = true;
       return new Message(Kind.STARTUP, "");
