--- a/chaos/src/test/java/weldcross/chaos/FaultProxyTest.java
+++ b/chaos/src/test/java/weldcross/chaos/FaultProxyTest.java
@@ -17,6 +17,7 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicBoolean;
+import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -129,27 +130,30 @@
   @Test
   void cutsWorkWhileProcessesAreStarted() throws Exception {
     AtomicBoolean over = new AtomicBoolean();
-    CompletableFuture<Integer> starts =
-        CompletableFuture.supplyAsync(
+    AtomicInteger started = new AtomicInteger();
+    CompletableFuture<Void> starts =
+        CompletableFuture.runAsync(
             () -> {
-              int count = 0;
               try {
-                for (; !over.get(); count++) {
+                while (!over.get()) {
                   new ProcessBuilder("true").start().waitFor();
+                  started.incrementAndGet();
                 }
               } catch (IOException | InterruptedException e) {
                 throw new IllegalStateException(e);
               }
-              return count;
             });
     try {
-      for (int k = 0; k < 300; k++) {
-        proxy.setPath("a", "b", NetworkPath.OPEN.withCut(k % 2 == 0));
+      // Goes on until enough processes were started meanwhile; the class's timeout bounds it.
+      for (int change = 0; change < 300 || started.get() <= 10; change++) {
+        proxy.setPath("a", "b", NetworkPath.OPEN.withCut(change % 2 == 0));
       }
+      proxy.setPath("a", "b", NetworkPath.OPEN);
     } finally {
       over.set(true);
     }
-    assertTrue(starts.get() > 10, "processes were started meanwhile");
+    starts.get();
+    assertTrue(started.get() > 10, "processes were started meanwhile");
     try (Socket again = new Socket(route.address().getAddress(), route.address().getPort());
         Socket taken = server.accept()) {
       passes(again, taken, 9);
