--- a/gateway/src/test/java/weldcross/mesh/net/IncarnationStoreTest.java
+++ b/gateway/src/test/java/weldcross/mesh/net/IncarnationStoreTest.java
@@ -80,7 +80,7 @@
   void storeTriesAgainUntilTheDiskWorks() throws Exception {
     Path blocked = folder.resolve("blocked");
     Files.writeString(blocked, "a file where the directory should be");
-    IncarnationStore store = open(blocked);
+    final IncarnationStore store = open(blocked);
     assertNull(stored.poll(300, TimeUnit.MILLISECONDS), "nothing while the disk fails");
     Files.delete(blocked);
     assertEquals(1, nextStored());
