--- a/benchmarks/src/main/java/weldcross/benchmarks/StorageMeasurements.java
+++ b/benchmarks/src/main/java/weldcross/benchmarks/StorageMeasurements.java
@@ -91,11 +91,12 @@
     }
     RecordCounter counter = new RecordCounter();
     long began = System.nanoTime();
-    try (StorageDirectory directory = FileStorageDirectory.at(path);
-        RecordLog log = open(directory, counter)) {
+    try (StorageDirectory directory = FileStorageDirectory.at(path)) {
+      RecordLog log = open(directory, counter);
+      long millis = (System.nanoTime() - began) / 1_000_000;
       System.out.printf(
-          "%d records (%d MB) read back in %d ms%n",
-          counter.records, bytesIn(path) >> 20, (System.nanoTime() - began) / 1_000_000);
+          "%d records (%d MB) read back in %d ms%n", counter.records, bytesIn(path) >> 20, millis);
+      log.close();
     }
   }
 
--- a/chaos/src/main/java/weldcross/chaos/GatewayConfigWriter.java
+++ b/chaos/src/main/java/weldcross/chaos/GatewayConfigWriter.java
@@ -18,22 +18,6 @@
   /** What a gateway's weights add up to over all gateways. */
   private static final int TOTAL_WEIGHT = 1000;
 
-  private static final String CONFIG =
-      """
-      {"name": "%s", "listen": "%s:%d", "discovery": "%s", "seed": "%x",
-       "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-       "known": {"revision": 0, "complete": true, "members": []},
-       "settings": {"nInstances": %d, "myZone": 0, "zones": ["a"], "discovery": "pushed",
-        "tenants": [{"name": "acme"}], "categories": [%s],
-        "familyInfo": {"freshness": [%s], "lagAllowed": [%s], "tokenMode": "remembered"},
-        "bounds": {"tryLimit": 10, "cancel": true, "mayProbe": true, "mayTell": false,
-         "parallelTries": true, "retryAfter": true, "maxRetryAfter": 500000,
-         "idleClose": 30000000, "connectTimeout": 250000},
-        "invariants": {"mustAskIn": 10000000, "stopSendingWithin": 2000000, "coldFrom": 0.3,
-         "cold": 5000000, "fallMultiple": 2.0, "fall": 1000000},
-        "report": {"source": "probe"}}}
-      """;
-
   private final Scenario scenario;
   private final boolean trustDisks;
   private final FaultProxy proxy;
@@ -60,7 +44,20 @@
     List<RequestType> types = List.of(RequestType.values());
     String config =
         String.format(
-            CONFIG,
+            """
+      {"name": "%s", "listen": "%s:%d", "discovery": "%s", "seed": "%x",
+       "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+       "known": {"revision": 0, "complete": true, "members": []},
+       "settings": {"nInstances": %d, "myZone": 0, "zones": ["a"], "discovery": "pushed",
+        "tenants": [{"name": "acme"}], "categories": [%s],
+        "familyInfo": {"freshness": [%s], "lagAllowed": [%s], "tokenMode": "remembered"},
+        "bounds": {"tryLimit": 10, "cancel": true, "mayProbe": true, "mayTell": false,
+         "parallelTries": true, "retryAfter": true, "maxRetryAfter": 500000,
+         "idleClose": 30000000, "connectTimeout": 250000},
+        "invariants": {"mustAskIn": 10000000, "stopSendingWithin": 2000000, "coldFrom": 0.3,
+         "cold": 5000000, "fallMultiple": 2.0, "fall": 1000000},
+        "report": {"source": "probe"}}}
+      """,
             gateway.name(),
             gateway.host().getHostAddress(),
             GatewayNode.CLIENT_PORT,
--- a/chaos/src/main/java/weldcross/chaos/load/LoadGenerator.java
+++ b/chaos/src/main/java/weldcross/chaos/load/LoadGenerator.java
@@ -122,8 +122,12 @@
   }
 
   @Override
-  public void close() throws InterruptedException {
-    stop();
+  public void close() {
+    try {
+      stop();
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    }
     synchronized (this) {
       idleConnections.values().forEach(all -> all.forEach(GatewayConnection::close));
     }
--- a/chaos/src/test/java/weldcross/chaos/LyingStorageDirectoryTest.java
+++ b/chaos/src/test/java/weldcross/chaos/LyingStorageDirectoryTest.java
@@ -177,14 +177,15 @@
     ProcessRun run = new ProcessRun();
     run.add(1);
     setFaults("torn");
-    CompletableFuture.runAsync(
-        () -> {
-          try {
-            run.add(2);
-          } catch (IOException e) {
-            throw new IllegalStateException(e);
-          }
-        });
+    CompletableFuture<Void> unused =
+        CompletableFuture.runAsync(
+            () -> {
+              try {
+                run.add(2);
+              } catch (IOException e) {
+                throw new IllegalStateException(e);
+              }
+            });
     Path log = folder.resolve("log").resolve("log-0000000000000001");
     long whole = 16 + 33;
     Await.until("half is written", Duration.ofSeconds(10), () -> log.toFile().length() > whole);
--- a/gateway/src/main/java/weldcross/consensus/net/VoterExecutor.java
+++ b/gateway/src/main/java/weldcross/consensus/net/VoterExecutor.java
@@ -1,6 +1,7 @@
 package weldcross.consensus.net;
 
 import io.microraft.executor.RaftNodeExecutor;
+import java.util.concurrent.Future;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Level;
@@ -47,7 +48,7 @@
   @Override
   public void schedule(Runnable task, long delay, TimeUnit unit) {
     if (!thread.isShutdown()) {
-      thread.schedule(() -> run(task), delay, unit);
+      Future<?> unused = thread.schedule(() -> run(task), delay, unit);
     }
   }
 
--- a/gateway/src/main/java/weldcross/consensus/raft/RaftVoter.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/RaftVoter.java
@@ -62,7 +62,7 @@
 
   private final ConsensusConfig config;
   private final RaftNodeExecutor executor;
-  private final VoterNode.Runtime runtime;
+  private final VoterNode.VoterRuntime runtime;
   private final LongSupplier nonces;
   private final RaftVoterActions actions;
   private final LeaderWatch leaderWatch;
@@ -105,7 +105,7 @@
     this.config = config;
     this.executor = executor;
     this.leaderWatch = new LeaderWatch(clock, config.leaderTimeout());
-    this.runtime = new VoterNode.Runtime(executor, clock, random);
+    this.runtime = new VoterNode.VoterRuntime(executor, clock, random);
     this.nonces = nonces;
     this.actions = actions;
     this.messenger = new VoterMessenger(config, actions);
--- a/gateway/src/main/java/weldcross/consensus/raft/VoterAdmission.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/VoterAdmission.java
@@ -5,6 +5,7 @@
 import io.microraft.RaftNode;
 import io.microraft.report.RaftGroupMembers;
 import java.util.Optional;
+import java.util.concurrent.Future;
 import java.util.logging.Level;
 
 /**
@@ -30,8 +31,10 @@
     }
     Optional<VoterId> member = memberOfSameName(group, candidate);
     if (member.isEmpty()) {
-      node.changeMembership(
-          candidate, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, group.getLogIndex());
+      // The next call makes it again if it fails.
+      Future<?> unused =
+          node.changeMembership(
+              candidate, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, group.getLogIndex());
     } else if (!member.get().equals(candidate)) {
       actions.log(
           Level.WARNING,
@@ -39,7 +42,9 @@
               + member.get()
               + " replacement="
               + candidate);
-      node.changeMembership(member.get(), MembershipChangeMode.REMOVE_MEMBER, group.getLogIndex());
+      Future<?> unused =
+          node.changeMembership(
+              member.get(), MembershipChangeMode.REMOVE_MEMBER, group.getLogIndex());
     }
   }
 
--- a/gateway/src/main/java/weldcross/consensus/raft/VoterNode.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/VoterNode.java
@@ -13,6 +13,7 @@
 import java.time.Duration;
 import java.util.Optional;
 import java.util.Random;
+import java.util.concurrent.Future;
 import java.util.function.Consumer;
 import weldcross.consensus.ConsensusConfig;
 import weldcross.consensus.MembershipView;
@@ -51,7 +52,7 @@
    * @param clock that never jumps
    * @param random for election timeouts
    */
-  record Runtime(RaftNodeExecutor executor, Clock clock, Random random) {}
+  record VoterRuntime(RaftNodeExecutor executor, Clock clock, Random random) {}
 
   private final VoterId self;
   private final Listener listener;
@@ -63,7 +64,7 @@
   VoterNode(
       VoterId self,
       ConsensusConfig config,
-      Runtime runtime,
+      VoterRuntime runtime,
       PersistentRaftStore persistentStore,
       Listener listener) {
     this.self = self;
@@ -100,14 +101,14 @@
   }
 
   void start() {
-    raft.start();
+    Future<?> unused = raft.start();
   }
 
   /** Ends the node; writes that it still makes are dropped. */
   void terminate() {
     terminated = true;
     store.detach();
-    raft.terminate();
+    Future<?> unused = raft.terminate();
   }
 
   void handle(RaftMessage message) {
@@ -120,13 +121,14 @@
    * @param onCommit not called where it fails, after which it may be committed or not
    */
   void replicate(Proposal proposal, Consumer<ProposalResult> onCommit) {
-    raft.<ProposalResult>replicate(MembershipCodec.encodeProposal(proposal))
-        .whenComplete(
-            (committed, failure) -> {
-              if (failure == null) {
-                onCommit.accept(committed.getResult());
-              }
-            });
+    Future<?> unused =
+        raft.<ProposalResult>replicate(MembershipCodec.encodeProposal(proposal))
+            .whenComplete(
+                (committed, failure) -> {
+                  if (failure == null) {
+                    onCommit.accept(committed.getResult());
+                  }
+                });
   }
 
   /** Whether this node is the leader, as far as it knows. */
--- a/gateway/src/main/java/weldcross/gateway/Gateway.java
+++ b/gateway/src/main/java/weldcross/gateway/Gateway.java
@@ -244,7 +244,7 @@
 
   /** Starts the gateway without extensions. */
   void start() {
-    LOG.info(() -> config.describe().split("\n")[0]);
+    LOG.info(() -> config.describe().lines().findFirst().orElse(""));
     router = new Router(this, config.routing(), config.seed());
     enter(Phase.LISTENING);
     transport.listen(config.listenAddress());
--- a/gateway/src/main/java/weldcross/gateway/GatewayProcess.java
+++ b/gateway/src/main/java/weldcross/gateway/GatewayProcess.java
@@ -12,8 +12,6 @@
 import java.util.function.Supplier;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import sun.misc.Signal;
-import sun.misc.SignalHandler;
 import weldcross.config.GatewayConfig;
 import weldcross.config.InvalidConfigException;
 import weldcross.extension.ExtensionContext;
@@ -108,15 +106,13 @@
   }
 
   private void handleSignals(Supplier<GatewayConfig> reader) {
-    // Each signal is handled on a thread of its own.
-    SignalHandler before = Signal.handle(new Signal("HUP"), signal -> reload(reader));
-    if (before == SignalHandler.SIG_IGN) {
+    if (!ProcessSignals.handle("HUP", () -> reload(reader))) {
       LOG.warning(
           "SIGHUP is ignored from the start, as under nohup: the configuration cannot be reloaded");
     }
     // Not a shutdown hook: by then the log is closed, and the status is that of a killed process.
-    Signal.handle(new Signal("TERM"), signal -> stop());
-    Signal.handle(new Signal("INT"), signal -> stop());
+    ProcessSignals.handle("TERM", this::stop);
+    ProcessSignals.handle("INT", this::stop);
   }
 
   /** Serves until the gateway has stopped or a fault has ended it; returns the exit status. */
--- a/gateway/src/main/java/weldcross/gateway/SelfTest.java
+++ b/gateway/src/main/java/weldcross/gateway/SelfTest.java
@@ -86,7 +86,9 @@
   /** Sends a message and reads on to ReadyForQuery; returns the type of the first message. */
   private static int exchange(Socket client, DataInputStream in, ByteBuffer message)
       throws IOException {
-    client.getOutputStream().write(message.array(), message.position(), message.remaining());
+    byte[] bytes = new byte[message.remaining()];
+    message.get(bytes);
+    client.getOutputStream().write(bytes);
     int first = 0;
     byte type;
     do {
--- a/gateway/src/main/java/weldcross/routing/EndpointSelector.java
+++ b/gateway/src/main/java/weldcross/routing/EndpointSelector.java
@@ -85,7 +85,7 @@
       return endpoint.readsInFlight < other.readsInFlight;
     }
     boolean closeRanks = (int) endpoint.rank == (int) other.rank;
-    return closeRanks && endpoint.position != null && other.position != null
+    return (closeRanks && endpoint.position != null && other.position != null)
         ? endpoint.position.compareTo(other.position) > 0
         : endpoint.rank < other.rank;
   }
--- a/gateway/src/main/java/weldcross/storage/RecordLog.java
+++ b/gateway/src/main/java/weldcross/storage/RecordLog.java
@@ -5,7 +5,7 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.TreeMap;
+import java.util.NavigableMap;
 
 /**
  * A log of records that survives the loss of the process and of power, in the order in which they
@@ -67,7 +67,7 @@
   private final Recovered recovered;
 
   /** Names of the segments by their first records. */
-  private final TreeMap<Long, String> segments;
+  private final NavigableMap<Long, String> segments;
 
   private final List<ByteBuffer> pending = new ArrayList<>();
   private State state = State.OPEN;
--- a/gateway/src/main/java/weldcross/storage/RecordLogRecovery.java
+++ b/gateway/src/main/java/weldcross/storage/RecordLogRecovery.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.List;
+import java.util.NavigableMap;
 import java.util.Optional;
 import java.util.TreeMap;
 
@@ -44,7 +45,7 @@
   }
 
   /** Names of the segments by their first records. */
-  TreeMap<Long, String> segments() {
+  NavigableMap<Long, String> segments() {
     return segments;
   }
 
--- a/gateway/src/test/java/weldcross/connections/CancellableConnectorTest.java
+++ b/gateway/src/test/java/weldcross/connections/CancellableConnectorTest.java
@@ -144,9 +144,13 @@
 
   @Test
   void refusedAttemptIsReportedAndCannotBeCancelled() throws Exception {
-    server.close();
-    connector.connect(1, address, connected::add, failed::add);
-    assertNotNull(failed.poll(20, TimeUnit.SECONDS));
-    assertFalse(connector.cancel(1));
+    // Bound and not listening: refused for sure, as no other process can take the port meanwhile.
+    try (Socket reserved = new Socket()) {
+      reserved.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+      InetSocketAddress refusing = (InetSocketAddress) reserved.getLocalSocketAddress();
+      connector.connect(1, refusing, connected::add, failed::add);
+      assertNotNull(failed.poll(20, TimeUnit.SECONDS));
+      assertFalse(connector.cancel(1));
+    }
   }
 }
--- a/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
@@ -117,7 +117,7 @@
   }
 
   private int clients() {
-    return Integer.parseInt(gateway.describe().split(" ")[0]);
+    return Integer.parseInt(gateway.describe().split(" ", -1)[0]);
   }
 
   private void moveClock(int millis) {
@@ -151,7 +151,9 @@
   }
 
   private static void send(Socket socket, ByteBuffer bytes) throws IOException {
-    socket.getOutputStream().write(bytes.array(), 0, bytes.limit());
+    byte[] message = new byte[bytes.remaining()];
+    bytes.duplicate().get(message);
+    socket.getOutputStream().write(message);
   }
 
   private ByteBuffer read() {
@@ -168,7 +170,7 @@
   }
 
   private int acceptedRequests() {
-    return Integer.parseInt(gateway.describe().split("; ")[1].split(" ")[0]);
+    return Integer.parseInt(gateway.describe().split("; ", -1)[1].split(" ", -1)[0]);
   }
 
   /** Rule 1: half a statement is read and the rest on its way as its connection is closed. */
--- a/gateway/src/test/java/weldcross/gateway/GatewayHarness.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayHarness.java
@@ -81,7 +81,7 @@
     Handler handler =
         new StreamHandler() {
           @Override
-          public void publish(LogRecord record) {
+          public synchronized void publish(LogRecord record) {
             lines.add(record.getMessage());
           }
         };
--- a/gateway/src/test/java/weldcross/gateway/GatewayProcessTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayProcessTest.java
@@ -69,7 +69,7 @@
   void malformedMessageIsAnsweredBeforeTheCloseWhileMoreArrives() throws Exception {
     GatewayProcess gateway =
         new GatewayProcess(LoopbackFakes.readConfig(fakes.discovery(new Primary())));
-    CompletableFuture.supplyAsync(gateway::serve);
+    CompletableFuture<Integer> unused = CompletableFuture.supplyAsync(gateway::serve);
     InetSocketAddress address = gateway.listening().get(20, TimeUnit.SECONDS);
     try (Client client = new Client(address)) {
       client.send(ByteBuffer.allocate(5).put((byte) 'Q').putInt(60 << 20).flip());
@@ -90,7 +90,7 @@
     GatewayProcess gateway =
         new GatewayProcess(
             GatewayConfig.of(ConfigValues.ofJson(config.getBytes(StandardCharsets.UTF_8))));
-    CompletableFuture.supplyAsync(gateway::serve);
+    CompletableFuture<Integer> unused = CompletableFuture.supplyAsync(gateway::serve);
     return gateway;
   }
 
--- a/gateway/src/test/java/weldcross/gateway/LoopbackFakes.java
+++ b/gateway/src/test/java/weldcross/gateway/LoopbackFakes.java
@@ -1,5 +1,6 @@
 package weldcross.gateway;
 
+import java.io.Closeable;
 import java.io.DataInputStream;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -25,11 +26,11 @@
 /** A server, a discovery and clients on loopback sockets, for tests of a whole process. */
 final class LoopbackFakes implements AutoCloseable {
 
-  private final List<AutoCloseable> fakes = new ArrayList<>();
+  private final List<Closeable> fakes = new ArrayList<>();
   private int nextRequest;
 
   /** Accepts until it is closed; each connection on a thread of its own. */
-  abstract static class FakeListener implements AutoCloseable {
+  abstract static class FakeListener implements Closeable {
     final ServerSocket socket;
     final List<Socket> open = new ArrayList<>();
 
@@ -84,11 +85,11 @@
         if (asked.startsWith("SHOW")) {
           value = "x0=" + System.currentTimeMillis() / 1000.0 + ",x1=1";
         } else if (asked.startsWith("INSERT")) {
-          value = asked.split("\\\\x|'\\) ")[1];
+          value = asked.split("\\\\x|'\\) ", -1)[1];
           awaitLatch(stuck);
-          rows.put(asked.split("'")[1], value);
+          rows.put(asked.split("'", -1)[1], value);
         } else {
-          value = rows.getOrDefault(asked.split("'")[1], "");
+          value = rows.getOrDefault(asked.split("'", -1)[1], "");
         }
         out.write(row(value, asked.startsWith("INSERT") ? "INSERT 0 1" : "SELECT 1"));
         out.write(message('S', "mode\0read-write\0"));
@@ -147,7 +148,9 @@
     }
 
     void send(ByteBuffer bytes) throws IOException {
-      socket.getOutputStream().write(bytes.array(), 0, bytes.limit());
+      byte[] message = new byte[bytes.remaining()];
+      bytes.duplicate().get(message);
+      socket.getOutputStream().write(message);
     }
 
     /** The messages up to ReadyForQuery, each with its type. */
@@ -176,8 +179,8 @@
 
   /** Closes all listeners that were registered, with their connections. */
   @Override
-  public void close() throws Exception {
-    for (AutoCloseable each : fakes) {
+  public void close() throws IOException {
+    for (Closeable each : fakes) {
       each.close();
     }
   }
--- a/gateway/src/test/java/weldcross/routing/DurationsTest.java
+++ b/gateway/src/test/java/weldcross/routing/DurationsTest.java
@@ -28,7 +28,7 @@
 
   @Test
   void secondsAreTruncatedToNanoseconds() {
-    assertEquals(Duration.ofNanos(1_500_000_000), Durations.ofSeconds(1.5));
+    assertEquals(Duration.ofMillis(1500), Durations.ofSeconds(1.5));
     assertEquals(Duration.ZERO, Durations.ofSeconds(0.9e-9));
     assertEquals(0.002, Durations.inSeconds(TWO));
   }
--- a/gateway/src/test/java/weldcross/routing/RouterHarness.java
+++ b/gateway/src/test/java/weldcross/routing/RouterHarness.java
@@ -13,6 +13,7 @@
  * The host of one router: simulates its servers and clients and fails the test at the action that
  * breaks a rule of the service. Time passes only in {@link #advance}.
  */
+@SuppressWarnings("EnumOrdinal") // Request classes stand in the order of Consistency.
 final class RouterHarness implements RouterActions {
 
   static final Duration STALENESS_BOUND = ms(400);
@@ -439,7 +440,9 @@
     if (percent < 40) {
       Consistency consistency = Consistency.values()[random.nextInt(Consistency.values().length)];
       Duration sinceWrite =
-          config.clientsCarryTokens() ? ms(random.nextInt(3) * random.nextInt(400)) : Duration.ZERO;
+          config.clientsCarryTokens()
+              ? ms((long) random.nextInt(3) * random.nextInt(400))
+              : Duration.ZERO;
       arrive(consistency, random.nextInt(2), sinceWrite);
     } else if (percent < 75 && !inFlight.isEmpty()) {
       endRandomAttempt(random);
--- a/gateway/src/test/java/weldcross/routing/RoutingConfigs.java
+++ b/gateway/src/test/java/weldcross/routing/RoutingConfigs.java
@@ -7,6 +7,7 @@
 import weldcross.routing.RequestClass.Scope;
 
 /** Configurations for tests. */
+@SuppressWarnings("EnumOrdinal") // Request classes stand in the order of Consistency.
 final class RoutingConfigs {
 
   private RoutingConfigs() {}
--- a/gateway/src/test/java/weldcross/routing/SessionConsistencyTest.java
+++ b/gateway/src/test/java/weldcross/routing/SessionConsistencyTest.java
@@ -13,6 +13,7 @@
 import weldcross.routing.RequestClass.Effect;
 import weldcross.routing.RequestClass.Scope;
 
+@SuppressWarnings("EnumOrdinal") // Request classes stand in the order of Consistency.
 class SessionConsistencyTest {
 
   @Test
--- a/gateway/src/test/java/weldcross/storage/AsyncRecordLogTest.java
+++ b/gateway/src/test/java/weldcross/storage/AsyncRecordLogTest.java
@@ -112,10 +112,8 @@
             2,
             event -> {
               try {
-                synchronized (folder) {
-                  while (events.size() < 2) {
-                    folder.wait(10);
-                  }
+                while (events.size() < 2) {
+                  TimeUnit.MILLISECONDS.sleep(10);
                 }
               } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
