--- a/gateway/src/main/java/weldcross/gateway/AttemptTracker.java
+++ b/gateway/src/main/java/weldcross/gateway/AttemptTracker.java
@@ -8,6 +8,7 @@
 import weldcross.pgwire.MessageEncoder;
 import weldcross.pgwire.ServerResponse;
 import weldcross.routing.AttemptOutcome;
+import weldcross.routing.AttemptResult;
 import weldcross.routing.RequestId;
 import weldcross.routing.ServerId;
 
@@ -237,15 +238,15 @@
           .router()
           .attemptEnded(
               gateway.now(),
-              request.id,
-              number,
-              server,
-              outcome,
-              took,
-              connectedSince,
-              primary,
-              position,
-              request.answered);
+              new AttemptResult(
+                  request.id,
+                  number,
+                  outcome,
+                  took,
+                  connectedSince,
+                  primary,
+                  position,
+                  request.answered));
       reports.received(server, response == null ? null : response.loadReport());
       forgetIfDone(request);
     }
--- a/gateway/src/main/java/weldcross/gateway/EndpointDirectory.java
+++ b/gateway/src/main/java/weldcross/gateway/EndpointDirectory.java
@@ -8,6 +8,7 @@
 import weldcross.discovery.DiscoveredEndpoint;
 import weldcross.routing.EndpointStatus;
 import weldcross.routing.GroupId;
+import weldcross.routing.ListedEndpoint;
 import weldcross.routing.ServerId;
 import weldcross.routing.ZoneId;
 
@@ -53,14 +54,15 @@
         .router()
         .endpointListed(
             gateway.now(),
-            server,
-            new ZoneId(endpoint.zone()),
-            group,
-            endpoint.status(),
-            endpoint.startedAtMillis() == 0
-                ? null
-                : unixTime.sinceStart(endpoint.startedAtMillis()),
-            endpoint.primary());
+            new ListedEndpoint(
+                server,
+                new ZoneId(endpoint.zone()),
+                group,
+                endpoint.status(),
+                endpoint.startedAtMillis() == 0
+                    ? null
+                    : unixTime.sinceStart(endpoint.startedAtMillis()),
+                endpoint.primary()));
   }
 
   /** Forgets an endpoint that left the list; its group stays known. */
--- a/gateway/src/main/java/weldcross/gateway/RequestPipeline.java
+++ b/gateway/src/main/java/weldcross/gateway/RequestPipeline.java
@@ -10,6 +10,7 @@
 import weldcross.pgwire.MessageEncoder;
 import weldcross.pgwire.Statement;
 import weldcross.routing.GroupId;
+import weldcross.routing.NewRequest;
 import weldcross.routing.RequestClass.Consistency;
 import weldcross.routing.RequestId;
 import weldcross.routing.SessionId;
@@ -238,13 +239,14 @@
         .router()
         .requestArrived(
             gateway.now(),
-            request.id,
-            requestClass,
-            group,
-            inSession ? new SessionId(statement.key()) : null,
-            timeSinceWrite(statement),
-            patience,
-            statement.isRetry());
+            new NewRequest(
+                request.id,
+                requestClass,
+                group,
+                inSession ? new SessionId(statement.key()) : null,
+                timeSinceWrite(statement),
+                patience,
+                statement.isRetry()));
   }
 
   /** Returns the time since the write that a read has to see; zero if it names none. */
--- a/gateway/src/main/java/weldcross/routing/EndpointRegistry.java
+++ b/gateway/src/main/java/weldcross/routing/EndpointRegistry.java
@@ -93,36 +93,31 @@
   }
 
   /** Takes in one entry, see {@link Router#endpointListed}. */
-  void addListed(
-      Duration now,
-      ServerId id,
-      ZoneId zone,
-      GroupId groupId,
-      EndpointStatus status,
-      Duration startedAt,
-      boolean primary) {
-    ReplicaGroup group = group(groupId);
-    EndpointState endpoint = endpoints.computeIfAbsent(id, unknown -> add(unknown, group, zone));
+  void addListed(Duration now, ListedEndpoint entry) {
+    ReplicaGroup group = group(entry.group());
+    EndpointState endpoint =
+        endpoints.computeIfAbsent(entry.id(), unknown -> add(unknown, group, entry.zone()));
     unlisted.remove(endpoint);
-    if (status == EndpointStatus.REMOVED) {
+    if (entry.status() == EndpointStatus.REMOVED) {
       endpoint.listed &= !config.removalIsBinding();
       return;
     }
     endpoint.listed = true;
     endpoint.removedAt = null;
+    Duration startedAt = entry.startedAt();
     // Where only draining binds, a list that is wrong for a while does not take it back.
     boolean stillDraining =
         endpoint.draining
             && !config.removalIsBinding()
             && (startedAt == null || startedAt.equals(endpoint.startedAt));
-    endpoint.draining = status == EndpointStatus.DRAINING || stillDraining;
+    endpoint.draining = entry.status() == EndpointStatus.DRAINING || stillDraining;
     if (startedAt != null && !startedAt.equals(endpoint.startedAt)) {
       endpoint.startedAt = startedAt;
       endpoint.presumedRestartAt = null;
       slowStart.begin(now, endpoint, startedAt);
     }
     // The list is late, so it names the primary only where nothing better is known.
-    if (primary && group.primary == null) {
+    if (entry.primary() && group.primary == null) {
       group.primary = endpoint;
     }
   }
--- a/gateway/src/main/java/weldcross/routing/Router.java
+++ b/gateway/src/main/java/weldcross/routing/Router.java
@@ -86,21 +86,9 @@
     registry.beginList(complete);
   }
 
-  /**
-   * Takes in one entry of the endpoint list.
-   *
-   * @param startedAt when its process started, as far as is known; null if the list does not say
-   * @param primary whether the list names it as the primary of its group
-   */
-  public void endpointListed(
-      Duration now,
-      ServerId id,
-      ZoneId zone,
-      GroupId group,
-      EndpointStatus status,
-      Duration startedAt,
-      boolean primary) {
-    registry.addListed(now, id, zone, group, status, startedAt, primary);
+  /** Takes in one entry of the endpoint list. */
+  public void endpointListed(Duration now, ListedEndpoint entry) {
+    registry.addListed(now, entry);
   }
 
   /** Ends the endpoint list that was begun last. */
@@ -130,38 +118,21 @@
 
   // ---- Requests
 
-  /**
-   * Takes in a request of a client.
-   *
-   * @param classIndex the index of its class in {@link RoutingConfig#requestClasses}
-   * @param session null where it has none
-   * @param sinceWrite how long ago the last write of its session was committed, as the client says;
-   *     zero if there was none
-   * @param patience how long the client waits
-   * @param clientRetry whether the client has sent the same request before
-   */
-  public void requestArrived(
-      Duration now,
-      RequestId id,
-      int classIndex,
-      GroupId group,
-      SessionId session,
-      Duration sinceWrite,
-      Duration patience,
-      boolean clientRetry) {
+  /** Takes in a request of a client. */
+  public void requestArrived(Duration now, NewRequest arrival) {
     RequestState request =
         new RequestState(
-            id,
-            classIndex,
-            config.requestClasses().get(classIndex),
-            registry.group(group),
-            session,
-            sinceWrite.isZero() ? null : now.minus(sinceWrite),
-            clientRetry,
+            arrival.id(),
+            arrival.classIndex(),
+            config.requestClasses().get(arrival.classIndex()),
+            registry.group(arrival.group()),
+            arrival.session(),
+            arrival.sinceWrite().isZero() ? null : now.minus(arrival.sinceWrite()),
+            arrival.clientRetry(),
             now,
-            now.plus(patience),
+            now.plus(arrival.patience()),
             random.nextDouble());
-    requests.put(id, request);
+    requests.put(request.id, request);
     timers.schedule(request.firstSendDeadline, at -> giveUpIf(request, request.attempts.isEmpty()));
     timers.schedule(
         request.sendDeadline,
@@ -182,55 +153,43 @@
     return selector.isStillEligible(now, request, request.attempts.get(attempt));
   }
 
-  /**
-   * Takes in the end of an attempt.
-   *
-   * @param number counts the attempts of the request from zero
-   * @param took the time since it was sent
-   * @param aliveSince since when at least the process that answered runs; null if none answered
-   * @param primary whether the server said it is the primary; null where it did not say
-   * @param position up to where the server's data goes, or where the write was committed; null
-   *     where it did not say
-   * @param answered whether the client has its final answer by this
-   */
-  public void attemptEnded(
-      Duration now,
-      RequestId id,
-      int number,
-      ServerId server,
-      AttemptOutcome outcome,
-      Duration took,
-      Duration aliveSince,
-      Boolean primary,
-      Duration position,
-      boolean answered) {
-    RequestState request = requests.get(id);
+  /** Takes in the end of an attempt. */
+  public void attemptEnded(Duration now, AttemptResult result) {
+    RequestState request = requests.get(result.request());
     if (request == null) {
       return;
     }
-    Attempt attempt = request.attempts.get(number);
+    Attempt attempt = request.attempts.get(result.number());
     EndpointState endpoint = attempt.endpoint();
+    AttemptOutcome outcome = result.outcome();
     removeFromFlight(attempt, outcome);
-    consistency.recordOutcome(now, request, outcome, position);
-    if (primary != null) {
-      Duration asOf = position != null && !request.isWrite() ? position : now.minus(took);
-      PrimaryTracker.recordAnswer(now, endpoint, primary ? asOf : position, primary);
+    consistency.recordOutcome(now, request, outcome, result.position());
+    if (result.primary() != null) {
+      recordRole(now, attempt, result);
       dispatchQueue(now, endpoint.group);
     }
-    recordOutcome(now, attempt, outcome, took);
-    slowStart.confirmAlive(now, endpoint, aliveSince);
-    if (answered && !request.finished) {
+    recordOutcome(now, attempt, outcome, result.took());
+    slowStart.confirmAlive(now, endpoint, result.aliveSince());
+    if (result.answered() && !request.finished) {
       finish(request, outcome == AttemptOutcome.OK);
     }
     if (!request.finished && request.attemptsInFlight == 0) {
       retry(now, request, outcome);
     }
     if (request.finished && request.attemptsInFlight == 0) {
-      requests.remove(id);
+      requests.remove(request.id);
     }
     dispatchQueue(now, endpoint.group);
   }
 
+  private static void recordRole(Duration now, Attempt attempt, AttemptResult result) {
+    boolean primary = result.primary();
+    Duration position = result.position();
+    Duration asOf =
+        position != null && !attempt.request().isWrite() ? position : now.minus(result.took());
+    PrimaryTracker.recordAnswer(now, attempt.endpoint(), primary ? asOf : position, primary);
+  }
+
   private static void removeFromFlight(Attempt attempt, AttemptOutcome outcome) {
     RequestState request = attempt.request();
     request.attemptsInFlight--;
--- a/gateway/src/main/java/weldcross/simulator/SimulatedGateway.java
+++ b/gateway/src/main/java/weldcross/simulator/SimulatedGateway.java
@@ -7,6 +7,9 @@
 import weldcross.config.ConfigValues;
 import weldcross.config.LoadReport;
 import weldcross.routing.AttemptOutcome;
+import weldcross.routing.AttemptResult;
+import weldcross.routing.ListedEndpoint;
+import weldcross.routing.NewRequest;
 import weldcross.routing.Router;
 import weldcross.routing.ServerId;
 
@@ -54,12 +57,13 @@
       SimulatorMessage.EndpointRow row = SimulatorMessageParser.parseRow(line);
       router.endpointListed(
           now,
-          row.server(),
-          row.zone(),
-          row.group(),
-          row.status(),
-          row.startedMicros() == 0 ? null : sinceStart(row.startedMicros()),
-          row.primary());
+          new ListedEndpoint(
+              row.server(),
+              row.zone(),
+              row.group(),
+              row.status(),
+              row.startedMicros() == 0 ? null : sinceStart(row.startedMicros()),
+              row.primary()));
     }
     router.endEndpointList(now);
   }
@@ -92,13 +96,14 @@
   private void requestArrived(Duration now, SimulatorMessage.RequestArrival arrival) {
     router.requestArrived(
         now,
-        arrival.request(),
-        arrival.classIndex(),
-        arrival.group(),
-        arrival.session(),
-        arrival.sinceWrite(),
-        arrival.patience(),
-        arrival.clientRetry());
+        new NewRequest(
+            arrival.request(),
+            arrival.classIndex(),
+            arrival.group(),
+            arrival.session(),
+            arrival.sinceWrite(),
+            arrival.patience(),
+            arrival.clientRetry()));
   }
 
   private void attemptEnded(Duration now, SimulatorMessage.AttemptEnd end) {
@@ -111,15 +116,15 @@
             : sinceStart(originMicros + end.positionMillis() * MICROS_PER_MILLI);
     router.attemptEnded(
         now,
-        end.request(),
-        end.attempt(),
-        end.server(),
-        end.outcome(),
-        end.took(),
-        alive ? now.minus(end.took()) : null,
-        end.primary(),
-        position,
-        end.answered());
+        new AttemptResult(
+            end.request(),
+            end.attempt(),
+            end.outcome(),
+            end.took(),
+            alive ? now.minus(end.took()) : null,
+            end.primary(),
+            position,
+            end.answered()));
     reported(now, end.server(), end.report());
   }
 
--- a/gateway/src/test/java/weldcross/routing/EndpointRegistryTest.java
+++ b/gateway/src/test/java/weldcross/routing/EndpointRegistryTest.java
@@ -19,12 +19,13 @@
     harness.router.beginEndpointList(harness.now, false);
     harness.router.endpointListed(
         harness.now,
-        harness.server(0).id,
-        new ZoneId(0),
-        new GroupId(0),
-        EndpointStatus.REMOVED,
-        null,
-        false);
+        new ListedEndpoint(
+            harness.server(0).id,
+            new ZoneId(0),
+            new GroupId(0),
+            EndpointStatus.REMOVED,
+            null,
+            false));
     harness.router.endEndpointList(harness.now);
     assertEquals("s0", harness.send(Consistency.WRITE).serverName());
     harness.server(0).listedStatus = EndpointStatus.DRAINING;
--- a/gateway/src/test/java/weldcross/routing/RouterHarness.java
+++ b/gateway/src/test/java/weldcross/routing/RouterHarness.java
@@ -143,12 +143,13 @@
             server ->
                 router.endpointListed(
                     now,
-                    server.id,
-                    new ZoneId(server.id.hashCode() & 1),
-                    server.group,
-                    server.listedStatus,
-                    server.startedAt,
-                    false));
+                    new ListedEndpoint(
+                        server.id,
+                        new ZoneId(server.id.hashCode() & 1),
+                        server.group,
+                        server.listedStatus,
+                        server.startedAt,
+                        false)));
     router.endEndpointList(now);
   }
 
@@ -216,13 +217,14 @@
     requests.put(name, entry);
     router.requestArrived(
         now,
-        new RequestId(name),
-        consistency.ordinal(),
-        entry.group,
-        new SessionId("session"),
-        sinceWrite,
-        DEADLINE,
-        false);
+        new NewRequest(
+            new RequestId(name),
+            consistency.ordinal(),
+            entry.group,
+            new SessionId("session"),
+            sinceWrite,
+            DEADLINE,
+            false));
     return name;
   }
 
@@ -264,15 +266,15 @@
     }
     router.attemptEnded(
         now,
-        new RequestId(sent.request),
-        sent.number,
-        sent.server.id,
-        outcome,
-        now.minus(sent.at),
-        responds ? aliveSince : null,
-        responds ? sent.server.primary : null,
-        null,
-        entry.answers > 0);
+        new AttemptResult(
+            new RequestId(sent.request),
+            sent.number,
+            outcome,
+            now.minus(sent.at),
+            responds ? aliveSince : null,
+            responds ? sent.server.primary : null,
+            null,
+            entry.answers > 0));
   }
 
   boolean isStillEligible(SentAttempt sent) {
