--- a/gateway/src/test/java/weldcross/routing/EndpointRegistryTest.java
+++ b/gateway/src/test/java/weldcross/routing/EndpointRegistryTest.java
@@ -1,10 +1,14 @@
 package weldcross.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static weldcross.routing.RouterHarness.ms;
 
 import java.time.Duration;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 import weldcross.routing.RequestClass.Consistency;
 import weldcross.routing.RequestClass.Effect;
@@ -78,4 +82,72 @@
     }
     assertEquals(9, harness.watchCalls);
   }
+
+  @Test
+  void serverMissingFromACompleteListIsNoLongerListed() {
+    RouterParts parts = new RouterParts(2);
+    parts.registry.beginList(true);
+    parts.list(0, EndpointStatus.ACTIVE, null, false);
+    parts.registry.endList();
+    assertTrue(parts.endpoint(0).listed);
+    assertFalse(parts.endpoint(1).listed);
+  }
+
+  @Test
+  void serverMissingFromAListOfChangesStaysListed() {
+    RouterParts parts = new RouterParts(2);
+    parts.registry.beginList(false);
+    parts.registry.endList();
+    assertTrue(parts.endpoint(1).listed);
+  }
+
+  @Test
+  void primaryOfTheListCountsOnlyWhileNoneIsKnown() {
+    RouterParts parts = new RouterParts(2);
+    parts.list(0, EndpointStatus.ACTIVE, null, true);
+    assertSame(parts.endpoint(0), parts.group.primary);
+    parts.list(1, EndpointStatus.ACTIVE, null, true);
+    assertSame(parts.endpoint(0), parts.group.primary);
+  }
+
+  @Test
+  void newStartInTheListBeginsAWarmUp() {
+    RouterParts parts = new RouterParts(2);
+    assertNull(parts.endpoint(0).warmingSince);
+    parts.list(0, EndpointStatus.ACTIVE, ms(40), false);
+    assertEquals(ms(40), parts.endpoint(0).warmingSince);
+  }
+
+  @Test
+  void removedServerIsForgottenAfterTheSlowStartDuration() {
+    RouterParts parts = new RouterParts(2);
+    ServerId id = parts.endpoint(0).id;
+    parts.list(0, EndpointStatus.REMOVED, null, false);
+    parts.registry.forgetRemoved(ms(1000));
+    assertEquals(List.of(id), parts.removed);
+    parts.registry.forgetRemoved(ms(6999));
+    assertEquals(2, parts.group.members.size());
+    parts.registry.forgetRemoved(ms(7000));
+    assertNull(parts.registry.endpoint(id));
+    assertEquals(1, parts.group.members.size());
+  }
+
+  @Test
+  void failedListCallIsRepeatedOnceAfterOneToTwoBackoffs() {
+    RouterParts parts = new RouterParts(1);
+    parts.registry.recordListFailure(ms(0));
+    parts.registry.pollIfDue(ms(499));
+    assertEquals(0, parts.watchCalls);
+    parts.registry.pollIfDue(ms(1000));
+    parts.registry.pollIfDue(ms(5000));
+    assertEquals(1, parts.watchCalls);
+  }
+
+  @Test
+  void validityIsRegainedOnlyByAListThatWasInvalid() {
+    EndpointRegistry registry = new RouterParts(1).registry;
+    assertFalse(registry.setListValid(true));
+    assertFalse(registry.setListValid(false));
+    assertTrue(registry.setListValid(true));
+  }
 }
--- a/gateway/src/test/java/weldcross/routing/EndpointSelectorTest.java
+++ b/gateway/src/test/java/weldcross/routing/EndpointSelectorTest.java
@@ -2,6 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static weldcross.routing.RouterHarness.ms;
 
@@ -57,4 +59,73 @@
     RouterHarness.SentAttempt next = harness.send(Consistency.ANY);
     assertFalse(next.server() == slow.server());
   }
+
+  @Test
+  void writeWithAKnownPrimaryGoesToIt() {
+    RouterParts parts = new RouterParts(3);
+    parts.group.primary = parts.endpoint(1);
+    assertSame(
+        parts.endpoint(1), parts.selector.select(ms(0), parts.request(Consistency.WRITE, ms(0))));
+  }
+
+  @Test
+  void writeWithoutAKnownPrimaryGoesToEachMemberInTurnAndThenPauses() {
+    RouterParts parts = new RouterParts(3);
+    RequestState write = parts.request(Consistency.WRITE, ms(0));
+    for (int number = 0; number < 3; number++) {
+      EndpointState selected = parts.selector.select(ms(0), write);
+      assertSame(parts.endpoint(number), selected);
+      write.tried.add(selected);
+    }
+    assertNull(parts.selector.select(ms(0), write));
+    assertNull(parts.selector.select(ms(99), write));
+    assertSame(parts.endpoint(0), parts.selector.select(ms(100), write));
+  }
+
+  @Test
+  void readOfAnyStateGoesToTheReplicaWithTheFewestReadsInFlight() {
+    RouterParts parts = partsWithPrimary();
+    parts.endpoint(1).readsInFlight = 1;
+    assertSame(
+        parts.endpoint(2), parts.selector.select(ms(0), parts.request(Consistency.ANY, ms(0))));
+  }
+
+  @Test
+  void readIsNotSelectedForADrainingReplica() {
+    RouterParts parts = partsWithPrimary();
+    parts.endpoint(1).draining = true;
+    parts.endpoint(2).readsInFlight = 5;
+    assertSame(
+        parts.endpoint(2), parts.selector.select(ms(0), parts.request(Consistency.ANY, ms(0))));
+  }
+
+  @Test
+  void freshReadWithoutAFreshReplicaGoesToThePrimary() {
+    RouterParts parts = partsWithPrimary();
+    assertSame(
+        parts.endpoint(0), parts.selector.select(ms(0), parts.request(Consistency.FRESH, ms(0))));
+  }
+
+  @Test
+  void boundedReadWithoutAFreshReplicaWaitsForOneHealthCheck() {
+    RouterParts parts = partsWithPrimary();
+    assertNull(parts.selector.select(ms(0), parts.request(Consistency.BOUNDED, ms(0))));
+    assertEquals(1, parts.healthChecks.size());
+  }
+
+  @Test
+  void nothingIsSelectedWhileTheListIsNotValid() {
+    RouterParts parts = partsWithPrimary();
+    parts.registry.setListValid(false);
+    assertNull(parts.selector.select(ms(0), parts.request(Consistency.WRITE, ms(0))));
+    assertNull(parts.selector.select(ms(0), parts.request(Consistency.ANY, ms(0))));
+  }
+
+  /** Returns a group of three that has reported: s0 is the primary, positions are not known. */
+  private static RouterParts partsWithPrimary() {
+    RouterParts parts = new RouterParts(3);
+    parts.group.primary = parts.endpoint(0);
+    parts.group.hasReported = true;
+    return parts;
+  }
 }
--- a/gateway/src/test/java/weldcross/routing/HealthCheckerTest.java
+++ b/gateway/src/test/java/weldcross/routing/HealthCheckerTest.java
@@ -1,9 +1,11 @@
 package weldcross.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static weldcross.routing.RouterHarness.ms;
 
+import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import weldcross.routing.RequestClass.Consistency;
@@ -84,4 +86,54 @@
     }
     assertTrue(asked >= 2 && asked <= 5, "asked in 1.4 s: " + asked);
   }
+
+  @Test
+  void secondCheckIsNotSentWhileOneIsUnderWay() {
+    RouterParts parts = new RouterParts(1);
+    assertTrue(parts.healthChecker.check(ms(0), parts.endpoint(0), ms(100)));
+    assertFalse(parts.healthChecker.check(ms(5000), parts.endpoint(0), ms(100)));
+    assertEquals(List.of(parts.endpoint(0).id), parts.healthChecks);
+  }
+
+  @Test
+  void nextCheckIsSentOnceTheGapHasPassed() {
+    RouterParts parts = new RouterParts(1);
+    EndpointState endpoint = parts.endpoint(0);
+    parts.healthChecker.check(ms(0), endpoint, ms(100));
+    endpoint.healthCheckPending = false;
+    assertFalse(parts.healthChecker.check(ms(99), endpoint, ms(100)));
+    assertTrue(parts.healthChecker.check(ms(100), endpoint, ms(100)));
+  }
+
+  @Test
+  void backoffOfOverdueChecksDoublesUpToTwoSeconds() {
+    RouterParts parts = new RouterParts(1);
+    EndpointState endpoint = parts.endpoint(0);
+    Duration now = ms(0);
+    for (int expectedMillis : new int[] {200, 400, 800, 1600, 2000, 2000}) {
+      parts.healthChecker.checkOverdue(now, endpoint);
+      assertEquals(ms(expectedMillis), endpoint.overdueCheckBackoff);
+      endpoint.healthCheckPending = false;
+      now = now.plus(endpoint.overdueCheckBackoff);
+    }
+    assertEquals(6, parts.healthChecks.size());
+  }
+
+  @Test
+  void unknownServerIsCheckedUnlessItDrains() {
+    RouterParts parts = new RouterParts(2);
+    parts.endpoint(0).draining = true;
+    parts.healthChecker.checkIfUnknown(ms(0), parts.endpoint(0));
+    parts.healthChecker.checkIfUnknown(ms(0), parts.endpoint(1));
+    assertEquals(List.of(parts.endpoint(1).id), parts.healthChecks);
+  }
+
+  @Test
+  void boundedReadAwaitsARefreshForLessThanThirtyMilliseconds() {
+    RouterParts parts = new RouterParts(1);
+    RequestState read = parts.request(Consistency.BOUNDED, ms(1000));
+    assertTrue(parts.healthChecker.awaitsRefresh(ms(1000), read, parts.endpoint(0)));
+    assertTrue(parts.healthChecker.awaitsRefresh(ms(1029), read, parts.endpoint(0)));
+    assertFalse(parts.healthChecker.awaitsRefresh(ms(1030), read, parts.endpoint(0)));
+  }
 }
--- a/gateway/src/test/java/weldcross/routing/OutlierDetectorTest.java
+++ b/gateway/src/test/java/weldcross/routing/OutlierDetectorTest.java
@@ -129,4 +129,81 @@
     assertTrue(harness.hasEjected());
     assertFalse(harness.isWarmingUp(0));
   }
+
+  @Test
+  void secondErrorInARowEjectsForTheInitialTime() {
+    RouterParts parts = new RouterParts(3);
+    EndpointState endpoint = parts.endpoint(0);
+    parts.end(ms(10), endpoint, AttemptOutcome.ERROR);
+    assertFalse(endpoint.ejected);
+    parts.end(ms(20), endpoint, AttemptOutcome.ERROR);
+    assertTrue(endpoint.ejected);
+    assertEquals(ms(220), endpoint.readmissionTrialAt);
+  }
+
+  @Test
+  void successBetweenTwoErrorsPreventsAnEjection() {
+    RouterParts parts = new RouterParts(3);
+    parts.end(ms(10), parts.endpoint(0), AttemptOutcome.ERROR);
+    parts.end(ms(20), parts.endpoint(0), AttemptOutcome.OK);
+    parts.end(ms(30), parts.endpoint(0), AttemptOutcome.ERROR);
+    assertFalse(parts.endpoint(0).ejected);
+  }
+
+  @Test
+  void errorsOfTheOnlyMemberDoNotEjectIt() {
+    RouterParts parts = new RouterParts(1);
+    for (int k = 0; k < 5; k++) {
+      parts.end(ms(10), parts.endpoint(0), AttemptOutcome.ERROR);
+    }
+    assertFalse(parts.endpoint(0).ejected);
+  }
+
+  @Test
+  void ejectionDoublesWithEachTrialUpToTwoSeconds() {
+    RouterParts parts = ejectedByErrors();
+    for (int expectedMillis : new int[] {400, 800, 1600, 2000, 2000}) {
+      parts.outliers.recordSend(ms(1000), parts.endpoint(0));
+      assertEquals(ms(1000 + expectedMillis), parts.endpoint(0).readmissionTrialAt);
+    }
+  }
+
+  @Test
+  void successReadmitsAnEjectedServerAndResetsTheLengthOfItsEjections() {
+    RouterParts parts = ejectedByErrors();
+    parts.end(ms(500), parts.endpoint(0), AttemptOutcome.OK);
+    assertFalse(parts.endpoint(0).ejected);
+    assertEquals(EndpointState.INITIAL_EJECTION, parts.endpoint(0).nextEjection);
+  }
+
+  /** The first trial of a server is left to requests that may be executed twice. */
+  @Test
+  void trialIsAdmittedOnceDueForReadsAndOneEjectionLaterForWrites() {
+    RouterParts parts = ejectedByErrors();
+    EndpointState endpoint = parts.endpoint(0);
+    RequestState read = parts.request(Consistency.ANY, ms(0));
+    RequestState write = parts.request(Consistency.WRITE, ms(0));
+    assertFalse(parts.outliers.admits(ms(199), read, endpoint));
+    assertTrue(parts.outliers.admits(ms(200), read, endpoint));
+    assertFalse(parts.outliers.admits(ms(599), write, endpoint));
+    assertTrue(parts.outliers.admits(ms(600), write, endpoint));
+  }
+
+  @Test
+  void unreachableServerIsGossipedAgainOnlyAfterTheInterval() {
+    RouterParts parts = new RouterParts(3);
+    parts.end(ms(0), parts.endpoint(0), AttemptOutcome.UNREACHABLE);
+    parts.end(ms(250), parts.endpoint(0), AttemptOutcome.UNREACHABLE);
+    assertEquals(1, parts.gossiped.size());
+    parts.end(ms(251), parts.endpoint(0), AttemptOutcome.UNREACHABLE);
+    assertEquals(2, parts.gossiped.size());
+  }
+
+  /** Returns a group of three, s0 of which was ejected at time zero. */
+  private static RouterParts ejectedByErrors() {
+    RouterParts parts = new RouterParts(3);
+    parts.end(ms(0), parts.endpoint(0), AttemptOutcome.ERROR);
+    parts.end(ms(0), parts.endpoint(0), AttemptOutcome.ERROR);
+    return parts;
+  }
 }
--- a/gateway/src/test/java/weldcross/routing/PrimaryTrackerTest.java
+++ b/gateway/src/test/java/weldcross/routing/PrimaryTrackerTest.java
@@ -1,6 +1,8 @@
 package weldcross.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
 import static weldcross.routing.RouterHarness.ms;
 
 import java.time.Duration;
@@ -42,4 +44,46 @@
     harness.router.reported(harness.now, harness.server(1).id, harness.now, true);
     assertEquals("s1", harness.send(Consistency.WRITE).serverName());
   }
+
+  @Test
+  void claimNewerThanThatOfThePrimaryReplacesIt() {
+    RouterParts parts = new RouterParts(2);
+    PrimaryTracker.recordReport(ms(100), parts.endpoint(0), ms(90), true);
+    assertSame(parts.endpoint(0), parts.group.primary);
+    PrimaryTracker.recordReport(ms(110), parts.endpoint(1), ms(91), true);
+    assertSame(parts.endpoint(1), parts.group.primary);
+  }
+
+  @Test
+  void claimNoNewerThanThatOfThePrimaryIsIgnored() {
+    RouterParts parts = new RouterParts(2);
+    PrimaryTracker.recordReport(ms(100), parts.endpoint(0), ms(90), true);
+    PrimaryTracker.recordReport(ms(110), parts.endpoint(1), ms(90), true);
+    assertSame(parts.endpoint(0), parts.group.primary);
+  }
+
+  @Test
+  void primaryThatAnswersAsAReplicaLeavesNoPrimary() {
+    RouterParts parts = new RouterParts(2);
+    PrimaryTracker.recordReport(ms(100), parts.endpoint(0), ms(90), true);
+    PrimaryTracker.recordAnswer(ms(110), parts.endpoint(0), null, false);
+    assertNull(parts.group.primary);
+  }
+
+  @Test
+  void replicaReportFromBehindItsOwnClaimKeepsThePrimary() {
+    RouterParts parts = new RouterParts(2);
+    PrimaryTracker.recordReport(ms(100), parts.endpoint(0), ms(90), true);
+    PrimaryTracker.recordReport(ms(110), parts.endpoint(0), ms(89), false);
+    assertSame(parts.endpoint(0), parts.group.primary);
+  }
+
+  @Test
+  void reportWithoutARoleMovesThePositionForwardOnly() {
+    RouterParts parts = new RouterParts(2);
+    PrimaryTracker.recordReport(ms(100), parts.endpoint(0), ms(90), null);
+    PrimaryTracker.recordReport(ms(110), parts.endpoint(0), ms(80), null);
+    assertNull(parts.group.primary);
+    assertEquals(ms(90), parts.endpoint(0).position);
+  }
 }
--- a/gateway/src/test/java/weldcross/routing/SlowStartTest.java
+++ b/gateway/src/test/java/weldcross/routing/SlowStartTest.java
@@ -332,4 +332,56 @@
     }
     assertTrue(peer.requests.values().stream().filter(e -> e.attemptCount > 0).count() < 20);
   }
+
+  @Test
+  void startedServerWarmsUpForTheConfiguredTime() {
+    RouterParts parts = new RouterParts(2);
+    EndpointState endpoint = parts.endpoint(0);
+    parts.slowStart.begin(ms(1000), endpoint, ms(1000));
+    assertTrue(parts.slowStart.isWarmingUp(ms(6999), endpoint));
+    assertFalse(parts.slowStart.isWarmingUp(ms(7000), endpoint));
+    assertFalse(parts.slowStart.isWarmingUp(ms(1000), parts.endpoint(1)));
+  }
+
+  @Test
+  void presumedRestartIsTakenBackOnceAnOlderProcessAnswersAfterTheMargin() {
+    RouterParts parts = new RouterParts(2);
+    EndpointState endpoint = parts.endpoint(0);
+    parts.slowStart.presumeRestart(ms(1000), endpoint);
+    parts.slowStart.confirmAlive(ms(1030), endpoint, ms(900));
+    assertTrue(parts.slowStart.isWarmingUp(ms(1030), endpoint));
+    parts.slowStart.confirmAlive(ms(1031), endpoint, ms(900));
+    assertFalse(parts.slowStart.isWarmingUp(ms(1031), endpoint));
+  }
+
+  @Test
+  void processAliveSinceBetweenTwoPresumedRestartsWarmsUpFromThen() {
+    RouterParts parts = new RouterParts(2);
+    EndpointState endpoint = parts.endpoint(0);
+    parts.slowStart.presumeRestart(ms(1000), endpoint);
+    parts.slowStart.presumeRestart(ms(2000), endpoint);
+    parts.slowStart.confirmAlive(ms(2100), endpoint, ms(1500));
+    assertEquals(ms(1500), endpoint.warmingSince);
+  }
+
+  @Test
+  void queuedRequestIsAdmittedToAWarmingServerOnlyAtItsNextSend() {
+    RouterParts parts = new RouterParts(2);
+    EndpointState endpoint = parts.endpoint(0);
+    RequestState queued = parts.request(Consistency.ANY, ms(0));
+    parts.slowStart.begin(ms(0), endpoint, ms(0));
+    parts.slowStart.recordSend(ms(100), queued, endpoint);
+    Duration next = endpoint.nextSlowStartSendAt;
+    assertTrue(next.compareTo(ms(100)) > 0);
+    assertFalse(parts.slowStart.admits(next.minusNanos(1), queued, endpoint));
+    assertTrue(parts.slowStart.admits(next, queued, endpoint));
+  }
+
+  @Test
+  void warmServerIsNotHeldToItsBudget() {
+    RouterParts parts = new RouterParts(2);
+    parts.endpoint(0).nextSlowStartSendAt = ms(9000);
+    RequestState queued = parts.request(Consistency.ANY, ms(0));
+    assertTrue(parts.slowStart.admits(ms(100), queued, parts.endpoint(0)));
+  }
 }
