--- a/gateway/src/test/java/weldcross/routing/RouterHarness.java
+++ b/gateway/src/test/java/weldcross/routing/RouterHarness.java
@@ -207,7 +207,7 @@
   /** Lets a request arrive and returns its name; {@code sinceWrite} is zero for no write. */
   String arrive(Consistency consistency, int group, Duration sinceWrite) {
     TrackedRequest entry = new TrackedRequest();
-    entry.requestClass = config.requestClasses().get(consistency.ordinal());
+    entry.requestClass = config.requestClasses().get(RoutingConfigs.classIndex(consistency));
     entry.group = new GroupId(group);
     entry.arrivedAt = now;
     entry.deadline = now.plus(DEADLINE);
@@ -219,7 +219,7 @@
         now,
         new NewRequest(
             new RequestId(name),
-            consistency.ordinal(),
+            RoutingConfigs.classIndex(consistency),
             entry.group,
             new SessionId("session"),
             sinceWrite,
@@ -441,7 +441,9 @@
     if (percent < 40) {
       Consistency consistency = Consistency.values()[random.nextInt(Consistency.values().length)];
       Duration sinceWrite =
-          config.clientsCarryTokens() ? ms(random.nextInt(3) * random.nextInt(400)) : Duration.ZERO;
+          config.clientsCarryTokens()
+              ? ms((long) random.nextInt(3) * random.nextInt(400))
+              : Duration.ZERO;
       arrive(consistency, random.nextInt(2), sinceWrite);
     } else if (percent < 75 && !inFlight.isEmpty()) {
       endRandomAttempt(random);
--- a/gateway/src/test/java/weldcross/routing/RouterParts.java
+++ b/gateway/src/test/java/weldcross/routing/RouterParts.java
@@ -67,8 +67,8 @@
   RequestState request(Consistency consistency, Duration arrivedAt) {
     return new RequestState(
         new RequestId("r"),
-        consistency.ordinal(),
-        config.requestClasses().get(consistency.ordinal()),
+        RoutingConfigs.classIndex(consistency),
+        config.requestClasses().get(RoutingConfigs.classIndex(consistency)),
         group,
         null,
         null,
--- a/gateway/src/test/java/weldcross/routing/RoutingConfigs.java
+++ b/gateway/src/test/java/weldcross/routing/RoutingConfigs.java
@@ -11,6 +11,11 @@
 
   private RoutingConfigs() {}
 
+  /** Returns the index of the request class of that consistency in all configurations here. */
+  static int classIndex(Consistency consistency) {
+    return List.of(Consistency.values()).indexOf(consistency);
+  }
+
   private static RequestClass requestClass(
       Consistency consistency, Effect effect, Scope scope, double lateWeight) {
     return new RequestClass(
@@ -20,7 +25,7 @@
         scope,
         RouterHarness.ms(900),
         RouterHarness.LATENCY_OBJECTIVE,
-        1 + consistency.ordinal(),
+        1 + classIndex(consistency),
         lateWeight);
   }
 
--- a/gateway/src/test/java/weldcross/routing/SessionConsistencyTest.java
+++ b/gateway/src/test/java/weldcross/routing/SessionConsistencyTest.java
@@ -115,11 +115,11 @@
       Consistency consistency, Long positionMillis, boolean expected) {
     RoutingConfig config =
         RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false);
-    RequestClass requestClass = config.requestClasses().get(consistency.ordinal());
+    RequestClass requestClass = config.requestClasses().get(RoutingConfigs.classIndex(consistency));
     RequestState request =
         new RequestState(
             new RequestId("r"),
-            consistency.ordinal(),
+            RoutingConfigs.classIndex(consistency),
             requestClass,
             new ReplicaGroup(),
             null,
--- a/gateway/src/test/java/weldcross/routing/SlowStartTest.java
+++ b/gateway/src/test/java/weldcross/routing/SlowStartTest.java
@@ -133,9 +133,10 @@
         harness.arrive(Consistency.WRITE);
         harness.advance(ms(20));
         sends +=
-            harness.server(0).slowStartSends.stream()
-                .filter(at -> at.compareTo(harness.now.minus(ms(20))) >= 0)
-                .count();
+            Math.toIntExact(
+                harness.server(0).slowStartSends.stream()
+                    .filter(at -> at.compareTo(harness.now.minus(ms(20))) >= 0)
+                    .count());
       }
     }
     return sends;
