--- a/gateway/src/test/java/weldcross/routing/RouterHarness.java
+++ b/gateway/src/test/java/weldcross/routing/RouterHarness.java
@@ -13,7 +13,6 @@
  * The host of one router: simulates its servers and clients and fails the test at the action that
  * breaks a rule of the service. Time passes only in {@link #advance}.
  */
-@SuppressWarnings("EnumOrdinal") // Request classes stand in the order of Consistency.
 final class RouterHarness implements RouterActions {
 
   static final Duration STALENESS_BOUND = ms(400);
@@ -208,7 +207,7 @@
   /** Lets a request arrive and returns its name; {@code sinceWrite} is zero for no write. */
   String arrive(Consistency consistency, int group, Duration sinceWrite) {
     TrackedRequest entry = new TrackedRequest();
-    entry.requestClass = config.requestClasses().get(consistency.ordinal());
+    entry.requestClass = config.requestClasses().get(RoutingConfigs.classIndex(consistency));
     entry.group = new GroupId(group);
     entry.arrivedAt = now;
     entry.deadline = now.plus(DEADLINE);
@@ -220,7 +219,7 @@
         now,
         new NewRequest(
             new RequestId(name),
-            consistency.ordinal(),
+            RoutingConfigs.classIndex(consistency),
             entry.group,
             new SessionId("session"),
             sinceWrite,
