--- a/gateway/src/main/java/weldcross/config/ConfigReader.java
+++ b/gateway/src/main/java/weldcross/config/ConfigReader.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import weldcross.routing.RequestClass;
 import weldcross.routing.RequestClass.Consistency;
-import weldcross.routing.RequestClass.Effect;
-import weldcross.routing.RequestClass.Scope;
+import weldcross.routing.RequestClass.DeduplicationScope;
+import weldcross.routing.RequestClass.Idempotency;
 import weldcross.routing.RoutingConfig;
 import weldcross.routing.ZoneId;
 
@@ -106,20 +106,20 @@
     }
   }
 
-  private static Effect effect(ConfigValues category) {
+  private static Idempotency effect(ConfigValues category) {
     return switch (category.text("effect", "at_most_once")) {
-      case "idempotent" -> Effect.IDEMPOTENT;
-      case "deduplicated" -> Effect.IDEMPOTENT_BY_KEY;
-      case "at_most_once" -> Effect.NON_IDEMPOTENT;
+      case "idempotent" -> Idempotency.IDEMPOTENT;
+      case "deduplicated" -> Idempotency.IDEMPOTENT_BY_KEY;
+      case "at_most_once" -> Idempotency.NON_IDEMPOTENT;
       default -> throw category.invalid("effect", "idempotent, deduplicated or at_most_once");
     };
   }
 
-  private static Scope scope(ConfigValues category) {
+  private static DeduplicationScope scope(ConfigValues category) {
     return switch (category.text("dedupScope", "cell")) {
-      case "all" -> Scope.ALL;
-      case "zone" -> Scope.ZONE;
-      case "cell" -> Scope.GROUP;
+      case "all" -> DeduplicationScope.ALL;
+      case "zone" -> DeduplicationScope.ZONE;
+      case "cell" -> DeduplicationScope.GROUP;
       default -> throw category.invalid("dedupScope", "all, zone or cell");
     };
   }
--- a/gateway/src/main/java/weldcross/config/GatewayConfig.java
+++ b/gateway/src/main/java/weldcross/config/GatewayConfig.java
@@ -190,7 +190,7 @@
     return describe(requestClass.consistency())
         + (stalenessBound.isZero() ? "" : " " + stalenessBound.toMillis() + " ms")
         + ", "
-        + describe(requestClass.effect())
+        + describe(requestClass.idempotency())
         + ", latency objective "
         + requestClass.latencyObjective().toMillis()
         + " ms, priority weight "
--- a/gateway/src/main/java/weldcross/gateway/ServerReports.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerReports.java
@@ -66,7 +66,7 @@
       return;
     }
     noteRole(server, report.primary());
-    gateway.router().reported(gateway.now(), server, position, report.primary());
+    gateway.router().reportReceived(gateway.now(), server, position, report.primary());
   }
 
   /**
--- a/gateway/src/main/java/weldcross/routing/AdmissionQueue.java
+++ b/gateway/src/main/java/weldcross/routing/AdmissionQueue.java
@@ -15,7 +15,7 @@
 final class AdmissionQueue {
 
   /** Once the oldest request has waited this share of its objective, the newest goes first. */
-  private static final double OVERLOAD_WAIT_SHARE = 0.25;
+  private static final double OVERLOAD_WAIT_FRACTION = 0.25;
 
   /** Bounds how much a class gains by being served little. */
   private static final double SERVED_SHARE_OFFSET = 0.3;
@@ -42,7 +42,7 @@
 
   private static boolean isOverloaded(Duration now, RequestState oldest) {
     return inSeconds(now.minus(oldest.arrivedAt))
-        > OVERLOAD_WAIT_SHARE * inSeconds(oldest.requestClass.latencyObjective());
+        > OVERLOAD_WAIT_FRACTION * inSeconds(oldest.requestClass.latencyObjective());
   }
 
   private double priority(Duration now, RequestState request) {
--- a/gateway/src/main/java/weldcross/routing/ConcurrencyLimiter.java
+++ b/gateway/src/main/java/weldcross/routing/ConcurrencyLimiter.java
@@ -6,13 +6,13 @@
 
 /**
  * Limits the attempts in flight at each endpoint; the rest waits in the gateway. The limit settles
- * where answers take {@link #TARGET_SHARE} of their latency objective. It prevents queues on the
- * servers, and does harm if objectives are far from what the work takes.
+ * where answers take {@link #TARGET_OBJECTIVE_RATIO} of their latency objective. It prevents queues
+ * on the servers, and does harm if objectives are far from what the work takes.
  */
 final class ConcurrencyLimiter {
 
   /** The share of its latency objective that an answer should take: busy, but not queueing. */
-  private static final double TARGET_SHARE = 0.30;
+  private static final double TARGET_OBJECTIVE_RATIO = 0.30;
 
   private static final double MIN_GAIN = 0.12;
 
@@ -55,7 +55,7 @@
     int active = 0;
     for (Attempt attempt : endpoint.inFlight) {
       // Lost answers would fill the limit until their attempts time out.
-      if (!latency.isLost(attempt)) {
+      if (!latency.isPresumedLost(attempt)) {
         active++;
       }
     }
@@ -66,33 +66,34 @@
   /**
    * Adapts the limit of the endpoint to the end of an attempt.
    *
-   * @param took the time since it was sent
+   * @param elapsed the time since it was sent
    */
-  void recordOutcome(Duration now, Attempt attempt, AttemptOutcome outcome, Duration took) {
+  void recordOutcome(Duration now, Attempt attempt, AttemptOutcome outcome, Duration elapsed) {
     boolean overloaded = outcome == AttemptOutcome.OVERLOADED;
     if ((outcome.provesNotExecuted() && !overloaded)
         || outcome == AttemptOutcome.IDLE_CONNECTION_LOST
-        || latency.isLost(attempt)) {
+        || latency.isPresumedLost(attempt)) {
       return;
     }
     // The answer would have taken longer than the client was willing to wait.
     boolean abandoned = outcome == AttemptOutcome.CANCELLED && attempt.request().clientDisconnected;
     double objective = inSeconds(attempt.request().requestClass.latencyObjective());
-    double objectiveShare = overloaded || abandoned ? 1 : inSeconds(took) / objective;
-    adapt(now, attempt.endpoint(), Math.min(1, objectiveShare), inSeconds(took));
+    double objectiveRatio = overloaded || abandoned ? 1 : inSeconds(elapsed) / objective;
+    adapt(now, attempt.endpoint(), Math.min(1, objectiveRatio), inSeconds(elapsed));
   }
 
   private static void adapt(
-      Duration now, EndpointState endpoint, double objectiveShare, double tookSeconds) {
+      Duration now, EndpointState endpoint, double objectiveRatio, double elapsedSeconds) {
     double idleSeconds = inSeconds(now.minus(endpoint.limitUpdatedAt));
     double gain = Math.max(MIN_GAIN, GAIN_PER_IDLE_SECOND * Math.min(1, idleSeconds));
     endpoint.limitUpdatedAt = now;
-    double step = gain * (TARGET_SHARE - objectiveShare);
+    double step = gain * (TARGET_OBJECTIVE_RATIO - objectiveRatio);
     // A limit under one means pauses between attempts. An answer well within its objective makes
     // the pause shorter, or requests that only this endpoint may serve wait while nobody is busy.
     double pauses =
-        Math.max(0, 1 / endpoint.concurrencyLimit - 1) * Math.min(1, objectiveShare / TARGET_SHARE);
-    endpoint.pausedUntil = now.plus(Durations.ofSeconds(tookSeconds * pauses));
+        Math.max(0, 1 / endpoint.concurrencyLimit - 1)
+            * Math.min(1, objectiveRatio / TARGET_OBJECTIVE_RATIO);
+    endpoint.pausedUntil = now.plus(Durations.ofSeconds(elapsedSeconds * pauses));
     if (step < 0 || endpoint.inFlight.size() + 2 > endpoint.concurrencyLimit) {
       endpoint.concurrencyLimit = Math.max(MIN_LIMIT, endpoint.concurrencyLimit * (1 + step));
     }
--- a/gateway/src/main/java/weldcross/routing/EndpointRegistry.java
+++ b/gateway/src/main/java/weldcross/routing/EndpointRegistry.java
@@ -13,11 +13,11 @@
 /** Holds the servers and groups that the endpoint list has named, and polls for the list. */
 final class EndpointRegistry {
 
-  private static final int MIN_POLL_BACKOFF_DIVISOR = 16;
+  private static final int INITIAL_POLL_BACKOFF_DIVISOR = 16;
   private static final int MAX_POLL_BACKOFF_DIVISOR = 2;
 
   /** Keeps the servers of the own zone ahead of all others in rank, since crossing zones costs. */
-  private static final double OTHER_ZONE_RANK = 1;
+  private static final double OTHER_ZONE_RANK_OFFSET = 1;
 
   private final RouterActions actions;
   private final RoutingConfig config;
@@ -28,7 +28,7 @@
   private final Map<GroupId, ReplicaGroup> groups = new LinkedHashMap<>();
 
   /** Endpoints that the list under way has not named so far; null before the first list. */
-  private Set<EndpointState> unlisted;
+  private Set<EndpointState> missingFromList;
 
   private boolean listValid = true;
 
@@ -48,7 +48,7 @@
     this.random = random;
     this.limiter = limiter;
     this.slowStart = slowStart;
-    this.pollBackoff = config.maxPollInterval().dividedBy(MIN_POLL_BACKOFF_DIVISOR);
+    this.pollBackoff = config.maxPollInterval().dividedBy(INITIAL_POLL_BACKOFF_DIVISOR);
   }
 
   /** Returns the endpoint, or null if it is not known. */
@@ -79,16 +79,16 @@
    * @return whether it became so just now
    */
   boolean setListValid(boolean valid) {
-    boolean regained = valid && !listValid;
+    boolean becameValid = valid && !listValid;
     listValid = valid;
-    return regained;
+    return becameValid;
   }
 
   /** Begins a list; what a complete one does not name is taken to be removed. */
   void beginList(boolean complete) {
-    unlisted = new LinkedHashSet<>();
+    missingFromList = new LinkedHashSet<>();
     if (complete) {
-      unlisted.addAll(endpoints.values());
+      missingFromList.addAll(endpoints.values());
     }
   }
 
@@ -97,7 +97,7 @@
     ReplicaGroup group = group(entry.group());
     EndpointState endpoint =
         endpoints.computeIfAbsent(entry.id(), unknown -> add(unknown, group, entry.zone()));
-    unlisted.remove(endpoint);
+    missingFromList.remove(endpoint);
     if (entry.status() == EndpointStatus.REMOVED) {
       endpoint.listed &= !config.removalIsBinding();
       return;
@@ -123,14 +123,14 @@
   }
 
   private EndpointState add(ServerId id, ReplicaGroup group, ZoneId zone) {
-    double rank = random.nextDouble() + (zone.equals(config.zone()) ? 0 : OTHER_ZONE_RANK);
+    double rank = random.nextDouble() + (zone.equals(config.zone()) ? 0 : OTHER_ZONE_RANK_OFFSET);
     EndpointState endpoint = new EndpointState(id, group, zone, rank, limiter.initialLimit());
     group.members.add(endpoint);
     return endpoint;
   }
 
   void endList() {
-    unlisted.forEach(endpoint -> endpoint.listed &= !config.removalIsBinding());
+    missingFromList.forEach(endpoint -> endpoint.listed &= !config.removalIsBinding());
   }
 
   /** Backs off before the list is asked for again, at random as all gateways may have failed. */
@@ -153,7 +153,7 @@
    * Forgets endpoints that have left the list, as successors come all day; but not while they may
    * come back cold, or why they were ejected would be forgotten with them.
    */
-  void forgetRemoved(Duration now) {
+  void evictRemoved(Duration now) {
     endpoints
         .values()
         .removeIf(
--- a/gateway/src/main/java/weldcross/routing/EndpointSelector.java
+++ b/gateway/src/main/java/weldcross/routing/EndpointSelector.java
@@ -9,7 +9,7 @@
 final class EndpointSelector {
 
   /** The pause after all members of a group without a known primary were offered a write. */
-  private static final Duration ROUND_INTERVAL = Duration.ofMillis(100);
+  private static final Duration PRIMARY_SEARCH_INTERVAL = Duration.ofMillis(100);
 
   private final EndpointRegistry registry;
   private final RetryPolicy retryPolicy;
@@ -40,7 +40,9 @@
   EndpointState select(Duration now, RequestState request) {
     EndpointState primary = request.group.primary;
     if (request.isWrite()) {
-      return primary == null ? nextInRound(now, request) : ifEligible(now, request, primary);
+      return primary == null
+          ? nextPrimaryCandidate(now, request)
+          : ifEligible(now, request, primary);
     }
     if (!request.group.hasReported) {
       return null;
@@ -98,9 +100,9 @@
   }
 
   /** Offers a write to the members in turn while no primary is known. */
-  private EndpointState nextInRound(Duration now, RequestState request) {
+  private EndpointState nextPrimaryCandidate(Duration now, RequestState request) {
     ReplicaGroup group = request.group;
-    if (now.compareTo(group.nextRoundAt) < 0 || retryPolicy.isLastAttempt(request)) {
+    if (now.compareTo(group.nextPrimarySearchAt) < 0 || retryPolicy.isLastAttempt(request)) {
       return null;
     }
     for (int offered = 0; offered < group.members.size(); offered++) {
@@ -110,8 +112,8 @@
         return endpoint;
       }
     }
-    request.tried.clear();
-    group.nextRoundAt = now.plus(ROUND_INTERVAL);
+    request.triedEndpoints.clear();
+    group.nextPrimarySearchAt = now.plus(PRIMARY_SEARCH_INTERVAL);
     return null;
   }
 
@@ -124,8 +126,8 @@
     return registry.isListValid()
         && endpoint.listed
         && !endpoint.draining
-        && !request.tried.contains(endpoint)
-        && retryPolicy.recognizesRetry(request, endpoint)
+        && !request.triedEndpoints.contains(endpoint)
+        && retryPolicy.canDeduplicate(request, endpoint)
         && outliers.admits(now, request, endpoint)
         && limiter.hasCapacity(now, endpoint)
         && slowStart.admits(now, request, endpoint);
--- a/gateway/src/main/java/weldcross/routing/EndpointState.java
+++ b/gateway/src/main/java/weldcross/routing/EndpointState.java
@@ -14,7 +14,7 @@
   static final Duration INITIAL_BACKOFF = Duration.ofMillis(100);
 
   /** The length of the first ejection; it doubles with each trial that fails. */
-  static final Duration INITIAL_EJECTION = Duration.ofMillis(200);
+  static final Duration INITIAL_EJECTION_DURATION = Duration.ofMillis(200);
 
   final ServerId id;
   final ReplicaGroup group;
@@ -52,7 +52,7 @@
   // Outlier detection.
   boolean ejected;
   Duration readmissionTrialAt;
-  Duration nextEjection = INITIAL_EJECTION;
+  Duration nextEjectionDuration = INITIAL_EJECTION_DURATION;
   int consecutiveFailures;
   int consecutiveUnreachable;
   Duration lastResponseAt = Duration.ZERO;
@@ -67,11 +67,11 @@
   Duration pausedUntil = Duration.ZERO;
 
   // Slow start.
-  Duration warmingSince;
+  Duration warmUpStartedAt;
   Duration presumedRestartAt;
 
-  /** The value of {@link #warmingSince} before the restart that was presumed. */
-  Duration warmingSinceBeforeRestart;
+  /** The value of {@link #warmUpStartedAt} before the restart that was presumed. */
+  Duration warmUpStartedAtBeforeRestart;
 
   Duration nextSlowStartSendAt = Duration.ZERO;
 
--- a/gateway/src/main/java/weldcross/routing/LatencyEstimator.java
+++ b/gateway/src/main/java/weldcross/routing/LatencyEstimator.java
@@ -11,7 +11,7 @@
   private static final double OVERDUE_FACTOR = 4.5;
 
   /** A request with less time left than this many times the typical latency is hopeless. */
-  private static final double HOPELESS_FACTOR = 1.4;
+  private static final double MIN_REMAINING_TIME_FACTOR = 1.4;
 
   /** An answer that takes more than this many times the typical latency is slow. */
   private static final double SLOW_FACTOR = 3;
@@ -22,7 +22,7 @@
   /** Keeps timers that follow from an estimate from coming due in the same moment for ever. */
   private static final double MIN_SECONDS = 0.001;
 
-  private static final double UNKNOWN_SECONDS = 1;
+  private static final double DEFAULT_SECONDS = 1;
 
   /** With fewer answers an estimate is too uncertain to give up a request by it. */
   private static final int MIN_SAMPLES = 5;
@@ -37,7 +37,7 @@
 
   /** Returns the typical latency in seconds, above 0 also where nothing is known. */
   double typicalSeconds(int classIndex) {
-    return medianSeconds[classIndex] > 0 ? medianSeconds[classIndex] : UNKNOWN_SECONDS;
+    return medianSeconds[classIndex] > 0 ? medianSeconds[classIndex] : DEFAULT_SECONDS;
   }
 
   /** Takes in the latency of a successful answer. */
@@ -56,14 +56,14 @@
   }
 
   /** Whether the request could no longer be answered before it expires. */
-  boolean isHopeless(Duration now, RequestState request) {
+  boolean cannotMeetDeadline(Duration now, RequestState request) {
     return samples[request.classIndex] >= MIN_SAMPLES
         && inSeconds(request.expiresAt.minus(now))
-            < HOPELESS_FACTOR * medianSeconds[request.classIndex];
+            < MIN_REMAINING_TIME_FACTOR * medianSeconds[request.classIndex];
   }
 
   /** Whether so much younger attempts have been answered that this one's answer must be lost. */
-  boolean isLost(Attempt attempt) {
+  boolean isPresumedLost(Attempt attempt) {
     Duration behind = attempt.endpoint().lastAnsweredSentAt.minus(attempt.sentAt());
     return inSeconds(behind) > OVERDUE_FACTOR * typicalSeconds(attempt.request().classIndex);
   }
--- a/gateway/src/main/java/weldcross/routing/NewRequest.java
+++ b/gateway/src/main/java/weldcross/routing/NewRequest.java
@@ -9,9 +9,9 @@
  * @param classIndex the index of its class in {@link RoutingConfig#requestClasses}
  * @param group the replica group that holds its data; not null
  * @param session null where it has none
- * @param sinceWrite how long ago the last write of its session was committed, as the client says;
- *     zero if there was none, never null
- * @param patience how long the client waits from now on; not null
+ * @param timeSinceLastWrite how long ago the last write of its session was committed, as the client
+ *     says; zero if there was none, never null
+ * @param timeout how long the client waits from now on; not null
  * @param clientRetry whether the client has sent the same request before
  */
 public record NewRequest(
@@ -19,6 +19,6 @@
     int classIndex,
     GroupId group,
     SessionId session,
-    Duration sinceWrite,
-    Duration patience,
+    Duration timeSinceLastWrite,
+    Duration timeout,
     boolean clientRetry) {}
--- a/gateway/src/main/java/weldcross/routing/OutlierDetector.java
+++ b/gateway/src/main/java/weldcross/routing/OutlierDetector.java
@@ -11,10 +11,10 @@
  */
 final class OutlierDetector {
 
-  private static final Duration MAX_EJECTION = Duration.ofSeconds(2);
+  private static final Duration MAX_EJECTION_DURATION = Duration.ofSeconds(2);
 
   /** This many overdue answers mean a hang, even where health checks are answered. */
-  private static final int MAX_OVERDUE = 5;
+  private static final int MAX_OVERDUE_ATTEMPTS = 5;
 
   /** One failure proves nothing: errors happen, and connections to live servers are reset. */
   private static final int MAX_TOLERATED_FAILURES = 1;
@@ -57,7 +57,7 @@
       return false;
     }
     return request.isIdempotent()
-        || now.compareTo(endpoint.readmissionTrialAt.plus(endpoint.nextEjection)) >= 0;
+        || now.compareTo(endpoint.readmissionTrialAt.plus(endpoint.nextEjectionDuration)) >= 0;
   }
 
   /** Takes in that an attempt is sent; at an ejected endpoint it is the trial, and the only one. */
@@ -97,7 +97,7 @@
     endpoint.lastAnsweredSentAt = later(endpoint.lastAnsweredSentAt, attempt.sentAt());
     endpoint.lastResponseAt = now;
     endpoint.ejected = false;
-    endpoint.nextEjection = EndpointState.INITIAL_EJECTION;
+    endpoint.nextEjectionDuration = EndpointState.INITIAL_EJECTION_DURATION;
   }
 
   private void gossip(Duration now, EndpointState endpoint) {
@@ -150,7 +150,7 @@
       return;
     }
     int overdue = overdueCount(now, endpoint);
-    if (overdue >= MAX_OVERDUE) {
+    if (overdue >= MAX_OVERDUE_ATTEMPTS) {
       eject(now, endpoint);
     } else if (overdue > 0) {
       healthChecker.checkOverdue(now, endpoint);
@@ -170,8 +170,9 @@
   }
 
   private void eject(Duration now, EndpointState endpoint) {
-    endpoint.readmissionTrialAt = now.plus(endpoint.nextEjection);
-    endpoint.nextEjection = earlier(endpoint.nextEjection.multipliedBy(2), MAX_EJECTION);
+    endpoint.readmissionTrialAt = now.plus(endpoint.nextEjectionDuration);
+    endpoint.nextEjectionDuration =
+        earlier(endpoint.nextEjectionDuration.multipliedBy(2), MAX_EJECTION_DURATION);
     endpoint.ejected = true;
     // Behind the silence may be a restart that no list shows.
     if (endpoint.consecutiveUnreachable > 0) {
--- a/gateway/src/main/java/weldcross/routing/PrimaryTracker.java
+++ b/gateway/src/main/java/weldcross/routing/PrimaryTracker.java
@@ -42,7 +42,7 @@
     endpoint.position = later(endpoint.position, position);
     if (!group.hasReported || group.primary != previous) {
       group.hasReported = true;
-      group.nextRoundAt = now;
+      group.nextPrimarySearchAt = now;
       for (EndpointState member : group.members) {
         member.primarySearchBackoff = EndpointState.INITIAL_BACKOFF;
       }
--- a/gateway/src/main/java/weldcross/routing/ReplicaGroup.java
+++ b/gateway/src/main/java/weldcross/routing/ReplicaGroup.java
@@ -24,5 +24,5 @@
 
   // The search for a primary by offering a write to one member after another.
   int nextMemberIndex;
-  Duration nextRoundAt = Duration.ZERO;
+  Duration nextPrimarySearchAt = Duration.ZERO;
 }
--- a/gateway/src/main/java/weldcross/routing/RequestClass.java
+++ b/gateway/src/main/java/weldcross/routing/RequestClass.java
@@ -7,7 +7,7 @@
  *
  * @param stalenessBound how old the data of a {@link Consistency#BOUNDED} read may be
  * @param deduplicationWindow how long after the first send a retry of an {@link
- *     Effect#IDEMPOTENT_BY_KEY} request is recognised
+ *     Idempotency#IDEMPOTENT_BY_KEY} request is recognised
  * @param latencyObjective the time from arrival within which an answer has its full worth
  * @param priorityWeight the worth of an answer within the objective, above 0
  * @param lateWeight the share of that worth that a later answer has, in [0, 1]
@@ -15,8 +15,8 @@
 public record RequestClass(
     Consistency consistency,
     Duration stalenessBound,
-    Effect effect,
-    Scope scope,
+    Idempotency idempotency,
+    DeduplicationScope deduplicationScope,
     Duration deduplicationWindow,
     Duration latencyObjective,
     double priorityWeight,
@@ -41,7 +41,7 @@
   }
 
   /** Whether a request may be executed more than once. */
-  public enum Effect {
+  public enum Idempotency {
     /** It may. */
     IDEMPOTENT,
 
@@ -53,7 +53,7 @@
   }
 
   /** The servers that recognise a retry by its key. */
-  public enum Scope {
+  public enum DeduplicationScope {
     /** All servers. */
     ALL,
 
--- a/gateway/src/main/java/weldcross/routing/RequestState.java
+++ b/gateway/src/main/java/weldcross/routing/RequestState.java
@@ -21,7 +21,7 @@
   /**
    * A request not sent by this share of its time is rejected, while its client has time to retry.
    */
-  private static final double FIRST_SEND_SHARE = 0.45;
+  private static final double FIRST_SEND_FRACTION = 0.45;
 
   /** The latency objective runs from the client's first try, so a retry is worth less. */
   private static final double CLIENT_RETRY_WEIGHT = 0.3;
@@ -33,7 +33,7 @@
   final SessionId session;
 
   /** The commit that the client says its session must see; null where it names none. */
-  final Duration carriedToken;
+  final Duration clientToken;
 
   final double priorityWeight;
   final Duration arrivedAt;
@@ -48,10 +48,10 @@
   final Duration firstSendDeadline;
 
   /** Uniform in [0, 1), drawn once so that asking again does not raise the chance. */
-  final double slowStartDraw;
+  final double slowStartSample;
 
   final List<Attempt> attempts = new ArrayList<>();
-  final Set<EndpointState> tried = new LinkedHashSet<>();
+  final Set<EndpointState> triedEndpoints = new LinkedHashSet<>();
   int attemptsInFlight;
   boolean mayHaveExecuted;
   boolean finished;
@@ -62,7 +62,7 @@
    *
    * @param deadline when the client gives up
    * @param clientRetry whether the client has sent the same before
-   * @param carriedToken null where there is none
+   * @param clientToken null where there is none
    */
   RequestState(
       RequestId id,
@@ -70,29 +70,29 @@
       RequestClass requestClass,
       ReplicaGroup group,
       SessionId session,
-      Duration carriedToken,
+      Duration clientToken,
       boolean clientRetry,
       Duration arrivedAt,
       Duration deadline,
-      double slowStartDraw) {
+      double slowStartSample) {
     this.id = id;
     this.classIndex = classIndex;
     this.requestClass = requestClass;
     this.group = group;
     this.session = session;
-    this.carriedToken = carriedToken;
+    this.clientToken = clientToken;
     this.priorityWeight = requestClass.priorityWeight() * (clientRetry ? CLIENT_RETRY_WEIGHT : 1);
     this.arrivedAt = arrivedAt;
-    this.slowStartDraw = slowStartDraw;
-    Duration patience = deadline.minus(arrivedAt);
+    this.slowStartSample = slowStartSample;
+    Duration timeout = deadline.minus(arrivedAt);
     // Where a late answer is worth nothing, servers should drop the work at the objective.
     this.expiresAt =
         requestClass.lateWeight() > 0
             ? deadline
             : earlier(arrivedAt.plus(requestClass.latencyObjective()), deadline);
-    Duration margin = earlier(MAX_ANSWER_MARGIN, patience.dividedBy(ANSWER_MARGIN_DIVISOR));
+    Duration margin = earlier(MAX_ANSWER_MARGIN, timeout.dividedBy(ANSWER_MARGIN_DIVISOR));
     this.sendDeadline = earlier(expiresAt, deadline.minus(margin));
-    Duration firstSend = Durations.ofSeconds(FIRST_SEND_SHARE * inSeconds(patience));
+    Duration firstSend = Durations.ofSeconds(FIRST_SEND_FRACTION * inSeconds(timeout));
     this.firstSendDeadline = earlier(sendDeadline, arrivedAt.plus(firstSend));
   }
 
@@ -101,6 +101,6 @@
   }
 
   boolean isIdempotent() {
-    return requestClass.effect() == RequestClass.Effect.IDEMPOTENT;
+    return requestClass.idempotency() == RequestClass.Idempotency.IDEMPOTENT;
   }
 }
--- a/gateway/src/main/java/weldcross/routing/RetryPolicy.java
+++ b/gateway/src/main/java/weldcross/routing/RetryPolicy.java
@@ -1,8 +1,8 @@
 package weldcross.routing;
 
 import java.time.Duration;
-import weldcross.routing.RequestClass.Effect;
-import weldcross.routing.RequestClass.Scope;
+import weldcross.routing.RequestClass.DeduplicationScope;
+import weldcross.routing.RequestClass.Idempotency;
 
 /**
  * Decides whether a request may be sent, or sent again, without taking effect twice, and keeps the
@@ -31,9 +31,9 @@
       return false;
     }
     return cannotHaveExecuted(request)
-        || switch (request.requestClass.effect()) {
+        || switch (request.requestClass.idempotency()) {
           case IDEMPOTENT -> true;
-          case IDEMPOTENT_BY_KEY -> isDeduplicated(now, request);
+          case IDEMPOTENT_BY_KEY -> isWithinDeduplicationWindow(now, request);
           case NON_IDEMPOTENT -> false;
         };
   }
@@ -46,15 +46,15 @@
   /** Whether an attempt that was decided earlier may still be written without an effect twice. */
   boolean mayStillSend(Duration now, RequestState request) {
     boolean only = request.attemptsInFlight == 1 && !request.mayHaveExecuted;
-    return request.requestClass.effect() != Effect.IDEMPOTENT_BY_KEY
+    return request.requestClass.idempotency() != Idempotency.IDEMPOTENT_BY_KEY
         || only
-        || isDeduplicated(now, request);
+        || isWithinDeduplicationWindow(now, request);
   }
 
   /** Whether the endpoint would recognise the request as one that has run elsewhere. */
-  boolean recognizesRetry(RequestState request, EndpointState endpoint) {
-    return request.requestClass.effect() != Effect.IDEMPOTENT_BY_KEY
-        || request.requestClass.scope() != Scope.ZONE
+  boolean canDeduplicate(RequestState request, EndpointState endpoint) {
+    return request.requestClass.idempotency() != Idempotency.IDEMPOTENT_BY_KEY
+        || request.requestClass.deduplicationScope() != DeduplicationScope.ZONE
         || request.attempts.isEmpty()
         || request.attempts.get(0).endpoint().zone.equals(endpoint.zone);
   }
@@ -63,8 +63,8 @@
   boolean isSafeForClientToRetry(RequestState request) {
     return request.isIdempotent()
         || cannotHaveExecuted(request)
-        || (request.requestClass.effect() == Effect.IDEMPOTENT_BY_KEY
-            && request.requestClass.scope() == Scope.ALL);
+        || (request.requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
+            && request.requestClass.deduplicationScope() == DeduplicationScope.ALL);
   }
 
   /** Whether a request without an answer may be sent to a second endpoint. */
@@ -88,7 +88,7 @@
   }
 
   /** The window runs from the first send, the earliest that may have been executed. */
-  private static boolean isDeduplicated(Duration now, RequestState request) {
+  private static boolean isWithinDeduplicationWindow(Duration now, RequestState request) {
     Duration sinceFirstSend = now.minus(request.attempts.get(0).sentAt());
     return sinceFirstSend.compareTo(request.requestClass.deduplicationWindow()) < 0;
   }
--- a/gateway/src/main/java/weldcross/routing/Router.java
+++ b/gateway/src/main/java/weldcross/routing/Router.java
@@ -127,10 +127,10 @@
             config.requestClasses().get(arrival.classIndex()),
             registry.group(arrival.group()),
             arrival.session(),
-            arrival.sinceWrite().isZero() ? null : now.minus(arrival.sinceWrite()),
+            arrival.timeSinceLastWrite().isZero() ? null : now.minus(arrival.timeSinceLastWrite()),
             arrival.clientRetry(),
             now,
-            now.plus(arrival.patience()),
+            now.plus(arrival.timeout()),
             random.nextDouble());
     requests.put(request.id, request);
     timers.schedule(request.firstSendDeadline, at -> giveUpIf(request, request.attempts.isEmpty()));
@@ -159,7 +159,7 @@
     if (request == null) {
       return;
     }
-    Attempt attempt = request.attempts.get(result.number());
+    Attempt attempt = request.attempts.get(result.attemptNumber());
     EndpointState endpoint = attempt.endpoint();
     AttemptOutcome outcome = result.outcome();
     removeFromFlight(attempt, outcome);
@@ -168,9 +168,9 @@
       recordRole(now, attempt, result);
       dispatchQueue(now, endpoint.group);
     }
-    recordOutcome(now, attempt, outcome, result.took());
+    recordOutcome(now, attempt, outcome, result.elapsed());
     slowStart.confirmAlive(now, endpoint, result.aliveSince());
-    if (result.answered() && !request.finished) {
+    if (result.requestAnswered() && !request.finished) {
       finish(request, outcome == AttemptOutcome.OK);
     }
     if (!request.finished && request.attemptsInFlight == 0) {
@@ -186,7 +186,7 @@
     boolean primary = result.primary();
     Duration position = result.position();
     Duration asOf =
-        position != null && !attempt.request().isWrite() ? position : now.minus(result.took());
+        position != null && !attempt.request().isWrite() ? position : now.minus(result.elapsed());
     PrimaryTracker.recordAnswer(now, attempt.endpoint(), primary ? asOf : position, primary);
   }
 
@@ -198,18 +198,19 @@
     attempt.endpoint().readsInFlight -= request.isWrite() ? 0 : 1;
   }
 
-  private void recordOutcome(Duration now, Attempt attempt, AttemptOutcome outcome, Duration took) {
-    limiter.recordOutcome(now, attempt, outcome, took);
+  private void recordOutcome(
+      Duration now, Attempt attempt, AttemptOutcome outcome, Duration elapsed) {
+    limiter.recordOutcome(now, attempt, outcome, elapsed);
     int classIndex = attempt.request().classIndex;
     boolean success = outcome == AttemptOutcome.OK;
     // Going behind its equals costs nothing, so one answer is enough for it.
     if (outcome == AttemptOutcome.ERROR
         || outcome == AttemptOutcome.UNREACHABLE
-        || (success && latency.isSlow(classIndex, took))) {
+        || (success && latency.isSlow(classIndex, elapsed))) {
       attempt.endpoint().rank++;
     }
     if (success) {
-      latency.record(classIndex, took);
+      latency.record(classIndex, elapsed);
       slowStart.recordSuccess(now, attempt);
       retryPolicy.recordSuccess();
     }
@@ -246,7 +247,7 @@
    * @param position up to where its data goes
    * @param primary whether it says it is the primary; null where it does not say
    */
-  public void reported(Duration now, ServerId server, Duration position, Boolean primary) {
+  public void reportReceived(Duration now, ServerId server, Duration position, Boolean primary) {
     EndpointState endpoint = registry.endpoint(server);
     PrimaryTracker.recordReport(now, endpoint, position, primary);
     dispatchQueue(now, endpoint.group);
@@ -273,12 +274,12 @@
     registry.pollIfDue(now);
     slowStart.updateRate(now, TICK_INTERVAL, registry.endpoints());
     consistency.expireTokens(now);
-    registry.forgetRemoved(now);
+    registry.evictRemoved(now);
   }
 
   /** Runs the timers that are due, as asked for by {@link RouterActions#scheduleTimer}. */
   public void timersDue(Duration now) {
-    timers.fire(now);
+    timers.fireDue(now);
   }
 
   // ---- The way of a request
@@ -295,7 +296,7 @@
       send(now, request, endpoint);
     } else if (request.attemptsInFlight == 0) {
       // Only the primary may be able to take it, even if it has turned the request away once.
-      request.tried.remove(request.group.primary);
+      request.triedEndpoints.remove(request.group.primary);
       enqueue(now, request);
     }
   }
@@ -313,7 +314,7 @@
             inSlowStart);
     request.attempts.add(attempt);
     request.attemptsInFlight++;
-    request.tried.add(endpoint);
+    request.triedEndpoints.add(endpoint);
     endpoint.inFlight.add(attempt);
     endpoint.readsInFlight += request.isWrite() ? 0 : 1;
     if (inSlowStart) {
@@ -330,7 +331,7 @@
       return;
     }
     outliers.checkOverdue(now, endpoint);
-    if (endpoint.ejected || (endpoint.group.queue.isEmpty() && latency.isLost(attempt))) {
+    if (endpoint.ejected || (endpoint.group.queue.isEmpty() && latency.isPresumedLost(attempt))) {
       hedge(now, attempt);
     }
     timers.schedule(
@@ -359,14 +360,14 @@
         || hasUntriedMember(request)) {
       route(now, request);
     } else {
-      request.tried.clear();
+      request.triedEndpoints.clear();
       enqueue(now, request);
     }
   }
 
   private static boolean hasUntriedMember(RequestState request) {
     for (EndpointState member : request.group.members) {
-      if (member.listed && !request.tried.contains(member)) {
+      if (member.listed && !request.triedEndpoints.contains(member)) {
         return true;
       }
     }
@@ -398,7 +399,7 @@
       if (request.finished) {
         continue;
       }
-      if (latency.isHopeless(now, request)) {
+      if (latency.cannotMeetDeadline(now, request)) {
         giveUp(request);
       } else {
         route(now, request);
--- a/gateway/src/main/java/weldcross/routing/RouterTimers.java
+++ b/gateway/src/main/java/weldcross/routing/RouterTimers.java
@@ -28,7 +28,7 @@
   }
 
   /** Runs all callbacks that are due and asks for the next wake-up. */
-  void fire(Duration now) {
+  void fireDue(Duration now) {
     // A wake-up asked for before an earlier one came up is left over; if it asked for the next one
     // too, wake-ups would multiply.
     if (wakeUpAt == null || now.compareTo(wakeUpAt) < 0) {
--- a/gateway/src/main/java/weldcross/routing/RoutingConfig.java
+++ b/gateway/src/main/java/weldcross/routing/RoutingConfig.java
@@ -20,7 +20,8 @@
  * @param removalIsBinding whether a server that left the list may get nothing new
  * @param clientsCarryTokens whether a session read says how long ago its session's last write was
  *     committed
- * @param slowStartShare the least share of its capacity that a server starts with, in (0, 1]
+ * @param initialCapacityFraction the least share of its capacity that a server starts with, in (0,
+ *     1]
  * @param slowStartDuration the time after which a started server is warm
  * @param overloadMultiple a server that warms up fails when sent more than this multiple of what it
  *     can do
@@ -40,7 +41,7 @@
     Duration maxPollInterval,
     boolean removalIsBinding,
     boolean clientsCarryTokens,
-    double slowStartShare,
+    double initialCapacityFraction,
     Duration slowStartDuration,
     double overloadMultiple,
     Duration overloadWindow) {}
--- a/gateway/src/main/java/weldcross/routing/SessionConsistency.java
+++ b/gateway/src/main/java/weldcross/routing/SessionConsistency.java
@@ -51,7 +51,7 @@
    */
   Duration token(RequestState request) {
     return clientsCarryTokens
-        ? request.carriedToken
+        ? request.clientToken
         : tokens.getOrDefault(request.session, expiredTokenFloor);
   }
 
--- a/gateway/src/main/java/weldcross/routing/SlowStart.java
+++ b/gateway/src/main/java/weldcross/routing/SlowStart.java
@@ -15,16 +15,16 @@
 final class SlowStart {
 
   /** The share of the budget that is used: handshakes, health checks and uneven work need some. */
-  private static final double BUDGET_SHARE = 0.75;
+  private static final double BUDGET_UTILIZATION = 0.75;
 
   /** The window over which the work of warm servers is averaged. */
   private static final Duration RATE_WINDOW = Duration.ofSeconds(4);
 
   /** Unused budget is saved up for this share of the overload window, or for one attempt. */
-  private static final int SAVED_WINDOW_DIVISOR = 4;
+  private static final int BURST_WINDOW_DIVISOR = 4;
 
   /** A request that has waited for longer than this came from the queue. */
-  private static final Duration MAX_FRESH_AGE = Duration.ofMillis(30);
+  private static final Duration MAX_UNQUEUED_AGE = Duration.ofMillis(30);
 
   /** What a process sent before it ended may come in this much later than the news of its end. */
   private static final Duration LATE_RESPONSE_MARGIN = Duration.ofMillis(30);
@@ -37,10 +37,10 @@
   private double fleetSize;
 
   /** Work answered by warm servers since the last {@link #updateRate}, in expected seconds. */
-  private double workSeconds;
+  private double warmWorkSeconds;
 
   /** Work that one warm server answers, in expected seconds per second. */
-  private double warmRate;
+  private double warmServerRate;
 
   SlowStart(
       RoutingConfig config,
@@ -62,8 +62,8 @@
   }
 
   boolean isWarmingUp(Duration now, EndpointState endpoint) {
-    return endpoint.warmingSince != null
-        && now.minus(endpoint.warmingSince).compareTo(config.slowStartDuration()) < 0;
+    return endpoint.warmUpStartedAt != null
+        && now.minus(endpoint.warmUpStartedAt).compareTo(config.slowStartDuration()) < 0;
   }
 
   /**
@@ -74,29 +74,30 @@
     if (!isWarmingUp(now, endpoint) || now.compareTo(endpoint.nextSlowStartSendAt) >= 0) {
       return true;
     }
-    boolean fresh = now.minus(request.arrivedAt).compareTo(MAX_FRESH_AGE) <= 0;
-    boolean startUnlisted =
+    boolean fresh = now.minus(request.arrivedAt).compareTo(MAX_UNQUEUED_AGE) <= 0;
+    boolean startNotListed =
         endpoint.startedAt == null
             || now.minus(endpoint.startedAt).compareTo(config.slowStartDuration()) >= 0;
-    if (!fresh || startUnlisted) {
+    if (!fresh || startNotListed) {
       return fresh;
     }
-    Duration overdraft = sendInterval(now, endpoint, request.classIndex).multipliedBy(2);
-    boolean overdrawn = now.plus(overdraft).compareTo(endpoint.nextSlowStartSendAt) < 0;
-    double admittedShare =
-        BUDGET_SHARE
+    Duration maxScheduleAhead = sendInterval(now, endpoint, request.classIndex).multipliedBy(2);
+    boolean budgetExhausted =
+        now.plus(maxScheduleAhead).compareTo(endpoint.nextSlowStartSendAt) < 0;
+    double admissionProbability =
+        BUDGET_UTILIZATION
             * config.overloadMultiple()
-            * capacityShare(now, endpoint)
-            * equallyLikely(now, request, endpoint)
+            * capacityFraction(now, endpoint)
+            * equallyLoadedMembers(now, request, endpoint)
             / endpoint.group.members.size();
-    return !overdrawn && request.slowStartDraw < admittedShare;
+    return !budgetExhausted && request.slowStartSample < admissionProbability;
   }
 
   /**
    * Returns among how many members the request's endpoint is picked: the least busy one is picked
    * by all gateways, not by one in as many as there are members.
    */
-  private double equallyLikely(Duration now, RequestState request, EndpointState endpoint) {
+  private double equallyLoadedMembers(Duration now, RequestState request, EndpointState endpoint) {
     if (request.isWrite()) {
       return endpoint.group.members.size();
     }
@@ -115,17 +116,22 @@
   }
 
   /** Returns the share of its full capacity that a warming server has now, in (0, 1]. */
-  private double capacityShare(Duration now, EndpointState endpoint) {
+  private double capacityFraction(Duration now, EndpointState endpoint) {
     double warmed =
         Math.max(
-            0, inSeconds(now.minus(endpoint.warmingSince)) / inSeconds(config.slowStartDuration()));
-    return config.slowStartShare() + (1 - config.slowStartShare()) * Math.min(1, warmed);
+            0,
+            inSeconds(now.minus(endpoint.warmUpStartedAt)) / inSeconds(config.slowStartDuration()));
+    return config.initialCapacityFraction()
+        + (1 - config.initialCapacityFraction()) * Math.min(1, warmed);
   }
 
   /** Returns the gap between two attempts of a class to a server that warms up. */
   private Duration sendInterval(Duration now, EndpointState endpoint, int classIndex) {
     double rate =
-        BUDGET_SHARE * config.overloadMultiple() * capacityShare(now, endpoint) * warmRate;
+        BUDGET_UTILIZATION
+            * config.overloadMultiple()
+            * capacityFraction(now, endpoint)
+            * warmServerRate;
     double expectedSeconds = latency.typicalSeconds(classIndex);
     // A gateway that has sent nothing yet takes its part of one attempt an overload window.
     double minRate = expectedSeconds / (inSeconds(config.overloadWindow()) * fleetSize);
@@ -135,14 +141,14 @@
   /** Takes the attempt that is sent now out of the budget of an endpoint that warms up. */
   void recordSend(Duration now, RequestState request, EndpointState endpoint) {
     Duration interval = sendInterval(now, endpoint, request.classIndex);
-    Duration savable = later(interval, config.overloadWindow().dividedBy(SAVED_WINDOW_DIVISOR));
+    Duration maxBurst = later(interval, config.overloadWindow().dividedBy(BURST_WINDOW_DIVISOR));
     endpoint.nextSlowStartSendAt =
-        later(endpoint.nextSlowStartSendAt, now.minus(savable)).plus(interval);
+        later(endpoint.nextSlowStartSendAt, now.minus(maxBurst)).plus(interval);
   }
 
   /** Counts a successful answer toward what warm servers do. */
   void recordSuccess(Duration now, Attempt attempt) {
-    workSeconds += isWarmingUp(now, attempt.endpoint()) ? 0 : attempt.expectedSeconds();
+    warmWorkSeconds += isWarmingUp(now, attempt.endpoint()) ? 0 : attempt.expectedSeconds();
   }
 
   /** Averages the work of warm servers; to be called once in each {@code interval}. */
@@ -153,16 +159,17 @@
         warm++;
       }
     }
-    warmRate +=
+    warmServerRate +=
         warm == 0
             ? 0
-            : (workSeconds / warm - warmRate * inSeconds(interval)) / inSeconds(RATE_WINDOW);
-    workSeconds = 0;
+            : (warmWorkSeconds / warm - warmServerRate * inSeconds(interval))
+                / inSeconds(RATE_WINDOW);
+    warmWorkSeconds = 0;
   }
 
   /** Starts the warm-up of an endpoint whose process started at {@code since}. */
   void begin(Duration now, EndpointState endpoint, Duration since) {
-    endpoint.warmingSince = since;
+    endpoint.warmUpStartedAt = since;
     // A new place among its equals: behind those that were slow it would be first at all gateways.
     List<EndpointState> members = endpoint.group.members;
     endpoint.rank = members.get(random.nextInt(members.size())).rank + random.nextDouble() - 0.5;
@@ -175,7 +182,7 @@
   /** Treats an endpoint that could not be reached as started anew, until shown otherwise. */
   void presumeRestart(Duration now, EndpointState endpoint) {
     if (endpoint.presumedRestartAt == null || !isWarmingUp(now, endpoint)) {
-      endpoint.warmingSinceBeforeRestart = endpoint.warmingSince;
+      endpoint.warmUpStartedAtBeforeRestart = endpoint.warmUpStartedAt;
       endpoint.presumedRestartAt = now;
     }
     begin(now, endpoint, now);
@@ -189,15 +196,15 @@
   void confirmAlive(Duration now, EndpointState endpoint, Duration aliveSince) {
     if (aliveSince == null
         || endpoint.presumedRestartAt == null
-        || aliveSince.compareTo(endpoint.warmingSince) >= 0
-        || now.minus(endpoint.warmingSince).compareTo(LATE_RESPONSE_MARGIN) <= 0) {
+        || aliveSince.compareTo(endpoint.warmUpStartedAt) >= 0
+        || now.minus(endpoint.warmUpStartedAt).compareTo(LATE_RESPONSE_MARGIN) <= 0) {
       return;
     }
     if (aliveSince.compareTo(endpoint.presumedRestartAt) < 0) {
-      endpoint.warmingSince = endpoint.warmingSinceBeforeRestart;
+      endpoint.warmUpStartedAt = endpoint.warmUpStartedAtBeforeRestart;
       endpoint.presumedRestartAt = null;
     } else {
-      endpoint.warmingSince = aliveSince;
+      endpoint.warmUpStartedAt = aliveSince;
     }
   }
 }
--- a/gateway/src/main/java/weldcross/simulator/SimulatedGateway.java
+++ b/gateway/src/main/java/weldcross/simulator/SimulatedGateway.java
@@ -140,7 +140,7 @@
               .movePointRight(MICRO_DIGITS)
               .setScale(0, RoundingMode.FLOOR)
               .longValue();
-      router.reported(now, server, sinceStart(originMicros + micros), report.primary());
+      router.reportReceived(now, server, sinceStart(originMicros + micros), report.primary());
     }
   }
 
--- a/gateway/src/test/java/weldcross/config/ConfigReaderTest.java
+++ b/gateway/src/test/java/weldcross/config/ConfigReaderTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import weldcross.routing.RequestClass.Consistency;
-import weldcross.routing.RequestClass.Effect;
+import weldcross.routing.RequestClass.Idempotency;
 import weldcross.routing.RoutingConfig;
 
 class ConfigReaderTest {
@@ -44,7 +44,7 @@
     assertEquals(
         List.of(Consistency.SESSION, Consistency.WRITE),
         fromJson.requestClasses().stream().map(m -> m.consistency()).toList());
-    assertEquals(Effect.NON_IDEMPOTENT, fromJson.requestClasses().get(1).effect());
+    assertEquals(Idempotency.NON_IDEMPOTENT, fromJson.requestClasses().get(1).idempotency());
     assertEquals(Duration.ofMillis(500), fromJson.maxRetryAfter());
   }
 
--- a/gateway/src/test/java/weldcross/config/StoredConfigFilesTest.java
+++ b/gateway/src/test/java/weldcross/config/StoredConfigFilesTest.java
@@ -19,8 +19,8 @@
 import weldcross.mesh.PeerName;
 import weldcross.routing.RequestClass;
 import weldcross.routing.RequestClass.Consistency;
-import weldcross.routing.RequestClass.Effect;
-import weldcross.routing.RequestClass.Scope;
+import weldcross.routing.RequestClass.DeduplicationScope;
+import weldcross.routing.RequestClass.Idempotency;
 import weldcross.routing.RoutingConfig;
 import weldcross.routing.ZoneId;
 
@@ -60,8 +60,8 @@
         new RequestClass(
             Consistency.SESSION,
             Duration.ZERO,
-            Effect.IDEMPOTENT,
-            Scope.GROUP,
+            Idempotency.IDEMPOTENT,
+            DeduplicationScope.GROUP,
             Duration.ZERO,
             Duration.ofMillis(300),
             1,
@@ -70,8 +70,8 @@
         new RequestClass(
             Consistency.WRITE,
             Duration.ZERO,
-            Effect.NON_IDEMPOTENT,
-            Scope.GROUP,
+            Idempotency.NON_IDEMPOTENT,
+            DeduplicationScope.GROUP,
             Duration.ZERO,
             Duration.ofMillis(600),
             3,
--- a/gateway/src/test/java/weldcross/routing/AdmissionQueueTest.java
+++ b/gateway/src/test/java/weldcross/routing/AdmissionQueueTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import weldcross.routing.RequestClass.Consistency;
-import weldcross.routing.RequestClass.Effect;
-import weldcross.routing.RequestClass.Scope;
+import weldcross.routing.RequestClass.DeduplicationScope;
+import weldcross.routing.RequestClass.Idempotency;
 import weldcross.routing.RouterHarness.Answer;
 
 class AdmissionQueueTest {
@@ -27,8 +27,8 @@
       reads.add(harness.arrive(Consistency.FRESH));
       harness.advance(ms(10));
     }
-    harness.end(harness.onlyInFlight(reads.get(0)), AttemptOutcome.OK);
-    harness.end(harness.onlyInFlight(reads.get(1)), AttemptOutcome.OK);
+    harness.end(harness.firstInFlight(reads.get(0)), AttemptOutcome.OK);
+    harness.end(harness.firstInFlight(reads.get(1)), AttemptOutcome.OK);
     assertEquals(1, harness.requests.get(reads.get(19)).attemptCount);
     assertEquals(0, harness.requests.get(reads.get(18)).attemptCount);
   }
@@ -107,7 +107,14 @@
       String name, ReplicaGroup group, Duration arrivedAt, double weight) {
     RequestClass requestClass =
         new RequestClass(
-            Consistency.FRESH, ms(0), Effect.IDEMPOTENT, Scope.ALL, ms(0), ms(400), weight, 0.2);
+            Consistency.FRESH,
+            ms(0),
+            Idempotency.IDEMPOTENT,
+            DeduplicationScope.ALL,
+            ms(0),
+            ms(400),
+            weight,
+            0.2);
     return new RequestState(
         new RequestId(name),
         0,
--- a/gateway/src/test/java/weldcross/routing/ConcurrencyLimiterTest.java
+++ b/gateway/src/test/java/weldcross/routing/ConcurrencyLimiterTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import weldcross.routing.RequestClass.Consistency;
-import weldcross.routing.RequestClass.Effect;
-import weldcross.routing.RequestClass.Scope;
+import weldcross.routing.RequestClass.DeduplicationScope;
+import weldcross.routing.RequestClass.Idempotency;
 import weldcross.routing.RouterHarness.Answer;
 
 class ConcurrencyLimiterTest {
@@ -43,7 +43,7 @@
       String write = harness.arrive(Consistency.WRITE);
       harness.advance(ms(10));
       if (k % 3 < 2) {
-        harness.end(harness.onlyInFlight(write), AttemptOutcome.OK);
+        harness.end(harness.firstInFlight(write), AttemptOutcome.OK);
       }
     }
     assertTrue(harness.inFlight.size() > 30, "lost and still out: " + harness.inFlight.size());
@@ -73,13 +73,13 @@
     RouterHarness harness = RouterHarness.withKnownPrimary(RoutingConfigs.fleet(80, true));
     String first = harness.arrive(Consistency.WRITE);
     harness.advance(ms(40));
-    harness.end(harness.onlyInFlight(first), AttemptOutcome.OK);
+    harness.end(harness.firstInFlight(first), AttemptOutcome.OK);
     String second = harness.arrive(Consistency.WRITE);
     harness.advance(ms(150));
     assertEquals(
         1, harness.requests.get(second).attemptCount, "a tenth of its soft deadline was taken");
     harness.advance(ms(230));
-    harness.end(harness.onlyInFlight(second), AttemptOutcome.OK);
+    harness.end(harness.firstInFlight(second), AttemptOutcome.OK);
     String third = harness.arrive(Consistency.WRITE);
     harness.advance(ms(500));
     assertEquals(0, harness.requests.get(third).attemptCount, "nine tenths were taken");
@@ -113,11 +113,18 @@
     "IDLE_CONNECTION_LOST, 300, unchanged"
   })
   void limitFollowsTheShareOfTheObjectiveThatAnAnswerTook(
-      AttemptOutcome outcome, long tookMillis, String expected) {
+      AttemptOutcome outcome, long elapsedMillis, String expected) {
     ConcurrencyLimiter limiter = new ConcurrencyLimiter(6, new LatencyEstimator(1));
     RequestClass requestClass =
         new RequestClass(
-            Consistency.ANY, ms(400), Effect.IDEMPOTENT, Scope.ALL, ms(0), ms(400), 1, 0);
+            Consistency.ANY,
+            ms(400),
+            Idempotency.IDEMPOTENT,
+            DeduplicationScope.ALL,
+            ms(0),
+            ms(400),
+            1,
+            0);
     RequestState request =
         new RequestState(
             new RequestId("r"),
@@ -135,7 +142,7 @@
             new ServerId("s"), request.group, new ZoneId(0), 0, limiter.initialLimit());
     endpoint.inFlight.add(new Attempt(request, endpoint, 1, ms(0), 0.1, false));
     Attempt ended = new Attempt(request, endpoint, 0, ms(0), 0.1, false);
-    limiter.recordOutcome(ms(tookMillis), ended, outcome, ms(tookMillis));
+    limiter.recordOutcome(ms(elapsedMillis), ended, outcome, ms(elapsedMillis));
     int change = Double.compare(endpoint.concurrencyLimit, 2);
     assertEquals(expected, change < 0 ? "lowered" : change > 0 ? "raised" : "unchanged");
   }
--- a/gateway/src/test/java/weldcross/routing/EndpointRegistryTest.java
+++ b/gateway/src/test/java/weldcross/routing/EndpointRegistryTest.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import weldcross.routing.RequestClass.Consistency;
-import weldcross.routing.RequestClass.Effect;
-import weldcross.routing.RequestClass.Scope;
+import weldcross.routing.RequestClass.DeduplicationScope;
+import weldcross.routing.RequestClass.Idempotency;
 
 class EndpointRegistryTest {
 
@@ -58,7 +58,7 @@
       harness.report(server, harness.now);
       harness.advance(ms(300));
       String write = harness.arrive(Consistency.WRITE);
-      assertEquals("s" + k / 3 * 3, harness.onlyInFlight(write).serverName());
+      assertEquals("s" + k / 3 * 3, harness.firstInFlight(write).serverName());
       harness.advance(ms(2));
       harness.answerOlderThan(Duration.ZERO);
     }
@@ -74,7 +74,9 @@
   void failedListCallIsRepeatedWithBackoff() {
     RouterHarness harness =
         new RouterHarness(
-            RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, true), 1);
+            RoutingConfigs.withWrites(
+                Idempotency.NON_IDEMPOTENT, DeduplicationScope.GROUP, true, true, true),
+            1);
     assertEquals(1, harness.watchCalls);
     for (int k = 0; k < 8; k++) {
       harness.router.endpointListFailed(harness.now);
@@ -85,67 +87,67 @@
 
   @Test
   void serverMissingFromACompleteListIsNoLongerListed() {
-    RouterParts parts = new RouterParts(2);
-    parts.registry.beginList(true);
-    parts.list(0, EndpointStatus.ACTIVE, null, false);
-    parts.registry.endList();
-    assertTrue(parts.endpoint(0).listed);
-    assertFalse(parts.endpoint(1).listed);
+    RouterComponents components = new RouterComponents(2);
+    components.registry.beginList(true);
+    components.list(0, EndpointStatus.ACTIVE, null, false);
+    components.registry.endList();
+    assertTrue(components.endpoint(0).listed);
+    assertFalse(components.endpoint(1).listed);
   }
 
   @Test
   void serverMissingFromAListOfChangesStaysListed() {
-    RouterParts parts = new RouterParts(2);
-    parts.registry.beginList(false);
-    parts.registry.endList();
-    assertTrue(parts.endpoint(1).listed);
+    RouterComponents components = new RouterComponents(2);
+    components.registry.beginList(false);
+    components.registry.endList();
+    assertTrue(components.endpoint(1).listed);
   }
 
   @Test
   void primaryOfTheListCountsOnlyWhileNoneIsKnown() {
-    RouterParts parts = new RouterParts(2);
-    parts.list(0, EndpointStatus.ACTIVE, null, true);
-    assertSame(parts.endpoint(0), parts.group.primary);
-    parts.list(1, EndpointStatus.ACTIVE, null, true);
-    assertSame(parts.endpoint(0), parts.group.primary);
+    RouterComponents components = new RouterComponents(2);
+    components.list(0, EndpointStatus.ACTIVE, null, true);
+    assertSame(components.endpoint(0), components.group.primary);
+    components.list(1, EndpointStatus.ACTIVE, null, true);
+    assertSame(components.endpoint(0), components.group.primary);
   }
 
   @Test
   void newStartInTheListBeginsAWarmUp() {
-    RouterParts parts = new RouterParts(2);
-    assertNull(parts.endpoint(0).warmingSince);
-    parts.list(0, EndpointStatus.ACTIVE, ms(40), false);
-    assertEquals(ms(40), parts.endpoint(0).warmingSince);
+    RouterComponents components = new RouterComponents(2);
+    assertNull(components.endpoint(0).warmUpStartedAt);
+    components.list(0, EndpointStatus.ACTIVE, ms(40), false);
+    assertEquals(ms(40), components.endpoint(0).warmUpStartedAt);
   }
 
   @Test
   void removedServerIsForgottenAfterTheSlowStartDuration() {
-    RouterParts parts = new RouterParts(2);
-    ServerId id = parts.endpoint(0).id;
-    parts.list(0, EndpointStatus.REMOVED, null, false);
-    parts.registry.forgetRemoved(ms(1000));
-    assertEquals(List.of(id), parts.removed);
-    parts.registry.forgetRemoved(ms(6999));
-    assertEquals(2, parts.group.members.size());
-    parts.registry.forgetRemoved(ms(7000));
-    assertNull(parts.registry.endpoint(id));
-    assertEquals(1, parts.group.members.size());
+    RouterComponents components = new RouterComponents(2);
+    ServerId id = components.endpoint(0).id;
+    components.list(0, EndpointStatus.REMOVED, null, false);
+    components.registry.evictRemoved(ms(1000));
+    assertEquals(List.of(id), components.removed);
+    components.registry.evictRemoved(ms(6999));
+    assertEquals(2, components.group.members.size());
+    components.registry.evictRemoved(ms(7000));
+    assertNull(components.registry.endpoint(id));
+    assertEquals(1, components.group.members.size());
   }
 
   @Test
   void failedListCallIsRepeatedOnceAfterOneToTwoBackoffs() {
-    RouterParts parts = new RouterParts(1);
-    parts.registry.recordListFailure(ms(0));
-    parts.registry.pollIfDue(ms(499));
-    assertEquals(0, parts.watchCalls);
-    parts.registry.pollIfDue(ms(1000));
-    parts.registry.pollIfDue(ms(5000));
-    assertEquals(1, parts.watchCalls);
+    RouterComponents components = new RouterComponents(1);
+    components.registry.recordListFailure(ms(0));
+    components.registry.pollIfDue(ms(499));
+    assertEquals(0, components.watchCalls);
+    components.registry.pollIfDue(ms(1000));
+    components.registry.pollIfDue(ms(5000));
+    assertEquals(1, components.watchCalls);
   }
 
   @Test
   void validityIsRegainedOnlyByAListThatWasInvalid() {
-    EndpointRegistry registry = new RouterParts(1).registry;
+    EndpointRegistry registry = new RouterComponents(1).registry;
     assertFalse(registry.setListValid(true));
     assertFalse(registry.setListValid(false));
     assertTrue(registry.setListValid(true));
--- a/gateway/src/test/java/weldcross/routing/EndpointSelectorTest.java
+++ b/gateway/src/test/java/weldcross/routing/EndpointSelectorTest.java
@@ -62,70 +62,74 @@
 
   @Test
   void writeWithAKnownPrimaryGoesToIt() {
-    RouterParts parts = new RouterParts(3);
-    parts.group.primary = parts.endpoint(1);
+    RouterComponents components = new RouterComponents(3);
+    components.group.primary = components.endpoint(1);
     assertSame(
-        parts.endpoint(1), parts.selector.select(ms(0), parts.request(Consistency.WRITE, ms(0))));
+        components.endpoint(1),
+        components.selector.select(ms(0), components.request(Consistency.WRITE, ms(0))));
   }
 
   @Test
   void writeWithoutAKnownPrimaryGoesToEachMemberInTurnAndThenPauses() {
-    RouterParts parts = new RouterParts(3);
-    RequestState write = parts.request(Consistency.WRITE, ms(0));
+    RouterComponents components = new RouterComponents(3);
+    RequestState write = components.request(Consistency.WRITE, ms(0));
     for (int number = 0; number < 3; number++) {
-      EndpointState selected = parts.selector.select(ms(0), write);
-      assertSame(parts.endpoint(number), selected);
-      write.tried.add(selected);
+      EndpointState selected = components.selector.select(ms(0), write);
+      assertSame(components.endpoint(number), selected);
+      write.triedEndpoints.add(selected);
     }
-    assertNull(parts.selector.select(ms(0), write));
-    assertNull(parts.selector.select(ms(99), write));
-    assertSame(parts.endpoint(0), parts.selector.select(ms(100), write));
+    assertNull(components.selector.select(ms(0), write));
+    assertNull(components.selector.select(ms(99), write));
+    assertSame(components.endpoint(0), components.selector.select(ms(100), write));
   }
 
   @Test
   void readOfAnyStateGoesToTheReplicaWithTheFewestReadsInFlight() {
-    RouterParts parts = partsWithPrimary();
-    parts.endpoint(1).readsInFlight = 1;
+    RouterComponents components = componentsWithPrimary();
+    components.endpoint(1).readsInFlight = 1;
     assertSame(
-        parts.endpoint(2), parts.selector.select(ms(0), parts.request(Consistency.ANY, ms(0))));
+        components.endpoint(2),
+        components.selector.select(ms(0), components.request(Consistency.ANY, ms(0))));
   }
 
   @Test
   void readIsNotSelectedForADrainingReplica() {
-    RouterParts parts = partsWithPrimary();
-    parts.endpoint(1).draining = true;
-    parts.endpoint(2).readsInFlight = 5;
+    RouterComponents components = componentsWithPrimary();
+    components.endpoint(1).draining = true;
+    components.endpoint(2).readsInFlight = 5;
     assertSame(
-        parts.endpoint(2), parts.selector.select(ms(0), parts.request(Consistency.ANY, ms(0))));
+        components.endpoint(2),
+        components.selector.select(ms(0), components.request(Consistency.ANY, ms(0))));
   }
 
   @Test
   void freshReadWithoutAFreshReplicaGoesToThePrimary() {
-    RouterParts parts = partsWithPrimary();
+    RouterComponents components = componentsWithPrimary();
     assertSame(
-        parts.endpoint(0), parts.selector.select(ms(0), parts.request(Consistency.FRESH, ms(0))));
+        components.endpoint(0),
+        components.selector.select(ms(0), components.request(Consistency.FRESH, ms(0))));
   }
 
   @Test
   void boundedReadWithoutAFreshReplicaWaitsForOneHealthCheck() {
-    RouterParts parts = partsWithPrimary();
-    assertNull(parts.selector.select(ms(0), parts.request(Consistency.BOUNDED, ms(0))));
-    assertEquals(1, parts.healthChecks.size());
+    RouterComponents components = componentsWithPrimary();
+    assertNull(components.selector.select(ms(0), components.request(Consistency.BOUNDED, ms(0))));
+    assertEquals(1, components.healthChecks.size());
   }
 
   @Test
   void nothingIsSelectedWhileTheListIsNotValid() {
-    RouterParts parts = partsWithPrimary();
-    parts.registry.setListValid(false);
-    assertNull(parts.selector.select(ms(0), parts.request(Consistency.WRITE, ms(0))));
-    assertNull(parts.selector.select(ms(0), parts.request(Consistency.ANY, ms(0))));
+    RouterComponents components = componentsWithPrimary();
+    components.registry.setListValid(false);
+    assertNull(components.selector.select(ms(0), components.request(Consistency.WRITE, ms(0))));
+    assertNull(components.selector.select(ms(0), components.request(Consistency.ANY, ms(0))));
   }
 
   /** Returns a group of three that has reported: s0 is the primary, positions are not known. */
-  private static RouterParts partsWithPrimary() {
-    RouterParts parts = new RouterParts(3);
-    parts.group.primary = parts.endpoint(0);
-    parts.group.hasReported = true;
-    return parts;
+  private static RouterComponents componentsWithPrimary() {
+    RouterComponents components = new RouterComponents(3);
+    components.group.primary = components.endpoint(0);
+    components.group.hasReported = true;
+    return components;
   }
 }
--- a/gateway/src/test/java/weldcross/routing/HealthCheckerTest.java
+++ b/gateway/src/test/java/weldcross/routing/HealthCheckerTest.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import weldcross.routing.RequestClass.Consistency;
-import weldcross.routing.RequestClass.Effect;
-import weldcross.routing.RequestClass.Scope;
+import weldcross.routing.RequestClass.DeduplicationScope;
+import weldcross.routing.RequestClass.Idempotency;
 
 class HealthCheckerTest {
 
@@ -32,7 +32,9 @@
   void newRouterChecksEveryMemberAndQueuesReadsUntilOneAnswers() {
     RouterHarness harness =
         new RouterHarness(
-            RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false), 1);
+            RoutingConfigs.withWrites(
+                Idempotency.NON_IDEMPOTENT, DeduplicationScope.GROUP, true, true, false),
+            1);
     RouterHarness.withKnownPrimary()
         .servers
         .values()
@@ -42,14 +44,14 @@
     String read = harness.arrive(Consistency.BOUNDED);
     assertTrue(harness.requests.get(read).inFlight.isEmpty());
     harness.report(harness.server(1), harness.now);
-    assertEquals("s1", harness.onlyInFlight(read).serverName());
+    assertEquals("s1", harness.firstInFlight(read).serverName());
   }
 
   /** Many gateways that search for a primary together are a load. */
   @Test
   void primaryIsSearchedForWithBackoff() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    harness.router.reported(harness.now, harness.server(0).id, harness.now, false);
+    harness.router.reportReceived(harness.now, harness.server(0).id, harness.now, false);
     harness.healthChecks.clear();
     for (int k = 0; k < 100; k++) {
       harness.arrive(Consistency.FRESH);
@@ -72,7 +74,7 @@
     for (int k = 0; k < 30; k++) {
       String write = harness.arrive(Consistency.WRITE);
       harness.advance(ms(10));
-      harness.end(harness.onlyInFlight(write), AttemptOutcome.OK);
+      harness.end(harness.firstInFlight(write), AttemptOutcome.OK);
     }
     harness.healthChecks.clear();
     harness.arrive(Consistency.WRITE);
@@ -89,51 +91,51 @@
 
   @Test
   void secondCheckIsNotSentWhileOneIsUnderWay() {
-    RouterParts parts = new RouterParts(1);
-    assertTrue(parts.healthChecker.check(ms(0), parts.endpoint(0), ms(100)));
-    assertFalse(parts.healthChecker.check(ms(5000), parts.endpoint(0), ms(100)));
-    assertEquals(List.of(parts.endpoint(0).id), parts.healthChecks);
+    RouterComponents components = new RouterComponents(1);
+    assertTrue(components.healthChecker.check(ms(0), components.endpoint(0), ms(100)));
+    assertFalse(components.healthChecker.check(ms(5000), components.endpoint(0), ms(100)));
+    assertEquals(List.of(components.endpoint(0).id), components.healthChecks);
   }
 
   @Test
   void nextCheckIsSentOnceTheGapHasPassed() {
-    RouterParts parts = new RouterParts(1);
-    EndpointState endpoint = parts.endpoint(0);
-    parts.healthChecker.check(ms(0), endpoint, ms(100));
+    RouterComponents components = new RouterComponents(1);
+    EndpointState endpoint = components.endpoint(0);
+    components.healthChecker.check(ms(0), endpoint, ms(100));
     endpoint.healthCheckPending = false;
-    assertFalse(parts.healthChecker.check(ms(99), endpoint, ms(100)));
-    assertTrue(parts.healthChecker.check(ms(100), endpoint, ms(100)));
+    assertFalse(components.healthChecker.check(ms(99), endpoint, ms(100)));
+    assertTrue(components.healthChecker.check(ms(100), endpoint, ms(100)));
   }
 
   @Test
   void backoffOfOverdueChecksDoublesUpToTwoSeconds() {
-    RouterParts parts = new RouterParts(1);
-    EndpointState endpoint = parts.endpoint(0);
+    RouterComponents components = new RouterComponents(1);
+    EndpointState endpoint = components.endpoint(0);
     Duration now = ms(0);
     for (int expectedMillis : new int[] {200, 400, 800, 1600, 2000, 2000}) {
-      parts.healthChecker.checkOverdue(now, endpoint);
+      components.healthChecker.checkOverdue(now, endpoint);
       assertEquals(ms(expectedMillis), endpoint.overdueCheckBackoff);
       endpoint.healthCheckPending = false;
       now = now.plus(endpoint.overdueCheckBackoff);
     }
-    assertEquals(6, parts.healthChecks.size());
+    assertEquals(6, components.healthChecks.size());
   }
 
   @Test
   void unknownServerIsCheckedUnlessItDrains() {
-    RouterParts parts = new RouterParts(2);
-    parts.endpoint(0).draining = true;
-    parts.healthChecker.checkIfUnknown(ms(0), parts.endpoint(0));
-    parts.healthChecker.checkIfUnknown(ms(0), parts.endpoint(1));
-    assertEquals(List.of(parts.endpoint(1).id), parts.healthChecks);
+    RouterComponents components = new RouterComponents(2);
+    components.endpoint(0).draining = true;
+    components.healthChecker.checkIfUnknown(ms(0), components.endpoint(0));
+    components.healthChecker.checkIfUnknown(ms(0), components.endpoint(1));
+    assertEquals(List.of(components.endpoint(1).id), components.healthChecks);
   }
 
   @Test
   void boundedReadAwaitsARefreshForLessThanThirtyMilliseconds() {
-    RouterParts parts = new RouterParts(1);
-    RequestState read = parts.request(Consistency.BOUNDED, ms(1000));
-    assertTrue(parts.healthChecker.awaitsRefresh(ms(1000), read, parts.endpoint(0)));
-    assertTrue(parts.healthChecker.awaitsRefresh(ms(1029), read, parts.endpoint(0)));
-    assertFalse(parts.healthChecker.awaitsRefresh(ms(1030), read, parts.endpoint(0)));
+    RouterComponents components = new RouterComponents(1);
+    RequestState read = components.request(Consistency.BOUNDED, ms(1000));
+    assertTrue(components.healthChecker.awaitsRefresh(ms(1000), read, components.endpoint(0)));
+    assertTrue(components.healthChecker.awaitsRefresh(ms(1029), read, components.endpoint(0)));
+    assertFalse(components.healthChecker.awaitsRefresh(ms(1030), read, components.endpoint(0)));
   }
 }
--- a/gateway/src/test/java/weldcross/routing/LatencyEstimatorTest.java
+++ b/gateway/src/test/java/weldcross/routing/LatencyEstimatorTest.java
@@ -50,12 +50,12 @@
     RouterHarness harness = RouterHarness.withKnownPrimary();
     String slow = harness.arrive(Consistency.FRESH);
     harness.advance(ms(350));
-    harness.end(harness.onlyInFlight(slow), AttemptOutcome.OK);
+    harness.end(harness.firstInFlight(slow), AttemptOutcome.OK);
     assertNull(answerWhilePrimaryDrains(harness, ms(60)), "given up by one answer");
     for (int k = 0; k < 8; k++) {
       String quick = harness.arrive(Consistency.FRESH);
       harness.advance(ms(60));
-      harness.end(harness.onlyInFlight(quick), AttemptOutcome.OK);
+      harness.end(harness.firstInFlight(quick), AttemptOutcome.OK);
     }
     assertNull(
         answerWhilePrimaryDrains(harness, ms(60)),
--- a/gateway/src/test/java/weldcross/routing/OutlierDetectorTest.java
+++ b/gateway/src/test/java/weldcross/routing/OutlierDetectorTest.java
@@ -21,7 +21,7 @@
       harness.end(quick, AttemptOutcome.OK);
     }
     String read = harness.arrive(Consistency.ANY);
-    RouterHarness.Server hung = harness.onlyInFlight(read).server();
+    RouterHarness.Server hung = harness.firstInFlight(read).server();
     harness.healthChecks.clear();
     harness.advance(ms(200));
     assertEquals(
@@ -42,8 +42,8 @@
     harness.advance(ms(1));
     harness.end(harness.send(Consistency.FRESH), AttemptOutcome.CONNECTION_LOST);
     String second = harness.arrive(Consistency.FRESH);
-    assertEquals("s0", harness.onlyInFlight(second).serverName());
-    harness.end(harness.onlyInFlight(second), AttemptOutcome.CONNECTION_LOST);
+    assertEquals("s0", harness.firstInFlight(second).serverName());
+    harness.end(harness.firstInFlight(second), AttemptOutcome.CONNECTION_LOST);
     assertTrue(harness.requests.get(harness.arrive(Consistency.FRESH)).inFlight.isEmpty());
   }
 
@@ -54,7 +54,7 @@
     for (int k = 0; k < 40; k++) {
       String read = harness.arrive(k % 2 == 0 ? Consistency.ANY : Consistency.FRESH);
       assertTrue(harness.requests.get(read).attemptCount > 0);
-      harness.end(harness.onlyInFlight(read), AttemptOutcome.ERROR);
+      harness.end(harness.firstInFlight(read), AttemptOutcome.ERROR);
       List.copyOf(harness.inFlight).forEach(s -> harness.end(s, AttemptOutcome.OK));
       harness.advance(ms(30));
     }
@@ -107,7 +107,7 @@
     RouterHarness harness = RouterHarness.withKnownPrimary();
     for (int k = 0; k < 6; k++) {
       String write = harness.arrive(Consistency.WRITE);
-      harness.end(harness.onlyInFlight(write), AttemptOutcome.IDLE_CONNECTION_LOST);
+      harness.end(harness.firstInFlight(write), AttemptOutcome.IDLE_CONNECTION_LOST);
       assertEquals(Answer.FAILED, harness.requests.get(write).answer, "it may have been executed");
     }
     harness.healthChecks.clear();
@@ -132,78 +132,79 @@
 
   @Test
   void secondErrorInARowEjectsForTheInitialTime() {
-    RouterParts parts = new RouterParts(3);
-    EndpointState endpoint = parts.endpoint(0);
-    parts.end(ms(10), endpoint, AttemptOutcome.ERROR);
+    RouterComponents components = new RouterComponents(3);
+    EndpointState endpoint = components.endpoint(0);
+    components.end(ms(10), endpoint, AttemptOutcome.ERROR);
     assertFalse(endpoint.ejected);
-    parts.end(ms(20), endpoint, AttemptOutcome.ERROR);
+    components.end(ms(20), endpoint, AttemptOutcome.ERROR);
     assertTrue(endpoint.ejected);
     assertEquals(ms(220), endpoint.readmissionTrialAt);
   }
 
   @Test
   void successBetweenTwoErrorsPreventsAnEjection() {
-    RouterParts parts = new RouterParts(3);
-    parts.end(ms(10), parts.endpoint(0), AttemptOutcome.ERROR);
-    parts.end(ms(20), parts.endpoint(0), AttemptOutcome.OK);
-    parts.end(ms(30), parts.endpoint(0), AttemptOutcome.ERROR);
-    assertFalse(parts.endpoint(0).ejected);
+    RouterComponents components = new RouterComponents(3);
+    components.end(ms(10), components.endpoint(0), AttemptOutcome.ERROR);
+    components.end(ms(20), components.endpoint(0), AttemptOutcome.OK);
+    components.end(ms(30), components.endpoint(0), AttemptOutcome.ERROR);
+    assertFalse(components.endpoint(0).ejected);
   }
 
   @Test
   void errorsOfTheOnlyMemberDoNotEjectIt() {
-    RouterParts parts = new RouterParts(1);
+    RouterComponents components = new RouterComponents(1);
     for (int k = 0; k < 5; k++) {
-      parts.end(ms(10), parts.endpoint(0), AttemptOutcome.ERROR);
+      components.end(ms(10), components.endpoint(0), AttemptOutcome.ERROR);
     }
-    assertFalse(parts.endpoint(0).ejected);
+    assertFalse(components.endpoint(0).ejected);
   }
 
   @Test
   void ejectionDoublesWithEachTrialUpToTwoSeconds() {
-    RouterParts parts = ejectedByErrors();
+    RouterComponents components = ejectedByErrors();
     for (int expectedMillis : new int[] {400, 800, 1600, 2000, 2000}) {
-      parts.outliers.recordSend(ms(1000), parts.endpoint(0));
-      assertEquals(ms(1000 + expectedMillis), parts.endpoint(0).readmissionTrialAt);
+      components.outliers.recordSend(ms(1000), components.endpoint(0));
+      assertEquals(ms(1000 + expectedMillis), components.endpoint(0).readmissionTrialAt);
     }
   }
 
   @Test
   void successReadmitsAnEjectedServerAndResetsTheLengthOfItsEjections() {
-    RouterParts parts = ejectedByErrors();
-    parts.end(ms(500), parts.endpoint(0), AttemptOutcome.OK);
-    assertFalse(parts.endpoint(0).ejected);
-    assertEquals(EndpointState.INITIAL_EJECTION, parts.endpoint(0).nextEjection);
+    RouterComponents components = ejectedByErrors();
+    components.end(ms(500), components.endpoint(0), AttemptOutcome.OK);
+    assertFalse(components.endpoint(0).ejected);
+    assertEquals(
+        EndpointState.INITIAL_EJECTION_DURATION, components.endpoint(0).nextEjectionDuration);
   }
 
   /** The first trial of a server is left to requests that may be executed twice. */
   @Test
   void trialIsAdmittedOnceDueForReadsAndOneEjectionLaterForWrites() {
-    RouterParts parts = ejectedByErrors();
-    EndpointState endpoint = parts.endpoint(0);
-    RequestState read = parts.request(Consistency.ANY, ms(0));
-    RequestState write = parts.request(Consistency.WRITE, ms(0));
-    assertFalse(parts.outliers.admits(ms(199), read, endpoint));
-    assertTrue(parts.outliers.admits(ms(200), read, endpoint));
-    assertFalse(parts.outliers.admits(ms(599), write, endpoint));
-    assertTrue(parts.outliers.admits(ms(600), write, endpoint));
+    RouterComponents components = ejectedByErrors();
+    EndpointState endpoint = components.endpoint(0);
+    RequestState read = components.request(Consistency.ANY, ms(0));
+    RequestState write = components.request(Consistency.WRITE, ms(0));
+    assertFalse(components.outliers.admits(ms(199), read, endpoint));
+    assertTrue(components.outliers.admits(ms(200), read, endpoint));
+    assertFalse(components.outliers.admits(ms(599), write, endpoint));
+    assertTrue(components.outliers.admits(ms(600), write, endpoint));
   }
 
   @Test
   void unreachableServerIsGossipedAgainOnlyAfterTheInterval() {
-    RouterParts parts = new RouterParts(3);
-    parts.end(ms(0), parts.endpoint(0), AttemptOutcome.UNREACHABLE);
-    parts.end(ms(250), parts.endpoint(0), AttemptOutcome.UNREACHABLE);
-    assertEquals(1, parts.gossiped.size());
-    parts.end(ms(251), parts.endpoint(0), AttemptOutcome.UNREACHABLE);
-    assertEquals(2, parts.gossiped.size());
+    RouterComponents components = new RouterComponents(3);
+    components.end(ms(0), components.endpoint(0), AttemptOutcome.UNREACHABLE);
+    components.end(ms(250), components.endpoint(0), AttemptOutcome.UNREACHABLE);
+    assertEquals(1, components.gossiped.size());
+    components.end(ms(251), components.endpoint(0), AttemptOutcome.UNREACHABLE);
+    assertEquals(2, components.gossiped.size());
   }
 
   /** Returns a group of three, s0 of which was ejected at time zero. */
-  private static RouterParts ejectedByErrors() {
-    RouterParts parts = new RouterParts(3);
-    parts.end(ms(0), parts.endpoint(0), AttemptOutcome.ERROR);
-    parts.end(ms(0), parts.endpoint(0), AttemptOutcome.ERROR);
-    return parts;
+  private static RouterComponents ejectedByErrors() {
+    RouterComponents components = new RouterComponents(3);
+    components.end(ms(0), components.endpoint(0), AttemptOutcome.ERROR);
+    components.end(ms(0), components.endpoint(0), AttemptOutcome.ERROR);
+    return components;
   }
 }
--- a/gateway/src/test/java/weldcross/routing/PrimaryTrackerTest.java
+++ b/gateway/src/test/java/weldcross/routing/PrimaryTrackerTest.java
@@ -23,7 +23,7 @@
     former.primary = false;
     harness.end(write, AttemptOutcome.INELIGIBLE);
     harness.advance(ms(20));
-    harness.router.reported(harness.now, former.id, claimed, true);
+    harness.router.reportReceived(harness.now, former.id, claimed, true);
     harness.advance(RouterHarness.STALENESS_BOUND);
     String read = harness.arrive(Consistency.BOUNDED);
     harness.advance(ms(60));
@@ -31,59 +31,60 @@
         0, harness.requests.get(read).attemptCount, "the rig knows that nobody holds its bound");
     former.primary = true;
     harness.report(former, harness.now);
-    assertEquals("s0", harness.onlyInFlight(read).serverName(), "a claim from after it counts");
+    assertEquals("s0", harness.firstInFlight(read).serverName(), "a claim from after it counts");
   }
 
   @Test
   void replicaClaimOlderThanAPrimaryClaimIsIgnored() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    harness.router.reported(harness.now, harness.server(0).id, harness.now.minus(ms(20)), false);
+    harness.router.reportReceived(
+        harness.now, harness.server(0).id, harness.now.minus(ms(20)), false);
     assertEquals("s0", harness.send(Consistency.WRITE).serverName());
-    harness.router.reported(harness.now, harness.server(0).id, harness.now, false);
+    harness.router.reportReceived(harness.now, harness.server(0).id, harness.now, false);
     harness.server(0).reportedPrimary = false;
-    harness.router.reported(harness.now, harness.server(1).id, harness.now, true);
+    harness.router.reportReceived(harness.now, harness.server(1).id, harness.now, true);
     assertEquals("s1", harness.send(Consistency.WRITE).serverName());
   }
 
   @Test
   void claimNewerThanThatOfThePrimaryReplacesIt() {
-    RouterParts parts = new RouterParts(2);
-    PrimaryTracker.recordReport(ms(100), parts.endpoint(0), ms(90), true);
-    assertSame(parts.endpoint(0), parts.group.primary);
-    PrimaryTracker.recordReport(ms(110), parts.endpoint(1), ms(91), true);
-    assertSame(parts.endpoint(1), parts.group.primary);
+    RouterComponents components = new RouterComponents(2);
+    PrimaryTracker.recordReport(ms(100), components.endpoint(0), ms(90), true);
+    assertSame(components.endpoint(0), components.group.primary);
+    PrimaryTracker.recordReport(ms(110), components.endpoint(1), ms(91), true);
+    assertSame(components.endpoint(1), components.group.primary);
   }
 
   @Test
   void claimNoNewerThanThatOfThePrimaryIsIgnored() {
-    RouterParts parts = new RouterParts(2);
-    PrimaryTracker.recordReport(ms(100), parts.endpoint(0), ms(90), true);
-    PrimaryTracker.recordReport(ms(110), parts.endpoint(1), ms(90), true);
-    assertSame(parts.endpoint(0), parts.group.primary);
+    RouterComponents components = new RouterComponents(2);
+    PrimaryTracker.recordReport(ms(100), components.endpoint(0), ms(90), true);
+    PrimaryTracker.recordReport(ms(110), components.endpoint(1), ms(90), true);
+    assertSame(components.endpoint(0), components.group.primary);
   }
 
   @Test
   void primaryThatAnswersAsAReplicaLeavesNoPrimary() {
-    RouterParts parts = new RouterParts(2);
-    PrimaryTracker.recordReport(ms(100), parts.endpoint(0), ms(90), true);
-    PrimaryTracker.recordAnswer(ms(110), parts.endpoint(0), null, false);
-    assertNull(parts.group.primary);
+    RouterComponents components = new RouterComponents(2);
+    PrimaryTracker.recordReport(ms(100), components.endpoint(0), ms(90), true);
+    PrimaryTracker.recordAnswer(ms(110), components.endpoint(0), null, false);
+    assertNull(components.group.primary);
   }
 
   @Test
   void replicaReportFromBehindItsOwnClaimKeepsThePrimary() {
-    RouterParts parts = new RouterParts(2);
-    PrimaryTracker.recordReport(ms(100), parts.endpoint(0), ms(90), true);
-    PrimaryTracker.recordReport(ms(110), parts.endpoint(0), ms(89), false);
-    assertSame(parts.endpoint(0), parts.group.primary);
+    RouterComponents components = new RouterComponents(2);
+    PrimaryTracker.recordReport(ms(100), components.endpoint(0), ms(90), true);
+    PrimaryTracker.recordReport(ms(110), components.endpoint(0), ms(89), false);
+    assertSame(components.endpoint(0), components.group.primary);
   }
 
   @Test
   void reportWithoutARoleMovesThePositionForwardOnly() {
-    RouterParts parts = new RouterParts(2);
-    PrimaryTracker.recordReport(ms(100), parts.endpoint(0), ms(90), null);
-    PrimaryTracker.recordReport(ms(110), parts.endpoint(0), ms(80), null);
-    assertNull(parts.group.primary);
-    assertEquals(ms(90), parts.endpoint(0).position);
+    RouterComponents components = new RouterComponents(2);
+    PrimaryTracker.recordReport(ms(100), components.endpoint(0), ms(90), null);
+    PrimaryTracker.recordReport(ms(110), components.endpoint(0), ms(80), null);
+    assertNull(components.group.primary);
+    assertEquals(ms(90), components.endpoint(0).position);
   }
 }
--- a/gateway/src/test/java/weldcross/routing/RetryPolicyTest.java
+++ b/gateway/src/test/java/weldcross/routing/RetryPolicyTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import weldcross.routing.RequestClass.Consistency;
-import weldcross.routing.RequestClass.Effect;
-import weldcross.routing.RequestClass.Scope;
+import weldcross.routing.RequestClass.DeduplicationScope;
+import weldcross.routing.RequestClass.Idempotency;
 import weldcross.routing.RouterHarness.Answer;
 
 class RetryPolicyTest {
@@ -22,15 +22,16 @@
   void retryThatWaitedForItsConnectionIsSentOnlyWithinTheDeduplicationWindow() {
     RouterHarness harness =
         RouterHarness.withKnownPrimary(
-            RoutingConfigs.withWrites(Effect.IDEMPOTENT_BY_KEY, Scope.GROUP, true, true, false));
+            RoutingConfigs.withWrites(
+                Idempotency.IDEMPOTENT_BY_KEY, DeduplicationScope.GROUP, true, true, false));
     String write = harness.arrive(Consistency.WRITE);
     assertTrue(
-        harness.isStillEligible(harness.onlyInFlight(write)),
+        harness.isStillEligible(harness.firstInFlight(write)),
         "the first send needs nobody to know a repeat");
     harness.advance(ms(850));
-    harness.end(harness.onlyInFlight(write), AttemptOutcome.CONNECTION_LOST);
+    harness.end(harness.firstInFlight(write), AttemptOutcome.CONNECTION_LOST);
     harness.advance(ms(30));
-    RouterHarness.SentAttempt repeat = harness.onlyInFlight(write);
+    RouterHarness.SentAttempt repeat = harness.firstInFlight(write);
     assertTrue(harness.isStillEligible(repeat));
     harness.advance(ms(19));
     assertTrue(harness.isStillEligible(repeat));
@@ -42,7 +43,7 @@
   void writeThatMayHaveBeenExecutedFailsAtOnce() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     String write = harness.arrive(Consistency.WRITE);
-    harness.end(harness.onlyInFlight(write), AttemptOutcome.CONNECTION_LOST);
+    harness.end(harness.firstInFlight(write), AttemptOutcome.CONNECTION_LOST);
     assertEquals(Answer.FAILED, harness.requests.get(write).answer);
   }
 
@@ -51,26 +52,26 @@
     RouterHarness harness = RouterHarness.withKnownPrimary();
     String write = harness.arrive(Consistency.WRITE);
     harness.server(0).primary = false;
-    harness.end(harness.onlyInFlight(write), AttemptOutcome.INELIGIBLE);
-    for (RouterHarness.SentAttempt sent = harness.onlyInFlight(write);
+    harness.end(harness.firstInFlight(write), AttemptOutcome.INELIGIBLE);
+    for (RouterHarness.SentAttempt sent = harness.firstInFlight(write);
         sent != null;
-        sent = firstInFlight(harness, write)) {
+        sent = findInFlight(harness, write)) {
       harness.end(sent, AttemptOutcome.INELIGIBLE);
     }
     assertNull(harness.requests.get(write).answer);
     harness.server(2).primary = true;
     harness.report(harness.server(2), harness.now);
-    assertEquals("s2", harness.onlyInFlight(write).serverName());
+    assertEquals("s2", harness.firstInFlight(write).serverName());
   }
 
-  private static RouterHarness.SentAttempt firstInFlight(RouterHarness harness, String request) {
+  private static RouterHarness.SentAttempt findInFlight(RouterHarness harness, String request) {
     List<RouterHarness.SentAttempt> sent = harness.requests.get(request).inFlight;
     return sent.isEmpty() ? null : sent.get(0);
   }
 
-  private static RequestState request(Effect effect, Scope scope) {
+  private static RequestState request(Idempotency idempotency, DeduplicationScope scope) {
     RequestClass requestClass =
-        new RequestClass(Consistency.WRITE, ms(400), effect, scope, ms(900), ms(400), 1, 0.5);
+        new RequestClass(Consistency.WRITE, ms(400), idempotency, scope, ms(900), ms(400), 1, 0.5);
     RequestId id = new RequestId("r");
     return new RequestState(
         id, 0, requestClass, new ReplicaGroup(), null, null, false, ms(0), ms(1500), 0);
@@ -82,7 +83,8 @@
 
   private static RetryPolicy policy() {
     return new RetryPolicy(
-        RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false));
+        RoutingConfigs.withWrites(
+            Idempotency.NON_IDEMPOTENT, DeduplicationScope.GROUP, true, true, false));
   }
 
   @ParameterizedTest
@@ -92,8 +94,8 @@
     "NON_IDEMPOTENT, true, false, false"
   })
   void requestMayBeRepeatedAsItsEffectAllows(
-      Effect effect, boolean unsent, boolean withinWindow, boolean afterWindow) {
-    RequestState request = request(effect, Scope.GROUP);
+      Idempotency idempotency, boolean unsent, boolean withinWindow, boolean afterWindow) {
+    RequestState request = request(idempotency, DeduplicationScope.GROUP);
     assertEquals(unsent, policy().maySend(ms(0), request));
     request.attempts.add(new Attempt(request, endpoint(0), 0, ms(0), 0.1, false));
     request.mayHaveExecuted = true;
@@ -110,8 +112,8 @@
     "NON_IDEMPOTENT, ALL, false"
   })
   void clientMayRetryWhatMayHaveBeenExecutedIfAnyServerRecognizesIt(
-      Effect effect, Scope scope, boolean expected) {
-    RequestState request = request(effect, scope);
+      Idempotency idempotency, DeduplicationScope scope, boolean expected) {
+    RequestState request = request(idempotency, scope);
     assertTrue(policy().isSafeForClientToRetry(request), "nothing was executed");
     request.mayHaveExecuted = true;
     assertEquals(expected, policy().isSafeForClientToRetry(request));
@@ -124,17 +126,18 @@
     "IDEMPOTENT_BY_KEY, GROUP, 1, true",
     "IDEMPOTENT, ZONE, 1, true"
   })
-  void retryIsRecognizedInItsScope(Effect effect, Scope scope, int zone, boolean expected) {
-    RequestState request = request(effect, scope);
-    assertTrue(policy().recognizesRetry(request, endpoint(zone)), "not sent yet");
+  void retryIsRecognizedInItsScope(
+      Idempotency idempotency, DeduplicationScope scope, int zone, boolean expected) {
+    RequestState request = request(idempotency, scope);
+    assertTrue(policy().canDeduplicate(request, endpoint(zone)), "not sent yet");
     request.attempts.add(new Attempt(request, endpoint(0), 0, ms(0), 0.1, false));
-    assertEquals(expected, policy().recognizesRetry(request, endpoint(zone)));
+    assertEquals(expected, policy().canDeduplicate(request, endpoint(zone)));
   }
 
   @Test
   void hedgesAreLimitedToABudgetThatSuccessesEarn() {
     RetryPolicy policy = policy();
-    RequestState request = request(Effect.IDEMPOTENT, Scope.GROUP);
+    RequestState request = request(Idempotency.IDEMPOTENT, DeduplicationScope.GROUP);
     assertTrue(policy.mayHedge(request));
     policy.recordHedges(1);
     assertFalse(policy.mayHedge(request));
--- a/gateway/src/test/java/weldcross/routing/RouterParts.java
+++ b/gateway/src/test/java/weldcross/routing/RouterComponents.java
@@ -7,17 +7,18 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import weldcross.routing.RequestClass.Consistency;
-import weldcross.routing.RequestClass.Effect;
-import weldcross.routing.RequestClass.Scope;
+import weldcross.routing.RequestClass.DeduplicationScope;
+import weldcross.routing.RequestClass.Idempotency;
 
 /**
  * The parts of a router without the router, for tests that call one of them directly, and a record
  * of the actions that they ask for. All endpoints are members of one group.
  */
-final class RouterParts implements RouterActions {
+final class RouterComponents implements RouterActions {
 
   final RoutingConfig config =
-      RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false);
+      RoutingConfigs.withWrites(
+          Idempotency.NON_IDEMPOTENT, DeduplicationScope.GROUP, true, true, false);
   final SplittableRandom random = new SplittableRandom(7);
   final LatencyEstimator latency = new LatencyEstimator(config.requestClasses().size());
   final SessionConsistency consistency = new SessionConsistency(config);
@@ -43,7 +44,7 @@
   int watchCalls;
 
   /** Lists that many servers, active and not known to have started lately. */
-  RouterParts(int members) {
+  RouterComponents(int members) {
     registry.beginList(false);
     for (int number = 0; number < members; number++) {
       list(number, EndpointStatus.ACTIVE, null, false);
--- a/gateway/src/test/java/weldcross/routing/RouterHarness.java
+++ b/gateway/src/test/java/weldcross/routing/RouterHarness.java
@@ -6,8 +6,8 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import weldcross.routing.RequestClass.Consistency;
-import weldcross.routing.RequestClass.Effect;
-import weldcross.routing.RequestClass.Scope;
+import weldcross.routing.RequestClass.DeduplicationScope;
+import weldcross.routing.RequestClass.Idempotency;
 
 /**
  * The host of one router: simulates its servers and clients and fails the test at the action that
@@ -109,7 +109,8 @@
    */
   static RouterHarness withKnownPrimary() {
     return withKnownPrimary(
-        RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false));
+        RoutingConfigs.withWrites(
+            Idempotency.NON_IDEMPOTENT, DeduplicationScope.GROUP, true, true, false));
   }
 
   static RouterHarness withKnownPrimary(RoutingConfig config) {
@@ -161,10 +162,10 @@
             : server.reportedPosition;
     server.reportedPrimary = server.primary;
     router.healthCheckEnded(now, server.id, AttemptOutcome.OK, null);
-    router.reported(now, server.id, position, server.primary);
+    router.reportReceived(now, server.id, position, server.primary);
   }
 
-  /** Lets time pass; timers fire and attempts expire on the way. */
+  /** Lets time pass; timers fireDue and attempts expire on the way. */
   void advance(Duration time) {
     Duration end = now.plus(time);
     while (true) {
@@ -204,15 +205,19 @@
     return arrive(consistency, 0, Duration.ZERO);
   }
 
-  /** Lets a request arrive and returns its name; {@code sinceWrite} is zero for no write. */
-  String arrive(Consistency consistency, int group, Duration sinceWrite) {
+  /**
+   * Lets a request arrive and returns its name; {@code timeSinceLastWrite} is zero for no write.
+   */
+  String arrive(Consistency consistency, int group, Duration timeSinceLastWrite) {
     TrackedRequest entry = new TrackedRequest();
     entry.requestClass = config.requestClasses().get(RoutingConfigs.classIndex(consistency));
     entry.group = new GroupId(group);
     entry.arrivedAt = now;
     entry.deadline = now.plus(DEADLINE);
     entry.token =
-        consistency == Consistency.SESSION && !sinceWrite.isZero() ? now.minus(sinceWrite) : null;
+        consistency == Consistency.SESSION && !timeSinceLastWrite.isZero()
+            ? now.minus(timeSinceLastWrite)
+            : null;
     String name = "r" + requestCount++;
     requests.put(name, entry);
     router.requestArrived(
@@ -222,7 +227,7 @@
             RoutingConfigs.classIndex(consistency),
             entry.group,
             new SessionId("session"),
-            sinceWrite,
+            timeSinceLastWrite,
             DEADLINE,
             false));
     return name;
@@ -233,7 +238,7 @@
    * router sends at once.
    */
   SentAttempt send(Consistency consistency) {
-    return onlyInFlight(arrive(consistency));
+    return firstInFlight(arrive(consistency));
   }
 
   /** Ends an attempt; a server that responds says whether it is the primary. */
@@ -294,7 +299,7 @@
   }
 
   /** Returns the attempt in flight, the first where there are several. */
-  SentAttempt onlyInFlight(String request) {
+  SentAttempt firstInFlight(String request) {
     return requests.get(request).inFlight.get(0);
   }
 
@@ -345,11 +350,11 @@
     check(entry.inFlight.isEmpty() || config.parallelAttempts(), "rule 2: two in flight at once");
     boolean mayRepeat = entry.mayHaveExecuted || !entry.inFlight.isEmpty();
     check(
-        !mayRepeat || entry.requestClass.effect() != Effect.NON_IDEMPOTENT,
+        !mayRepeat || entry.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT,
         "rule 2: sent again though it may have been executed");
     check(
         !mayRepeat
-            || entry.requestClass.effect() != Effect.IDEMPOTENT_BY_KEY
+            || entry.requestClass.idempotency() != Idempotency.IDEMPOTENT_BY_KEY
             || now.minus(entry.firstSentAt).compareTo(entry.requestClass.deduplicationWindow()) < 0,
         "rule 2: sent again after the window");
   }
@@ -385,9 +390,9 @@
     boolean clean = !entry.mayHaveExecuted && entry.inFlight.isEmpty();
     check(
         clean
-            || entry.requestClass.effect() == Effect.IDEMPOTENT
-            || (entry.requestClass.effect() == Effect.IDEMPOTENT_BY_KEY
-                && entry.requestClass.scope() == Scope.ALL),
+            || entry.requestClass.idempotency() == Idempotency.IDEMPOTENT
+            || (entry.requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
+                && entry.requestClass.deduplicationScope() == DeduplicationScope.ALL),
         "rule 2: rejected though it may have been executed");
     answered(entry, Answer.REJECTED);
   }
@@ -440,11 +445,11 @@
     int percent = random.nextInt(100);
     if (percent < 40) {
       Consistency consistency = Consistency.values()[random.nextInt(Consistency.values().length)];
-      Duration sinceWrite =
+      Duration timeSinceLastWrite =
           config.clientsCarryTokens()
               ? ms((long) random.nextInt(3) * random.nextInt(400))
               : Duration.ZERO;
-      arrive(consistency, random.nextInt(2), sinceWrite);
+      arrive(consistency, random.nextInt(2), timeSinceLastWrite);
     } else if (percent < 75 && !inFlight.isEmpty()) {
       endRandomAttempt(random);
     } else if (percent < 88 && server.listedStatus == EndpointStatus.ACTIVE) {
--- a/gateway/src/test/java/weldcross/routing/RouterTest.java
+++ b/gateway/src/test/java/weldcross/routing/RouterTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import weldcross.routing.RequestClass.Consistency;
-import weldcross.routing.RequestClass.Effect;
-import weldcross.routing.RequestClass.Scope;
+import weldcross.routing.RequestClass.DeduplicationScope;
+import weldcross.routing.RequestClass.Idempotency;
 import weldcross.routing.RouterHarness.Answer;
 
 class RouterTest {
@@ -23,12 +23,16 @@
       longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22})
   void rulesHoldThroughRandomEvents(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    Effect effect = Effect.values()[random.nextInt(3)];
-    Scope scope = Scope.values()[random.nextInt(3)];
+    Idempotency idempotency = Idempotency.values()[random.nextInt(3)];
+    DeduplicationScope scope = DeduplicationScope.values()[random.nextInt(3)];
     RouterHarness harness =
         new RouterHarness(
             RoutingConfigs.withWrites(
-                effect, scope, random.nextBoolean(), random.nextBoolean(), random.nextBoolean()),
+                idempotency,
+                scope,
+                random.nextBoolean(),
+                random.nextBoolean(),
+                random.nextBoolean()),
             seed);
     for (int k = 0; k < 6; k++) {
       RouterHarness.Server server = new RouterHarness.Server(k, k / 3);
--- a/gateway/src/test/java/weldcross/routing/RouterTimersTest.java
+++ b/gateway/src/test/java/weldcross/routing/RouterTimersTest.java
@@ -31,9 +31,9 @@
     timers.schedule(ms(10), at -> order.add("first at " + at.toMillis()));
     timers.schedule(ms(20), at -> order.add("third at " + at.toMillis()));
     timers.schedule(ms(90), at -> order.add("not due"));
-    timers.fire(ms(9));
+    timers.fireDue(ms(9));
     assertEquals(List.of(), order);
-    timers.fire(ms(30));
+    timers.fireDue(ms(30));
     assertEquals(List.of("first at 30", "second at 30", "third at 30"), order);
     assertEquals(ms(90), harness.timerAt, "the next wake-up is asked for");
   }
--- a/gateway/src/test/java/weldcross/routing/RoutingConfigs.java
+++ b/gateway/src/test/java/weldcross/routing/RoutingConfigs.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import weldcross.routing.RequestClass.Consistency;
-import weldcross.routing.RequestClass.Effect;
-import weldcross.routing.RequestClass.Scope;
+import weldcross.routing.RequestClass.DeduplicationScope;
+import weldcross.routing.RequestClass.Idempotency;
 
 /** Configurations for tests. */
 final class RoutingConfigs {
@@ -17,11 +17,14 @@
   }
 
   private static RequestClass requestClass(
-      Consistency consistency, Effect effect, Scope scope, double lateWeight) {
+      Consistency consistency,
+      Idempotency idempotency,
+      DeduplicationScope scope,
+      double lateWeight) {
     return new RequestClass(
         consistency,
         RouterHarness.STALENESS_BOUND,
-        effect,
+        idempotency,
         scope,
         RouterHarness.ms(900),
         RouterHarness.LATENCY_OBJECTIVE,
@@ -31,8 +34,8 @@
 
   /** One request class for each consistency, in the order of the enum; the write as given. */
   static RoutingConfig withWrites(
-      Effect write,
-      Scope scope,
+      Idempotency write,
+      DeduplicationScope scope,
       boolean parallelAttempts,
       boolean clientsCarryTokens,
       boolean pollEndpointList) {
@@ -41,7 +44,7 @@
       requestClasses.add(
           requestClass(
               consistency,
-              consistency == Consistency.WRITE ? write : Effect.IDEMPOTENT,
+              consistency == Consistency.WRITE ? write : Idempotency.IDEMPOTENT,
               scope,
               consistency == Consistency.WRITE ? 0.5 : 0));
     }
@@ -67,7 +70,8 @@
 
   /** The same configuration for a fleet of the given size. */
   static RoutingConfig fleet(int gateways, boolean removalIsBinding) {
-    RoutingConfig base = withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false);
+    RoutingConfig base =
+        withWrites(Idempotency.NON_IDEMPOTENT, DeduplicationScope.GROUP, true, true, false);
     return new RoutingConfig(
         base.requestClasses(),
         gateways,
@@ -82,7 +86,7 @@
         base.maxPollInterval(),
         removalIsBinding,
         true,
-        base.slowStartShare(),
+        base.initialCapacityFraction(),
         base.slowStartDuration(),
         base.overloadMultiple(),
         base.overloadWindow());
--- a/gateway/src/test/java/weldcross/routing/SessionConsistencyTest.java
+++ b/gateway/src/test/java/weldcross/routing/SessionConsistencyTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import weldcross.routing.RequestClass.Consistency;
-import weldcross.routing.RequestClass.Effect;
-import weldcross.routing.RequestClass.Scope;
+import weldcross.routing.RequestClass.DeduplicationScope;
+import weldcross.routing.RequestClass.Idempotency;
 
 class SessionConsistencyTest {
 
@@ -21,7 +21,7 @@
     harness.advance(ms(200));
     harness.report(harness.server(2), harness.now.minus(ms(40)));
     assertEquals(
-        "s2", harness.onlyInFlight(harness.arrive(Consistency.SESSION, 0, ms(50))).serverName());
+        "s2", harness.firstInFlight(harness.arrive(Consistency.SESSION, 0, ms(50))).serverName());
   }
 
   @Test
@@ -30,14 +30,15 @@
     harness.advance(ms(200));
     String read = harness.arrive(Consistency.SESSION, 0, ms(50));
     harness.advance(ms(55));
-    assertEquals("s0", harness.onlyInFlight(read).serverName());
+    assertEquals("s0", harness.firstInFlight(read).serverName());
   }
 
   @Test
   void sessionReadSeesTheTokenOfAnAnsweredWrite() {
     RouterHarness harness =
         RouterHarness.withKnownPrimary(
-            RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
+            RoutingConfigs.withWrites(
+                Idempotency.NON_IDEMPOTENT, DeduplicationScope.GROUP, true, false, false));
     assertFalse(harness.send(Consistency.SESSION).server().primary);
     harness.advance(ms(10));
     harness.end(harness.send(Consistency.WRITE), AttemptOutcome.OK);
@@ -57,7 +58,7 @@
         harness.requests.get(read).inFlight.isEmpty(),
         "it waits briefly for the health check under way");
     harness.advance(ms(55));
-    assertTrue(harness.onlyInFlight(read).server().primary);
+    assertTrue(harness.firstInFlight(read).server().primary);
   }
 
   /** A write may have been committed though its answer was not read. */
@@ -66,11 +67,12 @@
   void sessionReadSeesAWriteWithoutAnswerThatMayHaveBeenExecuted(String outcome) {
     RouterHarness harness =
         RouterHarness.withKnownPrimary(
-            RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
+            RoutingConfigs.withWrites(
+                Idempotency.NON_IDEMPOTENT, DeduplicationScope.GROUP, true, false, false));
     assertFalse(harness.send(Consistency.SESSION).server().primary);
     String write = harness.arrive(Consistency.WRITE);
     harness.advance(ms(60));
-    harness.end(harness.onlyInFlight(write), AttemptOutcome.valueOf(outcome));
+    harness.end(harness.firstInFlight(write), AttemptOutcome.valueOf(outcome));
     harness.report(harness.server(1), harness.now);
     assertTrue(harness.send(Consistency.SESSION).server().primary, "no replica is sure to hold it");
     harness.advance(ms(40));
@@ -83,16 +85,17 @@
   void readThatWaitsSeesWhatItsSessionHasWrittenMeanwhile() {
     RouterHarness harness =
         RouterHarness.withKnownPrimary(
-            RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, false, false));
+            RoutingConfigs.withWrites(
+                Idempotency.NON_IDEMPOTENT, DeduplicationScope.GROUP, true, false, false));
     String write = harness.arrive(Consistency.WRITE);
     String read = harness.arrive(Consistency.SESSION);
-    assertFalse(harness.onlyInFlight(read).server().primary, "nothing is known to be written yet");
+    assertFalse(harness.firstInFlight(read).server().primary, "nothing is known to be written yet");
     harness.advance(ms(60));
-    harness.end(harness.onlyInFlight(write), AttemptOutcome.OK);
+    harness.end(harness.firstInFlight(write), AttemptOutcome.OK);
     assertFalse(
-        harness.isStillEligible(harness.onlyInFlight(read)), "its connection has just come up");
-    harness.end(harness.onlyInFlight(read), AttemptOutcome.ERROR);
-    assertTrue(harness.onlyInFlight(read).server().primary, "no replica is known to hold it");
+        harness.isStillEligible(harness.firstInFlight(read)), "its connection has just come up");
+    harness.end(harness.firstInFlight(read), AttemptOutcome.ERROR);
+    assertTrue(harness.firstInFlight(read).server().primary, "no replica is known to hold it");
   }
 
   @ParameterizedTest
@@ -114,7 +117,8 @@
   void replicaIsFreshEnoughFromThePositionThatTheConsistencyNeeds(
       Consistency consistency, Long positionMillis, boolean expected) {
     RoutingConfig config =
-        RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false);
+        RoutingConfigs.withWrites(
+            Idempotency.NON_IDEMPOTENT, DeduplicationScope.GROUP, true, true, false);
     RequestClass requestClass = config.requestClasses().get(RoutingConfigs.classIndex(consistency));
     RequestState request =
         new RequestState(
--- a/gateway/src/test/java/weldcross/routing/SlowStartTest.java
+++ b/gateway/src/test/java/weldcross/routing/SlowStartTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import weldcross.routing.RequestClass.Consistency;
-import weldcross.routing.RequestClass.Effect;
-import weldcross.routing.RequestClass.Scope;
+import weldcross.routing.RequestClass.DeduplicationScope;
+import weldcross.routing.RequestClass.Idempotency;
 
 class SlowStartTest {
 
@@ -201,7 +201,9 @@
     assertTrue(simulation.misjudged < simulation.live / 3, simulation.toString());
   }
 
-  /** Servers that crash and restart unlisted, while connections to live ones are lost too. */
+  /**
+   * Servers that crash and restart missingFromList, while connections to live ones are lost too.
+   */
   private static final class RestartSimulation {
     private static final int SERVERS = 3;
 
@@ -226,7 +228,8 @@
       this.random = new SplittableRandom(seed);
       this.harness =
           RouterHarness.withKnownPrimary(
-              RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false),
+              RoutingConfigs.withWrites(
+                  Idempotency.NON_IDEMPOTENT, DeduplicationScope.GROUP, true, true, false),
               seed);
     }
 
@@ -336,53 +339,53 @@
 
   @Test
   void startedServerWarmsUpForTheConfiguredTime() {
-    RouterParts parts = new RouterParts(2);
-    EndpointState endpoint = parts.endpoint(0);
-    parts.slowStart.begin(ms(1000), endpoint, ms(1000));
-    assertTrue(parts.slowStart.isWarmingUp(ms(6999), endpoint));
-    assertFalse(parts.slowStart.isWarmingUp(ms(7000), endpoint));
-    assertFalse(parts.slowStart.isWarmingUp(ms(1000), parts.endpoint(1)));
+    RouterComponents components = new RouterComponents(2);
+    EndpointState endpoint = components.endpoint(0);
+    components.slowStart.begin(ms(1000), endpoint, ms(1000));
+    assertTrue(components.slowStart.isWarmingUp(ms(6999), endpoint));
+    assertFalse(components.slowStart.isWarmingUp(ms(7000), endpoint));
+    assertFalse(components.slowStart.isWarmingUp(ms(1000), components.endpoint(1)));
   }
 
   @Test
   void presumedRestartIsTakenBackOnceAnOlderProcessAnswersAfterTheMargin() {
-    RouterParts parts = new RouterParts(2);
-    EndpointState endpoint = parts.endpoint(0);
-    parts.slowStart.presumeRestart(ms(1000), endpoint);
-    parts.slowStart.confirmAlive(ms(1030), endpoint, ms(900));
-    assertTrue(parts.slowStart.isWarmingUp(ms(1030), endpoint));
-    parts.slowStart.confirmAlive(ms(1031), endpoint, ms(900));
-    assertFalse(parts.slowStart.isWarmingUp(ms(1031), endpoint));
+    RouterComponents components = new RouterComponents(2);
+    EndpointState endpoint = components.endpoint(0);
+    components.slowStart.presumeRestart(ms(1000), endpoint);
+    components.slowStart.confirmAlive(ms(1030), endpoint, ms(900));
+    assertTrue(components.slowStart.isWarmingUp(ms(1030), endpoint));
+    components.slowStart.confirmAlive(ms(1031), endpoint, ms(900));
+    assertFalse(components.slowStart.isWarmingUp(ms(1031), endpoint));
   }
 
   @Test
   void processAliveSinceBetweenTwoPresumedRestartsWarmsUpFromThen() {
-    RouterParts parts = new RouterParts(2);
-    EndpointState endpoint = parts.endpoint(0);
-    parts.slowStart.presumeRestart(ms(1000), endpoint);
-    parts.slowStart.presumeRestart(ms(2000), endpoint);
-    parts.slowStart.confirmAlive(ms(2100), endpoint, ms(1500));
-    assertEquals(ms(1500), endpoint.warmingSince);
+    RouterComponents components = new RouterComponents(2);
+    EndpointState endpoint = components.endpoint(0);
+    components.slowStart.presumeRestart(ms(1000), endpoint);
+    components.slowStart.presumeRestart(ms(2000), endpoint);
+    components.slowStart.confirmAlive(ms(2100), endpoint, ms(1500));
+    assertEquals(ms(1500), endpoint.warmUpStartedAt);
   }
 
   @Test
   void queuedRequestIsAdmittedToAWarmingServerOnlyAtItsNextSend() {
-    RouterParts parts = new RouterParts(2);
-    EndpointState endpoint = parts.endpoint(0);
-    RequestState queued = parts.request(Consistency.ANY, ms(0));
-    parts.slowStart.begin(ms(0), endpoint, ms(0));
-    parts.slowStart.recordSend(ms(100), queued, endpoint);
+    RouterComponents components = new RouterComponents(2);
+    EndpointState endpoint = components.endpoint(0);
+    RequestState queued = components.request(Consistency.ANY, ms(0));
+    components.slowStart.begin(ms(0), endpoint, ms(0));
+    components.slowStart.recordSend(ms(100), queued, endpoint);
     Duration next = endpoint.nextSlowStartSendAt;
     assertTrue(next.compareTo(ms(100)) > 0);
-    assertFalse(parts.slowStart.admits(next.minusNanos(1), queued, endpoint));
-    assertTrue(parts.slowStart.admits(next, queued, endpoint));
+    assertFalse(components.slowStart.admits(next.minusNanos(1), queued, endpoint));
+    assertTrue(components.slowStart.admits(next, queued, endpoint));
   }
 
   @Test
   void warmServerIsNotHeldToItsBudget() {
-    RouterParts parts = new RouterParts(2);
-    parts.endpoint(0).nextSlowStartSendAt = ms(9000);
-    RequestState queued = parts.request(Consistency.ANY, ms(0));
-    assertTrue(parts.slowStart.admits(ms(100), queued, parts.endpoint(0)));
+    RouterComponents components = new RouterComponents(2);
+    components.endpoint(0).nextSlowStartSendAt = ms(9000);
+    RequestState queued = components.request(Consistency.ANY, ms(0));
+    assertTrue(components.slowStart.admits(ms(100), queued, components.endpoint(0)));
   }
 }
