--- a/gateway/src/main/java/weldcross/routing/AdmissionQueue.java
+++ b/gateway/src/main/java/weldcross/routing/AdmissionQueue.java
@@ -9,30 +9,36 @@
 import java.util.List;
 
 /**
- * Orders the queued requests of a group by priority: the worth of a server's time, higher for
- * classes of which little is served, so that no class pays for all others in overload.
+ * Orders the queued requests of a replica group by priority. A request's priority grows as the
+ * share of its class that is served shrinks, so that no request class is starved under overload.
  */
 final class AdmissionQueue {
 
-  /** Once the oldest request has waited this share of its objective, the newest goes first. */
+  /**
+   * Fraction of its latency objective that the oldest request may wait before the queue switches
+   * from first-in, first-out to last-in, first-out.
+   */
   private static final double OVERLOAD_WAIT_FRACTION = 0.25;
 
-  /** Bounds how much a class gains by being served little. */
+  /**
+   * Added to the served share of a class, to bound the priority of a class that is rarely served.
+   */
   private static final double SERVED_SHARE_OFFSET = 0.3;
 
+  /** Weight of the latest request in the moving average of the served share. */
   private static final double SERVED_SHARE_GAIN = 0.05;
 
-  /** For each request class the share of recent requests that were answered. */
+  /** Per request class, the moving average of the share of requests that were served. */
   private final double[] servedShare;
 
-  AdmissionQueue(int requestClasses) {
-    this.servedShare = new double[requestClasses];
+  AdmissionQueue(int requestClassCount) {
+    this.servedShare = new double[requestClassCount];
   }
 
-  /** Returns the queued requests in the order in which endpoints should be sought for them. */
+  /** Returns the queued requests in the order in which they should be dispatched. */
   List<RequestState> dispatchOrder(Duration now, ReplicaGroup group) {
     List<RequestState> order = new ArrayList<>(group.queue);
-    // In overload the oldest first would mean that each request goes out when it is almost late.
+    // Under overload, oldest-first order would dispatch every request just before it is late.
     if (!order.isEmpty() && isOverloaded(now, order.get(0))) {
       Collections.reverse(order);
     }
@@ -47,14 +53,16 @@
 
   private double priority(Duration now, RequestState request) {
     Duration objective = request.requestClass.latencyObjective();
-    boolean late = now.compareTo(request.arrivedAt.plus(objective)) >= 0;
+    boolean isLate = now.compareTo(request.arrivedAt.plus(objective)) >= 0;
     return request.priorityWeight
-        * (late ? request.requestClass.lateWeight() : 1)
+        * (isLate ? request.requestClass.lateWeight() : 1)
         / inSeconds(objective)
         / (SERVED_SHARE_OFFSET + servedShare[request.classIndex]);
   }
 
-  /** Takes in the final answer of a request, which leaves the queue if it is in it. */
+  /**
+   * Records the final answer of a request and removes the request from the queue if it is queued.
+   */
   void recordFinished(RequestState request, boolean served) {
     int index = request.classIndex;
     servedShare[index] += SERVED_SHARE_GAIN * ((served ? 1 : 0) - servedShare[index]);
--- a/gateway/src/main/java/weldcross/routing/Attempt.java
+++ b/gateway/src/main/java/weldcross/routing/Attempt.java
@@ -3,11 +3,11 @@
 import java.time.Duration;
 
 /**
- * One send of a request to one endpoint. The request and the number identify it.
+ * One transmission of a request to one endpoint, identified by the request and the attempt number.
  *
- * @param number counts the attempts of the request from zero
- * @param expectedSeconds how long an answer was expected to take when it was sent
- * @param inSlowStart whether it counts against the slow-start budget of its endpoint
+ * @param number the zero-based number of this attempt among the attempts of the request
+ * @param expectedSeconds the latency that was expected when the attempt was sent
+ * @param inSlowStart whether the attempt counts against the slow-start budget of its endpoint
  */
 record Attempt(
     RequestState request,
--- a/gateway/src/main/java/weldcross/routing/AttemptOutcome.java
+++ b/gateway/src/main/java/weldcross/routing/AttemptOutcome.java
@@ -2,37 +2,45 @@
 
 /** How an attempt or a health check ended. */
 public enum AttemptOutcome {
-  /** The server answered with success. */
+  /** The server answered successfully. */
   OK(false),
 
-  /** The server answered with an error, or on behalf of a process that has died. */
+  /**
+   * The server answered with an error, or reported that the process handling the request had died.
+   */
   ERROR(false),
 
-  /** The server turned it away because it has too much to do. */
+  /** The server rejected the request because it is overloaded. */
   OVERLOADED(true),
 
-  /** No answer came in time. */
+  /** No answer arrived in time. */
   TIMED_OUT(false),
 
-  /** No connection came up: nobody listens there, or the connect timed out. */
+  /** No connection was established: it was refused or timed out. */
   UNREACHABLE(true),
 
-  /** Its connection ended before the answer. */
+  /** The connection was closed before the answer arrived. */
   CONNECTION_LOST(false),
 
-  /** As {@link #CONNECTION_LOST}, on a reused connection, which says nothing of the server. */
+  /**
+   * Like {@link #CONNECTION_LOST}, but on a reused idle connection, which is no evidence of a
+   * server failure.
+   */
   IDLE_CONNECTION_LOST(false),
 
-  /** A live server ended the connection before the attempt was sent. */
+  /** A live server closed the connection before the attempt was sent. */
   CLOSED_BEFORE_SEND(true),
 
-  /** This gateway cancelled it. */
+  /** This gateway cancelled the attempt. */
   CANCELLED(false),
 
-  /** It was decided, but no longer eligible when its connection was up. */
+  /**
+   * The attempt was scheduled, but its endpoint was no longer eligible once the connection was
+   * established.
+   */
   NOT_SENT(true),
 
-  /** The server does not serve such requests, as a replica does not serve writes. */
+  /** The server cannot serve this kind of request; for example, a replica does not serve writes. */
   INELIGIBLE(true);
 
   private final boolean provesNotExecuted;
--- a/gateway/src/main/java/weldcross/routing/AttemptResult.java
+++ b/gateway/src/main/java/weldcross/routing/AttemptResult.java
@@ -3,18 +3,21 @@
 import java.time.Duration;
 
 /**
- * How one attempt ended, see {@link Router#attemptEnded}. Times and positions count from the start
- * of the router.
+ * The result of one attempt, see {@link Router#attemptEnded}. Times and positions are relative to
+ * the start of the router.
  *
- * @param request the request it was sent for
- * @param attemptNumber counts the attempts of the request from zero
- * @param outcome how it ended; not null
- * @param elapsed the time since it was sent; not null
- * @param aliveSince since when at least the process that answered runs; null if none answered
- * @param primary whether the server said it is the primary; null where it did not say
- * @param position up to where the server's data goes, or where the write was committed; null where
- *     it did not say
- * @param requestAnswered whether the client has its final answer, by this attempt or an earlier one
+ * @param request the request that was attempted
+ * @param attemptNumber the zero-based number of the attempt among the attempts of the request
+ * @param outcome how the attempt ended; not null
+ * @param elapsed the time since the attempt was sent; not null
+ * @param aliveSince the earliest time at which the answering server process is known to have been
+ *     running; null if none answered
+ * @param primary whether the server reported itself as the primary; null if it did not report its
+ *     role
+ * @param position the replication position of the server, or the commit position of the write; null
+ *     if not reported
+ * @param requestAnswered whether the client has received its final answer, from this attempt or an
+ *     earlier one
  */
 public record AttemptResult(
     RequestId request,
--- a/gateway/src/main/java/weldcross/routing/EndpointRegistry.java
+++ b/gateway/src/main/java/weldcross/routing/EndpointRegistry.java
@@ -10,13 +10,22 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Holds the servers and groups that the endpoint list has named, and polls for the list. */
+/**
+ * Maintains the known endpoints and replica groups from the endpoint list, and requests the list
+ * again after a failure.
+ */
 final class EndpointRegistry {
 
+  /** The poll backoff starts at this fraction of the maximum poll interval. */
   private static final int INITIAL_POLL_BACKOFF_DIVISOR = 16;
+
+  /** The poll backoff is capped at this fraction of the maximum poll interval. */
   private static final int MAX_POLL_BACKOFF_DIVISOR = 2;
 
-  /** Keeps the servers of the own zone ahead of all others in rank, since crossing zones costs. */
+  /**
+   * Added to the rank of endpoints in other zones, so that endpoints of the local zone are
+   * preferred, since cross-zone traffic is costly.
+   */
   private static final double OTHER_ZONE_RANK_OFFSET = 1;
 
   private final RouterActions actions;
@@ -27,12 +36,12 @@
   private final Map<ServerId, EndpointState> endpoints = new LinkedHashMap<>();
   private final Map<GroupId, ReplicaGroup> groups = new LinkedHashMap<>();
 
-  /** Endpoints that the list under way has not named so far; null before the first list. */
+  /** Endpoints not yet named by the list that is being received; null before the first list. */
   private Set<EndpointState> missingFromList;
 
   private boolean listValid = true;
 
-  /** When the list is asked for again; null while no call has failed. */
+  /** When the list is requested again; null unless a request has failed. */
   private Duration nextPollAt;
 
   private Duration pollBackoff;
@@ -51,7 +60,7 @@
     this.pollBackoff = config.maxPollInterval().dividedBy(INITIAL_POLL_BACKOFF_DIVISOR);
   }
 
-  /** Returns the endpoint, or null if it is not known. */
+  /** Returns the endpoint, or null if it is unknown. */
   EndpointState endpoint(ServerId id) {
     return endpoints.get(id);
   }
@@ -60,9 +69,9 @@
     return endpoints.values();
   }
 
-  /** Returns the group, which is new and empty if it was not known. */
+  /** Returns the group, creating an empty one if it is unknown. */
   ReplicaGroup group(GroupId id) {
-    return groups.computeIfAbsent(id, unknown -> new ReplicaGroup());
+    return groups.computeIfAbsent(id, absentId -> new ReplicaGroup());
   }
 
   Collection<ReplicaGroup> groups() {
@@ -74,9 +83,9 @@
   }
 
   /**
-   * Sets whether the list is known to be complete.
+   * Sets whether the endpoint list is valid, that is, known to be up to date.
    *
-   * @return whether it became so just now
+   * @return whether the list was invalid before and is valid now
    */
   boolean setListValid(boolean valid) {
     boolean becameValid = valid && !listValid;
@@ -84,7 +93,9 @@
     return becameValid;
   }
 
-  /** Begins a list; what a complete one does not name is taken to be removed. */
+  /**
+   * Begins an endpoint list. Endpoints that a complete list does not name are treated as removed.
+   */
   void beginList(boolean complete) {
     missingFromList = new LinkedHashSet<>();
     if (complete) {
@@ -92,11 +103,11 @@
     }
   }
 
-  /** Takes in one entry, see {@link Router#endpointListed}. */
+  /** Applies one entry of the list, see {@link Router#endpointListed}. */
   void addListed(Duration now, ListedEndpoint entry) {
     ReplicaGroup group = group(entry.group());
     EndpointState endpoint =
-        endpoints.computeIfAbsent(entry.id(), unknown -> add(unknown, group, entry.zone()));
+        endpoints.computeIfAbsent(entry.id(), absentId -> add(absentId, group, entry.zone()));
     missingFromList.remove(endpoint);
     if (entry.status() == EndpointStatus.REMOVED) {
       endpoint.listed &= !config.removalIsBinding();
@@ -105,7 +116,7 @@
     endpoint.listed = true;
     endpoint.removedAt = null;
     Duration startedAt = entry.startedAt();
-    // Where only draining binds, a list that is wrong for a while does not take it back.
+    // If only draining is binding, a temporarily incorrect list must not revert it.
     boolean stillDraining =
         endpoint.draining
             && !config.removalIsBinding()
@@ -116,7 +127,7 @@
       endpoint.presumedRestartAt = null;
       slowStart.begin(now, endpoint, startedAt);
     }
-    // The list is late, so it names the primary only where nothing better is known.
+    // The list may lag behind a failover, so its primary is used only if none is known yet.
     if (entry.primary() && group.primary == null) {
       group.primary = endpoint;
     }
@@ -129,11 +140,15 @@
     return endpoint;
   }
 
+  /** Ends the list: marks endpoints that a complete list did not name as removed. */
   void endList() {
     missingFromList.forEach(endpoint -> endpoint.listed &= !config.removalIsBinding());
   }
 
-  /** Backs off before the list is asked for again, at random as all gateways may have failed. */
+  /**
+   * Schedules another request for the list, with backoff and jitter, since all gateways may have
+   * failed at the same time.
+   */
   void recordListFailure(Duration now) {
     Duration jitter = Duration.ofNanos(random.nextLong(pollBackoff.toNanos() + 1));
     nextPollAt = now.plus(pollBackoff).plus(jitter);
@@ -141,7 +156,7 @@
     pollBackoff = earlier(pollBackoff.multipliedBy(2), maxBackoff);
   }
 
-  /** Asks for the list again if a call failed and its backoff is over. */
+  /** Requests the list again if a request failed and its backoff has passed. */
   void pollIfDue(Duration now) {
     if (nextPollAt != null && now.compareTo(nextPollAt) >= 0) {
       nextPollAt = null;
@@ -150,8 +165,9 @@
   }
 
   /**
-   * Forgets endpoints that have left the list, as successors come all day; but not while they may
-   * come back cold, or why they were ejected would be forgotten with them.
+   * Evicts endpoints that have been removed from the list, since replacements get new names and the
+   * registry would grow without bound. An endpoint is kept for the slow-start duration after its
+   * removal: it may be listed again while cold, and its ejection state must survive until then.
    */
   void evictRemoved(Duration now) {
     endpoints
@@ -161,11 +177,14 @@
                 !endpoint.listed
                     && endpoint.inFlight.isEmpty()
                     && !endpoint.healthCheckPending
-                    && remove(now, endpoint));
+                    && evictIfExpired(now, endpoint));
   }
 
-  /** Returns whether the endpoint was removed long enough ago to be forgotten. */
-  private boolean remove(Duration now, EndpointState endpoint) {
+  /**
+   * Evicts the endpoint from its group if its retention period after removal has passed; returns
+   * whether it did.
+   */
+  private boolean evictIfExpired(Duration now, EndpointState endpoint) {
     if (endpoint.removedAt == null) {
       endpoint.removedAt = now;
       actions.endpointRemoved(endpoint.id);
--- a/gateway/src/main/java/weldcross/routing/EndpointSelector.java
+++ b/gateway/src/main/java/weldcross/routing/EndpointSelector.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * Picks the endpoint of a request: the primary for writes; for reads the least busy replica that is
- * fresh enough, or else the primary.
+ * Selects the endpoint for a request: for a write the primary; for a read the least busy replica
+ * that is fresh enough, or the primary if there is none.
  */
 final class EndpointSelector {
 
-  /** The pause after all members of a group without a known primary were offered a write. */
+  /** Pause after a write was offered to all members of a group whose primary is unknown. */
   private static final Duration PRIMARY_SEARCH_INTERVAL = Duration.ofMillis(100);
 
   private final EndpointRegistry registry;
@@ -36,7 +36,7 @@
     this.healthChecker = healthChecker;
   }
 
-  /** Returns where the request should go now; null if it has to wait. */
+  /** Returns the endpoint to send the request to now, or null if the request has to wait. */
   EndpointState select(Duration now, RequestState request) {
     EndpointState primary = request.group.primary;
     if (request.isWrite()) {
@@ -48,13 +48,13 @@
       return null;
     }
     EndpointState replica = leastBusyReplica(now, request, true);
-    boolean worthWaiting = awaitsRefresh(now, request);
-    return replica != null || worthWaiting || primary == null
+    boolean shouldWait = refreshCandidatePosition(now, request);
+    return replica != null || shouldWait || primary == null
         ? replica
         : ifEligible(now, request, primary);
   }
 
-  /** Whether an attempt that was decided earlier may still be written, see {@link Router}. */
+  /** Returns whether a scheduled attempt may still be sent, see {@link Router#isStillEligible}. */
   boolean isStillEligible(Duration now, RequestState request, Attempt attempt) {
     EndpointState endpoint = attempt.endpoint();
     return !request.finished
@@ -68,11 +68,14 @@
             || consistency.isFreshEnough(now, request, endpoint));
   }
 
-  private EndpointState leastBusyReplica(Duration now, RequestState request, boolean fresh) {
+  /**
+   * Returns the least busy eligible replica, or null; stale ones only if not {@code requireFresh}.
+   */
+  private EndpointState leastBusyReplica(Duration now, RequestState request, boolean requireFresh) {
     EndpointState best = null;
     for (EndpointState endpoint : request.group.members) {
       if (!endpoint.isPrimary()
-          && (!fresh || consistency.isFreshEnough(now, request, endpoint))
+          && (!requireFresh || consistency.isFreshEnough(now, request, endpoint))
           && isEligible(now, request, endpoint)
           && (best == null || isLessBusy(endpoint, best))) {
         best = endpoint;
@@ -81,25 +84,34 @@
     return best;
   }
 
-  /** Ties go to the newer position if ranks are close, else to the lower rank. */
+  /**
+   * Compares by reads in flight. Ties are broken by the newer position if the integer parts of the
+   * ranks are equal, otherwise by the lower rank.
+   */
   private static boolean isLessBusy(EndpointState endpoint, EndpointState other) {
     if (endpoint.readsInFlight != other.readsInFlight) {
       return endpoint.readsInFlight < other.readsInFlight;
     }
-    boolean closeRanks = (int) endpoint.rank == (int) other.rank;
-    return (closeRanks && endpoint.position != null && other.position != null)
+    boolean similarRanks = (int) endpoint.rank == (int) other.rank;
+    return (similarRanks && endpoint.position != null && other.position != null)
         ? endpoint.position.compareTo(other.position) > 0
         : endpoint.rank < other.rank;
   }
 
-  /** Refreshes the position of the replica that would be picked were it fresh enough. */
-  private boolean awaitsRefresh(Duration now, RequestState request) {
+  /**
+   * Refreshes the position of the replica that would be selected if it were fresh enough; returns
+   * whether the read should wait for the result.
+   */
+  private boolean refreshCandidatePosition(Duration now, RequestState request) {
     return healthChecker.isEnabled()
         && healthChecker.isPositionNeeded(request)
-        && healthChecker.awaitsRefresh(now, request, leastBusyReplica(now, request, false));
+        && healthChecker.refreshPosition(now, request, leastBusyReplica(now, request, false));
   }
 
-  /** Offers a write to the members in turn while no primary is known. */
+  /**
+   * Returns the next member to offer a write to while the primary is unknown, in round-robin order;
+   * null if all members were tried or the pause after the last round has not passed.
+   */
   private EndpointState nextPrimaryCandidate(Duration now, RequestState request) {
     ReplicaGroup group = request.group;
     if (now.compareTo(group.nextPrimarySearchAt) < 0 || retryPolicy.isLastAttempt(request)) {
@@ -121,7 +133,10 @@
     return isEligible(now, request, endpoint) ? endpoint : null;
   }
 
-  /** May send a health check, see {@link OutlierDetector#admits}. */
+  /**
+   * Returns whether the request may be sent to the endpoint now. May trigger a health check, see
+   * {@link OutlierDetector#admits}.
+   */
   private boolean isEligible(Duration now, RequestState request, EndpointState endpoint) {
     return registry.isListValid()
         && endpoint.listed
--- a/gateway/src/main/java/weldcross/routing/EndpointState.java
+++ b/gateway/src/main/java/weldcross/routing/EndpointState.java
@@ -5,28 +5,29 @@
 import java.util.Set;
 
 /**
- * What this router knows of one server, from the server's answers and reports and from the endpoint
- * list. Times count from the start of the router; null stands for an event that never happened.
+ * The router's state of one server, from the server's answers and load reports and from the
+ * endpoint list. Times are relative to the start of the router; null means that the event has not
+ * occurred.
  */
 final class EndpointState {
 
-  /** The first gap between health checks of one kind; each kind backs off from here. */
+  /** Initial backoff between health checks, for each reason to send them. */
   static final Duration INITIAL_BACKOFF = Duration.ofMillis(100);
 
-  /** The length of the first ejection; it doubles with each trial that fails. */
+  /** Duration of the first ejection; doubled after each failed readmission trial. */
   static final Duration INITIAL_EJECTION_DURATION = Duration.ofMillis(200);
 
   final ServerId id;
   final ReplicaGroup group;
   final ZoneId zone;
 
-  /** Attempts that have not ended, oldest first. */
+  /** Attempts in flight, oldest first. */
   final Set<Attempt> inFlight = new LinkedHashSet<>();
 
-  /** Reads among {@link #inFlight}. */
+  /** Number of reads in {@link #inFlight}. */
   int readsInFlight;
 
-  /** Breaks ties between equally busy endpoints; the lowest goes first. */
+  /** Tie-breaker between equally busy endpoints; the lowest rank is preferred. */
   double rank;
 
   // Endpoint list.
@@ -36,11 +37,17 @@
   Duration removedAt;
 
   // Replication.
+
+  /** The latest known replication position; null if unknown. */
   Duration position;
 
-  /** As of when it was last known to be the primary; null while it is known to be none. */
+  /**
+   * The time as of which it was last known to be the primary; null while it is known to be a
+   * replica.
+   */
   Duration primaryAsOf;
 
+  /** The time as of which it was last known to be a replica. */
   Duration replicaAsOf;
 
   // Health checks.
@@ -51,14 +58,17 @@
 
   // Outlier detection.
   boolean ejected;
+
+  /** When a request may be sent to the ejected server as a trial. */
   Duration readmissionTrialAt;
+
   Duration nextEjectionDuration = INITIAL_EJECTION_DURATION;
   int consecutiveFailures;
   int consecutiveUnreachable;
   Duration lastResponseAt = Duration.ZERO;
   Duration lastGossipAt;
 
-  /** When the latest answered attempt was sent. */
+  /** The latest send time of any answered attempt. */
   Duration lastAnsweredSentAt = Duration.ZERO;
 
   // Concurrency limit.
@@ -68,11 +78,14 @@
 
   // Slow start.
   Duration warmUpStartedAt;
+
+  /** When the server became unreachable and was presumed to restart; null if it was not. */
   Duration presumedRestartAt;
 
-  /** The value of {@link #warmUpStartedAt} before the restart that was presumed. */
+  /** The value of {@link #warmUpStartedAt} before the presumed restart. */
   Duration warmUpStartedAtBeforeRestart;
 
+  /** Earliest time of the next attempt within the slow-start budget. */
   Duration nextSlowStartSendAt = Duration.ZERO;
 
   EndpointState(
@@ -88,7 +101,7 @@
     return this == group.primary;
   }
 
-  /** Describes this endpoint for the log, see {@link Router#describe}. */
+  /** Formats this endpoint for the log, see {@link Router#describe}. */
   String describe(Duration now, boolean warmingUp) {
     return id.name()
         + " "
--- a/gateway/src/main/java/weldcross/routing/EndpointStatus.java
+++ b/gateway/src/main/java/weldcross/routing/EndpointStatus.java
@@ -1,13 +1,13 @@
 package weldcross.routing;
 
-/** What the endpoint list says of a server. */
+/** The status of a server in the endpoint list. */
 public enum EndpointStatus {
-  /** The server takes requests. */
+  /** The server accepts requests. */
   ACTIVE,
 
-  /** The server finishes what it has and may get nothing new. */
+  /** The server finishes its open requests and must not receive new ones. */
   DRAINING,
 
-  /** The server has left the list. */
+  /** The server has been removed from the list. */
   REMOVED
 }
--- a/gateway/src/main/java/weldcross/routing/HealthChecker.java
+++ b/gateway/src/main/java/weldcross/routing/HealthChecker.java
@@ -6,18 +6,24 @@
 import java.util.List;
 import weldcross.routing.RequestClass.Consistency;
 
-/** Decides when a server is sent a health check; there is at most one under way at each server. */
+/** Decides when to send health checks to servers. At most one is in flight per server. */
 final class HealthChecker {
 
-  /** Backoffs double up to this: many gateways that ask are a load. */
+  /**
+   * Maximum backoff. The backoff limits the combined load of the health checks of many gateways.
+   */
   private static final Duration MAX_BACKOFF = Duration.ofSeconds(2);
 
-  /** How long a read may wait for a health check under way before it goes to the primary. */
+  /** How long a read may wait for a health check in flight before it is sent to the primary. */
   private static final Duration MAX_READ_WAIT = Duration.ofMillis(30);
 
-  /** A position is refreshed once it is older than this share of the smallest staleness bound. */
+  /**
+   * A replication position is refreshed once it is older than the smallest staleness bound divided
+   * by this.
+   */
   private static final int REFRESH_AGE_DIVISOR = 4;
 
+  /** Used if no request class has a staleness bound. */
   private static final Duration DEFAULT_REFRESH_AGE = Duration.ofMillis(250);
 
   private final RouterActions actions;
@@ -45,16 +51,16 @@
   }
 
   /**
-   * Checks the endpoint unless a check is under way or the last one began less than {@code minGap}
-   * ago.
+   * Sends a health check unless one is in flight or the last one was sent less than {@code
+   * minInterval} ago.
    *
    * @return whether a check was sent
    */
-  boolean check(Duration now, EndpointState endpoint, Duration minGap) {
+  boolean check(Duration now, EndpointState endpoint, Duration minInterval) {
     if (!enabled
         || endpoint.healthCheckPending
         || (endpoint.lastHealthCheckAt != null
-            && now.minus(endpoint.lastHealthCheckAt).compareTo(minGap) < 0)) {
+            && now.minus(endpoint.lastHealthCheckAt).compareTo(minInterval) < 0)) {
       return false;
     }
     endpoint.healthCheckPending = true;
@@ -63,12 +69,15 @@
     return true;
   }
 
-  /** Checks a server of which nothing is known, or that may be the primary requests wait for. */
+  /**
+   * Checks a server that has never been checked or that may be the primary that queued requests
+   * wait for.
+   */
   void checkIfUnknown(Duration now, EndpointState endpoint) {
     EndpointState primary = endpoint.group.primary;
-    boolean informative = endpoint.position == null || primary == null || primary.ejected;
+    boolean stateIncomplete = endpoint.position == null || primary == null || primary.ejected;
     boolean needed =
-        endpoint.lastHealthCheckAt == null || (informative && !endpoint.group.queue.isEmpty());
+        endpoint.lastHealthCheckAt == null || (stateIncomplete && !endpoint.group.queue.isEmpty());
     if (needed
         && endpoint.listed
         && !endpoint.draining
@@ -77,33 +86,33 @@
     }
   }
 
-  /** Asks a server whose answer is overdue whether it lives. */
+  /** Checks whether a server with an overdue answer is still alive. */
   void checkOverdue(Duration now, EndpointState endpoint) {
     if (check(now, endpoint, endpoint.overdueCheckBackoff)) {
       endpoint.overdueCheckBackoff = doubled(endpoint.overdueCheckBackoff);
     }
   }
 
-  /** Whether a replica may take the read or not depending on its position. */
+  /** Returns whether the position of a replica decides if it may serve the read. */
   boolean isPositionNeeded(RequestState request) {
-    Consistency needed = request.requestClass.consistency();
-    return needed == Consistency.BOUNDED
-        || (needed == Consistency.SESSION && consistency.token(request) != null);
+    Consistency consistencyLevel = request.requestClass.consistency();
+    return consistencyLevel == Consistency.BOUNDED
+        || (consistencyLevel == Consistency.SESSION && consistency.token(request) != null);
   }
 
   /**
-   * Checks the replica that a read would go to if its position is old.
+   * Checks the replica that a read would be sent to, if its position is too old.
    *
-   * @param candidate null where there is none
-   * @return whether the read should wait for the check that is under way
+   * @param candidate the replica; null if there is none
+   * @return whether the read should wait for the health check in flight
    */
-  boolean awaitsRefresh(Duration now, RequestState request, EndpointState candidate) {
+  boolean refreshPosition(Duration now, RequestState request, EndpointState candidate) {
     if (candidate == null) {
       return false;
     }
-    boolean old =
+    boolean isPositionOld =
         candidate.position == null || now.minus(candidate.position).compareTo(refreshAge) > 0;
-    if (old
+    if (isPositionOld
         && (request.requestClass.consistency() == Consistency.BOUNDED
             || !consistency.isFreshEnough(now, request, candidate))) {
       check(now, candidate, refreshAge);
--- a/gateway/src/main/java/weldcross/routing/LatencyEstimator.java
+++ b/gateway/src/main/java/weldcross/routing/LatencyEstimator.java
@@ -4,47 +4,58 @@
 
 import java.time.Duration;
 
-/** Estimates how long an answer takes, for each request class, and what follows from it. */
+/**
+ * Estimates the typical latency of each request class, and judges from it whether attempts are
+ * slow, overdue or lost and whether requests can still meet their deadlines.
+ */
 final class LatencyEstimator {
 
-  /** An attempt is overdue after this many times the typical latency. */
+  /** An attempt is overdue after this multiple of the typical latency. */
   private static final double OVERDUE_FACTOR = 4.5;
 
-  /** A request with less time left than this many times the typical latency is hopeless. */
+  /**
+   * A request with less time left than this multiple of the typical latency cannot meet its
+   * deadline.
+   */
   private static final double MIN_REMAINING_TIME_FACTOR = 1.4;
 
-  /** An answer that takes more than this many times the typical latency is slow. */
+  /** An answer is slow if it takes longer than this multiple of the typical latency. */
   private static final double SLOW_FACTOR = 3;
 
-  /** The ratio by which one answer moves an estimate that has settled. */
+  /** Factor by which one answer moves an estimate that has converged. */
   private static final double STEP_RATIO = 1.05;
 
-  /** Keeps timers that follow from an estimate from coming due in the same moment for ever. */
+  /**
+   * Lower bound of an estimate, so that timers derived from it are not rescheduled for the same
+   * instant forever.
+   */
   private static final double MIN_SECONDS = 0.001;
 
+  /** Assumed latency of a request class without answers. */
   private static final double DEFAULT_SECONDS = 1;
 
-  /** With fewer answers an estimate is too uncertain to give up a request by it. */
+  /** With fewer answers, an estimate is too uncertain to reject requests because of it. */
   private static final int MIN_SAMPLES = 5;
 
   private final double[] medianSeconds;
-  private final int[] samples;
+  private final int[] sampleCounts;
 
-  LatencyEstimator(int requestClasses) {
-    this.medianSeconds = new double[requestClasses];
-    this.samples = new int[requestClasses];
+  LatencyEstimator(int requestClassCount) {
+    this.medianSeconds = new double[requestClassCount];
+    this.sampleCounts = new int[requestClassCount];
   }
 
-  /** Returns the typical latency in seconds, above 0 also where nothing is known. */
+  /** Returns the typical latency in seconds; positive even if no answer has been recorded. */
   double typicalSeconds(int classIndex) {
     return medianSeconds[classIndex] > 0 ? medianSeconds[classIndex] : DEFAULT_SECONDS;
   }
 
-  /** Takes in the latency of a successful answer. */
+  /** Records the latency of a successful answer. */
   void record(int classIndex, Duration latency) {
-    // A step of fixed ratio settles at the median; with a mean, one overloaded server would make
-    // every request look hopeless. The first answers may move it far, as they can be far off.
-    double ratio = Math.max(STEP_RATIO, 1 + 1.0 / ++samples[classIndex]);
+    // Steps of a fixed ratio converge to the median. With a mean, one overloaded server would make
+    // every request appear unable to meet its deadline. The first answers take larger steps, since
+    // the initial estimate may be far off.
+    double ratio = Math.max(STEP_RATIO, 1 + 1.0 / ++sampleCounts[classIndex]);
     double step = inSeconds(latency) < medianSeconds[classIndex] ? 1 / ratio : ratio;
     double estimate =
         medianSeconds[classIndex] == 0 ? inSeconds(latency) : medianSeconds[classIndex] * step;
@@ -55,17 +66,20 @@
     return inSeconds(latency) > SLOW_FACTOR * medianSeconds[classIndex];
   }
 
-  /** Whether the request could no longer be answered before it expires. */
+  /** Returns whether the request is unlikely to be answered before it expires. */
   boolean cannotMeetDeadline(Duration now, RequestState request) {
-    return samples[request.classIndex] >= MIN_SAMPLES
+    return sampleCounts[request.classIndex] >= MIN_SAMPLES
         && inSeconds(request.expiresAt.minus(now))
             < MIN_REMAINING_TIME_FACTOR * medianSeconds[request.classIndex];
   }
 
-  /** Whether so much younger attempts have been answered that this one's answer must be lost. */
+  /**
+   * Returns whether the answer is presumed lost, because the endpoint has answered an attempt that
+   * was sent much later.
+   */
   boolean isPresumedLost(Attempt attempt) {
-    Duration behind = attempt.endpoint().lastAnsweredSentAt.minus(attempt.sentAt());
-    return inSeconds(behind) > OVERDUE_FACTOR * typicalSeconds(attempt.request().classIndex);
+    Duration newerBy = attempt.endpoint().lastAnsweredSentAt.minus(attempt.sentAt());
+    return inSeconds(newerBy) > OVERDUE_FACTOR * typicalSeconds(attempt.request().classIndex);
   }
 
   boolean isOverdue(Duration now, Attempt attempt) {
@@ -73,7 +87,9 @@
         >= OVERDUE_FACTOR * typicalSeconds(attempt.request().classIndex);
   }
 
-  /** Returns when the attempt will be overdue, as expected when it was sent. */
+  /**
+   * Returns when the attempt becomes overdue, by the latency that was expected when it was sent.
+   */
   static Duration overdueAt(Attempt attempt) {
     return attempt.sentAt().plus(Durations.ofSeconds(OVERDUE_FACTOR * attempt.expectedSeconds()));
   }
--- a/gateway/src/main/java/weldcross/routing/OutlierDetector.java
+++ b/gateway/src/main/java/weldcross/routing/OutlierDetector.java
@@ -6,20 +6,28 @@
 import java.time.Duration;
 
 /**
- * Ejects servers that fail, hang or cannot be reached, and readmits them by trials. An ejection
- * doubles in length with each trial that fails.
+ * Ejects servers that fail, hang or are unreachable, and readmits them after a successful trial
+ * request. The duration of an ejection doubles with each failed trial.
  */
 final class OutlierDetector {
 
   private static final Duration MAX_EJECTION_DURATION = Duration.ofSeconds(2);
 
-  /** This many overdue answers mean a hang, even where health checks are answered. */
+  /**
+   * A server with this many overdue answers is considered hung, even if it answers health checks.
+   */
   private static final int MAX_OVERDUE_ATTEMPTS = 5;
 
-  /** One failure proves nothing: errors happen, and connections to live servers are reset. */
+  /**
+   * A single failure is no evidence of an outlier: healthy servers return errors and reset
+   * connections too.
+   */
   private static final int MAX_TOLERATED_FAILURES = 1;
 
-  /** A peer finds out for itself soon, so one message in this time is enough. */
+  /**
+   * Minimum interval between gossip messages about one server: other gateways soon detect the
+   * failure themselves.
+   */
   private static final Duration GOSSIP_INTERVAL = Duration.ofMillis(250);
 
   private final RouterActions actions;
@@ -42,8 +50,9 @@
   }
 
   /**
-   * Whether the endpoint may get the request: it is not ejected, or the request may be its trial. A
-   * server that could not be reached gets a health check before a request is risked.
+   * Returns whether the request may be sent to the endpoint: it is not ejected, or the request may
+   * serve as its readmission trial. An unreachable server must pass a health check before it
+   * receives a trial request.
    */
   boolean admits(Duration now, RequestState request, EndpointState endpoint) {
     if (!endpoint.ejected) {
@@ -60,14 +69,17 @@
         || now.compareTo(endpoint.readmissionTrialAt.plus(endpoint.nextEjectionDuration)) >= 0;
   }
 
-  /** Takes in that an attempt is sent; at an ejected endpoint it is the trial, and the only one. */
+  /**
+   * Records that an attempt is sent. At an ejected endpoint the attempt is the readmission trial,
+   * so the ejection is renewed to prevent a second one.
+   */
   void recordSend(Duration now, EndpointState endpoint) {
     if (endpoint.ejected) {
       eject(now, endpoint);
     }
   }
 
-  /** Takes in the end of an attempt. */
+  /** Records the outcome of an attempt. */
   void recordOutcome(Duration now, Attempt attempt, AttemptOutcome outcome) {
     EndpointState endpoint = attempt.endpoint();
     switch (outcome) {
@@ -79,7 +91,7 @@
         gossip(now, endpoint);
       }
       case TIMED_OUT, IDLE_CONNECTION_LOST, CANCELLED, NOT_SENT -> {
-        // Says nothing of the server: a hang is found by overdue answers.
+        // No evidence about the server; hangs are detected by overdue answers.
       }
     }
     if (endpoint.consecutiveFailures > MAX_TOLERATED_FAILURES
@@ -109,7 +121,10 @@
     }
   }
 
-  /** Where more than half of a group fails the cause is shared, and ejecting helps nobody. */
+  /**
+   * If more than half of a group fails, the cause is likely shared, and ejecting more members would
+   * only reduce capacity.
+   */
   private static boolean mayEjectForErrors(ReplicaGroup group) {
     int ejected = 1;
     for (EndpointState member : group.members) {
@@ -119,8 +134,8 @@
   }
 
   /**
-   * Takes in the end of a health check. One that passed shows only that the server lives and can be
-   * reached.
+   * Records the outcome of a health check. A success only shows that the server is alive and
+   * reachable.
    */
   void recordHealthCheck(Duration now, EndpointState endpoint, AttemptOutcome outcome) {
     switch (outcome) {
@@ -129,11 +144,11 @@
         endpoint.consecutiveUnreachable = 0;
       }
       case IDLE_CONNECTION_LOST -> {
-        // It never got there, and what it was for is still wanted.
+        // The health check did not reach the server; send it again.
         healthChecker.check(now, endpoint, Duration.ZERO);
       }
       case CLOSED_BEFORE_SEND -> {
-        // The server ended the connection, so it lives.
+        // The server closed the connection, so it is alive.
       }
       default -> {
         endpoint.consecutiveUnreachable++;
@@ -144,7 +159,9 @@
     }
   }
 
-  /** Asks an endpoint with overdue answers whether it lives, or ejects it where they are many. */
+  /**
+   * Sends a health check to an endpoint with overdue answers, or ejects it if there are too many.
+   */
   void checkOverdue(Duration now, EndpointState endpoint) {
     if (endpoint.ejected) {
       return;
@@ -157,7 +174,9 @@
     }
   }
 
-  /** Returns how many of the attempts sent since the last response of the endpoint are overdue. */
+  /**
+   * Returns the number of overdue attempts that were sent since the last response of the endpoint.
+   */
   private int overdueCount(Duration now, EndpointState endpoint) {
     int overdue = 0;
     for (Attempt attempt : endpoint.inFlight) {
@@ -174,7 +193,7 @@
     endpoint.nextEjectionDuration =
         earlier(endpoint.nextEjectionDuration.multipliedBy(2), MAX_EJECTION_DURATION);
     endpoint.ejected = true;
-    // Behind the silence may be a restart that no list shows.
+    // An unreachable server may be restarting without the endpoint list showing it.
     if (endpoint.consecutiveUnreachable > 0) {
       slowStart.presumeRestart(now, endpoint);
     }
--- a/gateway/src/main/java/weldcross/routing/PrimaryTracker.java
+++ b/gateway/src/main/java/weldcross/routing/PrimaryTracker.java
@@ -4,16 +4,21 @@
 
 import java.time.Duration;
 
-/** Tracks the primary and the positions of a group from what its members say of themselves. */
+/**
+ * Tracks the primary of a group and the replication positions of its members, from what the members
+ * report about themselves.
+ */
 final class PrimaryTracker {
 
   private PrimaryTracker() {}
 
   /**
-   * Takes in a report, which is as old as it is: its role counts from the position it names.
+   * Records a load report. Reports may be delayed, so the reported role is valid as of the reported
+   * position.
    *
-   * @param position the position reported; null where none was and it does not claim to be primary
-   * @param primary whether it is the primary; null where it did not say
+   * @param position the reported position; may be null unless {@code primary} is true
+   * @param primary whether the server reported itself as the primary; null if it did not report its
+   *     role
    */
   static void recordReport(
       Duration now, EndpointState endpoint, Duration position, Boolean primary) {
@@ -21,9 +26,10 @@
   }
 
   /**
-   * Takes in what an answer says of the server that gave it. That it is no primary counts from now.
+   * Records the role and position from an answer of the server. That it is a replica is valid as of
+   * now.
    *
-   * @param position as in {@link #recordReport}
+   * @param position see {@link #recordReport}
    */
   static void recordAnswer(
       Duration now, EndpointState endpoint, Duration position, boolean primary) {
@@ -31,13 +37,17 @@
   }
 
   private static void record(
-      Duration now, EndpointState endpoint, Duration position, Boolean primary, boolean answer) {
+      Duration now,
+      EndpointState endpoint,
+      Duration position,
+      Boolean primary,
+      boolean fromAnswer) {
     ReplicaGroup group = endpoint.group;
     EndpointState previous = group.primary;
     if (Boolean.TRUE.equals(primary)) {
       recordPrimary(endpoint, position);
     } else if (Boolean.FALSE.equals(primary)) {
-      recordReplica(endpoint, answer ? now : position, answer);
+      recordReplica(endpoint, fromAnswer ? now : position, fromAnswer);
     }
     endpoint.position = later(endpoint.position, position);
     if (!group.hasReported || group.primary != previous) {
@@ -50,7 +60,8 @@
   }
 
   private static void recordPrimary(EndpointState endpoint, Duration asOf) {
-    // A claim may come in behind newer knowledge; reads would go to what is a replica by now.
+    // Ignore a claim older than the latest replica report, or reads would be sent to a former
+    // primary.
     if (endpoint.replicaAsOf != null && asOf.compareTo(endpoint.replicaAsOf) < 0) {
       return;
     }
@@ -61,12 +72,13 @@
     }
   }
 
-  private static void recordReplica(EndpointState endpoint, Duration asOf, boolean answer) {
+  private static void recordReplica(EndpointState endpoint, Duration asOf, boolean fromAnswer) {
     endpoint.replicaAsOf = later(endpoint.replicaAsOf, asOf);
-    // A primary stands at the present, so a report from behind its own claim is the older one.
-    boolean newer =
-        answer || endpoint.primaryAsOf == null || asOf.compareTo(endpoint.primaryAsOf) >= 0;
-    if (endpoint.isPrimary() && newer) {
+    // A primary reports its current time as its position, so a report with a position before the
+    // primary claim is older than the claim.
+    boolean isNewer =
+        fromAnswer || endpoint.primaryAsOf == null || asOf.compareTo(endpoint.primaryAsOf) >= 0;
+    if (endpoint.isPrimary() && isNewer) {
       endpoint.primaryAsOf = null;
       endpoint.group.primary = null;
     }
--- a/gateway/src/main/java/weldcross/routing/ReplicaGroup.java
+++ b/gateway/src/main/java/weldcross/routing/ReplicaGroup.java
@@ -6,23 +6,26 @@
 import java.util.List;
 import java.util.Set;
 
-/** A primary and its replicas, with the requests for them that wait in this gateway. */
+/**
+ * The state of a replica group: its members, its primary and the requests queued for it in this
+ * gateway.
+ */
 final class ReplicaGroup {
 
   final List<EndpointState> members = new ArrayList<>();
 
-  /** Requests that wait for an endpoint, oldest first. */
+  /** Requests that wait for an eligible endpoint, oldest first. */
   final Set<RequestState> queue = new LinkedHashSet<>();
 
-  /** Null while no primary is known. */
+  /** The primary; null if it is unknown. */
   EndpointState primary;
 
-  /** Whether any member has said anything of itself yet. */
+  /** Whether any member has reported its role or position yet. */
   boolean hasReported;
 
   boolean queueCheckScheduled;
 
-  // The search for a primary by offering a write to one member after another.
+  // Search for an unknown primary, by offering writes to the members in turn.
   int nextMemberIndex;
   Duration nextPrimarySearchAt = Duration.ZERO;
 }
--- a/gateway/src/main/java/weldcross/routing/RequestClass.java
+++ b/gateway/src/main/java/weldcross/routing/RequestClass.java
@@ -3,14 +3,17 @@
 import java.time.Duration;
 
 /**
- * A class of requests with the same needs.
+ * A class of requests with the same requirements.
  *
+ * @param consistency the consistency that its requests require
  * @param stalenessBound how old the data of a {@link Consistency#BOUNDED} read may be
- * @param deduplicationWindow how long after the first send a retry of an {@link
- *     Idempotency#IDEMPOTENT_BY_KEY} request is recognised
- * @param latencyObjective the time from arrival within which an answer has its full worth
- * @param priorityWeight the worth of an answer within the objective, above 0
- * @param lateWeight the share of that worth that a later answer has, in [0, 1]
+ * @param idempotency whether its requests may be executed more than once
+ * @param deduplicationScope the servers that share the idempotency keys of a request
+ * @param deduplicationWindow how long after its first attempt a retry of an {@link
+ *     Idempotency#IDEMPOTENT_BY_KEY} request is deduplicated
+ * @param latencyObjective the time from arrival within which an answer has its full value
+ * @param priorityWeight the value of an answer within the latency objective; positive
+ * @param lateWeight the fraction of that value that a later answer retains, in [0, 1]
  */
 public record RequestClass(
     Consistency consistency,
@@ -22,45 +25,45 @@
     double priorityWeight,
     double lateWeight) {
 
-  /** What the data must hold for a request. */
+  /** The consistency that a request requires. */
   public enum Consistency {
-    /** A write, which only the primary takes. */
+    /** A write, which only the primary accepts. */
     WRITE,
 
-    /** All that was committed before the request arrived. */
+    /** A read of everything that was committed before the request arrived. */
     FRESH,
 
-    /** All that the session has written. */
+    /** A read of everything that the session has written. */
     SESSION,
 
-    /** Data no older than the staleness bound when the request is sent. */
+    /** A read of data that is no older than the staleness bound when the request is sent. */
     BOUNDED,
 
-    /** Any state. */
+    /** A read without consistency requirements. */
     ANY
   }
 
   /** Whether a request may be executed more than once. */
   public enum Idempotency {
-    /** It may. */
+    /** The request may be executed more than once. */
     IDEMPOTENT,
 
-    /** It may where a retry is recognised by its key. */
+    /** Retries are deduplicated by the idempotency key. */
     IDEMPOTENT_BY_KEY,
 
-    /** It may not. */
+    /** The request must be executed at most once. */
     NON_IDEMPOTENT
   }
 
-  /** The servers that recognise a retry by its key. */
+  /** The servers that deduplicate a retry by its idempotency key. */
   public enum DeduplicationScope {
     /** All servers. */
     ALL,
 
-    /** The servers of the zone that it was sent to first. */
+    /** The servers of the zone that the first attempt was sent to. */
     ZONE,
 
-    /** The servers of its replica group. */
+    /** The servers of the replica group. */
     GROUP
   }
 }
--- a/gateway/src/main/java/weldcross/routing/RequestId.java
+++ b/gateway/src/main/java/weldcross/routing/RequestId.java
@@ -1,10 +1,10 @@
 package weldcross.routing;
 
 /**
- * One request of a client; when the client retries it, that is another request.
+ * Identifies one client request. A retry by the client is a new request.
  *
- * <p>{@code equals} and {@code hashCode} are written out because those that the compiler makes for
- * a record are linked when they are first called, which slows the start of the program.
+ * <p>{@code equals} and {@code hashCode} are implemented explicitly because the ones generated for
+ * a record are linked at their first call, which slows down startup.
  *
  * @param name unique among the open requests of a gateway; not null
  */
--- a/gateway/src/main/java/weldcross/routing/RequestState.java
+++ b/gateway/src/main/java/weldcross/routing/RequestState.java
@@ -10,20 +10,30 @@
 import java.util.Set;
 import weldcross.routing.RequestClass.Consistency;
 
-/** A request from its arrival until its final answer and the end of its last attempt. */
+/**
+ * The state of a request, from its arrival until it has its final answer and its last attempt has
+ * ended.
+ */
 final class RequestState {
 
-  /** What still waits is answered this long before its client gives up, not in the same moment. */
+  /**
+   * Maximum margin between the answer to a request that is given up and the client's own timeout.
+   */
   private static final Duration MAX_ANSWER_MARGIN = Duration.ofMillis(25);
 
+  /** The margin is at most the client's timeout divided by this. */
   private static final int ANSWER_MARGIN_DIVISOR = 8;
 
   /**
-   * A request not sent by this share of its time is rejected, while its client has time to retry.
+   * A request that was not sent within this fraction of its timeout is rejected, so that the client
+   * has time to retry.
    */
   private static final double FIRST_SEND_FRACTION = 0.45;
 
-  /** The latency objective runs from the client's first try, so a retry is worth less. */
+  /**
+   * Factor on the priority weight of a client's retry: the latency objective counts from the first
+   * request, so the retry is likely late.
+   */
   private static final double CLIENT_RETRY_WEIGHT = 0.3;
 
   final RequestId id;
@@ -32,26 +42,32 @@
   final ReplicaGroup group;
   final SessionId session;
 
-  /** The commit that the client says its session must see; null where it names none. */
+  /** The commit position that the client requires its session to observe; null if there is none. */
   final Duration clientToken;
 
   final double priorityWeight;
   final Duration arrivedAt;
 
-  /** Attempts end here. */
+  /** When attempts time out. */
   final Duration expiresAt;
 
-  /** Nothing is sent from here on. */
+  /** No attempt is sent after this. */
   final Duration sendDeadline;
 
-  /** Without any attempt by then the request is given up. */
+  /** The request is given up if no attempt was sent by this time. */
   final Duration firstSendDeadline;
 
-  /** Uniform in [0, 1), drawn once so that asking again does not raise the chance. */
+  /**
+   * Uniform random sample in [0, 1) for probabilistic admission during slow start. Sampled once per
+   * request, so that repeated admission checks do not raise the probability.
+   */
   final double slowStartSample;
 
   final List<Attempt> attempts = new ArrayList<>();
+
+  /** Endpoints that the request was sent to and is not sent to again until this is cleared. */
   final Set<EndpointState> triedEndpoints = new LinkedHashSet<>();
+
   int attemptsInFlight;
   boolean mayHaveExecuted;
   boolean finished;
@@ -60,9 +76,10 @@
   /**
    * Creates the state of a request that has just arrived.
    *
-   * @param deadline when the client gives up
-   * @param clientRetry whether the client has sent the same before
-   * @param clientToken null where there is none
+   * @param clientToken the commit position that the client requires; null if there is none
+   * @param clientRetry whether the client has sent the same request before
+   * @param deadline when the client times out
+   * @param slowStartSample see {@link #slowStartSample}
    */
   RequestState(
       RequestId id,
@@ -85,7 +102,7 @@
     this.arrivedAt = arrivedAt;
     this.slowStartSample = slowStartSample;
     Duration timeout = deadline.minus(arrivedAt);
-    // Where a late answer is worth nothing, servers should drop the work at the objective.
+    // If late answers have no value, servers should stop working on the request at the objective.
     this.expiresAt =
         requestClass.lateWeight() > 0
             ? deadline
--- a/gateway/src/main/java/weldcross/routing/RetryPolicy.java
+++ b/gateway/src/main/java/weldcross/routing/RetryPolicy.java
@@ -5,18 +5,20 @@
 import weldcross.routing.RequestClass.Idempotency;
 
 /**
- * Decides whether a request may be sent, or sent again, without taking effect twice, and keeps the
- * budget of hedged attempts so that they do not feed an overload.
+ * Decides whether a request may be sent or retried without being executed twice. Also limits hedged
+ * attempts to a budget, so that they do not amplify an overload.
  */
 final class RetryPolicy {
 
+  /** Hedged attempts added to the budget per successful answer. */
   private static final double BUDGET_PER_SUCCESS = 0.1;
+
   private static final double INITIAL_BUDGET = 1;
 
   private final int maxAttempts;
   private final boolean parallelAttempts;
 
-  /** Hedged attempts that may be sent. */
+  /** Number of hedged attempts that may be sent now. */
   private double hedgeBudget = INITIAL_BUDGET;
 
   RetryPolicy(RoutingConfig config) {
@@ -24,7 +26,7 @@
     this.parallelAttempts = config.parallelAttempts();
   }
 
-  /** Whether the request may be sent now, be it for the first time or again. */
+  /** Returns whether a first or further attempt may be sent now. */
   boolean maySend(Duration now, RequestState request) {
     if (request.attempts.size() >= maxAttempts
         || (request.attemptsInFlight > 0 && !parallelAttempts)) {
@@ -38,20 +40,25 @@
         };
   }
 
-  /** Whether only one attempt is left, which is kept for a primary that is known. */
+  /** Returns whether only one attempt is left, which is reserved for a known primary. */
   boolean isLastAttempt(RequestState request) {
     return request.attempts.size() + 1 >= maxAttempts;
   }
 
-  /** Whether an attempt that was decided earlier may still be written without an effect twice. */
+  /**
+   * Returns whether a scheduled attempt may still be sent without the request being executed twice.
+   */
   boolean mayStillSend(Duration now, RequestState request) {
-    boolean only = request.attemptsInFlight == 1 && !request.mayHaveExecuted;
+    boolean isOnlyAttempt = request.attemptsInFlight == 1 && !request.mayHaveExecuted;
     return request.requestClass.idempotency() != Idempotency.IDEMPOTENT_BY_KEY
-        || only
+        || isOnlyAttempt
         || isWithinDeduplicationWindow(now, request);
   }
 
-  /** Whether the endpoint would recognise the request as one that has run elsewhere. */
+  /**
+   * Returns whether the endpoint would deduplicate the request if an earlier attempt was executed
+   * elsewhere.
+   */
   boolean canDeduplicate(RequestState request, EndpointState endpoint) {
     return request.requestClass.idempotency() != Idempotency.IDEMPOTENT_BY_KEY
         || request.requestClass.deduplicationScope() != DeduplicationScope.ZONE
@@ -59,7 +66,7 @@
         || request.attempts.get(0).endpoint().zone.equals(endpoint.zone);
   }
 
-  /** Whether the client may send the request again without an effect twice. */
+  /** Returns whether the client may retry the request without it being executed twice. */
   boolean isSafeForClientToRetry(RequestState request) {
     return request.isIdempotent()
         || cannotHaveExecuted(request)
@@ -67,7 +74,7 @@
             && request.requestClass.deduplicationScope() == DeduplicationScope.ALL);
   }
 
-  /** Whether a request without an answer may be sent to a second endpoint. */
+  /** Returns whether a hedged attempt may be sent to a second endpoint. */
   boolean mayHedge(RequestState request) {
     return !request.finished
         && request.isIdempotent()
@@ -87,7 +94,9 @@
     return request.attemptsInFlight == 0 && !request.mayHaveExecuted;
   }
 
-  /** The window runs from the first send, the earliest that may have been executed. */
+  /**
+   * The window starts when the first attempt is sent, the earliest one that may have been executed.
+   */
   private static boolean isWithinDeduplicationWindow(Duration now, RequestState request) {
     Duration sinceFirstSend = now.minus(request.attempts.get(0).sentAt());
     return sinceFirstSend.compareTo(request.requestClass.deduplicationWindow()) < 0;
--- a/gateway/src/main/java/weldcross/routing/Router.java
+++ b/gateway/src/main/java/weldcross/routing/Router.java
@@ -6,19 +6,19 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides where each request goes, from what one gateway knows by itself.
+ * Routes requests to servers, based only on what this gateway knows.
  *
- * <p>The router is a state machine. Its host calls one public method for each event, from one
- * thread and with the time since the router started; the router acts through {@link RouterActions}.
- * It keeps the order of events and the way of one request; each kind of decision has a class of its
- * own. {@code docs/design.md} describes the policy.
+ * <p>The router is a state machine. Its host calls one public method for each event, from a single
+ * thread and with the time since the start of the router; the router acts through {@link
+ * RouterActions}. This class handles the events and the lifecycle of requests, and delegates each
+ * kind of decision to a class of its own. {@code docs/design.md} describes the policy.
  */
 public final class Router {
 
-  /** The interval of periodic work, none of which a request waits for. */
+  /** Interval of periodic work that no request waits for. */
   private static final Duration TICK_INTERVAL = Duration.ofMillis(250);
 
-  /** The interval at which a group with queued requests is checked. */
+  /** Interval at which a group with queued requests is checked. */
   private static final Duration QUEUE_CHECK_INTERVAL = Duration.ofMillis(25);
 
   private final RouterActions actions;
@@ -38,9 +38,9 @@
   private final Map<RequestId, RequestState> requests = new LinkedHashMap<>();
 
   /**
-   * Creates a router and asks for its first tick.
+   * Creates a router and schedules its first tick.
    *
-   * @param seed decides all random choices: the same events give the same calls
+   * @param seed the seed of all random choices: the same events result in the same actions
    */
   public Router(RouterActions actions, RoutingConfig config, long seed) {
     this.actions = actions;
@@ -66,41 +66,42 @@
   }
 
   /**
-   * Sets the share that this gateway has, from now on, of what all gateways may do together.
+   * Sets the quota of this gateway.
    *
-   * @param share in (0, 1]
+   * @param quota the share of this gateway in the work of the whole fleet, in (0, 1]
    */
-  public void setQuota(double share) {
-    limiter.setQuota(share, registry.endpoints());
-    slowStart.setQuota(share);
+  public void setQuota(double quota) {
+    limiter.setQuota(quota, registry.endpoints());
+    slowStart.setQuota(quota);
   }
 
-  // ---- The endpoint list
+  // ---- Endpoint list
 
   /**
    * Begins an endpoint list; its entries follow, then {@link #endEndpointList}.
    *
-   * @param complete whether servers that it does not name are removed
+   * @param complete whether servers missing from the list are removed
    */
   public void beginEndpointList(Duration now, boolean complete) {
     registry.beginList(complete);
   }
 
-  /** Takes in one entry of the endpoint list. */
+  /** Handles one entry of the endpoint list. */
   public void endpointListed(Duration now, ListedEndpoint entry) {
     registry.addListed(now, entry);
   }
 
-  /** Ends the endpoint list that was begun last. */
+  /** Ends the endpoint list that was begun by {@link #beginEndpointList}. */
   public void endEndpointList(Duration now) {
     registry.endList();
     registry.groups().forEach(group -> checkQueue(now, group));
   }
 
   /**
-   * Sets whether the list is known to name all drains; at the start it is. While it is not, nothing
-   * is sent, as a server may drain without the list saying so. This does harm where discovery is
-   * gone and all servers are well.
+   * Sets whether the endpoint list is valid, that is, known to show all draining servers; initially
+   * it is. While it is not, nothing is sent, since a server may be draining without the list
+   * showing it. The drawback is that no requests are served during a discovery outage even if all
+   * servers are healthy.
    */
   public void setEndpointListValid(Duration now, boolean valid) {
     if (registry.setListValid(valid)) {
@@ -109,8 +110,8 @@
   }
 
   /**
-   * Takes in that a call for the list failed. The notice does not say which call, so the watch is
-   * asked for again, with backoff.
+   * Handles the failure of a request for the endpoint list. The notification does not identify the
+   * request, so the watch is requested again, with backoff.
    */
   public void endpointListFailed(Duration now) {
     registry.recordListFailure(now);
@@ -118,7 +119,7 @@
 
   // ---- Requests
 
-  /** Takes in a request of a client. */
+  /** Handles the arrival of a request from a client. */
   public void requestArrived(Duration now, NewRequest arrival) {
     RequestState request =
         new RequestState(
@@ -141,19 +142,19 @@
   }
 
   /**
-   * Whether an attempt may be written now that its connection is up. What spoke for it may have
-   * passed meanwhile: a staleness bound, the role of a primary, the state of a server, the validity
-   * of the list, a deduplication window. An attempt that may not be written ends as {@link
-   * AttemptOutcome#NOT_SENT}.
+   * Returns whether a scheduled attempt may still be sent, now that its connection is established.
+   * In the meantime a staleness bound or a deduplication window may have expired, the server may
+   * have lost its role as primary or may be draining, or the endpoint list may have become invalid.
+   * An attempt that is no longer eligible must end as {@link AttemptOutcome#NOT_SENT}.
    *
-   * @param attempt counts the attempts of the request from zero
+   * @param attempt the zero-based number of the attempt among the attempts of the request
    */
   public boolean isStillEligible(Duration now, RequestId id, int attempt) {
     RequestState request = requests.get(id);
     return selector.isStillEligible(now, request, request.attempts.get(attempt));
   }
 
-  /** Takes in the end of an attempt. */
+  /** Handles the end of an attempt. */
   public void attemptEnded(Duration now, AttemptResult result) {
     RequestState request = requests.get(result.request());
     if (request == null) {
@@ -203,7 +204,7 @@
     limiter.recordOutcome(now, attempt, outcome, elapsed);
     int classIndex = attempt.request().classIndex;
     boolean success = outcome == AttemptOutcome.OK;
-    // Going behind its equals costs nothing, so one answer is enough for it.
+    // A higher rank only matters between equally busy endpoints, so one bad answer suffices.
     if (outcome == AttemptOutcome.ERROR
         || outcome == AttemptOutcome.UNREACHABLE
         || (success && latency.isSlow(classIndex, elapsed))) {
@@ -217,7 +218,7 @@
     outliers.recordOutcome(now, attempt, outcome);
   }
 
-  /** Takes in that the client of the request no longer waits for an answer. */
+  /** Handles that the client of the request no longer waits for an answer. */
   public void clientDisconnected(Duration now, RequestId id) {
     RequestState request = requests.get(id);
     if (request != null && !request.finished) {
@@ -226,12 +227,13 @@
     }
   }
 
-  // ---- Health checks, reports and gossip
+  // ---- Health checks, load reports and gossip
 
   /**
-   * Takes in the end of a health check.
+   * Handles the end of a health check.
    *
-   * @param aliveSince since when at least the process that answered runs; null if not known
+   * @param aliveSince the earliest time at which the answering server process is known to have been
+   *     running; null if unknown
    */
   public void healthCheckEnded(
       Duration now, ServerId server, AttemptOutcome outcome, Duration aliveSince) {
@@ -242,10 +244,11 @@
   }
 
   /**
-   * Takes in a report of a server on itself.
+   * Handles a load report of a server.
    *
-   * @param position up to where its data goes
-   * @param primary whether it says it is the primary; null where it does not say
+   * @param position the replication position of the server
+   * @param primary whether the server reported itself as the primary; null if it did not report its
+   *     role
    */
   public void reportReceived(Duration now, ServerId server, Duration position, Boolean primary) {
     EndpointState endpoint = registry.endpoint(server);
@@ -254,8 +257,9 @@
   }
 
   /**
-   * Takes in that another gateway could not reach the server, which may come back cold unseen from
-   * here. The server gets less for nothing where only that gateway is cut off.
+   * Handles a gossip message that another gateway could not reach the server. The server may
+   * restart and come back cold without this gateway noticing, so it is put into slow start; that is
+   * needless if only the other gateway is partitioned.
    */
   public void gossipReceived(Duration now, ServerId server) {
     EndpointState endpoint = registry.endpoint(server);
@@ -268,7 +272,7 @@
 
   // ---- Time
 
-  /** Does the periodic work, as asked for by {@link RouterActions#scheduleTick}. */
+  /** Does the periodic work, as scheduled by {@link RouterActions#scheduleTick}. */
   public void tick(Duration now) {
     actions.scheduleTick(now.plus(TICK_INTERVAL));
     registry.pollIfDue(now);
@@ -277,12 +281,12 @@
     registry.evictRemoved(now);
   }
 
-  /** Runs the timers that are due, as asked for by {@link RouterActions#scheduleTimer}. */
+  /** Runs the timers that are due, as scheduled by {@link RouterActions#scheduleTimer}. */
   public void timersDue(Duration now) {
     timers.fireDue(now);
   }
 
-  // ---- The way of a request
+  // ---- Request lifecycle
 
   private void route(Duration now, RequestState request) {
     if (!retryPolicy.maySend(now, request)) {
@@ -295,7 +299,7 @@
     if (endpoint != null) {
       send(now, request, endpoint);
     } else if (request.attemptsInFlight == 0) {
-      // Only the primary may be able to take it, even if it has turned the request away once.
+      // The primary may be the only eligible endpoint, so it may be tried again.
       request.triedEndpoints.remove(request.group.primary);
       enqueue(now, request);
     }
@@ -338,7 +342,10 @@
         now.plus(Durations.ofSeconds(attempt.expectedSeconds())), at -> checkOverdue(at, attempt));
   }
 
-  /** Sends the request to a second endpoint, against hangs and lost answers. */
+  /**
+   * Sends a hedged attempt to a second endpoint, in case the first one hangs or its answer was
+   * lost.
+   */
   private void hedge(Duration now, Attempt overdue) {
     RequestState request = overdue.request();
     if (!retryPolicy.mayHedge(request)) {
@@ -352,7 +359,10 @@
     }
   }
 
-  /** Routes a request whose only attempt failed; once all members were tried, after a pause. */
+  /**
+   * Retries a request that has no attempt in flight, at once if there is an untried member,
+   * otherwise after a pause.
+   */
   private void retry(Duration now, RequestState request, AttemptOutcome outcome) {
     if (now.compareTo(request.sendDeadline) >= 0 || !retryPolicy.maySend(now, request)) {
       giveUp(request);
@@ -374,7 +384,10 @@
     return false;
   }
 
-  /** A group is checked only while it has queued requests, so idle groups cost nothing. */
+  /**
+   * Queues the request. A group is only checked while it has queued requests, so idle groups cause
+   * no work.
+   */
   private void enqueue(Duration now, RequestState request) {
     ReplicaGroup group = request.group;
     group.queue.add(request);
@@ -407,12 +420,15 @@
     }
   }
 
-  private void giveUpIf(RequestState request, boolean hopeless) {
-    if (hopeless && !request.finished) {
+  private void giveUpIf(RequestState request, boolean condition) {
+    if (condition && !request.finished) {
       giveUp(request);
     }
   }
 
+  /**
+   * Answers the request without success: rejects it if the client may retry, otherwise fails it.
+   */
   private void giveUp(RequestState request) {
     if (retryPolicy.isSafeForClientToRetry(request)) {
       actions.reject(request.id, config.maxRetryAfter());
@@ -438,8 +454,9 @@
   }
 
   /**
-   * Describes the state for the log: of each server the attempts in flight, the concurrency limit,
-   * the age of its position in ms and its standing; and the number of queued requests.
+   * Formats the state for the log: for each server the attempts in flight, the concurrency limit,
+   * the age of its replication position in ms and its role and status; then the number of queued
+   * requests.
    */
   public String describe(Duration now) {
     return registry.endpoints().stream()
--- a/gateway/src/main/java/weldcross/routing/RouterActions.java
+++ b/gateway/src/main/java/weldcross/routing/RouterActions.java
@@ -3,49 +3,51 @@
 import java.time.Duration;
 
 /**
- * What a {@link Router} asks of its host. Calls take effect at the time of the event that the
- * router handles, and must not call back into it. Times count from the start of the router.
+ * The actions that a {@link Router} requests from its host. They take effect at the time of the
+ * event being handled, and implementations must not call back into the router. Times are relative
+ * to the start of the router.
  */
 public interface RouterActions {
 
   /**
-   * Sends the request to the server; the attempts of a request are numbered from zero.
+   * Sends the request to the server. The attempts of a request are numbered from zero, in order.
    *
-   * @param expiresAt when the attempt ends without an answer; sooner if the client gives up sooner
+   * @param expiresAt when the attempt times out; it ends earlier if the client stops waiting
+   *     earlier
    */
   void sendAttempt(RequestId request, ServerId server, Duration expiresAt);
 
-  /** Stops waiting for one attempt; whether the server stops working on it is its own matter. */
+  /** Cancels one attempt. The server may or may not stop working on it. */
   void cancel(RequestId request, int attempt);
 
   /**
-   * Gives the final answer that the request was turned away and may be sent again without harm.
+   * Rejects the request: its final answer is that the client may safely retry it.
    *
-   * @param retryAfter how long the client should wait before; zero to name no time
+   * @param retryAfter how long the client should wait before it retries; zero to specify no time
    */
   void reject(RequestId request, Duration retryAfter);
 
-  /** Gives the final answer that the request failed; it may have been executed. */
+  /** Fails the request: its final answer is an error, and it may have been executed. */
   void fail(RequestId request);
 
-  /** Sends a health check, whose end goes to {@link Router#healthCheckEnded}. */
+  /** Sends a health check; its end is passed to {@link Router#healthCheckEnded}. */
   void sendHealthCheck(ServerId server);
 
-  /** Tells all other gateways that the server could not be reached; the message may be lost. */
+  /** Notifies all other gateways that the server is unreachable. The message may be lost. */
   void gossipUnreachable(ServerId server);
 
   /**
-   * Says that the server has left the list and has nothing in flight: it gets nothing until it is
-   * listed again.
+   * Notifies the host that the server has been removed from the endpoint list and has no attempts
+   * in flight. Nothing is sent to it until it is listed again.
    */
   void endpointRemoved(ServerId server);
 
-  /** Asks for changes of the endpoint list from now on. */
+  /** Watches the endpoint list for changes from now on. */
   void watchEndpointList();
 
-  /** Asks for {@link Router#tick} at {@code at}; there is one periodic timer. */
+  /** Schedules {@link Router#tick}. There is one periodic timer. */
   void scheduleTick(Duration at);
 
-  /** Asks for {@link Router#timersDue} at {@code at}, the earliest time that any timer is due. */
+  /** Schedules {@link Router#timersDue} for the earliest time at which any timer is due. */
   void scheduleTimer(Duration at);
 }
--- a/gateway/src/main/java/weldcross/routing/RouterTimers.java
+++ b/gateway/src/main/java/weldcross/routing/RouterTimers.java
@@ -6,20 +6,23 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** The one-shot timers of a router, multiplexed on a single wake-up of its host. */
+/** The one-shot timers of a router, multiplexed onto a single timer of its host. */
 final class RouterTimers {
 
   private final RouterActions actions;
   private final TreeMap<Duration, List<Consumer<Duration>>> callbacks = new TreeMap<>();
 
-  /** The wake-up asked for last; null if none is expected. */
+  /** The time of the wake-up requested last; null if none is pending. */
   private Duration wakeUpAt;
 
   RouterTimers(RouterActions actions) {
     this.actions = actions;
   }
 
-  /** Calls back at {@code at} with the time then; in the order of scheduling where times tie. */
+  /**
+   * Schedules a callback, which receives the time at which it runs. Callbacks for the same time run
+   * in the order in which they were scheduled.
+   */
   void schedule(Duration at, Consumer<Duration> callback) {
     callbacks.computeIfAbsent(at, time -> new ArrayList<>(1)).add(callback);
     if (wakeUpAt == null || at.compareTo(wakeUpAt) < 0) {
@@ -27,10 +30,10 @@
     }
   }
 
-  /** Runs all callbacks that are due and asks for the next wake-up. */
+  /** Runs all callbacks that are due and requests the next wake-up. */
   void fireDue(Duration now) {
-    // A wake-up asked for before an earlier one came up is left over; if it asked for the next one
-    // too, wake-ups would multiply.
+    // This wake-up was superseded by an earlier one. If it requested another one too, wake-ups
+    // would multiply.
     if (wakeUpAt == null || now.compareTo(wakeUpAt) < 0) {
       return;
     }
--- a/gateway/src/main/java/weldcross/routing/RoutingConfig.java
+++ b/gateway/src/main/java/weldcross/routing/RoutingConfig.java
@@ -4,28 +4,31 @@
 import java.util.List;
 
 /**
- * The configuration of a {@link Router}, fixed from its start.
+ * The configuration of a {@link Router}, which does not change after its start.
  *
- * @param requestClasses the classes that requests name by their index
- * @param gateways how many gateways share the servers, at least 1
+ * @param requestClasses the request classes; requests refer to them by index
+ * @param gateways the number of gateways that share the servers, at least 1
  * @param zone the zone of this gateway
  * @param parallelAttempts whether a request may have two attempts in flight
- * @param maxAttempts the most attempts of one request, at least 1
- * @param healthChecks whether servers may be sent health checks
+ * @param maxAttempts the maximum number of attempts of one request, at least 1
+ * @param healthChecks whether health checks may be sent to servers
  * @param cancellation whether attempts may be cancelled
- * @param gossip whether gateways may send each other messages
- * @param maxRetryAfter the longest time to come back that clients heed; zero if they heed none
- * @param pollEndpointList whether the endpoint list comes only when asked for
- * @param maxPollInterval how long a gateway without a watch may go without asking for the list
- * @param removalIsBinding whether a server that left the list may get nothing new
- * @param clientsCarryTokens whether a session read says how long ago its session's last write was
- *     committed
- * @param initialCapacityFraction the least share of its capacity that a server starts with, in (0,
- *     1]
- * @param slowStartDuration the time after which a started server is warm
- * @param overloadMultiple a server that warms up fails when sent more than this multiple of what it
- *     can do
- * @param overloadWindow for this long
+ * @param gossip whether gateways may send gossip messages to each other
+ * @param maxRetryAfter the longest Retry-After time that clients respect; zero if they ignore it
+ * @param pollEndpointList whether the endpoint list is only sent on request
+ * @param maxPollInterval the longest time that a gateway without a watch may go without requesting
+ *     the endpoint list
+ * @param removalIsBinding whether a server removed from the endpoint list must not receive new
+ *     requests
+ * @param clientsCarryTokens whether clients state in a session read how long ago the last write of
+ *     the session was committed
+ * @param initialCapacityFraction the smallest fraction of its full capacity that a server may have
+ *     when it starts, in (0, 1]
+ * @param slowStartDuration how long a started server warms up
+ * @param overloadMultiple the multiple of its current capacity that overloads a server that is
+ *     warming up
+ * @param overloadWindow how long a server tolerates more than {@code overloadMultiple} before it
+ *     fails
  */
 public record RoutingConfig(
     List<RequestClass> requestClasses,
--- a/gateway/src/main/java/weldcross/routing/ServerId.java
+++ b/gateway/src/main/java/weldcross/routing/ServerId.java
@@ -1,11 +1,11 @@
 package weldcross.routing;
 
 /**
- * A database server. The id is the same at every gateway and stays the same when its process
- * restarts.
+ * Identifies a database server. The ID is the same on every gateway and survives restarts of the
+ * server process.
  *
- * <p>{@code equals} and {@code hashCode} are written out because those that the compiler makes for
- * a record are linked when they are first called, which slows the start of the program.
+ * <p>{@code equals} and {@code hashCode} are implemented explicitly because the ones generated for
+ * a record are linked at their first call, which slows down startup.
  *
  * @param name unique among all servers; not null
  */
--- a/gateway/src/main/java/weldcross/routing/SessionConsistency.java
+++ b/gateway/src/main/java/weldcross/routing/SessionConsistency.java
@@ -7,28 +7,32 @@
 import java.util.Map;
 
 /**
- * Decides whether an endpoint's data is fresh enough for a read: by the staleness bound, the time
- * of arrival, or the token of the session, which is the position of its last write.
+ * Decides whether the data of an endpoint is fresh enough for a read, by the staleness bound, the
+ * arrival time of the read, or the session token, which is the position of the last write of the
+ * session.
  */
 final class SessionConsistency {
 
-  /** After this time a token joins the floor that all sessions without a token must see. */
+  /**
+   * How long the token of a session is kept. After that it is merged into the floor, the minimum
+   * position for all sessions without a token.
+   */
   private static final Duration TOKEN_RETENTION = Duration.ofSeconds(60);
 
-  /** A write whose answer was not received may have been committed up to this much later. */
+  /** How much later than the end of its attempt a write without an answer may be committed. */
   private static final Duration UNCERTAIN_COMMIT_MARGIN = Duration.ofMillis(30);
 
   private final boolean clientsCarryTokens;
   private final Map<SessionId, Duration> tokens = new LinkedHashMap<>();
 
-  /** The latest token that has expired; null before the first one. */
+  /** The latest expired token; null if none has expired. */
   private Duration expiredTokenFloor;
 
   SessionConsistency(RoutingConfig config) {
     this.clientsCarryTokens = config.clientsCarryTokens();
   }
 
-  /** Whether the endpoint, as a replica, may answer the read now. */
+  /** Returns whether the endpoint, as a replica, may serve the read now. */
   boolean isFreshEnough(Duration now, RequestState request, EndpointState endpoint) {
     Duration position = endpoint.position;
     return switch (request.requestClass.consistency()) {
@@ -46,8 +50,9 @@
   }
 
   /**
-   * Returns the position that the request's session must see as of now, since a write of the
-   * session may have been answered while the read waited; null where any will do.
+   * Returns the minimum position for a read of the request's session; null if any position is
+   * sufficient. The result may change while the read waits, when a write of the same session is
+   * answered.
    */
   Duration token(RequestState request) {
     return clientsCarryTokens
@@ -56,9 +61,10 @@
   }
 
   /**
-   * Takes in the end of an attempt; a write that may have been executed raises its session's token.
+   * Records the outcome of an attempt. A write that may have been executed advances the token of
+   * its session.
    *
-   * @param position the position of the commit; null where the answer does not tell
+   * @param position the commit position; null if the answer does not contain it
    */
   void recordOutcome(
       Duration now, RequestState request, AttemptOutcome outcome, Duration position) {
@@ -73,7 +79,7 @@
     tokens.put(request.session, later(tokens.remove(request.session), token));
   }
 
-  /** Folds old tokens into the floor, so that the table does not grow for ever. */
+  /** Merges old tokens into the floor, so that the map does not grow without bound. */
   void expireTokens(Duration now) {
     tokens
         .values()
--- a/gateway/src/main/java/weldcross/routing/SessionId.java
+++ b/gateway/src/main/java/weldcross/routing/SessionId.java
@@ -1,10 +1,10 @@
 package weldcross.routing;
 
 /**
- * A client session, whose reads see its own writes.
+ * Identifies a client session, whose reads observe its own writes.
  *
- * <p>{@code equals} and {@code hashCode} are written out because those that the compiler makes for
- * a record are linked when they are first called, which slows the start of the program.
+ * <p>{@code equals} and {@code hashCode} are implemented explicitly because the ones generated for
+ * a record are linked at their first call, which slows down startup.
  *
  * @param name unique among all sessions; not null
  */
--- a/gateway/src/main/java/weldcross/routing/SlowStart.java
+++ b/gateway/src/main/java/weldcross/routing/SlowStart.java
@@ -8,25 +8,31 @@
 import java.util.SplittableRandom;
 
 /**
- * Limits what a server gets while it warms up. This gateway's share of a warm server's work, times
- * the share of its capacity that the server has so far, adds up over all gateways to what the
- * server can take; attempts are spaced accordingly.
+ * Limits the load on a server while it warms up. This gateway's rate of work per warm server,
+ * multiplied by the fraction of its full capacity that the server currently has, adds up over all
+ * gateways to what the server can handle. Attempts are spaced accordingly.
  */
 final class SlowStart {
 
-  /** The share of the budget that is used: handshakes, health checks and uneven work need some. */
+  /**
+   * Fraction of the budget that is used. The rest is left for handshakes, health checks and
+   * variations in the cost of requests.
+   */
   private static final double BUDGET_UTILIZATION = 0.75;
 
-  /** The window over which the work of warm servers is averaged. */
+  /** Time constant of the moving average of the work of warm servers. */
   private static final Duration RATE_WINDOW = Duration.ofSeconds(4);
 
-  /** Unused budget is saved up for this share of the overload window, or for one attempt. */
+  /**
+   * Unused budget accumulates for at most the overload window divided by this, or for one attempt
+   * if that is longer.
+   */
   private static final int BURST_WINDOW_DIVISOR = 4;
 
-  /** A request that has waited for longer than this came from the queue. */
+  /** A request older than this is considered to come from the queue. */
   private static final Duration MAX_UNQUEUED_AGE = Duration.ofMillis(30);
 
-  /** What a process sent before it ended may come in this much later than the news of its end. */
+  /** How long after the failure of a process was detected its last answers may still arrive. */
   private static final Duration LATE_RESPONSE_MARGIN = Duration.ofMillis(30);
 
   private final RoutingConfig config;
@@ -34,12 +40,19 @@
   private final LatencyEstimator latency;
   private final ConcurrencyLimiter limiter;
   private final SessionConsistency consistency;
+
+  /** Effective number of gateways, the inverse of this gateway's quota; may be fractional. */
   private double fleetSize;
 
-  /** Work answered by warm servers since the last {@link #updateRate}, in expected seconds. */
+  /**
+   * Work completed by all warm servers since the last {@link #updateRate}, in seconds of expected
+   * latency.
+   */
   private double warmWorkSeconds;
 
-  /** Work that one warm server answers, in expected seconds per second. */
+  /**
+   * Work completed by one warm server for this gateway, in seconds of expected latency per second.
+   */
   private double warmServerRate;
 
   SlowStart(
@@ -56,9 +69,9 @@
     this.fleetSize = config.gateways();
   }
 
-  /** Sets the share of this gateway among all, in (0, 1]. */
-  void setQuota(double share) {
-    fleetSize = 1 / share;
+  /** Sets the quota of this gateway, its share in the fleet, in (0, 1]. */
+  void setQuota(double quota) {
+    fleetSize = 1 / quota;
   }
 
   boolean isWarmingUp(Duration now, EndpointState endpoint) {
@@ -67,19 +80,20 @@
   }
 
   /**
-   * Whether the endpoint's budget has room for the request. Requests from the queue may come all at
-   * once and are spaced out; requests that come one by one are thinned by chance.
+   * Returns whether the slow-start budget of the endpoint admits the request. Requests from the
+   * queue may arrive in bursts and are spaced out; other requests arrive one by one and are
+   * admitted with a probability.
    */
   boolean admits(Duration now, RequestState request, EndpointState endpoint) {
     if (!isWarmingUp(now, endpoint) || now.compareTo(endpoint.nextSlowStartSendAt) >= 0) {
       return true;
     }
-    boolean fresh = now.minus(request.arrivedAt).compareTo(MAX_UNQUEUED_AGE) <= 0;
+    boolean isUnqueued = now.minus(request.arrivedAt).compareTo(MAX_UNQUEUED_AGE) <= 0;
     boolean startNotListed =
         endpoint.startedAt == null
             || now.minus(endpoint.startedAt).compareTo(config.slowStartDuration()) >= 0;
-    if (!fresh || startNotListed) {
-      return fresh;
+    if (!isUnqueued || startNotListed) {
+      return isUnqueued;
     }
     Duration maxScheduleAhead = sendInterval(now, endpoint, request.classIndex).multipliedBy(2);
     boolean budgetExhausted =
@@ -94,8 +108,9 @@
   }
 
   /**
-   * Returns among how many members the request's endpoint is picked: the least busy one is picked
-   * by all gateways, not by one in as many as there are members.
+   * Returns the number of members that are equally likely to be selected for the request. If one
+   * member is the least busy, all gateways select it, rather than each member being selected by an
+   * equal share of the gateways.
    */
   private double equallyLoadedMembers(Duration now, RequestState request, EndpointState endpoint) {
     if (request.isWrite()) {
@@ -115,17 +130,21 @@
     return count;
   }
 
-  /** Returns the share of its full capacity that a warming server has now, in (0, 1]. */
+  /**
+   * Returns the fraction of its full capacity that a server that is warming up has now, in (0, 1].
+   */
   private double capacityFraction(Duration now, EndpointState endpoint) {
-    double warmed =
+    double warmUpProgress =
         Math.max(
             0,
             inSeconds(now.minus(endpoint.warmUpStartedAt)) / inSeconds(config.slowStartDuration()));
     return config.initialCapacityFraction()
-        + (1 - config.initialCapacityFraction()) * Math.min(1, warmed);
+        + (1 - config.initialCapacityFraction()) * Math.min(1, warmUpProgress);
   }
 
-  /** Returns the gap between two attempts of a class to a server that warms up. */
+  /**
+   * Returns the interval between two attempts of a request class to a server that is warming up.
+   */
   private Duration sendInterval(Duration now, EndpointState endpoint, int classIndex) {
     double rate =
         BUDGET_UTILIZATION
@@ -133,12 +152,12 @@
             * capacityFraction(now, endpoint)
             * warmServerRate;
     double expectedSeconds = latency.typicalSeconds(classIndex);
-    // A gateway that has sent nothing yet takes its part of one attempt an overload window.
+    // Without a measured rate, all gateways together send one attempt per overload window.
     double minRate = expectedSeconds / (inSeconds(config.overloadWindow()) * fleetSize);
     return Durations.ofSeconds(expectedSeconds / Math.max(rate, minRate));
   }
 
-  /** Takes the attempt that is sent now out of the budget of an endpoint that warms up. */
+  /** Charges an attempt that is sent now to the budget of an endpoint that is warming up. */
   void recordSend(Duration now, RequestState request, EndpointState endpoint) {
     Duration interval = sendInterval(now, endpoint, request.classIndex);
     Duration maxBurst = later(interval, config.overloadWindow().dividedBy(BURST_WINDOW_DIVISOR));
@@ -146,40 +165,42 @@
         later(endpoint.nextSlowStartSendAt, now.minus(maxBurst)).plus(interval);
   }
 
-  /** Counts a successful answer toward what warm servers do. */
+  /** Adds a successful answer to the work completed by warm servers. */
   void recordSuccess(Duration now, Attempt attempt) {
     warmWorkSeconds += isWarmingUp(now, attempt.endpoint()) ? 0 : attempt.expectedSeconds();
   }
 
-  /** Averages the work of warm servers; to be called once in each {@code interval}. */
+  /** Updates the average work rate of warm servers; must be called once per {@code interval}. */
   void updateRate(Duration now, Duration interval, Iterable<EndpointState> endpoints) {
-    long warm = 0;
+    long warmServers = 0;
     for (EndpointState endpoint : endpoints) {
       if (endpoint.listed && !isWarmingUp(now, endpoint)) {
-        warm++;
+        warmServers++;
       }
     }
     warmServerRate +=
-        warm == 0
+        warmServers == 0
             ? 0
-            : (warmWorkSeconds / warm - warmServerRate * inSeconds(interval))
+            : (warmWorkSeconds / warmServers - warmServerRate * inSeconds(interval))
                 / inSeconds(RATE_WINDOW);
     warmWorkSeconds = 0;
   }
 
-  /** Starts the warm-up of an endpoint whose process started at {@code since}. */
+  /** Begins the slow start of an endpoint whose process started at {@code since}. */
   void begin(Duration now, EndpointState endpoint, Duration since) {
     endpoint.warmUpStartedAt = since;
-    // A new place among its equals: behind those that were slow it would be first at all gateways.
+    // Choose a new rank among those of the members. With its old rank, below those of members that
+    // were slow, the server would be preferred by all gateways.
     List<EndpointState> members = endpoint.group.members;
     endpoint.rank = members.get(random.nextInt(members.size())).rank + random.nextDouble() - 0.5;
-    // Many gateways learn of a start in the same moment; each begins at a time of its own.
+    // All gateways learn of the start at about the same time, so each delays its first attempt
+    // randomly.
     endpoint.nextSlowStartSendAt =
         now.plus(
             Durations.ofSeconds(random.nextDouble() * inSeconds(sendInterval(now, endpoint, 0))));
   }
 
-  /** Treats an endpoint that could not be reached as started anew, until shown otherwise. */
+  /** Presumes that an unreachable endpoint restarts, until {@link #confirmAlive} disproves it. */
   void presumeRestart(Duration now, EndpointState endpoint) {
     if (endpoint.presumedRestartAt == null || !isWarmingUp(now, endpoint)) {
       endpoint.warmUpStartedAtBeforeRestart = endpoint.warmUpStartedAt;
@@ -189,9 +210,10 @@
   }
 
   /**
-   * Takes back a presumed restart if the process that answers was alive before it.
+   * Reverts a presumed restart if the answering process was already running before it.
    *
-   * @param aliveSince since when at least the process runs; null if it did not answer
+   * @param aliveSince the earliest time at which the process is known to have been running; null if
+   *     it did not answer
    */
   void confirmAlive(Duration now, EndpointState endpoint, Duration aliveSince) {
     if (aliveSince == null
--- a/gateway/src/test/java/weldcross/routing/HealthCheckerTest.java
+++ b/gateway/src/test/java/weldcross/routing/HealthCheckerTest.java
@@ -38,7 +38,7 @@
     RouterHarness.withKnownPrimary()
         .servers
         .values()
-        .forEach(s -> harness.servers.put(s.id.name(), s));
+        .forEach(server -> harness.servers.put(server.id.name(), server));
     harness.publishEndpointList();
     assertEquals(3, harness.healthChecks.size());
     String read = harness.arrive(Consistency.BOUNDED);
@@ -53,14 +53,15 @@
     RouterHarness harness = RouterHarness.withKnownPrimary();
     harness.router.reportReceived(harness.now, harness.server(0).id, harness.now, false);
     harness.healthChecks.clear();
-    for (int k = 0; k < 100; k++) {
+    for (int i = 0; i < 100; i++) {
       harness.arrive(Consistency.FRESH);
       harness.advance(ms(50));
       harness
           .servers
           .values()
           .forEach(
-              s -> harness.router.healthCheckEnded(harness.now, s.id, AttemptOutcome.OK, null));
+              server ->
+                  harness.router.healthCheckEnded(harness.now, server.id, AttemptOutcome.OK, null));
     }
     assertTrue(
         harness.healthChecks.size() <= 21 && harness.healthChecks.size() >= 6,
@@ -71,7 +72,7 @@
   @Test
   void serverWithOverdueAnswersIsCheckedWithBackoff() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    for (int k = 0; k < 30; k++) {
+    for (int i = 0; i < 30; i++) {
       String write = harness.arrive(Consistency.WRITE);
       harness.advance(ms(10));
       harness.end(harness.firstInFlight(write), AttemptOutcome.OK);
@@ -79,11 +80,12 @@
     harness.healthChecks.clear();
     harness.arrive(Consistency.WRITE);
     int asked = 0;
-    for (int k = 0; k < 70; k++) {
+    for (int i = 0; i < 70; i++) {
       harness.advance(ms(20));
       asked += harness.healthChecks.size();
       harness.healthChecks.forEach(
-          s -> harness.router.healthCheckEnded(harness.now, s, AttemptOutcome.OK, null));
+          serverId ->
+              harness.router.healthCheckEnded(harness.now, serverId, AttemptOutcome.OK, null));
       harness.healthChecks.clear();
     }
     assertTrue(asked >= 2 && asked <= 5, "asked in 1.4 s: " + asked);
@@ -134,8 +136,8 @@
   void boundedReadAwaitsARefreshForLessThanThirtyMilliseconds() {
     RouterComponents components = new RouterComponents(1);
     RequestState read = components.request(Consistency.BOUNDED, ms(1000));
-    assertTrue(components.healthChecker.awaitsRefresh(ms(1000), read, components.endpoint(0)));
-    assertTrue(components.healthChecker.awaitsRefresh(ms(1029), read, components.endpoint(0)));
-    assertFalse(components.healthChecker.awaitsRefresh(ms(1030), read, components.endpoint(0)));
+    assertTrue(components.healthChecker.refreshPosition(ms(1000), read, components.endpoint(0)));
+    assertTrue(components.healthChecker.refreshPosition(ms(1029), read, components.endpoint(0)));
+    assertFalse(components.healthChecker.refreshPosition(ms(1030), read, components.endpoint(0)));
   }
 }
