--- a/gateway/src/test/java/weldcross/routing/AdmissionQueueTest.java
+++ b/gateway/src/test/java/weldcross/routing/AdmissionQueueTest.java
@@ -23,7 +23,7 @@
   void newestRequestGoesFirstInOverload() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     List<String> reads = new ArrayList<>();
-    for (int k = 0; k < 20; k++) {
+    for (int i = 0; i < 20; i++) {
       reads.add(harness.arrive(Consistency.FRESH));
       harness.advance(ms(10));
     }
@@ -33,42 +33,49 @@
     assertEquals(0, harness.requests.get(reads.get(18)).attemptCount);
   }
 
-  /** No class may pay for all others in overload. */
+  /** Overload must not starve a request class in favour of the others. */
   @Test
-  void requestClassCountsMoreTheLessOfItIsServed() {
+  void requestClassWithASmallerServedShareGetsAHigherPriority() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    for (int k = 0; k < 400; k++) {
-      harness.arrive(k % 2 == 0 ? Consistency.FRESH : Consistency.WRITE);
+    for (int i = 0; i < 400; i++) {
+      harness.arrive(i % 2 == 0 ? Consistency.FRESH : Consistency.WRITE);
       harness.advance(ms(10));
       harness.answerOlderThan(ms(150));
     }
     long writes =
         harness.requests.values().stream()
-            .filter(e -> e.requestClass.consistency() == Consistency.WRITE && e.attemptCount > 0)
+            .filter(
+                tracked ->
+                    tracked.requestClass.consistency() == Consistency.WRITE
+                        && tracked.attemptCount > 0)
             .count();
     long reads =
         harness.requests.values().stream()
-            .filter(e -> e.requestClass.consistency() == Consistency.FRESH && e.attemptCount > 0)
+            .filter(
+                tracked ->
+                    tracked.requestClass.consistency() == Consistency.FRESH
+                        && tracked.attemptCount > 0)
             .count();
     assertTrue(
         writes > 5 && reads > writes,
-        "reads, worth twice a write: " + reads + ", writes: " + writes);
+        "reads, with twice the priority weight of writes: " + reads + ", writes: " + writes);
   }
 
-  /** The client needs time to retry. */
+  /** The client must be left time to retry. */
   @Test
-  void requestThatWasNeverSentIsRejectedBeforeHalfItsTime() {
+  void unsentRequestIsRejectedBeforeHalfItsTimeout() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     harness.server(0).listedStatus = EndpointStatus.DRAINING;
     harness.publishEndpointList();
     String write = harness.arrive(Consistency.WRITE);
     harness.advance(RouterHarness.DEADLINE.dividedBy(2));
-    RouterHarness.TrackedRequest entry = harness.requests.get(write);
-    assertEquals(Answer.REJECTED, entry.answer);
+    RouterHarness.TrackedRequest tracked = harness.requests.get(write);
+    assertEquals(Answer.REJECTED, tracked.answer);
     assertTrue(
-        entry.answeredAt.minus(entry.arrivedAt).compareTo(RouterHarness.DEADLINE.dividedBy(3)) > 0,
-        "too soon");
-    // A request that was sent once may be executed, so it is not cut short.
+        tracked.answeredAt.minus(tracked.arrivedAt).compareTo(RouterHarness.DEADLINE.dividedBy(3))
+            > 0,
+        "rejected before a third of its timeout");
+    // A request that was sent may be executed, so it is not given up early.
     harness.server(0).listedStatus = EndpointStatus.ACTIVE;
     harness.server(0).startedAt = harness.now.minus(ms(20_000));
     harness.publishEndpointList();
@@ -79,7 +86,7 @@
 
   @ParameterizedTest
   @CsvSource({"100, older younger", "101, younger older"})
-  void newestOfEqualPriorityGoesFirstOnceTheOldestHasWaitedAQuarterOfItsObjective(
+  void newestRequestGoesFirstOnceTheOldestHasWaitedAQuarterOfItsObjective(
       long nowMillis, String expected) {
     ReplicaGroup group = new ReplicaGroup();
     group.queue.add(request("older", group, ms(0), 1));
@@ -94,7 +101,7 @@
     group.queue.add(request("heavy", group, ms(0), 2));
     AdmissionQueue queue = new AdmissionQueue(1);
     assertEquals("heavy light", dispatchOrder(queue, ms(399), group));
-    assertEquals("light heavy", dispatchOrder(queue, ms(400), group), "late answers weigh 0.2");
+    assertEquals("light heavy", dispatchOrder(queue, ms(400), group), "the late weight is 0.2");
   }
 
   private static String dispatchOrder(AdmissionQueue queue, Duration now, ReplicaGroup group) {
--- a/gateway/src/test/java/weldcross/routing/ConcurrencyLimiterTest.java
+++ b/gateway/src/test/java/weldcross/routing/ConcurrencyLimiterTest.java
@@ -16,11 +16,11 @@
 
 class ConcurrencyLimiterTest {
 
-  /** The limit keeps the rest in the gateway, where requests that became hopeless are rejected. */
+  /** Excess requests wait in the gateway and are rejected once they cannot meet their deadlines. */
   @Test
   void slowServerGetsFewerRequestsAndTheRestIsRejected() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    for (int k = 0; k < 1500; k++) {
+    for (int i = 0; i < 1500; i++) {
       harness.arrive(Consistency.FRESH);
       harness.advance(ms(10));
       harness.answerOlderThan(ms(390));
@@ -28,48 +28,52 @@
     long sent =
         harness.requests.values().stream()
             .filter(
-                e ->
-                    e.firstSentAt != null
-                        && e.firstSentAt.compareTo(harness.now.minus(ms(5000))) > 0)
+                tracked ->
+                    tracked.firstSentAt != null
+                        && tracked.firstSentAt.compareTo(harness.now.minus(ms(5000))) > 0)
             .count();
-    assertTrue(sent <= 9, "sent to a slow server in 5 s, fewer than one at a time: " + sent);
-    assertTrue(harness.requests.values().stream().anyMatch(e -> e.answer == Answer.REJECTED));
+    assertTrue(sent <= 9, "attempts sent to a slow server in 5 s: " + sent);
+    assertTrue(
+        harness.requests.values().stream().anyMatch(tracked -> tracked.answer == Answer.REJECTED));
   }
 
   @Test
   void lostAnswersDoNotCountTowardTheLimit() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    for (int k = 0; k < 300; k++) {
+    for (int i = 0; i < 300; i++) {
       String write = harness.arrive(Consistency.WRITE);
       harness.advance(ms(10));
-      if (k % 3 < 2) {
+      if (i % 3 < 2) {
         harness.end(harness.firstInFlight(write), AttemptOutcome.OK);
       }
     }
-    assertTrue(harness.inFlight.size() > 30, "lost and still out: " + harness.inFlight.size());
+    assertTrue(
+        harness.inFlight.size() > 30,
+        "attempts in flight, whose answers were lost: " + harness.inFlight.size());
   }
 
-  /** A hundred new gateways with one attempt each at a server would overload it. */
+  /** With one attempt from each of a hundred new gateways, a server would be overloaded. */
   @Test
-  void initialLimitIsSharedByTheFleet() {
+  void initialLimitIsDividedAmongTheFleet() {
     int gateways = 80;
     int sent = 0;
-    for (int g = 0; g < gateways; g++) {
+    for (int gateway = 0; gateway < gateways; gateway++) {
       RouterHarness harness =
-          RouterHarness.withKnownPrimary(RoutingConfigs.fleet(gateways, true), g);
-      for (int k = 0; k < 60; k++) {
+          RouterHarness.withKnownPrimary(RoutingConfigs.fleet(gateways, true), gateway);
+      for (int i = 0; i < 60; i++) {
         harness.arrive(Consistency.WRITE);
         harness.advance(ms(50));
         harness.answerOlderThan(ms(300));
       }
-      sent += harness.requests.values().stream().mapToInt(e -> e.attemptCount).sum();
+      sent += harness.requests.values().stream().mapToInt(tracked -> tracked.attemptCount).sum();
     }
-    // Twelve in work at 300 ms each make 120 in 3 s, besides the one that each may try at once.
-    assertTrue(sent > gateways && sent <= 120 + 2 * gateways, "in 3 s: " + sent);
+    // A fleet limit of 12 with a latency of 300 ms allows 120 attempts in 3 s, in addition to the
+    // first attempt of each gateway.
+    assertTrue(sent > gateways && sent <= 120 + 2 * gateways, "attempts in 3 s: " + sent);
   }
 
   @Test
-  void answerWellWithinItsObjectiveEarnsAShortPause() {
+  void fastAnswerShortensThePauseBetweenAttempts() {
     RouterHarness harness = RouterHarness.withKnownPrimary(RoutingConfigs.fleet(80, true));
     String first = harness.arrive(Consistency.WRITE);
     harness.advance(ms(40));
@@ -77,27 +81,32 @@
     String second = harness.arrive(Consistency.WRITE);
     harness.advance(ms(150));
     assertEquals(
-        1, harness.requests.get(second).attemptCount, "a tenth of its soft deadline was taken");
+        1,
+        harness.requests.get(second).attemptCount,
+        "the answer took a tenth of the latency objective");
     harness.advance(ms(230));
     harness.end(harness.firstInFlight(second), AttemptOutcome.OK);
     String third = harness.arrive(Consistency.WRITE);
     harness.advance(ms(500));
-    assertEquals(0, harness.requests.get(third).attemptCount, "nine tenths were taken");
+    assertEquals(
+        0,
+        harness.requests.get(third).attemptCount,
+        "the answer took about nine tenths of the latency objective");
   }
 
-  /** What took longer than the clients stayed was too slow. */
+  /** A client that disconnects shows that the latency exceeded what it was willing to wait. */
   @Test
   void clientsThatDisconnectLowerTheLimit() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     List<String> reads = new ArrayList<>();
-    for (int k = 0; k < 400; k++) {
+    for (int i = 0; i < 400; i++) {
       reads.add(harness.arrive(Consistency.FRESH));
       harness.advance(ms(20));
-      harness.disconnect(reads.get(Math.max(0, k - 5)));
+      harness.disconnect(reads.get(Math.max(0, i - 5)));
     }
     assertTrue(
         reads.subList(200, 400).stream()
-                .filter(r -> harness.requests.get(r).attemptCount > 0)
+                .filter(read -> harness.requests.get(read).attemptCount > 0)
                 .count()
             < 60);
   }
@@ -112,7 +121,7 @@
     "NOT_SENT, 300, unchanged",
     "IDLE_CONNECTION_LOST, 300, unchanged"
   })
-  void limitFollowsTheShareOfTheObjectiveThatAnAnswerTook(
+  void limitFollowsTheRatioOfLatencyToObjective(
       AttemptOutcome outcome, long elapsedMillis, String expected) {
     ConcurrencyLimiter limiter = new ConcurrencyLimiter(6, new LatencyEstimator(1));
     RequestClass requestClass =
--- a/gateway/src/test/java/weldcross/routing/EndpointRegistryTest.java
+++ b/gateway/src/test/java/weldcross/routing/EndpointRegistryTest.java
@@ -16,9 +16,9 @@
 
 class EndpointRegistryTest {
 
-  /** A server said to drain gets nothing until a new start. */
+  /** Draining is binding until the list shows a new start of the server. */
   @Test
-  void whereRemovalIsNotBindingRemovedServersServeOnAndDrainingOnesDoNot() {
+  void removedServersServeOnIfRemovalIsNotBindingButDrainingOnesDoNot() {
     RouterHarness harness = RouterHarness.withKnownPrimary(RoutingConfigs.fleet(2, false), 7);
     harness.router.beginEndpointList(harness.now, false);
     harness.router.endpointListed(
@@ -42,23 +42,23 @@
     assertEquals("s0", harness.send(Consistency.WRITE).serverName());
   }
 
-  /** Successors come under new names all day; kept, their predecessors would fill the memory. */
+  /** Replacement servers get new names, so removed servers would otherwise accumulate in memory. */
   @Test
-  void removedServersAreForgotten() {
+  void removedServersAreEvicted() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    for (int k = 3; k < 1000; k++) {
-      RouterHarness.Server server = new RouterHarness.Server(k, 0);
+    for (int i = 3; i < 1000; i++) {
+      RouterHarness.Server server = new RouterHarness.Server(i, 0);
       server.listedStatus = EndpointStatus.ACTIVE;
-      server.primary = k % 3 == 0;
+      server.primary = i % 3 == 0;
       harness.servers.put(server.id.name(), server);
-      RouterHarness.Server old = harness.server(k - 3);
+      RouterHarness.Server old = harness.server(i - 3);
       old.listedStatus = EndpointStatus.REMOVED;
       harness.publishEndpointList();
       harness.advance(ms(1));
       harness.report(server, harness.now);
       harness.advance(ms(300));
       String write = harness.arrive(Consistency.WRITE);
-      assertEquals("s" + k / 3 * 3, harness.firstInFlight(write).serverName());
+      assertEquals("s" + i / 3 * 3, harness.firstInFlight(write).serverName());
       harness.advance(ms(2));
       harness.answerOlderThan(Duration.ZERO);
     }
@@ -71,14 +71,14 @@
   }
 
   @Test
-  void failedListCallIsRepeatedWithBackoff() {
+  void failedListRequestIsRetriedWithBackoff() {
     RouterHarness harness =
         new RouterHarness(
             RoutingConfigs.withWrites(
                 Idempotency.NON_IDEMPOTENT, DeduplicationScope.GROUP, true, true, true),
             1);
     assertEquals(1, harness.watchCalls);
-    for (int k = 0; k < 8; k++) {
+    for (int i = 0; i < 8; i++) {
       harness.router.endpointListFailed(harness.now);
       harness.advance(harness.config.maxPollInterval());
     }
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void serverMissingFromAListOfChangesStaysListed() {
+  void serverMissingFromAnIncrementalListStaysListed() {
     RouterComponents components = new RouterComponents(2);
     components.registry.beginList(false);
     components.registry.endList();
@@ -104,7 +104,7 @@
   }
 
   @Test
-  void primaryOfTheListCountsOnlyWhileNoneIsKnown() {
+  void listedPrimaryIsUsedOnlyWhileNoneIsKnown() {
     RouterComponents components = new RouterComponents(2);
     components.list(0, EndpointStatus.ACTIVE, null, true);
     assertSame(components.endpoint(0), components.group.primary);
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void newStartInTheListBeginsAWarmUp() {
+  void newStartTimeInTheListBeginsSlowStart() {
     RouterComponents components = new RouterComponents(2);
     assertNull(components.endpoint(0).warmUpStartedAt);
     components.list(0, EndpointStatus.ACTIVE, ms(40), false);
@@ -121,7 +121,7 @@
   }
 
   @Test
-  void removedServerIsForgottenAfterTheSlowStartDuration() {
+  void removedServerIsEvictedAfterTheSlowStartDuration() {
     RouterComponents components = new RouterComponents(2);
     ServerId id = components.endpoint(0).id;
     components.list(0, EndpointStatus.REMOVED, null, false);
@@ -135,7 +135,7 @@
   }
 
   @Test
-  void failedListCallIsRepeatedOnceAfterOneToTwoBackoffs() {
+  void failedListRequestIsRetriedOnceWithinOneToTwoBackoffs() {
     RouterComponents components = new RouterComponents(1);
     components.registry.recordListFailure(ms(0));
     components.registry.pollIfDue(ms(499));
@@ -146,7 +146,7 @@
   }
 
   @Test
-  void validityIsRegainedOnlyByAListThatWasInvalid() {
+  void onlyAnInvalidListCanBecomeValid() {
     EndpointRegistry registry = new RouterComponents(1).registry;
     assertFalse(registry.setListValid(true));
     assertFalse(registry.setListValid(false));
--- a/gateway/src/test/java/weldcross/routing/EndpointSelectorTest.java
+++ b/gateway/src/test/java/weldcross/routing/EndpointSelectorTest.java
@@ -14,27 +14,28 @@
 class EndpointSelectorTest {
 
   /**
-   * A connection may come up between a decision and its send; what it was decided by may have
-   * passed.
+   * The conditions under which an attempt was scheduled may no longer hold once its connection is
+   * established.
    */
   @Test
-  void attemptIsEligibleOnlyWhileTheReasonsForItHold() {
+  void attemptIsEligibleOnlyWhileItsConditionsHold() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     harness.advance(RouterHarness.STALENESS_BOUND.minus(ms(1)));
     RouterHarness.SentAttempt read = harness.send(Consistency.BOUNDED);
     assertTrue(harness.isStillEligible(read));
     harness.advance(ms(1));
-    assertFalse(harness.isStillEligible(read), "its bound has passed");
+    assertFalse(harness.isStillEligible(read), "the staleness bound has been exceeded");
     harness.report(read.server(), harness.now);
-    assertTrue(harness.isStillEligible(read), "a newer position is known");
+    assertTrue(harness.isStillEligible(read), "the replica has reported a newer position");
     harness.setEndpointListValid(false);
-    assertFalse(harness.isStillEligible(read), "its drain may be owed");
+    assertFalse(
+        harness.isStillEligible(read), "the server may be draining without the list showing it");
     harness.setEndpointListValid(true);
     RouterHarness.SentAttempt write = harness.send(Consistency.WRITE);
     assertTrue(harness.isStillEligible(write));
     write.server().listedStatus = EndpointStatus.DRAINING;
     harness.publishEndpointList();
-    assertFalse(harness.isStillEligible(write), "it drains");
+    assertFalse(harness.isStillEligible(write), "the server is draining");
   }
 
   @Test
@@ -46,9 +47,9 @@
   }
 
   @Test
-  void serverThatAnsweredSlowlyComesAfterItsEquals() {
+  void slowServerIsRankedBelowEquallyBusyOnes() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    for (int k = 0; k < 30; k++) {
+    for (int i = 0; i < 30; i++) {
       RouterHarness.SentAttempt sent = harness.send(Consistency.ANY);
       harness.advance(ms(10));
       harness.end(sent, AttemptOutcome.OK);
@@ -84,7 +85,7 @@
   }
 
   @Test
-  void readOfAnyStateGoesToTheReplicaWithTheFewestReadsInFlight() {
+  void readWithoutConsistencyGoesToTheReplicaWithTheFewestReadsInFlight() {
     RouterComponents components = componentsWithPrimary();
     components.endpoint(1).readsInFlight = 1;
     assertSame(
@@ -93,7 +94,7 @@
   }
 
   @Test
-  void readIsNotSelectedForADrainingReplica() {
+  void drainingReplicaIsNotSelected() {
     RouterComponents components = componentsWithPrimary();
     components.endpoint(1).draining = true;
     components.endpoint(2).readsInFlight = 5;
@@ -118,14 +119,16 @@
   }
 
   @Test
-  void nothingIsSelectedWhileTheListIsNotValid() {
+  void nothingIsSelectedWhileTheListIsInvalid() {
     RouterComponents components = componentsWithPrimary();
     components.registry.setListValid(false);
     assertNull(components.selector.select(ms(0), components.request(Consistency.WRITE, ms(0))));
     assertNull(components.selector.select(ms(0), components.request(Consistency.ANY, ms(0))));
   }
 
-  /** Returns a group of three that has reported: s0 is the primary, positions are not known. */
+  /**
+   * Returns a group of three that has sent load reports: s0 is the primary, positions are unknown.
+   */
   private static RouterComponents componentsWithPrimary() {
     RouterComponents components = new RouterComponents(3);
     components.group.primary = components.endpoint(0);
--- a/gateway/src/test/java/weldcross/routing/HealthCheckerTest.java
+++ b/gateway/src/test/java/weldcross/routing/HealthCheckerTest.java
@@ -14,9 +14,9 @@
 
 class HealthCheckerTest {
 
-  /** Where no reads come, a known position is left to grow old. */
+  /** Without reads, positions are not refreshed. */
   @Test
-  void onlyTheReplicaThatAReadWouldGoToIsChecked() {
+  void onlyTheReplicaThatAReadWouldBeSentToIsChecked() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     harness.healthChecks.clear();
     harness.advance(ms(300));
@@ -47,7 +47,10 @@
     assertEquals("s1", harness.firstInFlight(read).serverName());
   }
 
-  /** Many gateways that search for a primary together are a load. */
+  /**
+   * Without backoff, the health checks of many gateways searching for a primary would overload
+   * servers.
+   */
   @Test
   void primaryIsSearchedForWithBackoff() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
@@ -65,10 +68,13 @@
     }
     assertTrue(
         harness.healthChecks.size() <= 21 && harness.healthChecks.size() >= 6,
-        "in 5 s: " + harness.healthChecks.size());
+        "health checks in 5 s: " + harness.healthChecks.size());
   }
 
-  /** Many gateways with an overdue answer each would load the primary by their checks. */
+  /**
+   * Without backoff, the health checks of many gateways with overdue answers would load the
+   * primary.
+   */
   @Test
   void serverWithOverdueAnswersIsCheckedWithBackoff() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
@@ -79,20 +85,20 @@
     }
     harness.healthChecks.clear();
     harness.arrive(Consistency.WRITE);
-    int asked = 0;
+    int checkCount = 0;
     for (int i = 0; i < 70; i++) {
       harness.advance(ms(20));
-      asked += harness.healthChecks.size();
+      checkCount += harness.healthChecks.size();
       harness.healthChecks.forEach(
           serverId ->
               harness.router.healthCheckEnded(harness.now, serverId, AttemptOutcome.OK, null));
       harness.healthChecks.clear();
     }
-    assertTrue(asked >= 2 && asked <= 5, "asked in 1.4 s: " + asked);
+    assertTrue(checkCount >= 2 && checkCount <= 5, "health checks in 1.4 s: " + checkCount);
   }
 
   @Test
-  void secondCheckIsNotSentWhileOneIsUnderWay() {
+  void secondCheckIsNotSentWhileOneIsInFlight() {
     RouterComponents components = new RouterComponents(1);
     assertTrue(components.healthChecker.check(ms(0), components.endpoint(0), ms(100)));
     assertFalse(components.healthChecker.check(ms(5000), components.endpoint(0), ms(100)));
@@ -100,7 +106,7 @@
   }
 
   @Test
-  void nextCheckIsSentOnceTheGapHasPassed() {
+  void nextCheckIsSentOnceTheMinimumIntervalHasPassed() {
     RouterComponents components = new RouterComponents(1);
     EndpointState endpoint = components.endpoint(0);
     components.healthChecker.check(ms(0), endpoint, ms(100));
@@ -133,7 +139,7 @@
   }
 
   @Test
-  void boundedReadAwaitsARefreshForLessThanThirtyMilliseconds() {
+  void boundedReadWaitsForARefreshForLessThanThirtyMilliseconds() {
     RouterComponents components = new RouterComponents(1);
     RequestState read = components.request(Consistency.BOUNDED, ms(1000));
     assertTrue(components.healthChecker.refreshPosition(ms(1000), read, components.endpoint(0)));
--- a/gateway/src/test/java/weldcross/routing/LatencyEstimatorTest.java
+++ b/gateway/src/test/java/weldcross/routing/LatencyEstimatorTest.java
@@ -14,11 +14,14 @@
 
 class LatencyEstimatorTest {
 
-  /** An estimate of zero would make the check for overdue attempts schedule itself for ever. */
+  /**
+   * With an estimate of zero, the timer that checks overdue attempts would reschedule itself for
+   * the same instant forever.
+   */
   @Test
-  void answersInNoTimeScheduleNoTimerForTheSameMoment() {
+  void zeroLatenciesDoNotRescheduleTimersForTheSameInstant() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    for (int k = 0; k < 2000; k++) {
+    for (int i = 0; i < 2000; i++) {
       harness.end(harness.send(Consistency.ANY), AttemptOutcome.OK);
     }
     harness.arrive(Consistency.ANY);
@@ -28,7 +31,7 @@
   @Test
   void requestThatCannotBeAnsweredInTimeIsRejectedAtOnce() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    for (int k = 0; k < 100; k++) {
+    for (int i = 0; i < 100; i++) {
       harness.arrive(Consistency.FRESH);
       harness.advance(ms(10));
       harness.answerOlderThan(ms(200));
@@ -36,42 +39,45 @@
     assertTrue(
         harness.requests.values().stream()
             .anyMatch(
-                e ->
-                    e.answer == Answer.REJECTED
-                        && e.attemptCount == 0
-                        && e.answeredAt.compareTo(
-                                e.arrivedAt.plus(RouterHarness.LATENCY_OBJECTIVE).minus(ms(100)))
+                tracked ->
+                    tracked.answer == Answer.REJECTED
+                        && tracked.attemptCount == 0
+                        && tracked.answeredAt.compareTo(
+                                tracked
+                                    .arrivedAt
+                                    .plus(RouterHarness.LATENCY_OBJECTIVE)
+                                    .minus(ms(100)))
                             < 0));
   }
 
-  /** The very first answer must not decide for long in a gateway with little traffic. */
+  /** In a gateway with little traffic, the first answer must not dominate the estimate for long. */
   @Test
-  void oneSlowAnswerMakesNoOtherRequestHopeless() {
+  void oneSlowAnswerCausesNoOtherRequestToBeRejected() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     String slow = harness.arrive(Consistency.FRESH);
     harness.advance(ms(350));
     harness.end(harness.firstInFlight(slow), AttemptOutcome.OK);
-    assertNull(answerWhilePrimaryDrains(harness, ms(60)), "given up by one answer");
-    for (int k = 0; k < 8; k++) {
-      String quick = harness.arrive(Consistency.FRESH);
+    assertNull(answerWhilePrimaryDrains(harness, ms(60)), "rejected because of a single answer");
+    for (int i = 0; i < 8; i++) {
+      String fast = harness.arrive(Consistency.FRESH);
       harness.advance(ms(60));
-      harness.end(harness.firstInFlight(quick), AttemptOutcome.OK);
+      harness.end(harness.firstInFlight(fast), AttemptOutcome.OK);
     }
     assertNull(
         answerWhilePrimaryDrains(harness, ms(60)),
-        "the first answer counts for more than the eight that followed");
+        "the first answer outweighs the eight that followed");
   }
 
   /**
-   * Returns the answer within {@code time} to a read that only the primary may serve, while the
-   * primary drains; null if there is none. The primary is active again then.
+   * Drains the primary, returns the answer within {@code time} to a read that only the primary may
+   * serve, or null if there is none, and makes the primary active again.
    */
   private static Answer answerWhilePrimaryDrains(RouterHarness harness, Duration time) {
     harness.server(0).listedStatus = EndpointStatus.DRAINING;
     harness.publishEndpointList();
-    RouterHarness.TrackedRequest entry = harness.requests.get(harness.arrive(Consistency.FRESH));
+    RouterHarness.TrackedRequest tracked = harness.requests.get(harness.arrive(Consistency.FRESH));
     harness.advance(time);
-    final Answer answer = entry.answer;
+    final Answer answer = tracked.answer;
     harness.server(0).listedStatus = EndpointStatus.ACTIVE;
     harness.server(0).startedAt = harness.now.minus(ms(20_000));
     harness.publishEndpointList();
@@ -82,7 +88,7 @@
   @Test
   void estimateSettlesAtTheMedianOfTheAnswers() {
     LatencyEstimator latency = new LatencyEstimator(1);
-    assertEquals(1, latency.typicalSeconds(0), "nothing is known yet");
+    assertEquals(1, latency.typicalSeconds(0), "default without answers");
     for (int answer = 0; answer < 3000; answer++) {
       latency.record(0, ms(answer % 10 == 0 ? 5000 : 8 + answer % 5));
     }
--- a/gateway/src/test/java/weldcross/routing/OutlierDetectorTest.java
+++ b/gateway/src/test/java/weldcross/routing/OutlierDetectorTest.java
@@ -15,10 +15,10 @@
   @Test
   void hungServerIsEjectedAndItsReadsAreHedged() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    for (int k = 0; k < 40; k++) {
-      RouterHarness.SentAttempt quick = harness.send(Consistency.ANY);
+    for (int i = 0; i < 40; i++) {
+      RouterHarness.SentAttempt fast = harness.send(Consistency.ANY);
       harness.advance(ms(10));
-      harness.end(quick, AttemptOutcome.OK);
+      harness.end(fast, AttemptOutcome.OK);
     }
     String read = harness.arrive(Consistency.ANY);
     RouterHarness.Server hung = harness.firstInFlight(read).server();
@@ -27,17 +27,17 @@
     assertEquals(
         List.of(hung.id),
         harness.healthChecks.stream().distinct().toList(),
-        "asked whether it lives");
+        "the server is health checked");
     harness.router.healthCheckEnded(harness.now, hung.id, AttemptOutcome.TIMED_OUT, null);
     harness.advance(ms(50));
     assertEquals(2, harness.requests.get(read).attemptCount);
-    for (int k = 0; k < 6; k++) {
+    for (int i = 0; i < 6; i++) {
       assertFalse(hung == harness.send(Consistency.ANY).server());
     }
   }
 
   @Test
-  void oneLostConnectionEjectsNoServerAndTwoInARowDo() {
+  void serverIsEjectedAfterTwoLostConnectionsInARow() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     harness.advance(ms(1));
     harness.end(harness.send(Consistency.FRESH), AttemptOutcome.CONNECTION_LOST);
@@ -47,21 +47,21 @@
     assertTrue(harness.requests.get(harness.arrive(Consistency.FRESH)).inFlight.isEmpty());
   }
 
-  /** Where all servers fail alike, none of them is the cause. */
+  /** If all servers fail, the cause is shared, and ejecting them all would leave no endpoint. */
   @Test
-  void errorsOnAllServersEjectNoMoreThanHalfOfAGroup() {
+  void errorsOnAllServersEjectAtMostHalfOfAGroup() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    for (int k = 0; k < 40; k++) {
-      String read = harness.arrive(k % 2 == 0 ? Consistency.ANY : Consistency.FRESH);
+    for (int i = 0; i < 40; i++) {
+      String read = harness.arrive(i % 2 == 0 ? Consistency.ANY : Consistency.FRESH);
       assertTrue(harness.requests.get(read).attemptCount > 0);
       harness.end(harness.firstInFlight(read), AttemptOutcome.ERROR);
-      List.copyOf(harness.inFlight).forEach(s -> harness.end(s, AttemptOutcome.OK));
+      List.copyOf(harness.inFlight).forEach(sent -> harness.end(sent, AttemptOutcome.OK));
       harness.advance(ms(30));
     }
   }
 
   @Test
-  void serverRemovedWhileEjectedComesBackEjected() {
+  void serverRemovedWhileEjectedIsStillEjectedWhenListedAgain() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     harness.end(harness.send(Consistency.WRITE), AttemptOutcome.UNREACHABLE);
     harness.advance(ms(100));
@@ -77,7 +77,7 @@
                     id.equals(harness.server(0).id) ? AttemptOutcome.TIMED_OUT : AttemptOutcome.OK,
                     null));
     harness.advance(ms(1000));
-    assertEquals(1, harness.removedCalls, "the host has nothing to keep");
+    assertEquals(1, harness.removedCalls, "the host is notified of the removal");
     harness.server(0).listedStatus = EndpointStatus.ACTIVE;
     harness.healthChecks.clear();
     harness.publishEndpointList();
@@ -86,12 +86,13 @@
     String write = harness.arrive(Consistency.WRITE);
     assertEquals(0, harness.requests.get(write).attemptCount);
     assertTrue(
-        harness.healthChecks.contains(harness.server(0).id), "checked before a request is risked");
+        harness.healthChecks.contains(harness.server(0).id),
+        "health checked before a request is sent");
   }
 
-  /** One alone proves nothing, as the servers cap health checks. */
+  /** A single failure is no evidence, since servers limit the rate of health checks. */
   @Test
-  void oneFailedHealthCheckEjectsNoServerAndTwoInARowDo() {
+  void serverIsEjectedAfterTwoFailedHealthChecksInARow() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     harness.advance(ms(1));
     harness.router.healthCheckEnded(
@@ -103,26 +104,29 @@
   }
 
   @Test
-  void lostIdleConnectionSaysNothingOfItsServer() {
+  void lostIdleConnectionIsNoEvidenceOfAServerFailure() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    for (int k = 0; k < 6; k++) {
+    for (int i = 0; i < 6; i++) {
       String write = harness.arrive(Consistency.WRITE);
       harness.end(harness.firstInFlight(write), AttemptOutcome.IDLE_CONNECTION_LOST);
-      assertEquals(Answer.FAILED, harness.requests.get(write).answer, "it may have been executed");
+      assertEquals(
+          Answer.FAILED, harness.requests.get(write).answer, "the write may have been executed");
     }
     harness.healthChecks.clear();
     harness.router.healthCheckEnded(
         harness.now, harness.server(0).id, AttemptOutcome.IDLE_CONNECTION_LOST, null);
     assertEquals(
-        List.of(harness.server(0).id), harness.healthChecks, "asked again on another connection");
+        List.of(harness.server(0).id),
+        harness.healthChecks,
+        "the health check is repeated on another connection");
     assertFalse(harness.hasEjected() || harness.isWarmingUp(0));
   }
 
-  /** Two connections ended at once by a live server: more may follow, but it has not restarted. */
+  /** A server that closes connections before they are used is alive and has not restarted. */
   @Test
   void serverThatClosesConnectionsBeforeSendsIsEjectedWithoutSlowStart() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    for (int k = 0; k < 2; k++) {
+    for (int i = 0; i < 2; i++) {
       assertFalse(harness.hasEjected());
       harness.end(harness.send(Consistency.WRITE), AttemptOutcome.CLOSED_BEFORE_SEND);
     }
@@ -131,7 +135,7 @@
   }
 
   @Test
-  void secondErrorInARowEjectsForTheInitialTime() {
+  void secondErrorInARowEjectsForTheInitialDuration() {
     RouterComponents components = new RouterComponents(3);
     EndpointState endpoint = components.endpoint(0);
     components.end(ms(10), endpoint, AttemptOutcome.ERROR);
@@ -153,7 +157,7 @@
   @Test
   void errorsOfTheOnlyMemberDoNotEjectIt() {
     RouterComponents components = new RouterComponents(1);
-    for (int k = 0; k < 5; k++) {
+    for (int i = 0; i < 5; i++) {
       components.end(ms(10), components.endpoint(0), AttemptOutcome.ERROR);
     }
     assertFalse(components.endpoint(0).ejected);
@@ -169,7 +173,7 @@
   }
 
   @Test
-  void successReadmitsAnEjectedServerAndResetsTheLengthOfItsEjections() {
+  void successReadmitsAnEjectedServerAndResetsTheEjectionDuration() {
     RouterComponents components = ejectedByErrors();
     components.end(ms(500), components.endpoint(0), AttemptOutcome.OK);
     assertFalse(components.endpoint(0).ejected);
@@ -177,7 +181,7 @@
         EndpointState.INITIAL_EJECTION_DURATION, components.endpoint(0).nextEjectionDuration);
   }
 
-  /** The first trial of a server is left to requests that may be executed twice. */
+  /** The first trial of an ejected server is reserved for requests that may be executed twice. */
   @Test
   void trialIsAdmittedOnceDueForReadsAndOneEjectionLaterForWrites() {
     RouterComponents components = ejectedByErrors();
@@ -200,7 +204,7 @@
     assertEquals(2, components.gossiped.size());
   }
 
-  /** Returns a group of three, s0 of which was ejected at time zero. */
+  /** Returns a group of three whose member s0 was ejected at time zero. */
   private static RouterComponents ejectedByErrors() {
     RouterComponents components = new RouterComponents(3);
     components.end(ms(0), components.endpoint(0), AttemptOutcome.ERROR);
--- a/gateway/src/test/java/weldcross/routing/PrimaryTrackerTest.java
+++ b/gateway/src/test/java/weldcross/routing/PrimaryTrackerTest.java
@@ -11,7 +11,7 @@
 
 class PrimaryTrackerTest {
 
-  /** Reports come late, so one that comes in behind an answer may tell of what is over. */
+  /** Load reports may be delayed, so one received after an answer may describe an earlier state. */
   @Test
   void primaryClaimOlderThanAnAnswerIsIgnored() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
@@ -28,10 +28,13 @@
     String read = harness.arrive(Consistency.BOUNDED);
     harness.advance(ms(60));
     assertEquals(
-        0, harness.requests.get(read).attemptCount, "the rig knows that nobody holds its bound");
+        0, harness.requests.get(read).attemptCount, "no server satisfies the staleness bound");
     former.primary = true;
     harness.report(former, harness.now);
-    assertEquals("s0", harness.firstInFlight(read).serverName(), "a claim from after it counts");
+    assertEquals(
+        "s0",
+        harness.firstInFlight(read).serverName(),
+        "a claim newer than the answer is accepted");
   }
 
   @Test
@@ -56,7 +59,7 @@
   }
 
   @Test
-  void claimNoNewerThanThatOfThePrimaryIsIgnored() {
+  void claimNotNewerThanThatOfThePrimaryIsIgnored() {
     RouterComponents components = new RouterComponents(2);
     PrimaryTracker.recordReport(ms(100), components.endpoint(0), ms(90), true);
     PrimaryTracker.recordReport(ms(110), components.endpoint(1), ms(90), true);
@@ -72,7 +75,7 @@
   }
 
   @Test
-  void replicaReportFromBehindItsOwnClaimKeepsThePrimary() {
+  void replicaReportOlderThanItsOwnPrimaryClaimIsIgnored() {
     RouterComponents components = new RouterComponents(2);
     PrimaryTracker.recordReport(ms(100), components.endpoint(0), ms(90), true);
     PrimaryTracker.recordReport(ms(110), components.endpoint(0), ms(89), false);
@@ -80,7 +83,7 @@
   }
 
   @Test
-  void reportWithoutARoleMovesThePositionForwardOnly() {
+  void reportWithoutARoleOnlyAdvancesThePosition() {
     RouterComponents components = new RouterComponents(2);
     PrimaryTracker.recordReport(ms(100), components.endpoint(0), ms(90), null);
     PrimaryTracker.recordReport(ms(110), components.endpoint(0), ms(80), null);
--- a/gateway/src/test/java/weldcross/routing/RetryPolicyTest.java
+++ b/gateway/src/test/java/weldcross/routing/RetryPolicyTest.java
@@ -17,7 +17,10 @@
 
 class RetryPolicyTest {
 
-  /** A retry whose connection comes up late would be executed a second time. */
+  /**
+   * A retry whose connection is established after the deduplication window would be executed a
+   * second time.
+   */
   @Test
   void retryThatWaitedForItsConnectionIsSentOnlyWithinTheDeduplicationWindow() {
     RouterHarness harness =
@@ -27,16 +30,16 @@
     String write = harness.arrive(Consistency.WRITE);
     assertTrue(
         harness.isStillEligible(harness.firstInFlight(write)),
-        "the first send needs nobody to know a repeat");
+        "the first attempt needs no deduplication");
     harness.advance(ms(850));
     harness.end(harness.firstInFlight(write), AttemptOutcome.CONNECTION_LOST);
     harness.advance(ms(30));
-    RouterHarness.SentAttempt repeat = harness.firstInFlight(write);
-    assertTrue(harness.isStillEligible(repeat));
+    RouterHarness.SentAttempt retry = harness.firstInFlight(write);
+    assertTrue(harness.isStillEligible(retry));
     harness.advance(ms(19));
-    assertTrue(harness.isStillEligible(repeat));
+    assertTrue(harness.isStillEligible(retry));
     harness.advance(ms(1));
-    assertFalse(harness.isStillEligible(repeat), "900 ms after the first send");
+    assertFalse(harness.isStillEligible(retry), "900 ms after the first send");
   }
 
   @Test
@@ -93,7 +96,7 @@
     "IDEMPOTENT_BY_KEY, true, true, false",
     "NON_IDEMPOTENT, true, false, false"
   })
-  void requestMayBeRepeatedAsItsEffectAllows(
+  void requestMayBeRetriedAsItsIdempotencyAllows(
       Idempotency idempotency, boolean unsent, boolean withinWindow, boolean afterWindow) {
     RequestState request = request(idempotency, DeduplicationScope.GROUP);
     assertEquals(unsent, policy().maySend(ms(0), request));
@@ -111,10 +114,10 @@
     "IDEMPOTENT_BY_KEY, GROUP, false",
     "NON_IDEMPOTENT, ALL, false"
   })
-  void clientMayRetryWhatMayHaveBeenExecutedIfAnyServerRecognizesIt(
+  void clientMayRetryAnExecutedRequestOnlyIfAllServersDeduplicateIt(
       Idempotency idempotency, DeduplicationScope scope, boolean expected) {
     RequestState request = request(idempotency, scope);
-    assertTrue(policy().isSafeForClientToRetry(request), "nothing was executed");
+    assertTrue(policy().isSafeForClientToRetry(request), "the request was not executed");
     request.mayHaveExecuted = true;
     assertEquals(expected, policy().isSafeForClientToRetry(request));
   }
@@ -126,16 +129,16 @@
     "IDEMPOTENT_BY_KEY, GROUP, 1, true",
     "IDEMPOTENT, ZONE, 1, true"
   })
-  void retryIsRecognizedInItsScope(
+  void retryIsDeduplicatedWithinItsScope(
       Idempotency idempotency, DeduplicationScope scope, int zone, boolean expected) {
     RequestState request = request(idempotency, scope);
-    assertTrue(policy().canDeduplicate(request, endpoint(zone)), "not sent yet");
+    assertTrue(policy().canDeduplicate(request, endpoint(zone)), "no attempt was sent yet");
     request.attempts.add(new Attempt(request, endpoint(0), 0, ms(0), 0.1, false));
     assertEquals(expected, policy().canDeduplicate(request, endpoint(zone)));
   }
 
   @Test
-  void hedgesAreLimitedToABudgetThatSuccessesEarn() {
+  void hedgedAttemptsAreLimitedToABudgetThatGrowsWithSuccesses() {
     RetryPolicy policy = policy();
     RequestState request = request(Idempotency.IDEMPOTENT, DeduplicationScope.GROUP);
     assertTrue(policy.mayHedge(request));
@@ -146,6 +149,6 @@
     }
     assertTrue(policy.mayHedge(request));
     request.attemptsInFlight = 2;
-    assertFalse(policy.mayHedge(request), "it has a second attempt already");
+    assertFalse(policy.mayHedge(request), "two attempts are in flight");
   }
 }
--- a/gateway/src/test/java/weldcross/routing/RouterComponents.java
+++ b/gateway/src/test/java/weldcross/routing/RouterComponents.java
@@ -11,8 +11,8 @@
 import weldcross.routing.RequestClass.Idempotency;
 
 /**
- * The parts of a router without the router, for tests that call one of them directly, and a record
- * of the actions that they ask for. All endpoints are members of one group.
+ * The components of a router without the router, for tests that call one of them directly. Records
+ * the actions that they request. All endpoints are members of one group.
  */
 final class RouterComponents implements RouterActions {
 
@@ -43,16 +43,16 @@
   final List<ServerId> removed = new ArrayList<>();
   int watchCalls;
 
-  /** Lists that many servers, active and not known to have started lately. */
-  RouterComponents(int members) {
+  /** Lists the given number of active servers, without start times. */
+  RouterComponents(int memberCount) {
     registry.beginList(false);
-    for (int number = 0; number < members; number++) {
+    for (int number = 0; number < memberCount; number++) {
       list(number, EndpointStatus.ACTIVE, null, false);
     }
     registry.endList();
   }
 
-  /** Hands one entry to the registry, within the list that is under way. */
+  /** Adds one entry to the endpoint list being received. */
   void list(int number, EndpointStatus status, Duration startedAt, boolean primary) {
     registry.addListed(
         ms(0),
@@ -79,14 +79,14 @@
         0);
   }
 
-  /** Tells the outlier detector of the end of a read at the endpoint. */
+  /** Notifies the outlier detector of the outcome of a read on the endpoint. */
   void end(Duration now, EndpointState endpoint, AttemptOutcome outcome) {
     RequestState read = request(Consistency.ANY, now);
     outliers.recordOutcome(now, new Attempt(read, endpoint, 0, now, 0.1, false), outcome);
   }
 
   @Override
-  public void sendAttempt(RequestId request, ServerId server, Duration until) {
+  public void sendAttempt(RequestId request, ServerId server, Duration expiresAt) {
     throw new AssertionError("only the router sends");
   }
 
--- a/gateway/src/test/java/weldcross/routing/RouterHarness.java
+++ b/gateway/src/test/java/weldcross/routing/RouterHarness.java
@@ -10,8 +10,8 @@
 import weldcross.routing.RequestClass.Idempotency;
 
 /**
- * The host of one router: simulates its servers and clients and fails the test at the action that
- * breaks a rule of the service. Time passes only in {@link #advance}.
+ * The host of one router. Simulates its servers and clients, and fails the test as soon as an
+ * action of the router violates an invariant of the service. Time passes only in {@link #advance}.
  */
 final class RouterHarness implements RouterActions {
 
@@ -19,7 +19,7 @@
   static final Duration LATENCY_OBJECTIVE = ms(400);
   static final Duration DEADLINE = ms(1500);
 
-  /** A server as it truly is; the router knows only what the test has reported to it. */
+  /** The actual state of a server. The router only knows what the test has reported to it. */
   static final class Server {
     final ServerId id;
     final GroupId group;
@@ -44,22 +44,23 @@
     FAILED
   }
 
-  /** An attempt as the router asked for it. */
-  record SentAttempt(String request, int number, Server server, Duration at, Duration until) {
+  /** An attempt sent by the router. */
+  record SentAttempt(
+      String request, int number, Server server, Duration sentAt, Duration expiresAt) {
 
     String serverName() {
       return server.id.name();
     }
   }
 
-  /** A request: what it needs and what the router has done for it. */
+  /** A request, with its requirements and what the router has done for it. */
   static final class TrackedRequest {
     RequestClass requestClass;
     GroupId group;
     Duration arrivedAt;
     Duration deadline;
     Duration token;
-    int answers;
+    int answerCount;
     Answer answer;
     Duration answeredAt;
     boolean mayHaveExecuted;
@@ -93,19 +94,19 @@
     return Duration.ofMillis(millis);
   }
 
-  /** Lets the client of an unanswered request disconnect; attempts in flight end as cancelled. */
+  /** Disconnects the client of an unanswered request; its attempts in flight end as cancelled. */
   void disconnect(String request) {
-    TrackedRequest entry = requests.get(request);
-    if (entry.answers == 0) {
-      entry.answers++;
+    TrackedRequest tracked = requests.get(request);
+    if (tracked.answerCount == 0) {
+      tracked.answerCount++;
       router.clientDisconnected(now, new RequestId(request));
-      List.copyOf(entry.inFlight).forEach(sent -> end(sent, AttemptOutcome.CANCELLED));
+      List.copyOf(tracked.inFlight).forEach(sent -> end(sent, AttemptOutcome.CANCELLED));
     }
   }
 
   /**
-   * Returns a harness with a group of three: s0 is the primary, both replicas are up to date, and
-   * the router knows it.
+   * Returns a harness with a group of three servers, whose state is known to the router: s0 is the
+   * primary, and both replicas are up to date.
    */
   static RouterHarness withKnownPrimary() {
     return withKnownPrimary(
@@ -135,7 +136,7 @@
     return servers.get("s" + number);
   }
 
-  /** Sends the router a complete list of all servers that are not removed. */
+  /** Passes the router a complete list of all servers that are not removed. */
   void publishEndpointList() {
     router.beginEndpointList(now, true);
     servers.values().stream()
@@ -154,7 +155,9 @@
     router.endEndpointList(now);
   }
 
-  /** Lets a health check of the server pass with a report of that position. */
+  /**
+   * Completes a health check of the server successfully, with a load report of the given position.
+   */
   void report(Server server, Duration position) {
     server.reportedPosition =
         server.reportedPosition == null || position.compareTo(server.reportedPosition) > 0
@@ -165,13 +168,13 @@
     router.reportReceived(now, server.id, position, server.primary);
   }
 
-  /** Lets time pass; timers fireDue and attempts expire on the way. */
+  /** Advances the time, firing timers and expiring attempts that become due. */
   void advance(Duration time) {
     Duration end = now.plus(time);
     while (true) {
       Duration next = timerAt == null || tickAt.compareTo(timerAt) < 0 ? tickAt : timerAt;
       Duration until =
-          inFlight.stream().map(SentAttempt::until).min(Duration::compareTo).orElse(next);
+          inFlight.stream().map(SentAttempt::expiresAt).min(Duration::compareTo).orElse(next);
       if (until.compareTo(next) < 0 && until.compareTo(end) <= 0) {
         now = until;
         expire();
@@ -194,38 +197,42 @@
 
   private void expire() {
     for (SentAttempt sent : new ArrayList<>(inFlight)) {
-      if (inFlight.contains(sent) && sent.until.compareTo(now) <= 0) {
+      if (inFlight.contains(sent) && sent.expiresAt.compareTo(now) <= 0) {
         end(sent, AttemptOutcome.TIMED_OUT);
       }
     }
   }
 
-  /** Lets a request arrive in the first group, without a write before, and returns its name. */
+  /**
+   * Sends the router a request for the first group, without an earlier write of its session;
+   * returns its name.
+   */
   String arrive(Consistency consistency) {
     return arrive(consistency, 0, Duration.ZERO);
   }
 
   /**
-   * Lets a request arrive and returns its name; {@code timeSinceLastWrite} is zero for no write.
+   * Sends the router a request and returns its name; {@code timeSinceLastWrite} is zero if there
+   * was no write.
    */
   String arrive(Consistency consistency, int group, Duration timeSinceLastWrite) {
-    TrackedRequest entry = new TrackedRequest();
-    entry.requestClass = config.requestClasses().get(RoutingConfigs.classIndex(consistency));
-    entry.group = new GroupId(group);
-    entry.arrivedAt = now;
-    entry.deadline = now.plus(DEADLINE);
-    entry.token =
+    TrackedRequest tracked = new TrackedRequest();
+    tracked.requestClass = config.requestClasses().get(RoutingConfigs.classIndex(consistency));
+    tracked.group = new GroupId(group);
+    tracked.arrivedAt = now;
+    tracked.deadline = now.plus(DEADLINE);
+    tracked.token =
         consistency == Consistency.SESSION && !timeSinceLastWrite.isZero()
             ? now.minus(timeSinceLastWrite)
             : null;
     String name = "r" + requestCount++;
-    requests.put(name, entry);
+    requests.put(name, tracked);
     router.requestArrived(
         now,
         new NewRequest(
             new RequestId(name),
             RoutingConfigs.classIndex(consistency),
-            entry.group,
+            tracked.group,
             new SessionId("session"),
             timeSinceLastWrite,
             DEADLINE,
@@ -234,30 +241,31 @@
   }
 
   /**
-   * Lets a request arrive as {@link #arrive(Consistency)} does and returns the attempt that the
-   * router sends at once.
+   * Sends the router a request as {@link #arrive(Consistency)} does, and returns the attempt that
+   * the router sends immediately.
    */
   SentAttempt send(Consistency consistency) {
     return firstInFlight(arrive(consistency));
   }
 
-  /** Ends an attempt; a server that responds says whether it is the primary. */
+  /** Ends an attempt. A server that responds reports whether it is the primary. */
   void end(SentAttempt sent, AttemptOutcome outcome) {
-    end(sent, outcome, sent.at);
+    end(sent, outcome, sent.sentAt);
   }
 
   /**
    * Ends an attempt.
    *
-   * @param aliveSince since when at least the process runs, if the server responds
+   * @param aliveSince the earliest time at which the process is known to have been running; unused
+   *     unless the server responds
    */
   void end(SentAttempt sent, AttemptOutcome outcome, Duration aliveSince) {
-    TrackedRequest entry = requests.get(sent.request);
+    TrackedRequest tracked = requests.get(sent.request);
     inFlight.remove(sent);
-    entry.inFlight.remove(sent);
-    entry.mayHaveExecuted |= !outcome.provesNotExecuted();
-    if (outcome == AttemptOutcome.OK && entry.answers == 0) {
-      answered(entry, Answer.OK);
+    tracked.inFlight.remove(sent);
+    tracked.mayHaveExecuted |= !outcome.provesNotExecuted();
+    if (outcome == AttemptOutcome.OK && tracked.answerCount == 0) {
+      recordAnswer(tracked, Answer.OK);
     }
     boolean responds =
         outcome == AttemptOutcome.OK
@@ -266,8 +274,8 @@
     if (responds) {
       sent.server.reportedPrimary = sent.server.primary;
       Duration previous = sent.server.reportedPosition;
-      boolean newer = previous == null || previous.compareTo(sent.at) < 0;
-      sent.server.reportedPosition = sent.server.primary && newer ? sent.at : previous;
+      boolean isNewer = previous == null || previous.compareTo(sent.sentAt) < 0;
+      sent.server.reportedPosition = sent.server.primary && isNewer ? sent.sentAt : previous;
     }
     router.attemptEnded(
         now,
@@ -275,11 +283,11 @@
             new RequestId(sent.request),
             sent.number,
             outcome,
-            now.minus(sent.at),
+            now.minus(sent.sentAt),
             responds ? aliveSince : null,
             responds ? sent.server.primary : null,
             null,
-            entry.answers > 0));
+            tracked.answerCount > 0));
   }
 
   boolean isStillEligible(SentAttempt sent) {
@@ -291,115 +299,121 @@
     router.setEndpointListValid(now, valid);
   }
 
-  /** Answers the attempts that have been in flight for that long. */
+  /** Answers the attempts that have been in flight for at least {@code age}. */
   void answerOlderThan(Duration age) {
     List.copyOf(inFlight).stream()
-        .filter(sent -> sent.at().plus(age).compareTo(now) <= 0)
+        .filter(sent -> sent.sentAt().plus(age).compareTo(now) <= 0)
         .forEach(sent -> end(sent, AttemptOutcome.OK));
   }
 
-  /** Returns the attempt in flight, the first where there are several. */
+  /** Returns the oldest attempt in flight of the request. */
   SentAttempt firstInFlight(String request) {
     return requests.get(request).inFlight.get(0);
   }
 
-  /** Whether the router takes the server to be warming up. */
+  /** Returns whether the router considers the server to be warming up. */
   boolean isWarmingUp(int server) {
     return router.describe(now).matches("(?s).*\\bs" + server + " [^,]* warming-up.*");
   }
 
-  /** Whether the router has ejected any server. */
+  /** Returns whether the router has ejected any server. */
   boolean hasEjected() {
     return router.describe(now).contains("ejected");
   }
 
-  private void answered(TrackedRequest entry, Answer answer) {
-    check(++entry.answers == 1, "rule 1: a second final answer");
-    check(now.compareTo(entry.deadline.plus(ms(20))) <= 0, "rule 1: too late");
-    entry.answer = answer;
-    entry.answeredAt = now;
+  private void recordAnswer(TrackedRequest tracked, Answer answer) {
+    check(++tracked.answerCount == 1, "request answered twice");
+    check(now.compareTo(tracked.deadline.plus(ms(20))) <= 0, "request answered after its deadline");
+    tracked.answer = answer;
+    tracked.answeredAt = now;
   }
 
-  static void check(boolean holds, String rule) {
+  static void check(boolean holds, String violation) {
     if (!holds) {
-      throw new AssertionError(rule);
+      throw new AssertionError(violation);
     }
   }
 
   @Override
-  public void sendAttempt(RequestId request, ServerId id, Duration until) {
-    TrackedRequest entry = requests.get(request.name());
-    check(entry.answers == 0, "rule 1: sent after the final answer");
-    check(++entry.attemptCount <= config.maxAttempts(), "more attempts than allowed");
-    checkRepetition(entry);
+  public void sendAttempt(RequestId request, ServerId id, Duration expiresAt) {
+    TrackedRequest tracked = requests.get(request.name());
+    check(tracked.answerCount == 0, "attempt sent after the final answer");
+    check(++tracked.attemptCount <= config.maxAttempts(), "more attempts than allowed");
+    checkRetry(tracked);
     Server server = servers.get(id.name());
-    checkEndpoint(entry, server);
-    check(!isStale(entry, server), "rule 5: stale read");
+    checkEndpoint(tracked, server);
+    check(!isStale(tracked, server), "read sent to a stale replica");
     if (server.startedAt != null
         && now.minus(server.startedAt).compareTo(config.slowStartDuration()) < 0) {
       server.slowStartSends.removeIf(at -> now.minus(at).compareTo(config.overloadWindow()) > 0);
       server.slowStartSends.add(now);
     }
-    entry.firstSentAt = entry.firstSentAt == null ? now : entry.firstSentAt;
-    SentAttempt sent = new SentAttempt(request.name(), entry.attemptCount - 1, server, now, until);
-    entry.inFlight.add(sent);
+    tracked.firstSentAt = tracked.firstSentAt == null ? now : tracked.firstSentAt;
+    SentAttempt sent =
+        new SentAttempt(request.name(), tracked.attemptCount - 1, server, now, expiresAt);
+    tracked.inFlight.add(sent);
     inFlight.add(sent);
   }
 
-  private void checkRepetition(TrackedRequest entry) {
-    check(entry.inFlight.isEmpty() || config.parallelAttempts(), "rule 2: two in flight at once");
-    boolean mayRepeat = entry.mayHaveExecuted || !entry.inFlight.isEmpty();
+  private void checkRetry(TrackedRequest tracked) {
+    check(
+        tracked.inFlight.isEmpty() || config.parallelAttempts(),
+        "parallel attempts though they are disabled");
+    boolean mayExecuteTwice = tracked.mayHaveExecuted || !tracked.inFlight.isEmpty();
     check(
-        !mayRepeat || entry.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT,
-        "rule 2: sent again though it may have been executed");
+        !mayExecuteTwice || tracked.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT,
+        "non-idempotent request retried though it may have been executed");
     check(
-        !mayRepeat
-            || entry.requestClass.idempotency() != Idempotency.IDEMPOTENT_BY_KEY
-            || now.minus(entry.firstSentAt).compareTo(entry.requestClass.deduplicationWindow()) < 0,
-        "rule 2: sent again after the window");
+        !mayExecuteTwice
+            || tracked.requestClass.idempotency() != Idempotency.IDEMPOTENT_BY_KEY
+            || now.minus(tracked.firstSentAt).compareTo(tracked.requestClass.deduplicationWindow())
+                < 0,
+        "request retried after its deduplication window");
   }
 
-  private void checkEndpoint(TrackedRequest entry, Server server) {
-    check(server.group.equals(entry.group), "outside its group");
-    check(endpointListValid, "rule 3: sent by a list that may lack a drain");
+  private void checkEndpoint(TrackedRequest tracked, Server server) {
+    check(server.group.equals(tracked.group), "attempt sent to a server of another group");
+    check(endpointListValid, "attempt sent while the endpoint list is invalid");
     check(
         server.listedStatus == EndpointStatus.ACTIVE,
-        "rule 3: sent to a server that drains or is removed");
+        "attempt sent to a draining or removed server");
   }
 
-  private boolean isStale(TrackedRequest entry, Server server) {
+  private boolean isStale(TrackedRequest tracked, Server server) {
     Duration position = server.reportedPosition;
     return !server.reportedPrimary
-        && switch (entry.requestClass.consistency()) {
+        && switch (tracked.requestClass.consistency()) {
           case BOUNDED -> position == null || now.minus(position).compareTo(STALENESS_BOUND) >= 0;
           case SESSION ->
-              entry.token != null && (position == null || position.compareTo(entry.token) < 0);
-          case FRESH -> position == null || position.compareTo(entry.arrivedAt) < 0;
+              tracked.token != null && (position == null || position.compareTo(tracked.token) < 0);
+          case FRESH -> position == null || position.compareTo(tracked.arrivedAt) < 0;
           case ANY, WRITE -> false;
         };
   }
 
   @Override
   public void cancel(RequestId request, int attempt) {
-    check(requests.get(request.name()).attemptCount > attempt, "cancelled what was never sent");
+    check(
+        requests.get(request.name()).attemptCount > attempt,
+        "cancelled an attempt that was never sent");
   }
 
   @Override
   public void reject(RequestId request, Duration retryAfter) {
-    TrackedRequest entry = requests.get(request.name());
-    boolean clean = !entry.mayHaveExecuted && entry.inFlight.isEmpty();
+    TrackedRequest tracked = requests.get(request.name());
+    boolean isUnexecuted = !tracked.mayHaveExecuted && tracked.inFlight.isEmpty();
     check(
-        clean
-            || entry.requestClass.idempotency() == Idempotency.IDEMPOTENT
-            || (entry.requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
-                && entry.requestClass.deduplicationScope() == DeduplicationScope.ALL),
-        "rule 2: rejected though it may have been executed");
-    answered(entry, Answer.REJECTED);
+        isUnexecuted
+            || tracked.requestClass.idempotency() == Idempotency.IDEMPOTENT
+            || (tracked.requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
+                && tracked.requestClass.deduplicationScope() == DeduplicationScope.ALL),
+        "request rejected though it may have been executed");
+    recordAnswer(tracked, Answer.REJECTED);
   }
 
   @Override
   public void fail(RequestId request) {
-    answered(requests.get(request.name()), Answer.FAILED);
+    recordAnswer(requests.get(request.name()), Answer.FAILED);
   }
 
   @Override
@@ -421,10 +435,10 @@
   public void endpointRemoved(ServerId server) {
     check(
         servers.get(server.name()).listedStatus == EndpointStatus.REMOVED,
-        "removed though it is listed");
+        "removal of a listed server");
     check(
         inFlight.stream().noneMatch(sent -> sent.server.id.equals(server)),
-        "removed while something is in flight");
+        "removal of a server with attempts in flight");
     removedCalls++;
   }
 
@@ -439,7 +453,7 @@
     timerAt = at;
   }
 
-  /** Lets one event happen that may happen next, by chance. */
+  /** Simulates one random event. */
   void randomStep(SplittableRandom random) {
     Server server = new ArrayList<>(servers.values()).get(random.nextInt(servers.size()));
     int percent = random.nextInt(100);
@@ -472,11 +486,12 @@
   private void endRandomAttempt(SplittableRandom random) {
     SentAttempt sent = inFlight.get(random.nextInt(inFlight.size()));
     boolean write = requests.get(sent.request).requestClass.consistency() == Consistency.WRITE;
-    AttemptOutcome any = AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
+    AttemptOutcome randomOutcome =
+        AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
     if (write && !sent.server.primary) {
       end(sent, AttemptOutcome.INELIGIBLE);
     } else {
-      end(sent, random.nextInt(3) > 0 ? AttemptOutcome.OK : any);
+      end(sent, random.nextInt(3) > 0 ? AttemptOutcome.OK : randomOutcome);
     }
   }
 
--- a/gateway/src/test/java/weldcross/routing/RouterTest.java
+++ b/gateway/src/test/java/weldcross/routing/RouterTest.java
@@ -17,11 +17,13 @@
 
 class RouterTest {
 
-  /** Random events under a random configuration; the harness checks the rules at every action. */
+  /**
+   * Random events with a random configuration; the harness checks the invariants at every action.
+   */
   @ParameterizedTest
   @ValueSource(
       longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22})
-  void rulesHoldThroughRandomEvents(long seed) {
+  void invariantsHoldUnderRandomEvents(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     Idempotency idempotency = Idempotency.values()[random.nextInt(3)];
     DeduplicationScope scope = DeduplicationScope.values()[random.nextInt(3)];
@@ -34,39 +36,42 @@
                 random.nextBoolean(),
                 random.nextBoolean()),
             seed);
-    for (int k = 0; k < 6; k++) {
-      RouterHarness.Server server = new RouterHarness.Server(k, k / 3);
+    for (int i = 0; i < 6; i++) {
+      RouterHarness.Server server = new RouterHarness.Server(i, i / 3);
       server.listedStatus = EndpointStatus.ACTIVE;
-      server.primary = k % 3 == 0;
+      server.primary = i % 3 == 0;
       harness.servers.put(server.id.name(), server);
     }
     harness.publishEndpointList();
-    for (int k = 0; k < 6000; k++) {
+    for (int i = 0; i < 6000; i++) {
       harness.randomStep(random);
     }
     harness.advance(RouterHarness.DEADLINE.plus(ms(50)));
     assertTrue(
-        harness.requests.values().stream().allMatch(e -> e.answers > 0),
-        "rule 1: one had no answer");
-    assertTrue(harness.requests.values().stream().filter(e -> e.answer == Answer.OK).count() > 50);
+        harness.requests.values().stream().allMatch(tracked -> tracked.answerCount > 0),
+        "a request was never answered");
+    assertTrue(
+        harness.requests.values().stream().filter(tracked -> tracked.answer == Answer.OK).count()
+            > 50);
   }
 
   @Test
-  void sameEventsGiveTheSameActions() {
-    List<List<String>> lives = new ArrayList<>();
-    for (int k = 0; k < 2; k++) {
+  void sameEventsResultInTheSameAttempts() {
+    List<List<String>> runs = new ArrayList<>();
+    for (int i = 0; i < 2; i++) {
       RouterHarness harness = RouterHarness.withKnownPrimary();
       SplittableRandom random = new SplittableRandom(3);
-      List<String> sent = new ArrayList<>();
-      for (int n = 0; n < 1500; n++) {
+      List<String> sentAttempts = new ArrayList<>();
+      for (int step = 0; step < 1500; step++) {
         harness.arrive(Consistency.values()[random.nextInt(5)]);
-        harness.inFlight.forEach(s -> sent.add(s.request() + s.serverName()));
+        harness.inFlight.forEach(
+            attempt -> sentAttempts.add(attempt.request() + attempt.serverName()));
         harness.advance(ms(random.nextInt(9)));
         new ArrayList<>(harness.inFlight)
-            .stream().skip(2).forEach(s -> harness.end(s, AttemptOutcome.OK));
+            .stream().skip(2).forEach(sent -> harness.end(sent, AttemptOutcome.OK));
       }
-      lives.add(sent);
+      runs.add(sentAttempts);
     }
-    assertEquals(lives.get(0), lives.get(1));
+    assertEquals(runs.get(0), runs.get(1));
   }
 }
--- a/gateway/src/test/java/weldcross/routing/RouterTimersTest.java
+++ b/gateway/src/test/java/weldcross/routing/RouterTimersTest.java
@@ -10,20 +10,20 @@
 
 class RouterTimersTest {
 
-  /** Wake-ups would multiply if each one left over from an earlier time asked for another. */
+  /** Wake-ups would multiply if each superseded one requested another. */
   @Test
-  void leftOverWakeUpAsksForNoOther() {
+  void supersededWakeUpRequestsNoOther() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     harness.arrive(Consistency.ANY);
-    int asks = harness.timerCalls;
-    for (int k = 0; k < 50; k++) {
+    int requestedWakeUps = harness.timerCalls;
+    for (int i = 0; i < 50; i++) {
       harness.router.timersDue(harness.now);
     }
-    assertEquals(asks, harness.timerCalls);
+    assertEquals(requestedWakeUps, harness.timerCalls);
   }
 
   @Test
-  void callbacksRunInOrderOfTimeAndThenOfScheduling() {
+  void callbacksRunInOrderOfDueTimeAndThenOfScheduling() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     RouterTimers timers = new RouterTimers(harness);
     List<String> order = new ArrayList<>();
@@ -35,6 +35,6 @@
     assertEquals(List.of(), order);
     timers.fireDue(ms(30));
     assertEquals(List.of("first at 30", "second at 30", "third at 30"), order);
-    assertEquals(ms(90), harness.timerAt, "the next wake-up is asked for");
+    assertEquals(ms(90), harness.timerAt, "the next wake-up is requested");
   }
 }
--- a/gateway/src/test/java/weldcross/routing/RoutingConfigs.java
+++ b/gateway/src/test/java/weldcross/routing/RoutingConfigs.java
@@ -6,12 +6,15 @@
 import weldcross.routing.RequestClass.DeduplicationScope;
 import weldcross.routing.RequestClass.Idempotency;
 
-/** Configurations for tests. */
+/** Routing configurations for tests. */
 final class RoutingConfigs {
 
   private RoutingConfigs() {}
 
-  /** Returns the index of the request class of that consistency in all configurations here. */
+  /**
+   * Returns the index of the request class with the consistency, in every configuration of this
+   * class.
+   */
   static int classIndex(Consistency consistency) {
     return List.of(Consistency.values()).indexOf(consistency);
   }
@@ -32,7 +35,10 @@
         lateWeight);
   }
 
-  /** One request class for each consistency, in the order of the enum; the write as given. */
+  /**
+   * Returns a configuration with one request class per consistency, in the order of the enum; the
+   * writes have the given idempotency and deduplication scope.
+   */
   static RoutingConfig withWrites(
       Idempotency write,
       DeduplicationScope scope,
@@ -68,7 +74,10 @@
         RouterHarness.ms(1000));
   }
 
-  /** The same configuration for a fleet of the given size. */
+  /**
+   * Returns the configuration of a fleet with the given number of gateways, with non-idempotent
+   * writes.
+   */
   static RoutingConfig fleet(int gateways, boolean removalIsBinding) {
     RoutingConfig base =
         withWrites(Idempotency.NON_IDEMPOTENT, DeduplicationScope.GROUP, true, true, false);
--- a/gateway/src/test/java/weldcross/routing/SessionConsistencyTest.java
+++ b/gateway/src/test/java/weldcross/routing/SessionConsistencyTest.java
@@ -16,7 +16,7 @@
 class SessionConsistencyTest {
 
   @Test
-  void sessionReadGoesToAReplicaThatHoldsItsToken() {
+  void sessionReadGoesToAReplicaThatHasReachedItsToken() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     harness.advance(ms(200));
     harness.report(harness.server(2), harness.now.minus(ms(40)));
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void sessionReadGoesToThePrimaryWhenNoReplicaHoldsItsToken() {
+  void sessionReadGoesToThePrimaryWhenNoReplicaHasReachedItsToken() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     harness.advance(ms(200));
     String read = harness.arrive(Consistency.SESSION, 0, ms(50));
@@ -56,12 +56,12 @@
     String read = harness.arrive(Consistency.BOUNDED);
     assertTrue(
         harness.requests.get(read).inFlight.isEmpty(),
-        "it waits briefly for the health check under way");
+        "the read waits briefly for the health check in flight");
     harness.advance(ms(55));
     assertTrue(harness.firstInFlight(read).server().primary);
   }
 
-  /** A write may have been committed though its answer was not read. */
+  /** A write may have been committed even if no answer was received. */
   @ParameterizedTest
   @ValueSource(strings = {"CANCELLED", "TIMED_OUT", "CONNECTION_LOST"})
   void sessionReadSeesAWriteWithoutAnswerThatMayHaveBeenExecuted(String outcome) {
@@ -74,28 +74,34 @@
     harness.advance(ms(60));
     harness.end(harness.firstInFlight(write), AttemptOutcome.valueOf(outcome));
     harness.report(harness.server(1), harness.now);
-    assertTrue(harness.send(Consistency.SESSION).server().primary, "no replica is sure to hold it");
+    assertTrue(
+        harness.send(Consistency.SESSION).server().primary,
+        "no replica is known to have the write");
     harness.advance(ms(40));
     harness.report(harness.server(1), harness.now);
     assertEquals("s1", harness.send(Consistency.SESSION).serverName());
   }
 
-  /** What a session has written counts at each send, not when the read arrived. */
+  /** The session token is evaluated whenever an attempt is sent, not when the read arrives. */
   @Test
-  void readThatWaitsSeesWhatItsSessionHasWrittenMeanwhile() {
+  void pendingReadSeesLaterWritesOfItsSession() {
     RouterHarness harness =
         RouterHarness.withKnownPrimary(
             RoutingConfigs.withWrites(
                 Idempotency.NON_IDEMPOTENT, DeduplicationScope.GROUP, true, false, false));
     String write = harness.arrive(Consistency.WRITE);
     String read = harness.arrive(Consistency.SESSION);
-    assertFalse(harness.firstInFlight(read).server().primary, "nothing is known to be written yet");
+    assertFalse(
+        harness.firstInFlight(read).server().primary, "no write of the session is known yet");
     harness.advance(ms(60));
     harness.end(harness.firstInFlight(write), AttemptOutcome.OK);
     assertFalse(
-        harness.isStillEligible(harness.firstInFlight(read)), "its connection has just come up");
+        harness.isStillEligible(harness.firstInFlight(read)),
+        "the write was answered before the connection of the read was established");
     harness.end(harness.firstInFlight(read), AttemptOutcome.ERROR);
-    assertTrue(harness.firstInFlight(read).server().primary, "no replica is known to hold it");
+    assertTrue(
+        harness.firstInFlight(read).server().primary,
+        "no replica is known to have the answered write");
   }
 
   @ParameterizedTest
@@ -114,7 +120,7 @@
         "FRESH, 900, true",
         "WRITE, 1000, false"
       })
-  void replicaIsFreshEnoughFromThePositionThatTheConsistencyNeeds(
+  void replicaIsFreshEnoughFromThePositionThatTheConsistencyRequires(
       Consistency consistency, Long positionMillis, boolean expected) {
     RoutingConfig config =
         RoutingConfigs.withWrites(
--- a/gateway/src/test/java/weldcross/routing/SlowStartTest.java
+++ b/gateway/src/test/java/weldcross/routing/SlowStartTest.java
@@ -18,7 +18,7 @@
 
 class SlowStartTest {
 
-  /** An attempt decided for a warm server is in no slow-start budget. */
+  /** An attempt scheduled for a warm server was not charged to a slow-start budget. */
   @Test
   void attemptForAWarmServerIsNotSentOnceTheServerHasRestarted() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
@@ -30,16 +30,16 @@
   }
 
   @Test
-  void warmingServerGetsNoMoreThanItsBudget() {
+  void warmingServerIsNotSentMoreThanItsBudget() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
-    for (int k = 0; k < 3000; k++) {
-      if (k == 1500) {
+    for (int i = 0; i < 3000; i++) {
+      if (i == 1500) {
         harness.server(2).startedAt = harness.now;
         harness.publishEndpointList();
         harness.server(2).slowStartSends.clear();
       }
-      if (k % 20 == 0) {
-        harness.servers.values().forEach(s -> harness.report(s, harness.now));
+      if (i % 20 == 0) {
+        harness.servers.values().forEach(server -> harness.report(server, harness.now));
       }
       harness.arrive(Consistency.ANY);
       harness.advance(ms(2));
@@ -52,13 +52,13 @@
     assertFalse(harness.server(2).slowStartSends.isEmpty());
   }
 
-  /** Many gateways learn of a start at once, each with requests that wait for that server. */
+  /** Many gateways learn of a start at the same time, each with requests queued for that server. */
   @Test
-  void manyGatewaysTogetherKeepTheBudgetOfAWarmingServer() {
+  void manyGatewaysTogetherStayWithinTheBudgetOfAWarmingServer() {
     int gateways = 80;
     List<RouterHarness> fleet = new ArrayList<>();
-    for (int g = 0; g < gateways; g++) {
-      fleet.add(RouterHarness.withKnownPrimary(RoutingConfigs.fleet(gateways, true), g));
+    for (int gateway = 0; gateway < gateways; gateway++) {
+      fleet.add(RouterHarness.withKnownPrimary(RoutingConfigs.fleet(gateways, true), gateway));
     }
     Duration restartAt = fleet.get(0).now.plus(ms(20_000));
     List<Duration> sends = sendsAroundARestart(fleet, restartAt);
@@ -68,10 +68,12 @@
               .filter(at -> at.compareTo(from) >= 0 && at.compareTo(from.plus(ms(1000))) < 0)
               .count();
       double age = from.minus(restartAt).plus(ms(500)).toMillis() / 6000.0;
-      // 160 a second before, at two thirds of what a warm server can do.
-      assertTrue(within <= 2 * Math.min(1, 0.25 + 0.75 * age) * 240, within + " at " + age);
+      // A warm server can handle 240 writes per second; before the restart it received 160.
+      assertTrue(
+          within <= 2 * Math.min(1, 0.25 + 0.75 * age) * 240,
+          within + " attempts in the second at warm-up progress " + age);
     }
-    assertTrue(sends.size() > 100, "it does get work: " + sends.size());
+    assertTrue(sends.size() > 100, "attempts sent: " + sends.size());
   }
 
   private static List<Duration> sendsAroundARestart(List<RouterHarness> fleet, Duration restartAt) {
@@ -79,15 +81,19 @@
     List<Duration> sends = new ArrayList<>();
     for (int step = 0; step < 2400; step++) {
       for (RouterHarness harness : fleet) {
-        boolean stops = harness.now.equals(restartAt.minus(ms(200)));
-        if (stops || harness.now.equals(restartAt)) {
-          harness.server(0).listedStatus = stops ? EndpointStatus.REMOVED : EndpointStatus.ACTIVE;
-          harness.server(0).startedAt = stops ? null : restartAt;
+        boolean isStopping = harness.now.equals(restartAt.minus(ms(200)));
+        if (isStopping || harness.now.equals(restartAt)) {
+          harness.server(0).listedStatus =
+              isStopping ? EndpointStatus.REMOVED : EndpointStatus.ACTIVE;
+          harness.server(0).startedAt = isStopping ? null : restartAt;
           harness.publishEndpointList();
         }
-        // Two writes a second at each gateway; three more wait there when the primary returns.
-        int burst = stops ? 3 : 0;
-        for (int n = random.nextInt(50) == 0 ? burst + 1 : burst; n > 0; n--) {
+        // Two writes per second at each gateway; three more are queued there while the primary
+        // restarts.
+        int burst = isStopping ? 3 : 0;
+        for (int remaining = random.nextInt(50) == 0 ? burst + 1 : burst;
+            remaining > 0;
+            remaining--) {
           harness.arrive(Consistency.WRITE);
           harness.arrive(Consistency.ANY);
           harness.arrive(Consistency.ANY);
@@ -103,28 +109,39 @@
   }
 
   /**
-   * The configuration names ten gateways; there are eighty with unequal quotas, all just started.
+   * The configuration specifies ten gateways, but there are eighty with unequal quotas, all newly
+   * started.
    */
   @Test
-  void quotasKeepTheBudgetOfAWarmingServerWhereTheConfiguredFleetSizeIsWrong() {
-    int right = slowStartSends(80, 80, false);
-    int wrong = slowStartSends(80, 10, false);
+  void quotasEnforceTheBudgetOfAWarmingServerIfTheConfiguredFleetSizeIsWrong() {
+    int correctSize = slowStartSends(80, 80, false);
+    int wrongSize = slowStartSends(80, 10, false);
     int withQuotas = slowStartSends(80, 10, true);
-    assertTrue(wrong > 2 * right, "quotas matter: " + wrong + " beside " + right);
-    assertTrue(withQuotas <= right * 1.5, withQuotas + " beside " + right);
+    assertTrue(
+        wrongSize > 2 * correctSize,
+        "attempts with the wrong fleet size: "
+            + wrongSize
+            + ", with the right one: "
+            + correctSize);
+    assertTrue(
+        withQuotas <= correctSize * 1.5,
+        "attempts with quotas: " + withQuotas + ", with the right fleet size: " + correctSize);
   }
 
   /**
-   * Returns the attempts that new gateways send to one warming server in three overload windows.
+   * Returns the number of attempts that new gateways send to one warming server in three overload
+   * windows.
+   *
+   * @param configuredGateways the number of gateways in the configuration
    */
-  private static int slowStartSends(int gateways, int settings, boolean withQuotas) {
+  private static int slowStartSends(int gateways, int configuredGateways, boolean withQuotas) {
     int sends = 0;
-    for (int g = 0; g < gateways; g++) {
+    for (int gateway = 0; gateway < gateways; gateway++) {
       RouterHarness harness =
-          RouterHarness.withKnownPrimary(RoutingConfigs.fleet(settings, true), g);
+          RouterHarness.withKnownPrimary(RoutingConfigs.fleet(configuredGateways, true), gateway);
       if (withQuotas) {
-        // A third of them have twice the part of the others.
-        harness.router.setQuota((g % 3 == 0 ? 2.0 : 1.0) / (gateways + (gateways + 2) / 3));
+        // A third of the gateways have twice the quota of the others.
+        harness.router.setQuota((gateway % 3 == 0 ? 2.0 : 1.0) / (gateways + (gateways + 2) / 3));
       }
       harness.server(0).startedAt = harness.now;
       harness.publishEndpointList();
@@ -142,9 +159,12 @@
     return sends;
   }
 
-  /** What answers on what was open before is the same process. */
+  /**
+   * An answer on a connection opened before the presumed restart shows that the process is the
+   * same.
+   */
   @Test
-  void answerOnAConnectionFromBeforeTakesBackAPresumedRestart() {
+  void answerOnAnOlderConnectionRevertsAPresumedRestart() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     final RouterHarness.SentAttempt before = harness.send(Consistency.WRITE);
     harness.advance(ms(1));
@@ -156,9 +176,9 @@
     assertFalse(harness.hasEjected());
   }
 
-  /** The last answer may come in just behind the news of the end. */
+  /** The last answer of a process may arrive just after its failure was detected. */
   @Test
-  void answerSentBeforeAProcessEndedTakesNoRestartBack() {
+  void answerSentBeforeAProcessFailedDoesNotRevertAPresumedRestart() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     final RouterHarness.SentAttempt before = harness.send(Consistency.WRITE);
     harness.advance(ms(1));
@@ -168,9 +188,9 @@
     assertTrue(harness.isWarmingUp(0));
   }
 
-  /** A process that nobody saw start again is spared, though it answers. */
+  /** A server may have restarted unnoticed, so it stays in slow start even though it answers. */
   @Test
-  void answerOnANewConnectionTakesNoRestartBack() {
+  void answerOnANewConnectionDoesNotRevertAPresumedRestart() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     final Duration before = harness.now;
     harness.advance(ms(1));
@@ -184,25 +204,26 @@
     harness.server(0).startedAt = harness.now;
     harness.publishEndpointList();
     harness.router.healthCheckEnded(harness.now, harness.server(0).id, AttemptOutcome.OK, before);
-    assertTrue(harness.isWarmingUp(0), "a start that is listed is one");
+    assertTrue(harness.isWarmingUp(0), "a listed start is not reverted");
   }
 
   /**
-   * Unlisted restarts among connections lost on live processes: a server that was found gone is
-   * warming up as long as it truly is, and the others are mostly not.
+   * Unlisted restarts, mixed with lost connections to live processes. A server whose crash was
+   * noticed must be considered warming up for as long as it is; other servers mostly must not.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-  void restartsAreToldFromLostConnections(long seed) {
+  void restartsAreDistinguishedFromLostConnections(long seed) {
     RestartSimulation simulation = new RestartSimulation(seed);
     for (int step = 0; step < 4000; step++) {
       simulation.step();
     }
-    assertTrue(simulation.misjudged < simulation.live / 3, simulation.toString());
+    assertTrue(simulation.misjudgedWarmChecks < simulation.warmChecks / 3, simulation.toString());
   }
 
   /**
-   * Servers that crash and restart missingFromList, while connections to live ones are lost too.
+   * Simulates servers that crash and restart without being listed, and lost connections to live
+   * ones.
    */
   private static final class RestartSimulation {
     private static final int SERVERS = 3;
@@ -215,14 +236,14 @@
 
     private final Duration[] startedAt = {Duration.ZERO, Duration.ZERO, Duration.ZERO};
 
-    /** Whether the router could find out about the last crash. */
+    /** Whether the router could have noticed the last crash. */
     private final boolean[] noticed = new boolean[SERVERS];
 
-    /** Checks of servers that were live and warm. */
-    private int live;
+    /** Number of checks of servers that were live and warm. */
+    private int warmChecks;
 
-    /** Those among {@link #live} that the router took to be warming up. */
-    private int misjudged;
+    /** Number of {@link #warmChecks} in which the router considered the server to be warming up. */
+    private int misjudgedWarmChecks;
 
     RestartSimulation(long seed) {
       this.random = new SplittableRandom(seed);
@@ -274,14 +295,14 @@
       if (downSince[server] != null) {
         noticed[server] = true;
         harness.end(sent, AttemptOutcome.UNREACHABLE);
-      } else if (sent.at().equals(harness.now) && random.nextInt(50) == 0) {
+      } else if (sent.sentAt().equals(harness.now) && random.nextInt(50) == 0) {
         harness.end(
             sent,
             random.nextBoolean()
                 ? AttemptOutcome.UNREACHABLE
                 : AttemptOutcome.IDLE_CONNECTION_LOST);
-      } else if (sent.at().plus(ms(5 + random.nextInt(40))).compareTo(harness.now) <= 0) {
-        // The connection may have been open for long, but for no longer than its process runs.
+      } else if (sent.sentAt().plus(ms(5 + random.nextInt(40))).compareTo(harness.now) <= 0) {
+        // The connection may be old, but not older than the server process.
         Duration openSince = harness.now.minus(ms(random.nextInt(1500)));
         harness.end(sent, AttemptOutcome.OK, Durations.later(openSince, startedAt[server]));
       }
@@ -304,10 +325,10 @@
               && !startedAt[server].isZero();
       assertTrue(
           !restarted || !noticed[server] || harness.isWarmingUp(server),
-          "warming up, and not known to be: s" + server);
+          "the router does not consider the warming server to be warming up: s" + server);
       boolean warm = downSince[server] == null && !restarted;
-      live += warm ? 1 : 0;
-      misjudged += warm && harness.isWarmingUp(server) ? 1 : 0;
+      warmChecks += warm ? 1 : 0;
+      misjudgedWarmChecks += warm && harness.isWarmingUp(server) ? 1 : 0;
     }
 
     private static int number(ServerId id) {
@@ -316,25 +337,26 @@
 
     @Override
     public String toString() {
-      return "taken to be warming up: " + misjudged + " of " + live;
+      return "considered to be warming up: " + misjudgedWarmChecks + " of " + warmChecks;
     }
   }
 
-  /** A restart that this gateway cannot see is told by a peer. */
+  /** Gossip tells a gateway about a restart that it cannot notice itself. */
   @Test
-  void serverThatAPeerCouldNotReachGetsLess() {
+  void serverThatAPeerCouldNotReachIsPutIntoSlowStart() {
     RouterHarness harness = RouterHarness.withKnownPrimary(RoutingConfigs.fleet(200, true));
     harness.end(harness.send(Consistency.WRITE), AttemptOutcome.UNREACHABLE);
     assertEquals(List.of(harness.server(0).id), harness.gossiped);
-    harness.router.gossipReceived(harness.now, new ServerId("nobody"));
+    harness.router.gossipReceived(harness.now, new ServerId("unknown"));
     RouterHarness peer = RouterHarness.withKnownPrimary(RoutingConfigs.fleet(200, true));
     peer.router.gossipReceived(peer.now, peer.server(0).id);
-    for (int k = 0; k < 100; k++) {
+    for (int i = 0; i < 100; i++) {
       peer.arrive(Consistency.WRITE);
       peer.advance(ms(1));
-      List.copyOf(peer.inFlight).forEach(s -> peer.end(s, AttemptOutcome.OK));
+      List.copyOf(peer.inFlight).forEach(sent -> peer.end(sent, AttemptOutcome.OK));
     }
-    assertTrue(peer.requests.values().stream().filter(e -> e.attemptCount > 0).count() < 20);
+    assertTrue(
+        peer.requests.values().stream().filter(tracked -> tracked.attemptCount > 0).count() < 20);
   }
 
   @Test
@@ -348,7 +370,7 @@
   }
 
   @Test
-  void presumedRestartIsTakenBackOnceAnOlderProcessAnswersAfterTheMargin() {
+  void presumedRestartIsRevertedWhenAnOlderProcessAnswersAfterTheMargin() {
     RouterComponents components = new RouterComponents(2);
     EndpointState endpoint = components.endpoint(0);
     components.slowStart.presumeRestart(ms(1000), endpoint);
@@ -369,7 +391,7 @@
   }
 
   @Test
-  void queuedRequestIsAdmittedToAWarmingServerOnlyAtItsNextSend() {
+  void queuedRequestIsAdmittedToAWarmingServerOnlyAtItsNextSendTime() {
     RouterComponents components = new RouterComponents(2);
     EndpointState endpoint = components.endpoint(0);
     RequestState queued = components.request(Consistency.ANY, ms(0));
@@ -382,7 +404,7 @@
   }
 
   @Test
-  void warmServerIsNotHeldToItsBudget() {
+  void warmServerIsNotLimitedByASlowStartBudget() {
     RouterComponents components = new RouterComponents(2);
     components.endpoint(0).nextSlowStartSendAt = ms(9000);
     RequestState queued = components.request(Consistency.ANY, ms(0));
