--- a/gateway/src/main/java/weldcross/routing/EndpointState.java
+++ b/gateway/src/main/java/weldcross/routing/EndpointState.java
@@ -11,7 +11,7 @@
  */
 final class EndpointState {
 
-  /** Initial backoff between health checks, for each reason to send them. */
+  /** Initial interval between health checks; each kind of health check backs off separately. */
   static final Duration INITIAL_BACKOFF = Duration.ofMillis(100);
 
   /** Duration of the first ejection; doubled after each failed readmission trial. */
--- a/gateway/src/main/java/weldcross/routing/RequestState.java
+++ b/gateway/src/main/java/weldcross/routing/RequestState.java
@@ -32,7 +32,7 @@
 
   /**
    * Factor on the priority weight of a client's retry: the latency objective counts from the first
-   * request, so the retry is likely late.
+   * request of the client, so a retry is worth less.
    */
   private static final double CLIENT_RETRY_WEIGHT = 0.3;
 
--- a/gateway/src/test/java/weldcross/routing/HealthCheckerTest.java
+++ b/gateway/src/test/java/weldcross/routing/HealthCheckerTest.java
@@ -48,7 +48,7 @@
   }
 
   /**
-   * Without backoff, the health checks of many gateways searching for a primary would overload
+   * Without backoff, the health checks of many gateways searching for a primary would load the
    * servers.
    */
   @Test
@@ -130,7 +130,7 @@
   }
 
   @Test
-  void unknownServerIsCheckedUnlessItDrains() {
+  void unknownServerIsCheckedUnlessItIsDraining() {
     RouterComponents components = new RouterComponents(2);
     components.endpoint(0).draining = true;
     components.healthChecker.checkIfUnknown(ms(0), components.endpoint(0));
--- a/gateway/src/test/java/weldcross/routing/LatencyEstimatorTest.java
+++ b/gateway/src/test/java/weldcross/routing/LatencyEstimatorTest.java
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void estimateSettlesAtTheMedianOfTheAnswers() {
+  void estimateConvergesToTheMedianLatency() {
     LatencyEstimator latency = new LatencyEstimator(1);
     assertEquals(1, latency.typicalSeconds(0), "default without answers");
     for (int answer = 0; answer < 3000; answer++) {
--- a/gateway/src/test/java/weldcross/routing/SlowStartTest.java
+++ b/gateway/src/test/java/weldcross/routing/SlowStartTest.java
@@ -381,7 +381,7 @@
   }
 
   @Test
-  void processAliveSinceBetweenTwoPresumedRestartsWarmsUpFromThen() {
+  void processAliveSinceBetweenTwoPresumedRestartsWarmsUpFromThatTime() {
     RouterComponents components = new RouterComponents(2);
     EndpointState endpoint = components.endpoint(0);
     components.slowStart.presumeRestart(ms(1000), endpoint);
