--- a/gateway/src/main/java/weldcross/gateway/AttemptTracker.java
+++ b/gateway/src/main/java/weldcross/gateway/AttemptTracker.java
@@ -12,14 +12,20 @@
 import weldcross.routing.RequestId;
 import weldcross.routing.ServerId;
 
-/** The routed requests and their attempts, sent, cancelled and answered as the router decides. */
+/**
+ * Tracks the requests being routed and their attempts. Carries out the decisions of the router:
+ * sends and cancels attempts, and responds to clients.
+ */
 final class AttemptTracker {
 
-  /** A commit time in whole milliseconds may be up to one too early. */
+  /** Commit times are truncated to whole milliseconds and may be early by up to one. */
   private static final Duration COMMIT_TIME_RESOLUTION = Duration.ofMillis(1);
 
-  private static final ByteBuffer FAILED =
-      MessageEncoder.error("58000", "failed, and may have run", null);
+  private static final String SYSTEM_ERROR = "58000";
+  private static final String TOO_MANY_CONNECTIONS = "53300";
+
+  private static final ByteBuffer FAILED_RESPONSE =
+      MessageEncoder.error(SYSTEM_ERROR, "failed, and may have run", null);
 
   private static final Logger LOG = Logger.getLogger(AttemptTracker.class.getName());
 
@@ -27,7 +33,7 @@
   private final Transport transport;
   private final ServerReports reports;
 
-  /** All that are not answered or have open attempts. */
+  /** Requests that are unanswered or have open attempts, in order of arrival. */
   private final Map<RequestId, RoutedRequest> requests = new LinkedHashMap<>();
 
   private long accepted;
@@ -42,17 +48,17 @@
     this.reports = reports;
   }
 
-  /** Returns the response to a request that failed and may have run. */
+  /** Returns the response to a request that failed and that a server may have executed. */
   static ByteBuffer failedResponse() {
-    return FAILED.duplicate();
+    return FAILED_RESPONSE.duplicate();
   }
 
-  /** Returns a request that is unanswered or has open attempts; null if there is none. */
+  /** Returns a tracked request; null if it is unknown, or answered without open attempts. */
   RoutedRequest find(RequestId id) {
     return requests.get(id);
   }
 
-  /** Adds a request that is about to be routed. */
+  /** Starts to track a request that is about to be routed. */
   void add(RoutedRequest request) {
     accepted++;
     requests.put(request.id, request);
@@ -62,12 +68,12 @@
     return requests.size();
   }
 
-  /** Whether no request waits for its response. */
+  /** Returns whether every tracked request is answered. */
   boolean allAnswered() {
     return requests.values().stream().allMatch(request -> request.answered);
   }
 
-  /** Describes how the requests ended so far, for the log. */
+  /** Describes how many requests have ended with each result so far, for the log. */
   String describeTotals() {
     return accepted
         + " accepted, "
@@ -81,14 +87,15 @@
         + " abandoned by their clients";
   }
 
-  // ---- Decisions of the router
+  // ---- Router decisions
 
   /**
-   * Sends an attempt, which ends at {@code until} or at its client's deadline if that is sooner.
+   * Sends an attempt, which times out at {@code limit} or at its client's deadline, whichever is
+   * earlier.
    */
-  void send(RequestId id, ServerId server, Duration until) {
+  void send(RequestId id, ServerId server, Duration limit) {
     RoutedRequest request = requests.get(id);
-    Duration deadline = until.compareTo(request.deadline) < 0 ? until : request.deadline;
+    Duration deadline = limit.compareTo(request.deadline) < 0 ? limit : request.deadline;
     Attempt attempt = new Attempt(request, server, deadline);
     LOG.fine(
         () ->
@@ -112,7 +119,7 @@
         });
   }
 
-  /** Stops waiting for an attempt, if it has not ended. */
+  /** Cancels an attempt; does nothing if it has ended. */
   void cancel(RequestId id, int number) {
     RoutedRequest request = requests.get(id);
     if (request != null && !request.attempts.get(number).done) {
@@ -121,27 +128,27 @@
   }
 
   /**
-   * Answers that nothing ran.
+   * Responds that no server has executed the request.
    *
-   * @param retryAfter after which the client may retry; zero if no time is given
+   * @param retryAfter time after which the client may retry; zero to send no such time
    */
   void reject(RequestId id, Duration retryAfter) {
     long millis = retryAfter.toMillis();
-    String hint = millis > 0 ? Long.toString(millis) : null;
-    if (giveUp(id, MessageEncoder.error("53300", "not now", hint))) {
+    String detail = millis > 0 ? Long.toString(millis) : null;
+    if (respondWithError(id, MessageEncoder.error(TOO_MANY_CONNECTIONS, "not now", detail))) {
       rejected++;
     }
   }
 
-  /** Answers that the request failed and may have run. */
+  /** Responds that the request failed and that a server may have executed it. */
   void fail(RequestId id) {
-    if (giveUp(id, failedResponse())) {
+    if (respondWithError(id, failedResponse())) {
       failed++;
     }
   }
 
-  /** Returns false if the request has had its response. */
-  private boolean giveUp(RequestId id, ByteBuffer response) {
+  /** Returns false, without a response, if the request is already answered. */
+  private boolean respondWithError(RequestId id, ByteBuffer response) {
     RoutedRequest request = requests.get(id);
     if (request == null || request.answered) {
       return false;
@@ -155,35 +162,35 @@
                 + " attempts="
                 + request.attempts.size());
     answer(request, response);
-    forgetIfDone(request);
+    removeIfDone(request);
     return true;
   }
 
-  // ---- Ends of requests
+  // ---- Completion of requests
 
-  /** Responds to a request and, once the router is done, goes on with its connection. */
+  /** Responds to a request, then starts the next one of its connection. */
   void answer(RoutedRequest request, ByteBuffer... response) {
     request.answered = true;
     gateway.pipeline().respond(request.pipelined, response);
-    // The router is in the middle of a decision.
+    // Deferred because the router may be in the middle of a decision.
     gateway.soon(() -> gateway.pipeline().startNext(request.pipelined.client));
   }
 
-  /** The client of an unanswered request has left: nothing more is sent for it. */
+  /** Abandons an unanswered request whose client disconnected; no further attempt is sent. */
   void abandon(RoutedRequest request) {
     abandoned++;
     request.answered = true;
     gateway.router().clientDisconnected(gateway.now(), request.id);
   }
 
-  /** Forgets a request that is answered and has no open attempts. */
-  void forgetIfDone(RoutedRequest request) {
+  /** Stops tracking a request if it is answered and has no open attempts. */
+  void removeIfDone(RoutedRequest request) {
     if (request.answered && request.openAttempts == 0) {
       requests.remove(request.id);
     }
   }
 
-  /** One attempt to have a request served by one server. */
+  /** One attempt to execute a request on one server. */
   final class Attempt extends ServerRequest {
     private final RoutedRequest request;
     private final int number;
@@ -202,11 +209,14 @@
 
     @Override
     ByteBuffer[] message() {
-      long timeLeft = deadline.minus(transport.now()).toMillis();
-      return request.statement.withTimeout(Math.max(1, timeLeft));
+      long timeLeftMillis = deadline.minus(transport.now()).toMillis();
+      return request.statement.withTimeout(Math.max(1, timeLeftMillis));
     }
 
-    /** By the clock: an event may take long, and a staleness bound counts from the send. */
+    /**
+     * Checks eligibility at the current time, not at the start of the event: an event may take
+     * long, and a staleness bound is measured at the time of sending.
+     */
     @Override
     boolean maySend() {
       return gateway.router().isStillEligible(transport.now(), request.id, number);
@@ -233,7 +243,7 @@
       }
       Duration position = positionOf(response);
       Boolean primary = response == null ? null : response.primary();
-      reports.noteRole(server, primary);
+      reports.recordRole(server, primary);
       gateway
           .router()
           .attemptEnded(
@@ -247,8 +257,8 @@
                   primary,
                   position,
                   request.answered));
-      reports.received(server, response == null ? null : response.loadReport());
-      forgetIfDone(request);
+      reports.loadReportReceived(server, response == null ? null : response.loadReport());
+      removeIfDone(request);
     }
 
     private void logEnd(AttemptOutcome outcome, Duration took) {
@@ -266,13 +276,13 @@
                   + request.answered);
     }
 
-    /** Returns the position that a response tells; null if it tells none that counts. */
+    /** Returns the replication position in a response; null if it has none or an invalid one. */
     private Duration positionOf(ServerResponse response) {
       if (response == null || response.positionMillis() == 0) {
         return null;
       }
       Duration position = Duration.ofMillis(response.positionMillis());
-      return reports.position(
+      return reports.positionSinceStart(
           request.statement.isWrite() ? position.plus(COMMIT_TIME_RESOLUTION) : position);
     }
   }
--- a/gateway/src/main/java/weldcross/gateway/CancelRequests.java
+++ b/gateway/src/main/java/weldcross/gateway/CancelRequests.java
@@ -40,7 +40,7 @@
             request -> {
               attempts.abandon(request);
               attempts.answer(request, CANCELLED.duplicate());
-              attempts.forgetIfDone(request);
+              attempts.removeIfDone(request);
             });
   }
 
--- a/gateway/src/main/java/weldcross/gateway/ClientConnections.java
+++ b/gateway/src/main/java/weldcross/gateway/ClientConnections.java
@@ -290,7 +290,7 @@
       RoutedRequest request = next.routed;
       if (request != null && !request.answered) {
         gateway.attempts().abandon(request);
-        gateway.attempts().forgetIfDone(request);
+        gateway.attempts().removeIfDone(request);
       }
     }
   }
--- a/gateway/src/main/java/weldcross/gateway/HealthCheckRunner.java
+++ b/gateway/src/main/java/weldcross/gateway/HealthCheckRunner.java
@@ -64,7 +64,7 @@
     void completed(AttemptOutcome outcome, ServerResponse response) {
       gateway.router().healthCheckEnded(gateway.now(), server, outcome, connectedSince);
       if (outcome == AttemptOutcome.OK) {
-        reports.received(
+        reports.loadReportReceived(
             server, config.healthCheckReportsLoad() ? response.rowText() : response.loadReport());
       }
     }
--- a/gateway/src/main/java/weldcross/gateway/ServerReports.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerReports.java
@@ -11,7 +11,7 @@
 import weldcross.routing.GroupId;
 import weldcross.routing.ServerId;
 
-/** Reads what servers report of their role and of the position of their data. */
+/** Processes what servers report about their role and their replication position. */
 final class ServerReports {
 
   private static final BigDecimal MAX_NANOS = BigDecimal.valueOf(Long.MAX_VALUE);
@@ -23,10 +23,10 @@
   private final EndpointDirectory endpoints;
   private final UnixTime unixTime;
 
-  /** Positions that lie further in the future than this are ignored. */
+  /** Positions further in the future than this are ignored. */
   private final Duration maxClockSkew;
 
-  /** The last server of each group that reported itself to be the primary. */
+  /** For each group, the server that last reported itself as primary. */
   private final Map<GroupId, ServerId> primaries = new LinkedHashMap<>();
 
   private final RateLimitedLogger primaryLog = new RateLimitedLogger(LOG);
@@ -40,11 +40,11 @@
   }
 
   /**
-   * Passes a report on to the router; a report that cannot be read is ignored.
+   * Passes a load report on to the router; a malformed report is ignored.
    *
-   * @param pairs the report's text; null or empty where there is none
+   * @param pairs the report as key-value pairs; null or empty if there is none
    */
-  void received(ServerId server, String pairs) {
+  void loadReportReceived(ServerId server, String pairs) {
     if (pairs == null || pairs.isEmpty()) {
       return;
     }
@@ -52,7 +52,8 @@
     try {
       report = LoadReport.read(pairs, '=');
     } catch (NumberFormatException e) {
-      LOG.fine(() -> "report ignored: endpoint=" + server.name() + " report=" + pairs);
+      LOG.fine(
+          () -> "malformed load report ignored: endpoint=" + server.name() + " report=" + pairs);
       return;
     }
     if (report.position() == null) {
@@ -61,20 +62,21 @@
     BigDecimal nanos =
         report.position().movePointRight(NANO_DIGITS).setScale(0, RoundingMode.FLOOR);
     Duration position =
-        position(Duration.ofNanos(nanos.max(BigDecimal.ZERO).min(MAX_NANOS).longValue()));
+        positionSinceStart(Duration.ofNanos(nanos.max(BigDecimal.ZERO).min(MAX_NANOS).longValue()));
     if (position == null) {
       return;
     }
-    noteRole(server, report.primary());
+    recordRole(server, report.primary());
     gateway.router().reported(gateway.now(), server, position, report.primary());
   }
 
   /**
-   * Logs the role that a server reports of itself; the router may know better.
+   * Logs a change of the server that reports itself as primary. The router may have decided for
+   * another one.
    *
-   * @param primary whether it says that it is the primary; null where it says nothing
+   * @param primary whether the server reports that it is the primary; null if it reports no role
    */
-  void noteRole(ServerId server, Boolean primary) {
+  void recordRole(ServerId server, Boolean primary) {
     GroupId group = endpoints.groupOf(server);
     if (group != null
         && Boolean.TRUE.equals(primary)
@@ -87,11 +89,12 @@
   }
 
   /**
-   * Returns a position as time since the gateway's start, now at most; null for one too far in the
-   * future, which would make its server look fresh until then.
+   * Converts a position from Unix time to time since the gateway's start, capped at the current
+   * time. Returns null for a position too far in the future, which would make its server look fresh
+   * until then.
    */
-  Duration position(Duration unix) {
-    Duration position = unixTime.sinceStart(unix);
+  Duration positionSinceStart(Duration unixPosition) {
+    Duration position = unixTime.sinceStart(unixPosition);
     Duration now = gateway.now();
     if (position.minus(now).compareTo(maxClockSkew) > 0) {
       return null;
--- a/gateway/src/test/java/weldcross/gateway/AttemptTrackerTest.java
+++ b/gateway/src/test/java/weldcross/gateway/AttemptTrackerTest.java
@@ -14,55 +14,59 @@
 import org.junit.jupiter.api.Test;
 import weldcross.pgwire.MessageEncoder;
 
-/** What is sent to servers for a request, how it ends and how it is answered. */
+/** Tests what is sent to servers for a request, how its attempts end and how it is answered. */
 class AttemptTrackerTest {
 
   /**
-   * Rule 5: decided within its bound and sent past it, as its connection took so long to come up.
+   * Guards against a read from a replica that has become too stale: the read is within its
+   * staleness bound when it is routed, and beyond it once the slow connection is established.
    */
   @Test
-  void readWhoseBoundPassesWhileConnectingIsRoutedAgain() {
+  void readIsReroutedIfItsStalenessBoundExpiresWhileConnecting() {
     GatewayHarness harness = GatewayHarness.serving();
     List.copyOf(harness.connections.keySet()).stream()
         .filter(
-            n ->
-                n < 0
-                    && harness.connections.get(n).discoveryPort == 0
-                    && harness.connections.get(n).open)
+            number ->
+                number < 0
+                    && harness.connections.get(number).discoveryPort == 0
+                    && harness.connections.get(number).open)
         .forEach(harness::closeByServer);
     harness.advance(740);
     harness.unreachable.addAll(List.of("s-1", "s-2"));
     final String id = harness.request(harness.connect(), false, 1000);
     harness.advance(60);
-    List<Long> slow =
+    List<Long> connecting =
         harness.connections.keySet().stream()
             .filter(
-                n ->
-                    n < 0
-                        && harness.unreachable.contains(harness.connections.get(n).server)
-                        && !harness.connections.get(n).open
-                        && !harness.connections.get(n).dropped)
+                number ->
+                    number < 0
+                        && harness.unreachable.contains(harness.connections.get(number).server)
+                        && !harness.connections.get(number).open
+                        && !harness.connections.get(number).dropped)
             .toList();
-    assertFalse(slow.isEmpty(), "a connection to a replica is on its way");
+    assertFalse(connecting.isEmpty(), "no pending connection to a replica");
     harness.unreachable.clear();
-    slow.forEach(
-        l -> {
-          harness.connections.get(l).open = true;
-          harness.dispatch(g -> g.serverConnections().connected(l));
+    connecting.forEach(
+        number -> {
+          harness.connections.get(number).open = true;
+          harness.dispatch(g -> g.serverConnections().connected(number));
           harness.completeWrites();
         });
     harness.advance(60);
     assertEquals(
         "s-0",
         harness.connections.get(harness.connectionOf(id)).server,
-        "only the primary is within the bound");
+        "only the primary is within the staleness bound");
     harness.answer(harness.connectionOf(id), null);
     assertEquals("ok", harness.history.answers.get(id));
   }
 
-  /** Rule 5: in an event that takes long a read is sent later than it was decided. */
+  /**
+   * Guards against a stale read in a long event: the event lasts 150 ms, so the read is sent that
+   * much later than it was routed, when the replicas are beyond its staleness bound.
+   */
   @Test
-  void readInALongEventIsCheckedByTheClock() {
+  void eligibilityIsCheckedAtTheTimeOfSending() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.advance(700);
     harness.eventDuration = Duration.ofMillis(150);
@@ -71,12 +75,15 @@
     assertEquals(
         "s-0",
         harness.connections.get(harness.connectionOf(id)).server,
-        "only the primary is within the bound when it is sent");
+        "only the primary is within the staleness bound at the time of sending");
   }
 
-  /** Rule 5: a write at this very moment is a write: no replica is known to have it. */
+  /**
+   * Guards against a session that does not read its own write: a session token with the current
+   * time stands for a write that no replica is known to have applied.
+   */
   @Test
-  void readInTheMillisecondOfItsSessionsWriteSeesIt() {
+  void readInTheSameMillisecondAsItsSessionsWriteUsesThePrimary() {
     GatewayHarness harness =
         GatewayHarness.serving(
             "[\"bounded\",\"write\"]", "[\"session\",\"write\"]", "remembered", "carried");
@@ -90,19 +97,22 @@
     assertEquals(
         "s-0",
         harness.connections.get(harness.connectionOf(id)).server,
-        "no replica is known to hold it");
+        "no replica is known to have the write");
   }
 
-  /** Rule 5: a commit time in whole milliseconds may be one too early for a replica at it. */
+  /**
+   * Guards against a read that misses its session's write: a commit time in whole milliseconds may
+   * be up to 1 ms early, so a replica at exactly that position may not have the write.
+   */
   @Test
-  void replicaWithinTheMillisecondOfACommitIsNotFreshEnough() {
+  void replicaAtTheMillisecondOfACommitIsNotFreshEnough() {
     GatewayHarness harness =
         GatewayHarness.serving("[\"bounded\",\"write\"]", "[\"session\",\"write\"]");
     long client = harness.connect();
     String write = harness.request(client, true, 1000);
     harness.advance(300);
-    final String asked = harness.connections.get(harness.connectionOf(write)).statement;
-    long millis = GatewayHarness.START_UNIX_MILLIS + harness.now.toMillis();
+    final String statement = harness.connections.get(harness.connectionOf(write)).statement;
+    long commitMillis = GatewayHarness.START_UNIX_MILLIS + harness.now.toMillis();
     FakeConnection connection = harness.connections.get(harness.connectionOf(write));
     harness.advance(3);
     for (byte[] part :
@@ -111,46 +121,47 @@
             ServerMessages.message('D', "\0\1\0\0\0\1v"),
             ServerMessages.message('C', "INSERT 0 1\0"),
             ServerMessages.message('S', "mode\0read-write\0"),
-            ServerMessages.message('S', "wal_time\0" + millis + "\0"),
+            ServerMessages.message('S', "wal_time\0" + commitMillis + "\0"),
             ServerMessages.message('Z', "I"))) {
       harness.serverSends(connection, ByteBuffer.wrap(part));
     }
     connection.statement = null;
-    assertTrue(asked.startsWith("INSERT"));
+    assertTrue(statement.startsWith("INSERT"));
     final String read = harness.request(client, false, 1000);
-    List<Long> checks = harness.busyConnections();
-    assertFalse(checks.isEmpty(), "a replica is asked for its position");
-    for (long check : checks) {
-      harness.answerRow(check, "x0=" + new BigDecimal(millis).movePointLeft(3) + ",x1=0", "SHOW");
+    List<Long> healthChecks = harness.busyConnections();
+    assertFalse(healthChecks.isEmpty(), "no replica is asked for its position");
+    String position = new BigDecimal(commitMillis).movePointLeft(3).toString();
+    for (long healthCheck : healthChecks) {
+      harness.answerRow(healthCheck, "x0=" + position + ",x1=0", "SHOW");
     }
     harness.advance(60);
     assertEquals("s-0", harness.connections.get(harness.connectionOf(read)).server);
   }
 
   @Test
-  void malformedAnswerIsAFailedAttemptThatMayHaveRun() {
+  void malformedResponseFailsAWriteAndRetriesARead() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.history.writes.add("a0");
     String write = harness.request(harness.connect(), true, 900);
     long connection = harness.connectionOf(write);
     harness.serverSends(
         harness.connections.get(connection), ByteBuffer.wrap(new byte[] {1, 2, 3, 4, 5}));
-    assertEquals("58000", harness.history.answers.get(write), "an INSERT that may have run");
+    assertEquals("58000", harness.history.answers.get(write), "the INSERT may have been executed");
     assertTrue(harness.connections.get(connection).dropped);
     String read = harness.request(harness.connect(), false, 900);
     long first = harness.connectionOf(read);
-    byte[] wrong = ServerMessages.message('T', ServerMessages.COLUMNS);
-    harness.serverSends(harness.connections.get(first), ByteBuffer.wrap(wrong));
+    byte[] rowDescription = ServerMessages.message('T', ServerMessages.COLUMNS);
+    harness.serverSends(harness.connections.get(first), ByteBuffer.wrap(rowDescription));
     harness.advance(200);
     assertFalse(harness.connections.get(first).dropped);
     harness.advance(60);
-    assertTrue(harness.connections.get(first).dropped, "an answer that began and did not go on");
+    assertTrue(harness.connections.get(first).dropped, "the response was not completed in time");
     harness.answer(harness.connectionOf(read), null);
     assertEquals("ok", harness.history.answers.get(read));
   }
 
   @Test
-  void rowCompletedAsAnotherStatementIsNotServed() {
+  void responseWithTheWrongCommandTagIsNotForwarded() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.history.writes.add("a0");
     String write = harness.request(harness.connect(), true, 900);
@@ -166,13 +177,14 @@
     assertEquals("58000", harness.history.answers.get(write));
   }
 
+  /** A server cannot execute a statement that it has not received completely. */
   @Test
-  void writeCutOffBeforeItsLastByteIsRetried() {
+  void writeIsRetriedIfItsConnectionClosesBeforeItIsFullySent() {
     GatewayHarness harness = GatewayHarness.serving();
     long client = harness.connect();
     harness.history.writes.add("a" + harness.nextRequest);
     harness.history.deadlines.put("a" + harness.nextRequest, harness.now.plusMillis(2000));
-    // Written, but not out: the flush that the world does after each step is what is left out here.
+    // Fed to the decoder directly, as harness.send() would also complete the write to the server.
     harness
         .connections
         .get(client)
@@ -189,7 +201,7 @@
     harness.connections.get(connection).statement = null;
     harness.history.openAttempts.get("a0").clear();
     harness.closeByServer(connection);
-    for (int k = 0; k < 30 && harness.history.openAttempts.get("a0").isEmpty(); k++) {
+    for (int round = 0; round < 30 && harness.history.openAttempts.get("a0").isEmpty(); round++) {
       harness.advance(50);
       harness.answerHealthChecks();
     }
@@ -197,7 +209,7 @@
   }
 
   @Test
-  void writeCutOffAfterItsLastByteFails() {
+  void writeFailsIfItsConnectionClosesAfterItIsFullySent() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.history.writes.add("a0");
     String id = harness.request(harness.connect(), true, 900);
@@ -206,9 +218,12 @@
     assertEquals("58000", harness.history.answers.get(id));
   }
 
-  /** Rule 2: a write whose bytes are all sent may have run, so it is not sent again. */
+  /**
+   * Guards against a write that is executed twice: it was sent at once and completely, so the
+   * server may have executed it, although its connection closed before any other event.
+   */
   @Test
-  void completedWriteIsKnownBeforeItsConnectionEnds() {
+  void writeSentAtOnceIsNotRetriedWhenItsConnectionCloses() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.writesCompleteAtOnce = true;
     harness.history.writes.add("a0");
@@ -218,16 +233,19 @@
     assertEquals("58000", harness.history.answers.get(id));
   }
 
-  /** A request queued for the last of them is not started as the first makes room. */
+  /**
+   * Guards against useless attempts: the disconnect of one client frees capacity, which must not go
+   * to a queued request of a client that disconnects at the same time.
+   */
   @Test
-  void clientsThatDisconnectTogetherHaveNothingStarted() {
+  void simultaneousDisconnectsDoNotStartQueuedRequests() {
     GatewayHarness harness = GatewayHarness.serving();
     Map<String, Long> clients = new LinkedHashMap<>();
-    for (int k = 0; k < 60; k++) {
+    for (int index = 0; index < 60; index++) {
       long client = harness.connect();
       clients.put(harness.request(client, false, 1500), client);
     }
-    assertTrue(harness.history.openAttempts.size() < 60, "some are held");
+    assertTrue(harness.history.openAttempts.size() < 60, "no request is queued");
     final Set<String> sentBefore = Set.copyOf(harness.history.openAttempts.keySet());
     harness.history.abandoned.addAll(clients.keySet());
     harness.dispatch(g -> clients.values().forEach(g.clients()::disconnected));
@@ -236,7 +254,7 @@
   }
 
   @Test
-  void disconnectOfAClientCancelsItsAttempt() {
+  void clientDisconnectCancelsItsAttempt() {
     GatewayHarness harness = GatewayHarness.serving();
     long client = harness.connect();
     String id = harness.request(client, false, 900);
@@ -246,7 +264,7 @@
   }
 
   @Test
-  void rejectedRequestIsToldWhenToRetry() {
+  void rejectionContainsRetryAfter() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.history.writes.add("a0");
     long client = harness.connect();
@@ -254,15 +272,15 @@
     for (long connection : harness.busyConnections()) {
       harness.answer(connection, "53300");
     }
-    for (int k = 0; k < 40 && !harness.history.answers.containsKey(id); k++) {
+    for (int round = 0; round < 40 && !harness.history.answers.containsKey(id); round++) {
       harness.advance(25);
       harness
           .busyConnections()
           .forEach(
-              l ->
+              number ->
                   harness.answer(
-                      l,
-                      RequestHistory.idOf(harness.connections.get(l).statement) == null
+                      number,
+                      RequestHistory.idOf(harness.connections.get(number).statement) == null
                           ? null
                           : "53300"));
     }
--- a/gateway/src/test/java/weldcross/gateway/ServerReportsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ServerReportsTest.java
@@ -5,14 +5,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What servers report of their data. */
+/** Tests how load reports of servers are processed. */
 class ServerReportsTest {
 
+  /** Guards against a malformed report that ends the gateway or makes its server ineligible. */
   @Test
-  void positionInTheFutureOrOfAbsurdSizeIsIgnored() {
+  void invalidLoadReportsAreIgnored() {
     GatewayHarness harness = GatewayHarness.withEndpointList();
     harness.advance(5);
-    List<String> absurd =
+    List<String> invalidReports =
         List.of(
             "x0=1e999999999,x1=1",
             "x0=1e-999999999,x1=1",
@@ -23,8 +24,10 @@
             "=",
             ",,,",
             "x0=-99,x1=1e99999");
-    for (String report : absurd) {
-      harness.busyConnections().forEach(check -> harness.answerRow(check, report, "SHOW"));
+    for (String report : invalidReports) {
+      harness
+          .busyConnections()
+          .forEach(healthCheck -> harness.answerRow(healthCheck, report, "SHOW"));
       harness.advance(3000);
     }
     String read = harness.request(harness.connect(), false, 900);
