--- a/gateway/src/main/java/weldcross/gateway/CompositeBuffer.java
+++ b/gateway/src/main/java/weldcross/gateway/CompositeBuffer.java
@@ -7,15 +7,15 @@
 import org.apache.mina.core.buffer.IoBufferWrapper;
 
 /**
- * Several buffers that MINA takes for one and that {@link GatheringIoProcessor} writes by one call,
- * without a copy.
+ * Several buffers that MINA handles as a single one and that {@link GatheringIoProcessor} writes
+ * with one gathering write, without copying.
  */
 class CompositeBuffer extends IoBufferWrapper {
 
   private final ByteBuffer[] parts;
 
   /**
-   * Creates a buffer over the given ones, whose positions move as it is written.
+   * Creates a buffer over the given ones, whose positions advance as it is written.
    *
    * @param parts at least one
    */
@@ -24,14 +24,14 @@
     this.parts = parts;
   }
 
-  /** Writes as much as the channel takes; returns the number of bytes. */
+  /** Writes as many bytes as the channel accepts; returns their number. */
   long writeTo(GatheringByteChannel channel) throws IOException {
     return channel.write(parts);
   }
 
   /**
-   * Returns this: MINA writes a duplicate of what it is given, and the inherited method would
-   * duplicate the first part alone.
+   * Returns this buffer itself: MINA writes a duplicate of the buffer it was given, and the
+   * inherited method would duplicate only the first part.
    */
   @Override
   public IoBuffer duplicate() {
--- a/gateway/src/main/java/weldcross/gateway/GatewayProcess.java
+++ b/gateway/src/main/java/weldcross/gateway/GatewayProcess.java
@@ -120,7 +120,7 @@
     Timer stallChecks = startStallChecks(Thread.currentThread());
     try {
       loop.run(gateway);
-      transport.end();
+      transport.close();
       return 0;
     } catch (Throwable e) {
       // Its sockets end with the process: MINA's end waits for a thread that may be at fault.
@@ -165,6 +165,6 @@
 
   /** Returns the address that clients connect to, completed once the gateway listens. */
   CompletableFuture<InetSocketAddress> listening() {
-    return transport.listening();
+    return transport.listenAddress();
   }
 }
--- a/gateway/src/main/java/weldcross/gateway/GatheringIoProcessor.java
+++ b/gateway/src/main/java/weldcross/gateway/GatheringIoProcessor.java
@@ -16,9 +16,9 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /**
- * MINA's processor with gathering writes and with tasks that run once pending reads are done. MINA
- * itself writes one buffer at a time and does not show the channel of a session; the selector's key
- * knows both.
+ * MINA's I/O processor, extended by gathering writes and by tasks that run after pending reads.
+ * MINA itself writes one buffer at a time and does not expose the channel of a session; the channel
+ * is found by the selection key that is attached to the session.
  */
 final class GatheringIoProcessor extends NioProcessor {
 
@@ -27,47 +27,48 @@
 
   private final Runnable onBatchRead;
 
-  /** Tasks for the end of the batch of reads after the current one. */
-  private final Queue<Runnable> submitted = new ConcurrentLinkedQueue<>();
+  /** Tasks that run at the end of the read batch after the current one. */
+  private final Queue<Runnable> submittedTasks = new ConcurrentLinkedQueue<>();
 
-  /** Tasks for the end of the current batch of reads. */
-  private final ArrayDeque<Runnable> due = new ArrayDeque<>();
+  /** Tasks that run at the end of the current read batch. */
+  private final ArrayDeque<Runnable> dueTasks = new ArrayDeque<>();
 
   /**
    * Creates a processor with one thread.
    *
    * @param executor provides the thread
-   * @param onBatchRead called, on that thread, when everything was read that one select found
+   * @param onBatchRead called on that thread when all sockets that one select reported as readable
+   *     were read
    */
   GatheringIoProcessor(Executor executor, Runnable onBatchRead) {
     super(executor);
     this.onBatchRead = onBatchRead;
   }
 
-  /** Runs a task, on this processor's thread, once everything that has arrived by now was read. */
+  /** Runs a task on this processor's thread after everything received until now was read. */
   void afterPendingReads(Runnable task) {
-    submitted.add(task);
+    submittedTasks.add(task);
     wakeup();
   }
 
   @Override
   protected int select(long timeout) throws Exception {
     onBatchRead.run();
-    for (Runnable task = due.poll(); task != null; task = due.poll()) {
-      runIsolated(task);
+    for (Runnable task = dueTasks.poll(); task != null; task = dueTasks.poll()) {
+      runAndLogFailure(task);
     }
     onBatchRead.run();
-    for (Runnable task = submitted.poll(); task != null; task = submitted.poll()) {
-      due.add(task);
+    for (Runnable task = submittedTasks.poll(); task != null; task = submittedTasks.poll()) {
+      dueTasks.add(task);
     }
-    if (!due.isEmpty()) {
+    if (!dueTasks.isEmpty()) {
       wakeup();
     }
     return super.select(timeout);
   }
 
-  /** Keeps an exception of one task from this thread, which reads all connections. */
-  private static void runIsolated(Runnable task) {
+  /** Catches the exception of a task, as it would end this thread, which reads all connections. */
+  private static void runAndLogFailure(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
@@ -86,7 +87,7 @@
     }
   }
 
-  /** Half-closes at once; the session's own close waits for the processor's thread. */
+  /** Half-closes immediately; the session's own close is delayed to the processor's thread. */
   static void shutdownOutput(IoSession session) {
     SocketChannel channel = (SocketChannel) session.getAttribute(CHANNEL);
     try {
@@ -94,11 +95,11 @@
         channel.shutdownOutput();
       }
     } catch (IOException e) {
-      // Closed by the other side.
+      // Already closed by the peer.
     }
   }
 
-  /** Returns whether everything was sent; else the parts have the rest. */
+  /** Writes immediately; returns false if a rest could not be sent, which remains in the parts. */
   static boolean writeNow(IoSession session, ByteBuffer... parts) {
     SocketChannel channel = (SocketChannel) session.getAttribute(CHANNEL);
     try {
@@ -106,7 +107,7 @@
         channel.write(parts);
       }
     } catch (IOException e) {
-      // Closed by the other side, which is reported by the next read.
+      // Closed by the peer, which the next read reports.
     }
     return !parts[parts.length - 1].hasRemaining();
   }
--- a/gateway/src/main/java/weldcross/gateway/HealthCheckRunner.java
+++ b/gateway/src/main/java/weldcross/gateway/HealthCheckRunner.java
@@ -8,10 +8,13 @@
 import weldcross.routing.AttemptOutcome;
 import weldcross.routing.ServerId;
 
-/** Sends the health checks that the router asks for and passes on their results. */
+/** Sends the health checks that the router requests and reports their results to it. */
 final class HealthCheckRunner {
 
+  /** The query if health checks return a load report. */
   private static final String STATISTICS_QUERY = "SHOW stats";
+
+  /** The query if health checks return no load report. */
   private static final String MINIMAL_QUERY = "SELECT 1";
 
   private static final Logger LOG = Logger.getLogger(HealthCheckRunner.class.getName());
@@ -26,7 +29,7 @@
     this.reports = reports;
   }
 
-  /** Sends one health check; its result goes to the router. */
+  /** Sends one health check, whose result is reported to the router. */
   void send(ServerId server) {
     LOG.fine(() -> "health check sent: endpoint=" + server.name());
     gateway.serverConnections().send(server, new HealthCheck(server));
--- a/gateway/src/main/java/weldcross/gateway/IdleConnections.java
+++ b/gateway/src/main/java/weldcross/gateway/IdleConnections.java
@@ -7,18 +7,18 @@
 import java.util.Map;
 import weldcross.routing.ServerId;
 
-/** The idle connections of a pool, by server and by the time since when they are idle. */
+/** The idle connections of a pool, ordered by last use, for each server and for all of them. */
 final class IdleConnections {
 
   private static final ArrayDeque<ServerConnection> NONE = new ArrayDeque<>();
 
-  /** Most recently used first; without servers that have none. */
+  /** Idle connections of each server, most recently used first; servers without any are absent. */
   private final Map<ServerId, ArrayDeque<ServerConnection>> byServer = new HashMap<>();
 
-  /** Idle for longest first. */
+  /** Idle connections of all servers, longest idle first. */
   private final LinkedHashSet<ServerConnection> all = new LinkedHashSet<>();
 
-  /** Adds a connection that is idle as of now. */
+  /** Adds a connection that has just become idle. */
   void add(ServerConnection connection) {
     byServer.computeIfAbsent(connection.server, s -> new ArrayDeque<>()).addFirst(connection);
     all.add(connection);
@@ -33,22 +33,26 @@
     }
   }
 
-  /** Returns the connection to a server that was idle last; null if there is none. */
-  ServerConnection mostRecent(ServerId server) {
+  /** Returns the most recently used connection to a server; null if there is none. */
+  ServerConnection mostRecentlyUsed(ServerId server) {
     return byServer.getOrDefault(server, NONE).peekFirst();
   }
 
-  /** Returns the connection to a server that is idle for longest; null if there is none. */
-  ServerConnection leastRecent(ServerId server) {
+  /** Returns the least recently used connection to a server; null if there is none. */
+  ServerConnection leastRecentlyUsed(ServerId server) {
     return byServer.getOrDefault(server, NONE).peekLast();
   }
 
   /** Returns a copy of the connections to a server, most recently used first. */
-  List<ServerConnection> of(ServerId server) {
+  List<ServerConnection> connectionsTo(ServerId server) {
     return List.copyOf(byServer.getOrDefault(server, NONE));
   }
 
-  /** Returns the connection that is idle for longest; fails if there is none. */
+  /**
+   * Returns the connection that has been idle for longest, of all servers.
+   *
+   * @throws java.util.NoSuchElementException if there is none
+   */
   ServerConnection longestIdle() {
     return all.iterator().next();
   }
--- a/gateway/src/main/java/weldcross/gateway/MinaTransport.java
+++ b/gateway/src/main/java/weldcross/gateway/MinaTransport.java
@@ -16,7 +16,10 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 import weldcross.connections.CancellableConnector;
 
-/** The transport on Apache MINA, whose threads only decode what arrives and post it as events. */
+/**
+ * The transport based on Apache MINA. MINA's threads only decode received bytes and post the
+ * results as events.
+ */
 final class MinaTransport implements Transport {
 
   private static final int BACKLOG = 512;
@@ -24,7 +27,8 @@
   private static final int READ_BUFFER_BYTES = 1024;
 
   /**
-   * Both ends are in this process, so that 160 reads make 320 calls: the JVM compiles after 200.
+   * Number of connections of the warm-up. Both ends are in this process, so 160 reads make 320
+   * calls; the JVM compiles a method after 200.
    */
   private static final int WARM_UP_CONNECTIONS = 16;
 
@@ -32,40 +36,40 @@
 
   private final EventLoop loop;
   private final Supplier<Duration> clock;
-  private final ReadBatch batch;
+  private final ReadBatch readBatch;
   private final ConcurrentHashMap<Long, IoSession> sessions = new ConcurrentHashMap<>();
   private final StreamHandler handler = new StreamHandler(sessions);
 
-  /** Visible so that tests can wait for one of its batches. */
+  /** Package-private so that tests can wait for the end of a read batch. */
   final GatheringIoProcessor processor;
 
   private final ConnectionLimitAcceptor acceptor;
   private final NioSocketConnector minaConnector;
   private final CancellableConnector connector;
-  private final CompletableFuture<InetSocketAddress> listening = new CompletableFuture<>();
+  private final CompletableFuture<InetSocketAddress> listenAddress = new CompletableFuture<>();
 
-  /** Null without gossip. */
+  /** Null if gossip is not enabled. */
   private GossipSocket gossip;
 
   /**
    * Creates a transport without connections.
    *
-   * @param loop takes the events
+   * @param loop receives the events
    * @param clock time since the start of the process
-   * @param maxConnections limit for open connections and those that are coming up
+   * @param maxConnections limit for open and pending connections together
    */
   MinaTransport(EventLoop loop, Supplier<Duration> clock, int maxConnections) {
     this.loop = loop;
     this.clock = clock;
-    ExecutorService threads = threads(loop);
-    batch = new ReadBatch(loop::post);
-    processor = new GatheringIoProcessor(threads, batch::postAll);
-    minaConnector = new NioSocketConnector(threads, processor);
+    ExecutorService executor = createExecutor(loop);
+    readBatch = new ReadBatch(loop::post);
+    processor = new GatheringIoProcessor(executor, readBatch::postAll);
+    minaConnector = new NioSocketConnector(executor, processor);
     connector = new CancellableConnector(minaConnector);
-    // A connection that is coming up has a descriptor as well.
+    // Pending connections count because each of them has a file descriptor as well.
     acceptor =
         new ConnectionLimitAcceptor(
-            threads,
+            executor,
             processor,
             maxConnections,
             () -> minaConnector.getManagedSessionCount() + connector.pendingCount());
@@ -78,20 +82,20 @@
   }
 
   /**
-   * Returns daemon threads whose uncaught exceptions end the event loop: without one of them the
-   * gateway would only seem to be alive.
+   * Returns an executor with daemon threads. An uncaught exception of a thread ends the event loop,
+   * and the gateway with it: without that thread the gateway would run and serve nobody.
    */
-  private static ExecutorService threads(EventLoop loop) {
+  private static ExecutorService createExecutor(EventLoop loop) {
     return Executors.newCachedThreadPool(
         task -> {
           Thread thread = new Thread(task);
           thread.setDaemon(true);
           thread.setUncaughtExceptionHandler(
-              (ended, cause) ->
+              (failedThread, cause) ->
                   loop.post(
                       gateway -> {
                         throw new IllegalStateException(
-                            "thread " + ended.getName() + " ended", cause);
+                            "I/O thread " + failedThread.getName() + " failed", cause);
                       }));
           return thread;
         });
@@ -108,7 +112,7 @@
       @Override
       public void sessionCreated(IoSession session) {
         long number = session.getId();
-        attach(session, number, new ClientStream(number, batch, processor, clock));
+        attach(session, number, new ClientStream(number, readBatch, processor, clock));
       }
 
       @Override
@@ -119,13 +123,13 @@
     };
   }
 
-  /** Returns the address that clients connect to, once it is bound. */
-  CompletableFuture<InetSocketAddress> listening() {
-    return listening;
+  /** Returns a future of the address that clients connect to, completed when it is bound. */
+  CompletableFuture<InetSocketAddress> listenAddress() {
+    return listenAddress;
   }
 
-  /** Closes everything; nothing may be called after this. */
-  void end() {
+  /** Closes all sockets; no method may be called afterwards. */
+  void close() {
     acceptor.dispose();
     minaConnector.dispose();
     if (gossip != null) {
@@ -144,10 +148,10 @@
   public void listen(InetSocketAddress address) {
     try {
       acceptor.bind(address);
-      listening.complete(acceptor.getLocalAddress());
+      listenAddress.complete(acceptor.getLocalAddress());
     } catch (IOException e) {
-      listening.completeExceptionally(e);
-      throw cannotListen(address, e);
+      listenAddress.completeExceptionally(e);
+      throw listenFailure(address, e);
     }
   }
 
@@ -162,11 +166,11 @@
     try {
       gossip = new GossipSocket(address, server -> loop.post(g -> g.gossipReceived(server)));
     } catch (IOException e) {
-      throw cannotListen(address, e);
+      throw listenFailure(address, e);
     }
   }
 
-  private static IllegalStateException cannotListen(InetSocketAddress address, IOException cause) {
+  private static IllegalStateException listenFailure(InetSocketAddress address, IOException cause) {
     return new IllegalStateException(
         "cannot listen on " + address + ": " + cause.getMessage(), cause);
   }
@@ -178,10 +182,10 @@
 
   @Override
   public void warmUp() {
-    AtomicInteger open = new AtomicInteger(WARM_UP_CONNECTIONS);
+    AtomicInteger openConnections = new AtomicInteger(WARM_UP_CONNECTIONS);
     Runnable onClosed =
         () -> {
-          if (open.decrementAndGet() == 0) {
+          if (openConnections.decrementAndGet() == 0) {
             loop.post(Gateway::warmUpCompleted);
           }
         };
@@ -196,7 +200,7 @@
 
   @Override
   public void connectToServer(long connection, InetSocketAddress address) {
-    connect(connection, address, new ServerStream(connection, batch, loop));
+    connect(connection, address, new ServerStream(connection, readBatch, loop));
   }
 
   @Override
@@ -210,8 +214,8 @@
         address,
         session -> handler.attach(session, number, stream),
         cause -> {
-          // Refused, unreachable and timed out have subclasses of their own; what remains is a
-          // reset.
+          // A refused connection, a timeout and an unreachable host have exception classes of their
+          // own; a plain SocketException means a reset.
           if (cause.getClass() == SocketException.class) {
             stream.resetOnConnect();
           } else {
@@ -229,8 +233,8 @@
       return false;
     }
     Stream stream = StreamHandler.streamOf(session);
-    stream.writing();
-    // If nothing else waits to be sent, no other thread has to be woken for it.
+    stream.beforeWrite();
+    // If no earlier write is pending, a direct write saves waking up the processor's thread.
     if (stream.pendingWrites.get() == 0 && GatheringIoProcessor.writeNow(session, parts)) {
       return true;
     }
@@ -257,8 +261,8 @@
     connector.cancel(connection);
     IoSession session = sessions.remove(connection);
     if (session != null) {
-      // The end of one attempt must reach a server before a later attempt does; clients have
-      // nothing that could overtake.
+      // A server must see the end of a cancelled attempt before it receives a later attempt, so
+      // the end is sent immediately. No such order is needed for clients.
       if (connection < 0) {
         GatheringIoProcessor.shutdownOutput(session);
       }
@@ -271,14 +275,15 @@
     processor.afterPendingReads(
         () -> {
           boolean quiet = shutdownIfQuiet(sessions.get(connection), messages);
-          batch.add(gateway -> gateway.clients().closeDecided(connection, quiet));
+          readBatch.add(gateway -> gateway.clients().closeDecided(connection, quiet));
         });
   }
 
   /**
-   * Returns whether the connection is quiet, or closed already.
+   * Half-closes a connection if it is quiet; returns whether it is half-closed or closed now.
    *
-   * @param session null if the connection is closed
+   * @param session null if the connection is already closed
+   * @param messages number of messages that the event loop has received on the connection
    */
   private static boolean shutdownIfQuiet(IoSession session, int messages) {
     if (session == null) {
--- a/gateway/src/main/java/weldcross/gateway/ReadBatch.java
+++ b/gateway/src/main/java/weldcross/gateway/ReadBatch.java
@@ -7,19 +7,21 @@
 import java.util.function.Consumer;
 
 /**
- * Events of one pass over all readable sockets, posted together when it ends: first the clients
- * that disconnected, all as one event, then events of servers, then all others, each in its order.
+ * Collects the events of one pass over all readable sockets and posts them together at its end:
+ * first the disconnects of clients as a single event, then the events of servers, then all others.
+ * Within each group the order is kept.
  *
- * <p>Posted as it is read, a request of a client that disconnects in the same pass would be started
- * for nobody, and so would a request queued for the last of many clients that disconnect together.
- * And a read could be started before the response to its session's write that was received earlier,
- * as the sockets of a pass are read in no order.
+ * <p>If each event were posted as soon as it is read, a request would be started although its
+ * client disconnects in the same pass, and so would a queued request of the last of several clients
+ * that disconnect together. A read could also be started before the earlier response to the write
+ * of its session, as the sockets of a pass are read in no particular order.
  *
- * <p>Called by the thread that reads; synchronized as connections are rarely closed by others.
+ * <p>Called by the thread that reads the sockets. Synchronized because other threads may close
+ * connections, although they rarely do.
  */
 final class ReadBatch {
 
-  /** Stands for no client: real numbers of clients are positive. */
+  /** Placeholder for events that belong to no client; the numbers of clients are positive. */
   private static final long NO_CLIENT = 0;
 
   private record ClientEvent(long client, Gateway.Event event) {}
@@ -33,24 +35,24 @@
   /**
    * Creates an empty batch.
    *
-   * @param post takes the events, from any thread
+   * @param post receives the events; may be called by any thread
    */
   ReadBatch(Consumer<Gateway.Event> post) {
     this.post = post;
   }
 
-  /** A client's connection was accepted. */
+  /** Records that a client's connection was accepted. */
   synchronized void clientAccepted(long client) {
     accepted.add(client);
-    addForClient(client, g -> g.clients().accepted(client));
+    addForClient(client, gateway -> gateway.clients().accepted(client));
   }
 
-  /** A client's connection was closed by the client, or was lost. */
+  /** Records that a client's connection was closed by the client or lost. */
   synchronized void clientDisconnected(long client) {
     disconnected.add(client);
   }
 
-  /** Adds an event of one client; left out if the client disconnects in the same pass. */
+  /** Adds an event of one client; it is discarded if the client disconnects in the same pass. */
   synchronized void addForClient(long client, Gateway.Event event) {
     otherEvents.add(new ClientEvent(client, event));
   }
@@ -60,26 +62,27 @@
     serverEvents.add(event);
   }
 
-  /** Adds an event that counts whichever client disconnects. */
+  /** Adds an event that is posted whether or not clients disconnect in the same pass. */
   synchronized void add(Gateway.Event event) {
     otherEvents.add(new ClientEvent(NO_CLIENT, event));
   }
 
-  /** Posts all events of the pass, and begins the next. */
+  /** Posts all events of the pass and clears the batch for the next one. */
   synchronized void postAll() {
     if (disconnected.isEmpty() && serverEvents.isEmpty() && otherEvents.isEmpty()) {
       return;
     }
-    // Whoever was accepted in the same pass is unknown to the gateway.
-    List<Long> gone = disconnected.stream().filter(client -> !accepted.contains(client)).toList();
-    if (!gone.isEmpty()) {
-      post.accept(g -> gone.forEach(g.clients()::disconnected));
+    // The gateway does not know clients that were accepted and disconnected in the same pass.
+    List<Long> knownClients =
+        disconnected.stream().filter(client -> !accepted.contains(client)).toList();
+    if (!knownClients.isEmpty()) {
+      post.accept(gateway -> knownClients.forEach(gateway.clients()::disconnected));
     }
     serverEvents.forEach(post);
     serverEvents.clear();
     otherEvents.stream()
-        .filter(other -> !disconnected.contains(other.client))
-        .forEach(other -> post.accept(other.event));
+        .filter(clientEvent -> !disconnected.contains(clientEvent.client))
+        .forEach(clientEvent -> post.accept(clientEvent.event));
     otherEvents.clear();
     accepted.clear();
     disconnected.clear();
--- a/gateway/src/main/java/weldcross/gateway/ServerConnectionPool.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerConnectionPool.java
@@ -71,14 +71,14 @@
   void setAddress(ServerId server, InetSocketAddress address) {
     InetSocketAddress before = addresses.put(server, address);
     if (before != null && !before.equals(address)) {
-      idle.of(server).forEach(this::close);
+      idle.connectionsTo(server).forEach(this::close);
     }
   }
 
   /** Removes a server; connections that carry a request stay until it is answered. */
   void removeServer(ServerId server) {
     addresses.remove(server);
-    idle.of(server).forEach(this::close);
+    idle.connectionsTo(server).forEach(this::close);
   }
 
   // ---- Requests
@@ -104,7 +104,7 @@
       write(settled, request.message());
       return;
     }
-    close(idle.leastRecent(server));
+    close(idle.leastRecentlyUsed(server));
     connect(server, request);
   }
 
@@ -114,9 +114,9 @@
    */
   private ServerConnection settledConnection(ServerId server) {
     Duration quietSince = gateway.now().minus(settleTime);
-    ServerConnection connection = idle.mostRecent(server);
+    ServerConnection connection = idle.mostRecentlyUsed(server);
     if (connection != null && connection.idleSince.compareTo(quietSince) > 0) {
-      connection = idle.leastRecent(server);
+      connection = idle.leastRecentlyUsed(server);
     }
     return connection != null && connection.idleSince.compareTo(quietSince) <= 0
         ? connection
--- a/gateway/src/main/java/weldcross/gateway/ServerStream.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerStream.java
@@ -31,7 +31,7 @@
   }
 
   @Override
-  void writing() {
+  void beforeWrite() {
     decoder.expectResponse();
   }
 
--- a/gateway/src/main/java/weldcross/gateway/Stream.java
+++ b/gateway/src/main/java/weldcross/gateway/Stream.java
@@ -5,42 +5,50 @@
 import org.apache.mina.core.session.IoSession;
 import weldcross.discovery.HttpResponseDecoder;
 
-/** Reads the stream of one connection; called by the processor's thread unless said otherwise. */
+/**
+ * Handles the I/O events of one connection. Methods are called by the processor's thread unless
+ * their comment names another one.
+ */
 abstract class Stream {
 
-  /** Number of writes that were requested and are not completed. */
+  /** Number of writes that were requested and have not been completed. */
   final AtomicInteger pendingWrites = new AtomicInteger();
 
-  /** Whether sending ends when all pending writes are completed. */
+  /** Whether to half-close the connection when all pending writes are completed. */
   volatile boolean closeAfterWrite;
 
-  /** Whether the connection was reset or failed, so that its end completes no message. */
+  /** Whether the connection failed, so that its end must not be taken for the end of a message. */
   boolean connectionFailed;
 
-  /** Set before anything is read. */
+  /** The session of the connection; set before its first event. */
   volatile IoSession session;
 
-  /** The connection is open. */
+  /** Called when the connection was opened. */
   abstract void opened();
 
-  /** Bytes were received; the buffer is used again after the call. */
+  /**
+   * Called when bytes were received.
+   *
+   * @param in the received bytes; the buffer is reused after the call
+   * @throws HttpResponseDecoder.ProtocolException if discovery sent a malformed response
+   */
   abstract void read(ByteBuffer in) throws HttpResponseDecoder.ProtocolException;
 
-  /** A write is about to begin; called by the thread that requested it. */
-  void writing() {}
+  /** Called before each write, by the thread that requests it. */
+  void beforeWrite() {}
 
-  /** A write that could not be completed at once is completed. */
+  /** Called when a write that could not be completed immediately is completed. */
   void written() {}
 
-  /** The connection is closed. */
+  /** Called when the connection was closed. */
   abstract void closed();
 
-  /** The connection could not be opened; called by the connector's thread. */
+  /** Called by the connector's thread when the connection could not be opened. */
   void connectFailed() {
     closed();
   }
 
-  /** The connection was opened and reset before its session began. */
+  /** Called by the connector's thread when the peer reset the connection while it was opened. */
   void resetOnConnect() {
     connectFailed();
   }
--- a/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
@@ -88,7 +88,7 @@
     transport = new MinaTransport(loop, this::clock, sockets * 3 / 4);
     gateway = new Gateway(gatewayConfig, transport, Duration.ofHours(500_000));
     gateway.reduce(now, Gateway::start);
-    address = transport.listening().get(20, TimeUnit.SECONDS);
+    address = transport.listenAddress().get(20, TimeUnit.SECONDS);
     // Its connection to itself has ended before anything is counted; before that began there are no
     // clients either.
     until(() -> gateway.isWarm() && clients() == 0);
@@ -101,7 +101,7 @@
       each.close();
     }
     if (!readerEnded) {
-      transport.end();
+      transport.close();
     }
   }
 
--- a/gateway/src/test/java/weldcross/gateway/IdleConnectionsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/IdleConnectionsTest.java
@@ -34,24 +34,24 @@
   }
 
   @Test
-  void emptyPoolHasNoConnectionOfAnyServer() {
+  void emptyPoolHasNoConnectionToAnyServer() {
     assertTrue(idle.isEmpty());
-    assertNull(idle.mostRecent(FIRST_SERVER));
-    assertNull(idle.leastRecent(FIRST_SERVER));
-    assertEquals(List.of(), idle.of(FIRST_SERVER));
+    assertNull(idle.mostRecentlyUsed(FIRST_SERVER));
+    assertNull(idle.leastRecentlyUsed(FIRST_SERVER));
+    assertEquals(List.of(), idle.connectionsTo(FIRST_SERVER));
   }
 
   @Test
-  void connectionsOfOneServerAreOrderedByLastUse() {
+  void connectionsToOneServerAreOrderedByLastUse() {
     addAll();
-    assertSame(newest, idle.mostRecent(FIRST_SERVER));
-    assertSame(oldest, idle.leastRecent(FIRST_SERVER));
-    assertEquals(List.of(newest, oldest), idle.of(FIRST_SERVER));
-    assertSame(middle, idle.mostRecent(SECOND_SERVER));
+    assertSame(newest, idle.mostRecentlyUsed(FIRST_SERVER));
+    assertSame(oldest, idle.leastRecentlyUsed(FIRST_SERVER));
+    assertEquals(List.of(newest, oldest), idle.connectionsTo(FIRST_SERVER));
+    assertSame(middle, idle.mostRecentlyUsed(SECOND_SERVER));
   }
 
   @Test
-  void longestIdleIsTheOldestOfAllServers() {
+  void longestIdleConnectionIsChosenAcrossServers() {
     addAll();
     assertSame(oldest, idle.longestIdle());
     idle.remove(oldest);
@@ -59,18 +59,18 @@
   }
 
   @Test
-  void removedConnectionIsGoneEverywhereAndMayReturn() {
+  void removedConnectionCanBeAddedAgain() {
     addAll();
     idle.remove(oldest);
     idle.remove(oldest);
-    assertEquals(List.of(newest), idle.of(FIRST_SERVER));
+    assertEquals(List.of(newest), idle.connectionsTo(FIRST_SERVER));
     idle.add(oldest);
-    assertSame(oldest, idle.mostRecent(FIRST_SERVER));
-    for (ServerConnection each : List.of(oldest, middle, newest)) {
+    assertSame(oldest, idle.mostRecentlyUsed(FIRST_SERVER));
+    for (ServerConnection connection : List.of(oldest, middle, newest)) {
       assertFalse(idle.isEmpty());
-      idle.remove(each);
+      idle.remove(connection);
     }
     assertTrue(idle.isEmpty());
-    assertNull(idle.mostRecent(FIRST_SERVER));
+    assertNull(idle.mostRecentlyUsed(FIRST_SERVER));
   }
 }
--- a/gateway/src/test/java/weldcross/gateway/ReadBatchTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ReadBatchTest.java
@@ -10,46 +10,45 @@
 import weldcross.pgwire.ClientMessageDecoder;
 import weldcross.pgwire.MessageEncoder;
 
-/** The order in which the events of one pass over the sockets are posted. */
+/** Tests which events of one pass over the sockets are posted, and in which order. */
 class ReadBatchTest {
 
   private final List<Gateway.Event> posted = new ArrayList<>();
   private final ReadBatch batch = new ReadBatch(posted::add);
   private final GatewayHarness harness = GatewayHarness.serving();
 
-  private void deliver() {
+  private void postAndDispatch() {
     batch.postAll();
     List.copyOf(posted).forEach(harness::dispatch);
     posted.clear();
   }
 
-  /** Decodes what a client sends into the batch, as a stream on sockets does. */
-  private ClientMessageDecoder reader(long client) {
+  /** Returns a decoder that adds the messages of a client to the batch, as its stream does. */
+  private ClientMessageDecoder decoderOf(long client) {
     return Streams.client(
         event -> batch.addForClient(client, event), batch::add, () -> harness.now, client);
   }
 
-  private static ByteBuffer read(String id) {
+  private static ByteBuffer readStatement(String id) {
     return MessageEncoder.query(
         "SELECT content FROM kv WHERE name = 'k' /* id=" + id + ",c=look,d=900,cluster=0 */");
   }
 
-  /** Nobody waits for it any more. */
+  /** Guards against useless attempts for a client that has already disconnected. */
   @Test
-  void requestReadWithItsClientsDisconnectIsNotStarted() {
-    long goes = harness.connect();
-    final long stays = harness.connect();
-    reader(goes);
-    ClientMessageDecoder one = reader(goes);
-    one.feed(MessageEncoder.startup());
-    one.feed(read("a900"));
-    ClientMessageDecoder other = reader(stays);
-    other.feed(MessageEncoder.startup());
-    other.feed(read("a901"));
+  void requestOfAClientThatDisconnectsInTheSamePassIsNotStarted() {
+    long leavingClient = harness.connect();
+    final long otherClient = harness.connect();
+    ClientMessageDecoder leavingDecoder = decoderOf(leavingClient);
+    leavingDecoder.feed(MessageEncoder.startup());
+    leavingDecoder.feed(readStatement("a900"));
+    ClientMessageDecoder otherDecoder = decoderOf(otherClient);
+    otherDecoder.feed(MessageEncoder.startup());
+    otherDecoder.feed(readStatement("a901"));
     harness.history.deadlines.put("a901", harness.now.plusMillis(900));
-    harness.history.clientOf.put("a901", stays);
-    batch.clientDisconnected(goes);
-    deliver();
+    harness.history.clientOf.put("a901", otherClient);
+    batch.clientDisconnected(leavingClient);
+    postAndDispatch();
     assertTrue(harness.history.openAttempts.containsKey("a901"));
     assertTrue(
         !harness.history.openAttempts.containsKey("a900")
@@ -57,48 +56,50 @@
         harness.gateway.describe());
   }
 
-  /** Lest a request queued for the last of them is started as the first makes room. */
+  /**
+   * Guards against useless attempts: with an event per disconnect, the first would free capacity
+   * and start a queued request of a client whose disconnect is posted next.
+   */
   @Test
   void disconnectsArePostedFirstAsOneEvent() {
     List<String> order = new ArrayList<>();
-    batch.addForClient(7, g -> order.add("of a client"));
-    batch.add(g -> order.add("of a server"));
+    batch.addForClient(7, g -> order.add("client event"));
+    batch.add(g -> order.add("other event"));
     batch.clientDisconnected(8);
     batch.clientDisconnected(9);
     batch.postAll();
-    assertEquals(3, posted.size(), "one for both disconnects, and the two others");
+    assertEquals(3, posted.size(), "one event for both disconnects and the two others");
     posted.remove(0);
     posted.forEach(harness::dispatch);
-    assertEquals(List.of("of a client", "of a server"), order);
+    assertEquals(List.of("client event", "other event"), order);
     posted.clear();
     batch.postAll();
-    assertTrue(posted.isEmpty(), "nothing is posted twice");
+    assertTrue(posted.isEmpty(), "an event is posted twice");
   }
 
   /**
-   * Rule 5: an answer to its session's write and a read of it, found in one batch, whichever socket
-   * comes first.
+   * Guards against a session that does not read its own write: the response to the write and the
+   * read are received in one pass, and the socket of the client may be read first.
    */
   @Test
   void serverEventsArePostedBeforeClientEvents() {
     List<String> order = new ArrayList<>();
-    batch.addForClient(7, g -> order.add("asked"));
-    batch.addForServer(g -> order.add("answered"));
-    batch.addForServer(g -> order.add("gone"));
+    batch.addForClient(7, g -> order.add("request"));
+    batch.addForServer(g -> order.add("response"));
+    batch.addForServer(g -> order.add("closed"));
     batch.clientDisconnected(8);
     batch.postAll();
     posted.remove(0);
     posted.forEach(harness::dispatch);
-    assertEquals(List.of("answered", "gone", "asked"), order);
+    assertEquals(List.of("response", "closed", "request"), order);
   }
 
-  /** A client accepted and disconnected in one pass leaves nothing behind. */
   @Test
-  void clientAcceptedAndDisconnectedInOnePassIsUnknown() {
+  void clientAcceptedAndDisconnectedInTheSamePassIsNotTracked() {
     batch.clientAccepted(70);
     batch.clientDisconnected(70);
     batch.clientAccepted(71);
-    deliver();
+    postAndDispatch();
     assertTrue(harness.gateway.describe().startsWith("1 clients"), harness.gateway.describe());
   }
 }
