--- a/gateway/src/main/java/weldcross/connections/CancellableConnector.java
+++ b/gateway/src/main/java/weldcross/connections/CancellableConnector.java
@@ -13,31 +13,34 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * Connects by MINA's connector, with attempts that can be cancelled at any moment, also in the one
+ * Connects with MINA's connector. Connect attempts can be cancelled at any time, even at the moment
  * in which they succeed.
  *
- * <p>MINA's own cancel must not be used: an attempt that succeeds or fails while it is cancelled is
- * counted off twice in the connector. Its thread then takes the last pending attempt for none and
- * ends; the next thread finds that attempt selected already, so that its select returns at once
- * without a new key, again and again, and no later attempt succeeds. MINA's time limit counts off
- * twice in the same way. Here the channel of a cancelled attempt is closed and the attempt stays in
- * the connector's count, so that the thread never ends too early; the thread frees the descriptor
- * at its next select, within a second. The thread may outlive its connector, so connectors are not
- * to be created in large numbers.
+ * <p>MINA's own cancel must not be used. If an attempt succeeds or fails while it is cancelled, the
+ * connector decrements its number of pending attempts twice. Its thread then assumes that no
+ * attempt is left although one is pending, and ends. The next thread finds the key of that attempt
+ * already selected, so its select always returns immediately without a new key, and no later
+ * attempt succeeds. MINA's connect timeout causes the same double decrement.
  *
- * <p>Called by the one thread that owns the connections; results come from threads of MINA.
+ * <p>This class closes the channel of a cancelled attempt instead. The attempt stays in the
+ * connector's count, so that the thread never ends too early. The thread frees the file descriptor
+ * at its next select, within a second. As the thread may outlive its connector, connectors should
+ * not be created in large numbers.
+ *
+ * <p>Must be called only by the thread that owns the connections; callbacks run on MINA's threads.
  */
 public final class CancellableConnector {
 
-  /** An attempt, until it has succeeded, failed or been closed, whichever comes first. */
-  private static final class Attempt {
+  /** A connect attempt, which ends once: it succeeds, fails or is closed. */
+  private static final class ConnectAttempt {
     private SocketChannel channel;
     private boolean ended;
 
-    synchronized void endWith(Runnable action) {
+    /** Ends the attempt with a callback; does nothing if it has already ended. */
+    synchronized void end(Runnable callback) {
       if (!ended) {
         ended = true;
-        action.run();
+        callback.run();
       }
     }
 
@@ -46,9 +49,9 @@
     }
 
     /**
-     * Closes the channel unless the connector's thread has not registered it yet: closed then, its
-     * descriptor may belong to another attempt by the time of the registration, and that attempt
-     * would never be reported.
+     * Closes the channel if the connector's thread has registered it with its selector. If it were
+     * closed before that, its file descriptor could be reused by another attempt at the time of the
+     * registration, and the result of that attempt would never be reported.
      */
     synchronized void closeIfRegistered() {
       if (!ended && channel.isRegistered()) {
@@ -56,36 +59,40 @@
         try {
           channel.close();
         } catch (IOException e) {
-          // The channel is of no use any more, closed or not.
+          // Ignored: the channel is not used any more.
         }
       }
     }
   }
 
   private final NioSocketConnector connector;
-  private final Map<Long, Attempt> pending = new ConcurrentHashMap<>();
+  private final Map<Long, ConnectAttempt> pending = new ConcurrentHashMap<>();
 
-  /** Cancelled before their registration; closed by a later call if they have not ended by then. */
-  private final ArrayDeque<Attempt> unclosed = new ArrayDeque<>();
+  /**
+   * Cancelled attempts that have not ended. Those that were not registered when they were cancelled
+   * are closed by a later call.
+   */
+  private final ArrayDeque<ConnectAttempt> cancelled = new ArrayDeque<>();
 
   /**
-   * Creates a connector on top of MINA's.
+   * Creates a connector based on one of MINA.
    *
-   * @param connector connects for nobody else, and has no time limit that an attempt may reach
+   * @param connector must not be used otherwise, and its connect timeout must be longer than any
+   *     attempt lasts
    */
   public CancellableConnector(NioSocketConnector connector) {
     this.connector = connector;
   }
 
   /**
-   * Starts to connect. One of the two callbacks is called, unless the attempt is cancelled before.
-   * An attempt that is cancelled at once may succeed all the same; the caller then has to close the
+   * Starts to connect. Calls one of the two callbacks unless the attempt is cancelled before. An
+   * attempt that is cancelled immediately may still succeed; the caller then has to close the
    * session.
    *
-   * @param number identifies the attempt; not pending yet
-   * @param address where to connect to
+   * @param number identifies the attempt; must not be pending yet
+   * @param address the address to connect to
    * @param onConnected called before any event of the session
-   * @param onFailure called with the reason
+   * @param onFailure called with the cause
    */
   public void connect(
       long number,
@@ -93,13 +100,13 @@
       Consumer<IoSession> onConnected,
       Consumer<Throwable> onFailure) {
     closeCancelled();
-    Attempt attempt = new Attempt();
+    ConnectAttempt attempt = new ConnectAttempt();
     pending.put(number, attempt);
     ConnectFuture future =
         connector.connect(
             address,
             (session, unused) ->
-                attempt.endWith(
+                attempt.end(
                     () -> {
                       pending.remove(number, attempt);
                       onConnected.accept(session);
@@ -111,7 +118,7 @@
         completed -> {
           Throwable cause = ((ConnectFuture) completed).getException();
           if (cause != null) {
-            attempt.endWith(
+            attempt.end(
                 () -> {
                   pending.remove(number, attempt);
                   onFailure.accept(cause);
@@ -123,25 +130,28 @@
   /**
    * Cancels an attempt.
    *
-   * @return false if it has succeeded or failed already, or is not known
+   * @return false if it has already succeeded or failed, or is unknown
    */
   public boolean cancel(long number) {
     closeCancelled();
-    Attempt attempt = pending.remove(number);
+    ConnectAttempt attempt = pending.remove(number);
     if (attempt == null) {
       return false;
     }
-    unclosed.add(attempt);
+    cancelled.add(attempt);
     closeCancelled();
     return true;
   }
 
   private void closeCancelled() {
-    unclosed.forEach(Attempt::closeIfRegistered);
-    unclosed.removeIf(Attempt::isEnded);
+    cancelled.forEach(ConnectAttempt::closeIfRegistered);
+    cancelled.removeIf(ConnectAttempt::isEnded);
   }
 
-  /** Returns the number of pending attempts, each of which has a descriptor; from any thread. */
+  /**
+   * Returns the number of pending attempts, each of which has a file descriptor. May be called from
+   * any thread.
+   */
   public int pendingCount() {
     return pending.size();
   }
--- a/gateway/src/main/java/weldcross/connections/ClientEvictionPolicy.java
+++ b/gateway/src/main/java/weldcross/connections/ClientEvictionPolicy.java
@@ -4,13 +4,17 @@
 import java.util.Optional;
 
 /**
- * Chooses the client that is evicted when the connection limit is reached: the first to connect of
- * those that have sent no request; else of those that have sent one, the one idle for longest; else
- * of all, the one idle for longest, if that is at least as long as it takes to connect. Any other
- * client would only connect again.
+ * Chooses the client to evict when the connection limit is reached. In order of preference:
  *
- * <p>An instance serves one choice: the owner of the clients passes all of them, in the order in
- * which they connected, then asks for the result. Decides only; not thread-safe.
+ * <ol>
+ *   <li>the first to connect of the clients that have sent no request;
+ *   <li>the longest idle of the clients that have sent one request;
+ *   <li>the longest idle of all clients, if it has been idle for at least the connect timeout; a
+ *       client that was active more recently would only reconnect.
+ * </ol>
+ *
+ * <p>An instance makes one choice: the caller adds all clients in the order in which they
+ * connected, then calls {@link #choose}. Does no I/O; not thread-safe.
  *
  * @param <C> type of the clients
  */
@@ -19,25 +23,25 @@
   private final Duration now;
   private final Duration connectTimeout;
 
-  /** The first client without a request; null if there is none. */
-  private C silent;
+  /** The first client that has sent no request; null if there is none. */
+  private C firstWithoutRequest;
 
-  /** Of the clients with one request the one idle for longest; null if there is none. */
-  private C oneRequest;
+  /** The longest idle of the clients that have sent one request; null if there is none. */
+  private C longestIdleWithOneRequest;
 
   private Duration oneRequestIdleSince;
 
-  /** Of all clients the one idle for longest; null if there is none. */
+  /** The longest idle of all clients; null if there is none. */
   private C longestIdle;
 
   private Duration longestIdleSince;
 
   /**
-   * Creates a choice.
+   * Creates a policy for one choice.
    *
    * @param now the current time
-   * @param connectTimeout how long a client may take to come back; a client that has been idle for
-   *     less is not evicted
+   * @param connectTimeout how long a client may take to reconnect; a client that has sent several
+   *     requests and has been idle for less is not evicted
    */
   public ClientEvictionPolicy(Duration now, Duration connectTimeout) {
     this.now = now;
@@ -45,21 +49,22 @@
   }
 
   /**
-   * Adds a client that is connected and not being evicted already.
+   * Adds a client that is connected and not yet being evicted.
    *
    * @param client the client
    * @param requests the number of requests that it has sent
-   * @param idleSince since when nothing of it is in progress; null if something is
+   * @param idleSince since when it has had no request in progress; null if it has one
    */
-  public void consider(C client, int requests, Duration idleSince) {
-    if (requests == 0 && silent == null) {
-      silent = client;
+  public void addCandidate(C client, int requests, Duration idleSince) {
+    if (requests == 0 && firstWithoutRequest == null) {
+      firstWithoutRequest = client;
     }
     if (idleSince == null) {
       return;
     }
-    if (requests == 1 && (oneRequest == null || idleSince.compareTo(oneRequestIdleSince) < 0)) {
-      oneRequest = client;
+    if (requests == 1
+        && (longestIdleWithOneRequest == null || idleSince.compareTo(oneRequestIdleSince) < 0)) {
+      longestIdleWithOneRequest = client;
       oneRequestIdleSince = idleSince;
     }
     if (longestIdle == null || idleSince.compareTo(longestIdleSince) < 0) {
@@ -68,13 +73,13 @@
     }
   }
 
-  /** Returns the client to evict; empty if all are to stay. */
+  /** Returns the client to evict; empty if no client is to be evicted. */
   public Optional<C> choose() {
-    if (silent != null) {
-      return Optional.of(silent);
+    if (firstWithoutRequest != null) {
+      return Optional.of(firstWithoutRequest);
     }
-    if (oneRequest != null) {
-      return Optional.of(oneRequest);
+    if (longestIdleWithOneRequest != null) {
+      return Optional.of(longestIdleWithOneRequest);
     }
     boolean idleLongEnough =
         longestIdle != null && now.minus(longestIdleSince).compareTo(connectTimeout) >= 0;
--- a/gateway/src/main/java/weldcross/gateway/ClientConnections.java
+++ b/gateway/src/main/java/weldcross/gateway/ClientConnections.java
@@ -107,7 +107,7 @@
         .filter(client -> !client.closePending)
         .forEach(
             client ->
-                policy.consider(
+                policy.addCandidate(
                     client, client.statements, client.isIdle() ? client.idleSince : null));
     ClientConnection evicted = policy.choose().orElse(null);
     if (evicted != null) {
--- a/gateway/src/test/java/weldcross/connections/CancellableConnectorTest.java
+++ b/gateway/src/test/java/weldcross/connections/CancellableConnectorTest.java
@@ -24,7 +24,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Attempts over loopback sockets that are cancelled at the moments at which MINA miscounts them.
+ * Tests cancellation of connect attempts on loopback sockets, at the moments at which MINA's own
+ * cancellation decrements its number of pending attempts twice.
  */
 @Timeout(60)
 class CancellableConnectorTest {
@@ -37,11 +38,11 @@
   private InetSocketAddress address;
 
   @BeforeEach
-  void listen() throws IOException {
+  void startServer() throws IOException {
     minaConnector.setHandler(new IoHandlerAdapter());
     server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
     address = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
-    Thread accepting =
+    Thread acceptor =
         new Thread(
             () -> {
               try {
@@ -52,12 +53,12 @@
                 // Closed at the end of the test.
               }
             });
-    accepting.setDaemon(true);
-    accepting.start();
+    acceptor.setDaemon(true);
+    acceptor.start();
   }
 
   @AfterEach
-  void end() throws IOException {
+  void stopServer() throws IOException {
     server.close();
     minaConnector.dispose();
   }
@@ -74,34 +75,35 @@
   }
 
   /**
-   * An attempt that MINA counts off twice makes its thread leave the next one: the gateway stalls.
+   * Guards against a gateway that cannot connect any more: if MINA decrements its number of pending
+   * attempts twice, its thread ends and leaves the next attempt pending.
    */
   @Test
-  void cancelWhileConnectingSucceedsKeepsLaterAttemptsWorking() throws InterruptedException {
-    for (long k = 1; k <= 20; k++) {
-      long number = k;
+  void cancelDuringSuccessDoesNotBlockLaterAttempts() throws InterruptedException {
+    for (long round = 1; round <= 20; round++) {
+      long number = round;
       connector.connect(
           number,
           address,
           session -> {
-            assertFalse(connector.cancel(number), "it is connected");
+            assertFalse(connector.cancel(number), "cancelled although connected");
             connected.add(session);
           },
           failed::add);
-      closeConnected("attempt " + k);
-      connectAndClose(-k);
+      closeConnected("attempt " + number);
+      connectAndClose(-number);
     }
   }
 
-  /** Cancelled before or after its registration with the connector thread. */
+  /** The attempts are cancelled before or after their registration with the connector's thread. */
   @Test
-  void cancelAtOnceKeepsLaterAttemptsWorking() throws InterruptedException {
+  void immediateCancelDoesNotBlockLaterAttempts() throws InterruptedException {
     List<IoSession> cancelledButConnected = Collections.synchronizedList(new ArrayList<>());
-    for (long k = 1; k <= 300; k++) {
-      connector.connect(k, address, cancelledButConnected::add, failed::add);
-      connector.cancel(k);
-      assertFalse(connector.cancel(k), "cancelled already");
-      connectAndClose(-k);
+    for (long number = 1; number <= 300; number++) {
+      connector.connect(number, address, cancelledButConnected::add, failed::add);
+      connector.cancel(number);
+      assertFalse(connector.cancel(number), "cancelled twice");
+      connectAndClose(-number);
     }
     assertEquals(List.of(), List.copyOf(failed));
     assertEquals(0, connector.pendingCount());
@@ -110,25 +112,25 @@
     }
   }
 
-  /** An attempt that nobody accepts stays pending until it is cancelled; others succeed. */
+  /** An attempt that is not accepted stays pending until it is cancelled; others succeed. */
   @Test
-  void hangingAttemptDoesNotDelayOthers() throws Exception {
+  void pendingAttemptDoesNotDelayOthers() throws Exception {
     List<Socket> queued = new ArrayList<>();
-    try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+    try (ServerSocket fullListener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       InetSocketAddress fullAddress =
-          new InetSocketAddress(full.getInetAddress(), full.getLocalPort());
+          new InetSocketAddress(fullListener.getInetAddress(), fullListener.getLocalPort());
       try {
         while (true) {
-          Socket next = new Socket();
-          queued.add(next);
-          next.connect(fullAddress, 200);
+          Socket socket = new Socket();
+          queued.add(socket);
+          socket.connect(fullAddress, 200);
         }
       } catch (IOException e) {
-        // The backlog is full.
+        // The accept queue is full.
       }
       connector.connect(1, fullAddress, connected::add, failed::add);
-      for (long k = 2; k < 10; k++) {
-        connectAndClose(k);
+      for (long number = 2; number < 10; number++) {
+        connectAndClose(number);
       }
       assertEquals(1, connector.pendingCount());
       assertTrue(connector.cancel(1));
@@ -136,19 +138,19 @@
       connectAndClose(10);
       assertEquals(List.of(), List.copyOf(failed));
     } finally {
-      for (Socket each : queued) {
-        each.close();
+      for (Socket socket : queued) {
+        socket.close();
       }
     }
   }
 
   @Test
   void refusedAttemptIsReportedAndCannotBeCancelled() throws Exception {
-    // Bound and not listening: refused for sure, as no other process can take the port meanwhile.
-    try (Socket reserved = new Socket()) {
-      reserved.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-      InetSocketAddress refusing = (InetSocketAddress) reserved.getLocalSocketAddress();
-      connector.connect(1, refusing, connected::add, failed::add);
+    // The port is bound but not listening, so that no other process can use it during the test.
+    try (Socket boundSocket = new Socket()) {
+      boundSocket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+      InetSocketAddress refusingAddress = (InetSocketAddress) boundSocket.getLocalSocketAddress();
+      connector.connect(1, refusingAddress, connected::add, failed::add);
       assertNotNull(failed.poll(20, TimeUnit.SECONDS));
       assertFalse(connector.cancel(1));
     }
--- a/gateway/src/test/java/weldcross/connections/IdleTimeoutEstimatorTest.java
+++ b/gateway/src/test/java/weldcross/connections/IdleTimeoutEstimatorTest.java
@@ -13,22 +13,22 @@
 
   private final IdleTimeoutEstimator estimator = new IdleTimeoutEstimator();
 
-  private static Duration ms(long n) {
-    return Duration.ofMillis(n);
+  private static Duration ms(long millis) {
+    return Duration.ofMillis(millis);
   }
 
   @Test
-  void idleConnectionsMayBeReusedBeforeFailures() {
+  void idleConnectionsMayBeReusedUntilSeveralFail() {
     for (long idleMillis : new long[] {0, 4, 100, 30_000, Integer.MAX_VALUE}) {
       assertTrue(estimator.mayReuse(ms(idleMillis)));
     }
     estimator.recordLost(ms(200));
-    assertTrue(estimator.mayReuse(ms(200)), "one alone proves nothing");
+    assertTrue(estimator.mayReuse(ms(200)), "one failure prevented reuse");
   }
 
   @Test
   void idleConnectionsMayBeReusedIfNewOnesFailAsOften() {
-    for (int k = 0; k < 200; k++) {
+    for (int use = 0; use < 200; use++) {
       estimator.recordLost(ms(200));
       estimator.recordLost(null);
     }
@@ -36,37 +36,37 @@
   }
 
   /**
-   * Connections that are idle for longer than an unknown limit are lost, and some requests always
-   * fail: the limit is learnt, and forgotten once it is gone.
+   * Connections that are idle for longer than an unknown limit are lost with a high probability,
+   * and any request with a low one. The estimator must detect the limit, and later its removal.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void idleLimitIsLearntAndForgotten(long seed) {
+  void idleLimitAndItsRemovalAreDetected(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    long limit = 20L + random.nextInt(2000);
-    double gone = 0.4 + 0.6 * random.nextDouble();
+    long limitMillis = 20L + random.nextInt(2000);
+    double lossProbability = 0.4 + 0.6 * random.nextDouble();
     int lost = 0;
-    for (int k = 0; k < 3000; k++) {
-      boolean fresh = random.nextInt(4) == 0;
-      Duration idleTime = fresh ? null : ms(1L << random.nextInt(13));
-      // Like a pool: requests only on what may be reused, health checks on any connection.
-      if (fresh || estimator.mayReuse(idleTime) || random.nextInt(5) == 0) {
-        boolean fails =
-            random.nextDouble() < (!fresh && idleTime.toMillis() >= limit ? gone : 0.04);
-        lost += fails && !fresh && estimator.mayReuse(idleTime) ? 1 : 0;
-        use(idleTime, fails);
+    for (int use = 0; use < 3000; use++) {
+      boolean newConnection = random.nextInt(4) == 0;
+      Duration idleTime = newConnection ? null : ms(1L << random.nextInt(13));
+      // As in a pool, requests use only reusable connections, and health checks use any.
+      if (newConnection || estimator.mayReuse(idleTime) || random.nextInt(5) == 0) {
+        boolean beyondLimit = !newConnection && idleTime.toMillis() >= limitMillis;
+        boolean fails = random.nextDouble() < (beyondLimit ? lossProbability : 0.04);
+        lost += fails && !newConnection && estimator.mayReuse(idleTime) ? 1 : 0;
+        record(idleTime, fails);
       }
     }
-    assertFalse(estimator.mayReuse(ms(2 * Long.highestOneBit(limit))));
-    assertTrue(estimator.mayReuse(ms(Long.highestOneBit(limit) / 2)));
-    assertTrue(lost < 300, "lost " + lost + " of some 2000");
-    for (int k = 0; k < 3000; k++) {
-      use(ms(1L << random.nextInt(13)), random.nextInt(25) == 0);
+    assertFalse(estimator.mayReuse(ms(2 * Long.highestOneBit(limitMillis))));
+    assertTrue(estimator.mayReuse(ms(Long.highestOneBit(limitMillis) / 2)));
+    assertTrue(lost < 300, lost + " of about 2000 requests lost");
+    for (int use = 0; use < 3000; use++) {
+      record(ms(1L << random.nextInt(13)), random.nextInt(25) == 0);
     }
     assertTrue(estimator.mayReuse(ms(4096)));
   }
 
-  private void use(Duration idleTime, boolean fails) {
+  private void record(Duration idleTime, boolean fails) {
     if (fails) {
       estimator.recordLost(idleTime);
     } else {
