--- a/gateway/src/main/java/weldcross/gateway/ClientStream.java
+++ b/gateway/src/main/java/weldcross/gateway/ClientStream.java
@@ -45,7 +45,8 @@
     this.batch = batch;
     this.processor = processor;
     this.decoder =
-        Streams.client(event -> batch.addForClient(number, event), batch::add, clock, number);
+        MessageDecoders.forClient(
+            event -> batch.addForClient(number, event), batch::add, clock, number);
   }
 
   @Override
--- a/gateway/src/main/java/weldcross/gateway/JitWarmUp.java
+++ b/gateway/src/main/java/weldcross/gateway/JitWarmUp.java
@@ -38,7 +38,7 @@
   private final EventLoop loop = new EventLoop(() -> this.now);
   private final Map<Long, ServerMessageDecoder> servers = new HashMap<>();
   private final ClientMessageDecoder client =
-      Streams.client(loop::post, loop::post, () -> this.now, CLIENT);
+      MessageDecoders.forClient(loop::post, loop::post, () -> this.now, CLIENT);
   private final Gateway gateway;
   private Duration now = Duration.ZERO;
   private int served;
@@ -119,7 +119,7 @@
 
   @Override
   public void connectToServer(long connection, InetSocketAddress to) {
-    servers.put(connection, Streams.server(loop::post, connection));
+    servers.put(connection, MessageDecoders.forServer(loop::post, connection));
     loop.post(g -> g.serverConnections().connected(connection));
   }
 
--- a/gateway/src/main/java/weldcross/gateway/Streams.java
+++ b/gateway/src/main/java/weldcross/gateway/MessageDecoders.java
@@ -8,20 +8,20 @@
 import weldcross.pgwire.ServerResponse;
 import weldcross.pgwire.Statement;
 
-/** Decoders of the streams of clients and servers, whose messages become events of the gateway. */
-final class Streams {
+/** Creates decoders for clients and servers that post the decoded messages as gateway events. */
+final class MessageDecoders {
 
-  private Streams() {}
+  private MessageDecoders() {}
 
   /**
-   * Returns a decoder of a client's stream.
+   * Returns a decoder for what a client sends.
    *
-   * @param post takes events that concern this client alone
-   * @param postAlways takes events that count even if this client disconnects
+   * @param post receives events that may be discarded if this client disconnects
+   * @param postAlways receives events that must be handled even if this client disconnects
    * @param clock the time since the gateway's start
-   * @param number of the client's connection
+   * @param number identifies the client's connection
    */
-  static ClientMessageDecoder client(
+  static ClientMessageDecoder forClient(
       Consumer<Gateway.Event> post,
       Consumer<Gateway.Event> postAlways,
       Supplier<Duration> clock,
@@ -30,11 +30,12 @@
   }
 
   /**
-   * Returns a decoder of a server's stream.
+   * Returns a decoder for what a server sends.
    *
-   * @param number of the connection to the server
+   * @param post receives the events
+   * @param number identifies the connection to the server
    */
-  static ServerMessageDecoder server(Consumer<Gateway.Event> post, long number) {
+  static ServerMessageDecoder forServer(Consumer<Gateway.Event> post, long number) {
     return new ServerMessageDecoder(new ServerEvents(post, number));
   }
 
@@ -48,48 +49,48 @@
 
     @Override
     public void encryptionRequested() {
-      post.accept(g -> g.pipeline().encryptionRequested(number));
+      post.accept(gateway -> gateway.pipeline().encryptionRequested(number));
     }
 
     @Override
     public void startupReceived() {
-      post.accept(g -> g.pipeline().startupReceived(number));
+      post.accept(gateway -> gateway.pipeline().startupReceived(number));
     }
 
     @Override
     public void statementReceived(Statement statement) {
-      Duration arrived = clock.get();
-      post.accept(g -> g.pipeline().statementReceived(number, statement, arrived));
+      Duration receivedAt = clock.get();
+      post.accept(gateway -> gateway.pipeline().statementReceived(number, statement, receivedAt));
     }
 
     @Override
     public void emptyQueryReceived() {
-      post.accept(g -> g.pipeline().emptyQueryReceived(number));
+      post.accept(gateway -> gateway.pipeline().emptyQueryReceived(number));
     }
 
     @Override
     public void statementRejected(String sqlState, String message) {
-      post.accept(g -> g.pipeline().statementRejected(number, sqlState, message));
+      post.accept(gateway -> gateway.pipeline().statementRejected(number, sqlState, message));
     }
 
     @Override
     public void messageStarted() {
-      post.accept(g -> g.clients().messageStarted(number));
+      post.accept(gateway -> gateway.clients().messageStarted(number));
     }
 
     @Override
     public void protocolError(String sqlState, String message) {
-      post.accept(g -> g.clients().protocolError(number, sqlState, message));
+      post.accept(gateway -> gateway.clients().protocolError(number, sqlState, message));
     }
 
     @Override
     public void terminated() {
-      post.accept(g -> g.clients().terminated(number));
+      post.accept(gateway -> gateway.clients().terminated(number));
     }
 
     @Override
     public void cancelRequested(int processId, int secretKey) {
-      postAlways.accept(g -> g.cancelRequests().received(number, processId, secretKey));
+      postAlways.accept(gateway -> gateway.cancelRequests().received(number, processId, secretKey));
     }
   }
 
@@ -99,22 +100,24 @@
 
     @Override
     public void ready() {
-      post.accept(g -> g.serverConnections().sessionReady(number));
+      post.accept(gateway -> gateway.serverConnections().sessionReady(number));
     }
 
     @Override
     public void responseReceived(ServerResponse response, boolean hasTrailingBytes) {
-      post.accept(g -> g.serverConnections().responseReceived(number, response, hasTrailingBytes));
+      post.accept(
+          gateway ->
+              gateway.serverConnections().responseReceived(number, response, hasTrailingBytes));
     }
 
     @Override
     public void responseStarted() {
-      post.accept(g -> g.serverConnections().responseStarted(number));
+      post.accept(gateway -> gateway.serverConnections().responseStarted(number));
     }
 
     @Override
     public void protocolError(String reason) {
-      post.accept(g -> g.serverConnections().protocolError(number, reason));
+      post.accept(gateway -> gateway.serverConnections().protocolError(number, reason));
     }
   }
 }
--- a/gateway/src/main/java/weldcross/gateway/ServerConnection.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerConnection.java
@@ -4,41 +4,41 @@
 import java.time.Duration;
 import weldcross.routing.ServerId;
 
-/** State of one connection to a server, which {@link ServerConnectionPool} owns. */
+/** State of one connection to a server; owned by {@link ServerConnectionPool}. */
 final class ServerConnection {
 
   final long number;
   final ServerId server;
   final InetSocketAddress address;
 
-  /** What this carries; null if it is idle. */
+  /** The request that is in progress on this connection; null if it is idle. */
   ServerRequest request;
 
-  /** Whether the connection was accepted. */
+  /** Whether the server accepted the connection. */
   boolean accepted;
 
-  /** Whether the server has opened the session and takes requests. */
+  /** Whether the server has sent ReadyForQuery, so that requests can be sent. */
   boolean sessionReady;
 
-  /** Whether some of the response to the current request has arrived. */
+  /** Whether a part of the response to the current request was received. */
   boolean responseStarted;
 
-  /** Number of messages that may not have been sent completely. */
+  /** Number of messages that have not been reported as completely sent. */
   int unsentMessages;
 
-  /** Number of steps taken; a timeout that was set in an earlier step is void. */
+  /** Number of the current step; a timeout that was started in an earlier step has no effect. */
   int step;
 
-  /** The step whose timeout has passed and waits for pending reads; -1 if there is none. */
+  /** The step that has timed out unless pending reads complete it; -1 if there is none. */
   int overdueStep = -1;
 
-  /** Since when the session is open; null before. */
+  /** When the session became ready; null before that. */
   Duration readySince;
 
-  /** Since when this is idle; null before it was for the first time. */
+  /** When the connection last became idle; null if it never has. */
   Duration idleSince;
 
-  /** How long this had been idle before the current request; null for a new connection. */
+  /** How long the connection was idle before the current request; null for a new connection. */
   Duration idleTime;
 
   ServerConnection(long number, ServerId server, InetSocketAddress address) {
--- a/gateway/src/main/java/weldcross/gateway/ServerConnectionPool.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerConnectionPool.java
@@ -13,18 +13,25 @@
 import weldcross.routing.ServerId;
 
 /**
- * The connections to servers. Each carries one request at a time and is then idle until the next.
- * Called by the event loop alone.
+ * Pool of connections to servers. A connection carries one request at a time and is idle between
+ * requests. Called only by the event loop.
  */
 final class ServerConnectionPool {
 
-  /** A connection is closed here this fraction of the server's idle timeout before the server. */
+  /**
+   * The pool closes an idle connection this fraction of the server's idle timeout before the server
+   * would.
+   */
   private static final int IDLE_MARGIN_DIVISOR = 8;
 
-  /** A connection is to be quiet for this fraction of the connect timeout before it is reused. */
-  private static final int SETTLE_DIVISOR = 64;
+  /** A connection must be idle for this fraction of the connect timeout before it is reused. */
+  private static final int QUIET_PERIOD_DIVISOR = 64;
 
-  /** Number of connections to one server, for the log. */
+  private static final String READ_ONLY_SQL_TRANSACTION = "25006";
+  private static final String SNAPSHOT_TOO_OLD = "72000";
+  private static final String TOO_MANY_CONNECTIONS = "53300";
+
+  /** Numbers of connections to one server, for the log. */
   private static final class Usage {
     private int open;
     private int busy;
@@ -34,22 +41,22 @@
   private final Transport transport;
   private final Duration connectTimeout;
   private final Duration idleTimeout;
-  private final Duration settleTime;
+  private final Duration quietPeriod;
   private final int maxConnections;
   private final IdleTimeoutEstimator idleTimeoutEstimator = new IdleTimeoutEstimator();
   private final Map<ServerId, InetSocketAddress> addresses = new HashMap<>();
   private final Map<Long, ServerConnection> connections = new HashMap<>();
   private final IdleConnections idle = new IdleConnections();
-  private boolean idleTimerSet;
+  private boolean idleTimerRunning;
 
   /**
    * Creates an empty pool.
    *
-   * @param gateway the owner, which provides time and timers
-   * @param transport what connects and writes
-   * @param connectTimeout limit for a connection to come up, and for each step of its session
+   * @param gateway the owner, which provides the time and timers
+   * @param transport connects and writes
+   * @param connectTimeout limit for connecting and for each step of the session
    * @param serverIdleTimeout idle time after which a server closes a connection
-   * @param maxConnections limit for open connections and those that are coming up
+   * @param maxConnections limit for open and pending connections together
    */
   ServerConnectionPool(
       Gateway gateway,
@@ -61,21 +68,21 @@
     this.transport = transport;
     this.connectTimeout = connectTimeout;
     this.idleTimeout = serverIdleTimeout.minus(serverIdleTimeout.dividedBy(IDLE_MARGIN_DIVISOR));
-    this.settleTime = connectTimeout.dividedBy(SETTLE_DIVISOR);
+    this.quietPeriod = connectTimeout.dividedBy(QUIET_PERIOD_DIVISOR);
     this.maxConnections = maxConnections;
   }
 
   // ---- Endpoints
 
-  /** Sets the address of a server; idle connections to a former address are closed. */
+  /** Sets the address of a server; idle connections to its previous address are closed. */
   void setAddress(ServerId server, InetSocketAddress address) {
-    InetSocketAddress before = addresses.put(server, address);
-    if (before != null && !before.equals(address)) {
+    InetSocketAddress previous = addresses.put(server, address);
+    if (previous != null && !previous.equals(address)) {
       idle.connectionsTo(server).forEach(this::close);
     }
   }
 
-  /** Removes a server; connections that carry a request stay until it is answered. */
+  /** Removes a server; connections that carry a request stay open until it is answered. */
   void removeServer(ServerId server) {
     addresses.remove(server);
     idle.connectionsTo(server).forEach(this::close);
@@ -83,10 +90,10 @@
 
   // ---- Requests
 
-  /** Sends a request on an idle connection, or on a new one. */
+  /** Sends a request on an idle connection or on a new one. */
   void send(ServerId server, ServerRequest request) {
-    ServerConnection settled = settledConnection(server);
-    if (settled == null) {
+    ServerConnection reusable = reusableConnection(server);
+    if (reusable == null) {
       connect(server, request);
       return;
     }
@@ -94,14 +101,14 @@
       gateway.soon(() -> complete(request, AttemptOutcome.NOT_SENT, null));
       return;
     }
-    Duration idleTime = gateway.now().minus(settled.idleSince);
-    // A health check may be repeated, so it uses any connection; thus it is learnt when idle
-    // connections are good again.
+    Duration idleTime = gateway.now().minus(reusable.idleSince);
+    // A health check can be repeated, so it uses a connection of any idle time. Its results show
+    // when connections of that idle time can be reused again.
     if (request.isAnsweredPromptly() || idleTimeoutEstimator.mayReuse(idleTime)) {
-      idle.remove(settled);
-      settled.idleTime = idleTime;
-      assign(settled, request);
-      write(settled, request.message());
+      idle.remove(reusable);
+      reusable.idleTime = idleTime;
+      assign(reusable, request);
+      write(reusable, request.message());
       return;
     }
     close(idle.leastRecentlyUsed(server));
@@ -109,16 +116,17 @@
   }
 
   /**
-   * Returns the idle connection to reuse; null if none has been quiet for long enough. Bytes that
-   * do not belong to a response come right after it, so only a quiet connection is safe.
+   * Returns the idle connection to reuse; null if none has been idle for the quiet period. Bytes
+   * that do not belong to a response usually arrive right after it; a connection that has received
+   * nothing during the quiet period is safe to reuse.
    */
-  private ServerConnection settledConnection(ServerId server) {
-    Duration quietSince = gateway.now().minus(settleTime);
+  private ServerConnection reusableConnection(ServerId server) {
+    Duration latestIdleSince = gateway.now().minus(quietPeriod);
     ServerConnection connection = idle.mostRecentlyUsed(server);
-    if (connection != null && connection.idleSince.compareTo(quietSince) > 0) {
+    if (connection != null && connection.idleSince.compareTo(latestIdleSince) > 0) {
       connection = idle.leastRecentlyUsed(server);
     }
-    return connection != null && connection.idleSince.compareTo(quietSince) <= 0
+    return connection != null && connection.idleSince.compareTo(latestIdleSince) <= 0
         ? connection
         : null;
   }
@@ -129,7 +137,7 @@
     }
     InetSocketAddress address = addresses.get(server);
     if (connections.size() >= maxConnections || address == null) {
-      gateway.warn("no descriptor for a connection: endpoint=" + server.name());
+      gateway.warn("connection limit reached or no address: endpoint=" + server.name());
       gateway.soon(() -> complete(request, AttemptOutcome.UNREACHABLE, null));
       return;
     }
@@ -140,7 +148,7 @@
     startTimeout(connection);
   }
 
-  /** Ends a request; its connection is closed with it, so that no response comes any more. */
+  /** Ends a request and closes its connection, so that no response is received any more. */
   void abort(ServerRequest request, AttemptOutcome outcome) {
     if (request.connection != null) {
       close(request.connection);
@@ -164,9 +172,9 @@
   // ---- Timeouts
 
   /**
-   * Gives the server the connect timeout for its next step. The step fails only after everything
-   * was read that arrived in that time: a gateway short of processor time would otherwise take its
-   * own delay for that of all servers.
+   * Starts the timeout of the server's next step. The step fails only after everything received
+   * before the timeout was read; otherwise a gateway that lacks CPU time would mistake its own
+   * delay for unresponsive servers. It fails in any case after twice the timeout.
    */
   private void startTimeout(ServerConnection connection) {
     int step = ++connection.step;
@@ -182,7 +190,10 @@
         gateway.now().plus(connectTimeout.multipliedBy(2)), () -> timedOut(connection, step));
   }
 
-  /** Everything that had arrived at {@link Transport#afterPendingReads} was read and posted. */
+  /**
+   * Handles that everything received before {@link Transport#afterPendingReads} was called has been
+   * read and posted.
+   */
   void pendingReadsDone(long number) {
     ServerConnection connection = connections.get(number);
     if (connection != null) {
@@ -199,7 +210,7 @@
       connection.accepted = false;
       closed(connection.number, null);
     } else if (connection.responseStarted) {
-      protocolError(connection.number, "an answer that does not end");
+      protocolError(connection.number, "response not completed in time");
     } else if (connection.request != null) {
       abort(connection.request, AttemptOutcome.TIMED_OUT);
     }
@@ -207,7 +218,7 @@
 
   // ---- Events of connections
 
-  /** A connection was accepted by its server. */
+  /** Handles that a server accepted a connection. */
   void connected(long number) {
     ServerConnection connection = connections.get(number);
     if (connection != null) {
@@ -215,12 +226,15 @@
       connection.accepted = true;
       write(connection, MessageEncoder.startup());
     } else {
-      // Cancelled as it came up: nobody else closes it.
+      // Cancelled while it was established, so it has to be closed here.
       transport.closeNow(number);
     }
   }
 
-  /** The server opened the session; it may ignore what is sent before. */
+  /**
+   * Handles that the server is ready for requests, which are not sent earlier because the server
+   * may ignore them.
+   */
   void sessionReady(long number) {
     ServerConnection connection = connections.get(number);
     if (connection == null) {
@@ -240,26 +254,27 @@
     complete(request, AttemptOutcome.NOT_SENT, null);
   }
 
-  /** A message that could not be sent at once is sent. */
+  /** Handles that a message that could not be sent immediately has been sent. */
   void written(long number) {
     ServerConnection connection = connections.get(number);
     if (connection != null && --connection.unsentMessages == 0) {
-      allSent(connection);
+      allMessagesSent(connection);
     }
   }
 
-  private void allSent(ServerConnection connection) {
-    boolean prompt = connection.request != null && connection.request.isAnsweredPromptly();
-    if (!connection.sessionReady || prompt) {
+  private void allMessagesSent(ServerConnection connection) {
+    boolean answeredPromptly =
+        connection.request != null && connection.request.isAnsweredPromptly();
+    if (!connection.sessionReady || answeredPromptly) {
       startTimeout(connection);
     }
   }
 
   /**
-   * The response to the current request is complete.
+   * Handles a complete response to the current request.
    *
-   * @param hasTrailingBytes whether bytes follow it: the response counts, its connection is of no
-   *     further use
+   * @param hasTrailingBytes whether bytes follow it; if so, the response is used and its connection
+   *     is closed
    */
   void responseReceived(long number, ServerResponse response, boolean hasTrailingBytes) {
     ServerConnection connection = connections.get(number);
@@ -270,7 +285,7 @@
     connection.step++;
     connection.responseStarted = false;
     if (response.sqlState() == null && !response.isComplete(request.commandTag())) {
-      protocolError(number, "a row that is completed as no such statement is");
+      protocolError(number, "command tag does not match the statement");
       return;
     }
     idleTimeoutEstimator.recordAnswered(connection.idleTime);
@@ -283,10 +298,10 @@
     } else {
       release(connection);
     }
-    complete(request, outcome(response), response);
+    complete(request, outcomeOf(response), response);
   }
 
-  /** A response began; it has to end in time, as the connection is blocked until then. */
+  /** Handles the first part of a response, whose rest must arrive before the connect timeout. */
   void responseStarted(long number) {
     ServerConnection connection = connections.get(number);
     if (connection != null && connection.request != null) {
@@ -295,7 +310,7 @@
     }
   }
 
-  /** The stream is of no further use, and nothing of a response counts. */
+  /** Closes a connection after a protocol error; a response that has begun is discarded. */
   void protocolError(long number, String reason) {
     ServerConnection connection = connections.get(number);
     if (connection == null) {
@@ -314,9 +329,10 @@
   }
 
   /**
-   * A connection ended, or did not come up.
+   * Handles that a connection was closed or could not be established.
    *
-   * @param partialResponse what had arrived of the response; null if it did not come up
+   * @param partialResponse the part of the response that was received; null if the connection was
+   *     not established
    */
   void closed(long number, ServerResponse partialResponse) {
     ServerConnection connection = connections.remove(number);
@@ -340,17 +356,17 @@
         partialResponse != null
             && (partialResponse.isComplete(request.commandTag())
                 || partialResponse.sqlState() != null);
-    AttemptOutcome outcome = answered ? outcome(partialResponse) : null;
+    AttemptOutcome outcome = answered ? outcomeOf(partialResponse) : null;
     if (answered && (connection.sessionReady || outcome == AttemptOutcome.OVERLOADED)) {
       complete(request, outcome, partialResponse);
     } else {
-      complete(request, outcomeOfLoss(connection), null);
+      complete(request, outcomeOfClose(connection), null);
     }
   }
 
   /**
-   * A connection was reset before it came up. Somebody had accepted it, which a host without the
-   * server's process cannot do.
+   * Handles that a connection was reset while it was established. It had been accepted before the
+   * reset, so the server process is running.
    */
   void connectionReset(long number) {
     ServerConnection connection = connections.get(number);
@@ -360,8 +376,8 @@
     }
   }
 
-  /** Returns what it means for the current request that its connection ended. */
-  private AttemptOutcome outcomeOfLoss(ServerConnection connection) {
+  /** Returns the outcome of an unanswered request whose connection was closed. */
+  private AttemptOutcome outcomeOfClose(ServerConnection connection) {
     boolean reused = connection.idleTime != null && !connection.responseStarted;
     if (connection.sessionReady && !connection.responseStarted) {
       idleTimeoutEstimator.recordLost(connection.idleTime);
@@ -369,19 +385,20 @@
     if (connection.sessionReady && connection.unsentMessages == 0) {
       return reused ? AttemptOutcome.IDLE_CONNECTION_LOST : AttemptOutcome.CONNECTION_LOST;
     }
-    // Accepted and closed before the session, or closed while idle: the server may well be alive.
+    // A server that accepts a connection and closes it before the session is ready, or closes an
+    // idle one, may be alive.
     return reused || (connection.accepted && !connection.sessionReady)
         ? AttemptOutcome.CLOSED_BEFORE_SEND
         : AttemptOutcome.UNREACHABLE;
   }
 
-  private static AttemptOutcome outcome(ServerResponse response) {
+  private static AttemptOutcome outcomeOf(ServerResponse response) {
     if (response.sqlState() == null) {
       return AttemptOutcome.OK;
     }
     return switch (response.sqlState()) {
-      case "25006", "72000" -> AttemptOutcome.INELIGIBLE;
-      case "53300" -> AttemptOutcome.OVERLOADED;
+      case READ_ONLY_SQL_TRANSACTION, SNAPSHOT_TOO_OLD -> AttemptOutcome.INELIGIBLE;
+      case TOO_MANY_CONNECTIONS -> AttemptOutcome.OVERLOADED;
       default -> AttemptOutcome.ERROR;
     };
   }
@@ -389,12 +406,13 @@
   // ---- Connections
 
   /**
-   * Writes a message. What is sent at once is noted before any other event of the connection: after
-   * an end that came first, a request that ran would count as never sent, and be sent twice.
+   * Writes a message. A message that is sent immediately is recorded as sent before any other event
+   * of the connection is handled. If the close of the connection were handled first, a request that
+   * the server executed would count as not sent and be sent again.
    */
   private void write(ServerConnection connection, ByteBuffer... parts) {
     if (transport.write(connection.number, parts)) {
-      allSent(connection);
+      allMessagesSent(connection);
     } else {
       connection.unsentMessages++;
     }
@@ -407,26 +425,27 @@
     }
     connection.idleSince = gateway.now();
     idle.add(connection);
-    setIdleTimer();
+    startIdleTimer();
   }
 
   /**
-   * Sets one timer for all idle connections, as they are reused far more often than they expire.
+   * Starts the idle timer if it is not running. One timer serves all idle connections, as they are
+   * reused far more often than they expire.
    */
-  private void setIdleTimer() {
-    if (!idleTimerSet && !idle.isEmpty()) {
-      idleTimerSet = true;
+  private void startIdleTimer() {
+    if (!idleTimerRunning && !idle.isEmpty()) {
+      idleTimerRunning = true;
       gateway.at(idle.longestIdle().idleSince.plus(idleTimeout), this::closeExpired);
     }
   }
 
   private void closeExpired() {
-    idleTimerSet = false;
+    idleTimerRunning = false;
     while (!idle.isEmpty()
         && gateway.now().compareTo(idle.longestIdle().idleSince.plus(idleTimeout)) >= 0) {
       close(idle.longestIdle());
     }
-    setIdleTimer();
+    startIdleTimer();
   }
 
   private void close(ServerConnection connection) {
@@ -439,7 +458,7 @@
     transport.closeNow(connection.number);
   }
 
-  /** Returns for each server, by name, how many connections carry a request, of how many. */
+  /** Describes, for each server by name, the number of busy and of all connections, for the log. */
   String describe() {
     Map<String, Usage> usages = new TreeMap<>();
     for (ServerConnection connection : connections.values()) {
--- a/gateway/src/main/java/weldcross/gateway/ServerRequest.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerRequest.java
@@ -5,41 +5,44 @@
 import weldcross.pgwire.ServerResponse;
 import weldcross.routing.AttemptOutcome;
 
-/** A request to a server, an attempt of an RPC or a health check; a connection carries one. */
+/** A request to a server: an attempt or a health check. A connection carries one at a time. */
 abstract class ServerRequest {
 
-  /** The connection that carries this; null before and after. */
+  /** The connection that carries this request; null before it is assigned and after it ended. */
   ServerConnection connection;
 
-  /** Whether {@link #completed} was called. */
+  /** Whether the request has ended, see {@link #completed}. */
   boolean done;
 
   /**
-   * Since when the session that answered this was open, so that the server has run for at least as
-   * long; null if there was no answer.
+   * When the session that answered this request became ready; the server process has been running
+   * at least since then. Null if there was no response.
    */
   Duration connectedSince;
 
-  /** Returns the message; called when it is sent, as it has the time that is left. */
+  /** Returns the message; called when it is sent, because it contains the remaining time. */
   abstract ByteBuffer[] message();
 
-  /** Returns whether to send this still; called when its connection is ready, which takes time. */
+  /**
+   * Returns whether the request may still be sent; called when its connection is ready, which may
+   * be long after it was routed.
+   */
   abstract boolean maySend();
 
   /**
-   * Returns whether a server answers this at once or never, so that the connect timeout is enough
-   * for the answer as well.
+   * Returns whether a working server answers this request immediately, so that the connect timeout
+   * applies to the response as well.
    */
   abstract boolean isAnsweredPromptly();
 
-  /** Returns the tag with which a server completes this; null if any will do. */
+  /** Returns the tag expected in CommandComplete; null to accept any. */
   abstract String commandTag();
 
   /**
-   * Ends this; called once.
+   * Called once, when the request ends.
    *
    * @param outcome how it ended
-   * @param response what the server sent; null if nothing of it can be used
+   * @param response the response of the server; null if there is none that can be used
    */
   abstract void completed(AttemptOutcome outcome, ServerResponse response);
 }
--- a/gateway/src/main/java/weldcross/gateway/ServerStream.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerStream.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import weldcross.pgwire.ServerMessageDecoder;
 
-/** Decodes the stream of a server and posts its events to {@link ServerConnectionPool}. */
+/** Handles a connection to a server and posts its events to {@link ServerConnectionPool}. */
 final class ServerStream extends Stream {
 
   private final long number;
@@ -15,14 +15,14 @@
    * Creates the stream of one connection.
    *
    * @param number identifies the connection
-   * @param batch takes the events of what is read
-   * @param loop takes the events of an attempt to connect that failed
+   * @param batch receives the events of the open connection
+   * @param loop receives the event of a failure to connect
    */
   ServerStream(long number, ReadBatch batch, EventLoop loop) {
     this.number = number;
     this.batch = batch;
     this.loop = loop;
-    this.decoder = Streams.server(batch::addForServer, number);
+    this.decoder = MessageDecoders.forServer(batch::addForServer, number);
   }
 
   @Override
--- a/gateway/src/main/java/weldcross/gateway/StreamHandler.java
+++ b/gateway/src/main/java/weldcross/gateway/StreamHandler.java
@@ -7,10 +7,7 @@
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IoSession;
 
-/**
- * Knows the open sessions by the number of their connection, and passes the events of each to the
- * {@link Stream} that was attached to it.
- */
+/** Dispatches the events of each MINA session to the {@link Stream} that is attached to it. */
 class StreamHandler extends IoHandlerAdapter {
 
   private static final Logger LOG = Logger.getLogger(StreamHandler.class.getName());
@@ -22,7 +19,7 @@
   /**
    * Creates a handler.
    *
-   * @param sessions the open sessions, which several handlers may share
+   * @param sessions the open sessions by connection number, which several handlers may share
    */
   StreamHandler(ConcurrentHashMap<Long, IoSession> sessions) {
     this.sessions = sessions;
@@ -36,14 +33,14 @@
     sessions.put(number, session);
   }
 
-  /** Returns the stream that was attached to a session. */
+  /** Returns the stream that is attached to a session. */
   static Stream streamOf(IoSession session) {
     return (Stream) session.getAttribute(STREAM);
   }
 
   /**
-   * Half-closes a session whose last message was sent. It is not closed: a close with unread bytes
-   * would take back what was written last.
+   * Half-closes a session that is to be closed and whose last message was sent. A full close with
+   * unread bytes would reset the connection, and the peer could lose the last message.
    */
   static void shutdownIfSent(IoSession session, Stream stream) {
     if (stream.closeAfterWrite && stream.pendingWrites.get() == 0) {
@@ -77,7 +74,7 @@
 
   @Override
   public void exceptionCaught(IoSession session, Throwable cause) {
-    // Bytes that cannot be decoded, or a broken network; the end of the connection is reported.
+    // Malformed input or a network failure. Closing the session reports the end of the connection.
     streamOf(session).connectionFailed = true;
     LOG.fine(() -> "connection failed: reason=" + cause);
     session.closeNow();
--- a/gateway/src/main/java/weldcross/gateway/Transport.java
+++ b/gateway/src/main/java/weldcross/gateway/Transport.java
@@ -5,93 +5,95 @@
 import java.time.Duration;
 
 /**
- * The I/O of a gateway, as its event loop asks for it. Each call starts something and never blocks;
- * the result comes back as an event. A connection is identified by a number: above zero for those
- * that were accepted, below zero for those that this gateway connected.
+ * The I/O that a gateway's event loop requests. No call blocks; results are posted as events. A
+ * connection is identified by a number: positive for accepted connections, negative for those that
+ * this gateway opened.
  */
 interface Transport {
 
   /**
-   * Returns the time since the start of the process. Unlike the time of the event loop, it goes on
-   * within one turn of the loop.
+   * Returns the current time since the start of the process. The time of the event loop, in
+   * contrast, does not change within one event.
    */
   Duration now();
 
   /**
-   * Accepts clients from now on.
+   * Starts to accept clients.
    *
    * @throws IllegalStateException if the address cannot be bound
    */
   void listen(InetSocketAddress address);
 
   /**
-   * Connects to this gateway itself as a client, so that the JVM compiles what sockets use before
-   * clients do; an event tells when that is done.
+   * Connects to this gateway itself as a client, so that the JVM compiles the I/O code before real
+   * clients use it. Posts an event when that is done.
    */
   void warmUp();
 
-  /** Accepts no more clients; connections that are open stay open. */
+  /** Stops accepting clients; open connections are not closed. */
   void stopListening();
 
   /**
-   * Receives gossip of other gateways at this address, from which gossip is sent as well.
+   * Starts to receive gossip of other gateways at this address, which is also the source address of
+   * the gossip sent.
    *
    * @throws IllegalStateException if the address cannot be bound
    */
   void listenForGossip(InetSocketAddress address);
 
-  /** Sends a datagram; it may be lost. To be called after {@link #listenForGossip}. */
+  /** Sends a datagram, which may be lost. Must be called after {@link #listenForGossip}. */
   void sendGossip(InetSocketAddress address, byte[] message);
 
-  /** Connects to a server under the given number. */
+  /** Connects to a server; the connection gets the given number. */
   void connectToServer(long connection, InetSocketAddress address);
 
-  /** Connects to discovery under the given number. */
+  /** Connects to discovery; the connection gets the given number. */
   void connectToDiscovery(long connection, InetSocketAddress address);
 
   /**
-   * Writes the parts as one message, without a copy; they must not change afterwards.
+   * Writes the parts as one message without copying them; they must not change afterwards.
    *
-   * @return whether the whole message was sent; if it was not, an event tells when it is
+   * @return whether the whole message was sent immediately; if not, an event is posted when it is
    */
   boolean write(long connection, ByteBuffer... parts);
 
-  /** Sets whether messages of a client are read; if not, they wait in buffers. */
+  /** Resumes or pauses reading messages of a client; while paused, they remain in buffers. */
   void setReading(long connection, boolean reading);
 
   /**
-   * Posts an event for the connection once everything that has arrived by now, on all connections,
-   * was read and posted.
+   * Posts an event for the connection after everything that was received until now, on any
+   * connection, was read and posted.
    */
   void afterPendingReads(long connection);
 
-  /** Closes a connection, or cancels connecting, before anything that is asked for later. */
+  /** Closes a connection or cancels a pending one, before any later call takes effect. */
   void closeNow(long connection);
 
   /**
-   * Half-closes a client's connection if it is quiet: no more than so many messages of it were
-   * read, and none has begun, once everything that has arrived by now was read. An event tells
-   * whether it did. What arrives later is read and ignored until {@link #closeNow}, as an unread
-   * rest would reset the connection and take back what the client has not read yet.
+   * Half-closes a client's connection if it is quiet, that is, if everything received until now was
+   * read and contains neither a message unknown to the event loop nor the beginning of one. Posts
+   * an event with the result. What is received later is read and discarded until {@link #closeNow},
+   * as unread bytes would reset the connection and the client could lose responses that it has not
+   * read yet.
    *
    * @param connection the client's connection
-   * @param messages number of messages that the event loop knows of
+   * @param messages number of messages that the event loop has received on the connection
    */
   void closeIfQuiet(long connection, int messages);
 
   /**
-   * Looks whether a client's message is incomplete once all that has arrived of it was read,
-   * however many reads that takes. An event tells if it is; none comes if the message has ended or
-   * the connection is closed.
+   * Checks whether a client's message is still incomplete after everything received of it was read,
+   * however many reads that takes. Posts an event if it is; posts none if the message is complete
+   * or the connection is closed.
    *
-   * @param connection the client's connection, whose reading is not paused
+   * @param connection the client's connection, on which reading must not be paused
    * @param messages number of messages received before that one
    */
   void checkMessageIncomplete(long connection, int messages);
 
   /**
-   * Half-closes a client's connection once everything that was written to it is sent; what arrives
-   * later is read and ignored.
+   * Half-closes a client's connection after everything written to it was sent; what is received
+   * later is read and discarded.
    */
   void closeGracefully(long connection);
 }
--- a/gateway/src/test/java/weldcross/gateway/AttemptTrackerTest.java
+++ b/gateway/src/test/java/weldcross/gateway/AttemptTrackerTest.java
@@ -117,7 +117,7 @@
     harness.advance(3);
     for (byte[] part :
         List.of(
-            ServerMessages.message('T', ServerMessages.COLUMNS),
+            ServerMessages.message('T', ServerMessages.ROW_DESCRIPTION_BODY),
             ServerMessages.message('D', "\0\1\0\0\0\1v"),
             ServerMessages.message('C', "INSERT 0 1\0"),
             ServerMessages.message('S', "mode\0read-write\0"),
@@ -150,7 +150,7 @@
     assertTrue(harness.connections.get(connection).dropped);
     String read = harness.request(harness.connect(), false, 900);
     long first = harness.connectionOf(read);
-    byte[] rowDescription = ServerMessages.message('T', ServerMessages.COLUMNS);
+    byte[] rowDescription = ServerMessages.message('T', ServerMessages.ROW_DESCRIPTION_BODY);
     harness.serverSends(harness.connections.get(first), ByteBuffer.wrap(rowDescription));
     harness.advance(200);
     assertFalse(harness.connections.get(first).dropped);
@@ -168,7 +168,7 @@
     FakeConnection connection = harness.connections.get(harness.connectionOf(write));
     for (byte[] part :
         List.of(
-            ServerMessages.message('T', ServerMessages.COLUMNS),
+            ServerMessages.message('T', ServerMessages.ROW_DESCRIPTION_BODY),
             ServerMessages.message('D', "\0\1\0\0\0\4v-a0"),
             ServerMessages.message('C', "SELECT 1\0"),
             ServerMessages.message('Z', "I"))) {
@@ -225,7 +225,7 @@
   @Test
   void writeSentAtOnceIsNotRetriedWhenItsConnectionCloses() {
     GatewayHarness harness = GatewayHarness.serving();
-    harness.writesCompleteAtOnce = true;
+    harness.writesCompleteImmediately = true;
     harness.history.writes.add("a0");
     String id = harness.request(harness.connect(), true, 900);
     assertEquals("a0", id);
--- a/gateway/src/test/java/weldcross/gateway/ClientConnectionsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ClientConnectionsTest.java
@@ -40,7 +40,7 @@
     harness.send(usual, ByteBuffer.wrap(new byte[] {'Q', 0, 0, 0, 99, 'S'}));
     harness.advance(2100);
     assertTrue(
-        harness.calls.contains("finish " + usual)
+        harness.calls.contains("closeGracefully " + usual)
             && harness.connections.get(usual).takeReceived().contains("SFATAL"),
         "half a statement on a connection in use");
   }
@@ -60,7 +60,7 @@
         "none is left without an answer");
     assertTrue(
         harness.connections.get(client).takeReceived().contains("C08P01")
-            && harness.calls.contains("finish " + client));
+            && harness.calls.contains("closeGracefully " + client));
     assertTrue(
         harness.connections.get(connection).dropped, "nobody waits for its request any more");
     harness.advance(300);
@@ -103,7 +103,7 @@
     long number = harness.accept();
     assertTrue(
         harness.connections.get(number).takeReceived().contains("C53300")
-            && harness.calls.contains("finish " + number));
+            && harness.calls.contains("closeGracefully " + number));
     assertTrue(
         harness.connections.entrySet().stream()
                 .filter(e -> e.getKey() < 0 && e.getValue().open)
--- a/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
@@ -11,6 +11,7 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.net.SocketTimeoutException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -33,40 +34,55 @@
 import weldcross.pgwire.MessageEncoder;
 
 /**
- * Closes of connections on loopback sockets that cross what is still on its way. The gateway
- * handles events only when a test says so and its clock is moved by hand, so that each crossing
- * comes by the order of bytes and events.
+ * Tests closing of connections, on loopback sockets, while bytes are still in transit. The gateway
+ * handles events only on request of a test, and the test moves its clock, so that the order of
+ * bytes and events is deterministic.
  */
 @Timeout(60)
 class ConnectionCloseTest {
 
-  private static final long BOUND_NANOS = 20_000_000_000L;
+  private static final long TIMEOUT_NANOS = 20_000_000_000L;
 
-  private final Thread test = Thread.currentThread();
+  /** Number of requests of one client that are in progress at a time. */
+  private static final int MAX_REQUESTS_IN_PROGRESS = 16;
+
+  /** Length of the first part of a statement that is sent in two parts. */
+  private static final int PARTIAL_STATEMENT_BYTES = 60;
+
+  private static final int PENDING_CONNECTS = 40;
+
+  /** Number of the first pending connection, negative as for all outgoing connections. */
+  private static final long FIRST_PENDING_CONNECT = -1_000;
+
+  private final Thread testThread = Thread.currentThread();
   private volatile Duration now = Duration.ZERO;
 
   /**
-   * While closed, it holds up whichever other thread reads the clock: the reader, at a statement.
+   * Blocks any thread but the test's that reads the clock, until it reaches zero. The reading
+   * thread does so for each statement.
    */
-  private volatile CountDownLatch readerHold = new CountDownLatch(0);
+  private volatile CountDownLatch readerLatch = new CountDownLatch(0);
 
-  private volatile boolean readerWaits;
+  private volatile boolean readerBlocked;
   private final EventLoop loop = new EventLoop(this::clock);
   private MinaTransport transport;
   private Gateway gateway;
 
-  /** Whether the reading thread is gone; MINA would wait for ever for the end of its sessions. */
+  /**
+   * Whether the reading thread has ended. MINA's dispose would then wait forever for the thread's
+   * sessions to close.
+   */
   private boolean readerEnded;
 
   private InetSocketAddress address;
-  private final List<AutoCloseable> open = new ArrayList<>();
+  private final List<AutoCloseable> openSockets = new ArrayList<>();
   private int nextRequest;
 
   private Duration clock() {
-    if (Thread.currentThread() != test && readerHold.getCount() > 0) {
-      readerWaits = true;
+    if (Thread.currentThread() != testThread && readerLatch.getCount() > 0) {
+      readerBlocked = true;
       try {
-        readerHold.await(20, TimeUnit.SECONDS);
+        readerLatch.await(20, TimeUnit.SECONDS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -75,12 +91,12 @@
   }
 
   @BeforeEach
-  void begin() throws Exception {
-    // Discovery and servers do not exist: accepted requests are queued.
-    begin(1024);
+  void start() throws Exception {
+    start(1024);
   }
 
-  private void begin(int sockets) throws Exception {
+  /** Starts a gateway without discovery or servers, so that accepted requests are queued. */
+  private void start(int sockets) throws Exception {
     byte[] config =
         TestConfig.json(
             "\"sockets\":1024", "\"sockets\":" + sockets, "\"mayTell\":true", "\"mayTell\":false");
@@ -89,41 +105,42 @@
     gateway = new Gateway(gatewayConfig, transport, Duration.ofHours(500_000));
     gateway.reduce(now, Gateway::start);
     address = transport.listenAddress().get(20, TimeUnit.SECONDS);
-    // Its connection to itself has ended before anything is counted; before that began there are no
-    // clients either.
-    until(() -> gateway.isWarm() && clients() == 0);
+    // The connections of the warm-up count as clients, so wait until it is over and they are
+    // closed.
+    awaitCondition(() -> gateway.isWarm() && clientCount() == 0);
   }
 
   @AfterEach
-  void end() throws Exception {
-    readerHold.countDown();
-    for (AutoCloseable each : open) {
-      each.close();
+  void stop() throws Exception {
+    readerLatch.countDown();
+    for (AutoCloseable socket : openSockets) {
+      socket.close();
     }
     if (!readerEnded) {
       transport.close();
     }
   }
 
-  private void until(BooleanSupplier condition) {
-    long began = System.nanoTime();
+  private void awaitCondition(BooleanSupplier condition) {
+    long start = System.nanoTime();
     do {
       loop.catchUp(gateway);
       assertTrue(
-          System.nanoTime() - began < BOUND_NANOS, () -> "not within 20 s: " + gateway.describe());
+          System.nanoTime() - start < TIMEOUT_NANOS,
+          () -> "condition not met within 20 s: " + gateway.describe());
       Thread.onSpinWait();
     } while (!condition.getAsBoolean());
   }
 
-  /** Waits until all that was received is read and handled, and pending calls are done. */
-  private void finishReading() {
-    CountDownLatch read = new CountDownLatch(1);
-    transport.processor.afterPendingReads(read::countDown);
-    until(() -> read.getCount() == 0);
+  /** Waits until everything received is read and handled, and pending calls are done. */
+  private void finishPendingReads() {
+    CountDownLatch readsDone = new CountDownLatch(1);
+    transport.processor.afterPendingReads(readsDone::countDown);
+    awaitCondition(() -> readsDone.getCount() == 0);
     loop.catchUp(gateway);
   }
 
-  private int clients() {
+  private int clientCount() {
     return Integer.parseInt(gateway.describe().split(" ", -1)[0]);
   }
 
@@ -132,15 +149,15 @@
     loop.catchUp(gateway);
   }
 
-  /** A client that was welcomed. */
+  /** Connects a client and reads the messages up to the ready session. */
   private Socket connect() throws IOException {
     Socket socket = new Socket();
-    open.add(socket);
-    final int before = clients();
+    openSockets.add(socket);
+    final int countBefore = clientCount();
     socket.connect(address);
     socket.setSoTimeout(20_000);
     send(socket, MessageEncoder.startup());
-    until(() -> clients() > before && available(socket) > 5);
+    awaitCondition(() -> clientCount() > countBefore && available(socket) > 5);
     DataInputStream in = new DataInputStream(socket.getInputStream());
     while (in.readByte() != 'Z') {
       in.readFully(new byte[in.readInt() - 4]);
@@ -157,21 +174,21 @@
     }
   }
 
-  /** Returns the bytes of a client that have arrived and that the gateway has not read. */
+  /** Returns how many bytes of a client are in the receive queue of the gateway's socket. */
   private int unreadBytes(Socket client) {
     String ports = String.format(":%04X [^ ]*:%04X ", address.getPort(), client.getLocalPort());
     Pattern line = Pattern.compile(ports + "[0-9A-F]+ [0-9A-F]+:([0-9A-F]+) ");
     int unread = 0;
-    for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
-      Matcher found = line.matcher(readTable(Path.of(table)));
-      unread += found.find() ? Integer.parseInt(found.group(1), 16) : 0;
+    for (String socketTable : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
+      Matcher matcher = line.matcher(readIfPresent(Path.of(socketTable)));
+      unread += matcher.find() ? Integer.parseInt(matcher.group(1), 16) : 0;
     }
     return unread;
   }
 
-  private static String readTable(Path table) {
+  private static String readIfPresent(Path file) {
     try {
-      return Files.exists(table) ? Files.readString(table) : "";
+      return Files.exists(file) ? Files.readString(file) : "";
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -183,11 +200,11 @@
     socket.getOutputStream().write(message);
   }
 
-  private ByteBuffer read() {
-    return read(60_000);
+  private ByteBuffer readStatement() {
+    return readStatement(60_000);
   }
 
-  private ByteBuffer read(int timeoutMillis) {
+  private ByteBuffer readStatement(int timeoutMillis) {
     return MessageEncoder.query(
         "SELECT content FROM kv WHERE name = 'k' /* id=a"
             + nextRequest++
@@ -197,56 +214,74 @@
   }
 
   private void sendReads(Socket client, int statements) throws IOException {
-    for (int k = 0; k < statements; k++) {
-      send(client, read());
+    for (int index = 0; index < statements; index++) {
+      send(client, readStatement());
     }
   }
 
-  /** Sends more statements than run at a time, and a part of the next; returns its rest. */
+  /**
+   * Sends more statements than may be in progress, so that the gateway pauses reading, and a part
+   * of the next; returns its rest.
+   */
   private byte[] pauseWithinAMessage(Socket client, int timeoutMillis) throws IOException {
     ByteArrayOutputStream sent = new ByteArrayOutputStream();
-    for (int k = 0; k < 18; k++) {
-      sent.writeBytes(read(timeoutMillis).array());
+    for (int index = 0; index < MAX_REQUESTS_IN_PROGRESS + 2; index++) {
+      sent.writeBytes(readStatement(timeoutMillis).array());
     }
-    byte[] last = read(timeoutMillis).array();
-    sent.write(last, 0, 60);
+    byte[] last = readStatement(timeoutMillis).array();
+    sent.write(last, 0, PARTIAL_STATEMENT_BYTES);
     client.getOutputStream().write(sent.toByteArray());
-    until(() -> acceptedRequests() == 16);
+    awaitCondition(() -> acceptedRequests() == MAX_REQUESTS_IN_PROGRESS);
     for (int pass = 0; pass < 4; pass++) {
-      finishReading();
+      finishPendingReads();
     }
-    return Arrays.copyOfRange(last, 60, last.length);
+    return Arrays.copyOfRange(last, PARTIAL_STATEMENT_BYTES, last.length);
+  }
+
+  private static void sendFirstPart(Socket client, byte[] statement) throws IOException {
+    client.getOutputStream().write(statement, 0, PARTIAL_STATEMENT_BYTES);
+  }
+
+  private static void sendRest(Socket client, byte[] statement) throws IOException {
+    client
+        .getOutputStream()
+        .write(statement, PARTIAL_STATEMENT_BYTES, statement.length - PARTIAL_STATEMENT_BYTES);
   }
 
   private int acceptedRequests() {
     return Integer.parseInt(gateway.describe().split("; ", -1)[1].split(" ", -1)[0]);
   }
 
-  /** Rule 1: half a statement is read and the rest on its way as its connection is closed. */
+  /**
+   * Guards against an unanswered request: the connection is to be closed while one part of a
+   * statement has been read and the rest is in transit.
+   */
   @Test
-  void clientWithHalfAStatementReadIsNotClosed() throws Exception {
+  void connectionIsNotClosedWithinAStatement() throws Exception {
     Socket client = connect();
-    byte[] statement = read().array();
+    byte[] statement = readStatement().array();
     moveClock(1_000);
-    client.getOutputStream().write(statement, 0, 60);
-    // 2 s after it came it has asked nothing; all that it sent by then is read before that is
-    // judged.
+    sendFirstPart(client, statement);
+    // A client that has sent no statement within 2 s is closed, after all it sent by then is read.
     moveClock(1_000);
-    finishReading();
-    client.getOutputStream().write(statement, 60, statement.length - 60);
-    until(() -> acceptedRequests() == 1);
+    finishPendingReads();
+    sendRest(client, statement);
+    awaitCondition(() -> acceptedRequests() == 1);
   }
 
-  /** A close over unread bytes would reset the connection and take back the last answer. */
+  /**
+   * Guards against a lost response: closing a socket with unread bytes would reset the connection,
+   * and the client could not read the last response any more.
+   */
   @Test
-  void bytesAfterTheCloseNeitherResetItNorAreAccepted() throws Exception {
+  void bytesReceivedAfterTheCloseAreDiscardedWithoutAReset() throws Exception {
     Socket client = connect();
     moveClock(2_000);
-    until(() -> clients() == 0);
+    awaitCondition(() -> clientCount() == 0);
     sendReads(client, 3);
     assertEquals(-1, client.getInputStream().read());
     sendReads(client, 3);
-    assertEquals(-1, client.getInputStream().read(), "not reset by what came unread");
+    assertEquals(-1, client.getInputStream().read(), "reset by unread bytes");
     loop.catchUp(gateway);
     assertEquals(0, acceptedRequests());
     client.close();
@@ -256,11 +291,11 @@
   void clientThatKeepsItsSideOpenIsDropped() throws Exception {
     final Socket client = connect();
     moveClock(2_000);
-    until(() -> clients() == 0);
+    awaitCondition(() -> clientCount() == 0);
     moveClock(250);
-    long began = System.nanoTime();
+    long start = System.nanoTime();
     boolean reset = false;
-    while (!reset && System.nanoTime() - began < BOUND_NANOS) {
+    while (!reset && System.nanoTime() - start < TIMEOUT_NANOS) {
       try {
         client.getOutputStream().write(0);
       } catch (IOException e) {
@@ -270,36 +305,34 @@
     assertTrue(reset);
   }
 
-  /** The rest of its statements is not started. */
+  /** Guards against statements that are started after their client has disconnected. */
   @Test
-  void disconnectWhileDecodingIsPausedIsSeen() throws Exception {
+  void disconnectIsDetectedWhileDecodingIsPaused() throws Exception {
     Socket client = connect();
     sendReads(client, 40);
-    until(() -> acceptedRequests() == 16);
+    awaitCondition(() -> acceptedRequests() == MAX_REQUESTS_IN_PROGRESS);
     client.close();
-    until(() -> clients() == 0);
-    assertEquals(16, acceptedRequests());
+    awaitCondition(() -> clientCount() == 0);
+    assertEquals(MAX_REQUESTS_IN_PROGRESS, acceptedRequests());
   }
 
-  /**
-   * All that a client sends while it is not listened to is asked in the end, however much it is.
-   */
+  /** Guards against statements that are lost because they were received while reading is paused. */
   @Test
-  void bufferedStatementsAreAllAccepted() throws Exception {
+  void allBufferedStatementsAreAccepted() throws Exception {
     Socket client = connect();
-    int all = 75;
-    sendReads(client, all);
+    int statements = 75;
+    sendReads(client, statements);
     int answered = 0;
     DataInputStream in = new DataInputStream(client.getInputStream());
-    long began = System.nanoTime();
-    // Sixteen run concurrently, and are rejected when 0.45 of their time is over.
-    while (answered < all) {
+    long start = System.nanoTime();
+    // The requests in progress are rejected when 0.45 of their time is over.
+    while (answered < statements) {
       assertTrue(
-          System.nanoTime() - began < BOUND_NANOS, answered + " answered; " + gateway.describe());
-      // Wait until no more of what was read is started; only then does time pass.
-      for (int still = 0, before = -1; still < 4; before = acceptedRequests()) {
-        finishReading();
-        still = acceptedRequests() == before ? still + 1 : 0;
+          System.nanoTime() - start < TIMEOUT_NANOS, answered + " answered; " + gateway.describe());
+      // Move the clock only after no more of the received statements are accepted.
+      for (int unchangedPasses = 0, before = -1; unchangedPasses < 4; before = acceptedRequests()) {
+        finishPendingReads();
+        unchangedPasses = acceptedRequests() == before ? unchangedPasses + 1 : 0;
       }
       moveClock(27_100);
       while (available(client) > 0) {
@@ -312,95 +345,101 @@
         }
       }
     }
-    assertEquals(all, acceptedRequests());
+    assertEquals(statements, acceptedRequests());
   }
 
-  /** The gateway did not read meanwhile: not the client's silence. */
+  /**
+   * Guards against closing a client whose message is incomplete because the gateway paused reading:
+   * the time limit for a message does not run during the pause.
+   */
   @Test
-  void messageIsEndedAfterAPauseOfReading() throws Exception {
+  void messageMayBeCompletedAfterAPauseOfReading() throws Exception {
     Socket client = connect();
     final byte[] rest = pauseWithinAMessage(client, 4_000);
-    // What runs is rejected at 0.45 of its time, and reading goes on.
+    // The requests in progress are rejected at 0.45 of their time, and reading is resumed.
     moveClock(1_850);
-    until(() -> acceptedRequests() == 18);
+    awaitCondition(() -> acceptedRequests() == MAX_REQUESTS_IN_PROGRESS + 2);
     moveClock(300);
-    finishReading();
+    finishPendingReads();
     client.getOutputStream().write(rest);
-    until(() -> acceptedRequests() == 19);
+    awaitCondition(() -> acceptedRequests() == MAX_REQUESTS_IN_PROGRESS + 3);
   }
 
-  /** A client that never ends its message holds a connection. */
+  /** Guards against a client that occupies a connection with a message that it never completes. */
   @Test
-  void messageWithoutAnEndIsClosedAfterAPauseOfReading() throws Exception {
+  void clientWithAnIncompleteMessageIsClosedAfterAPauseOfReading() throws Exception {
     Socket client = connect();
     pauseWithinAMessage(client, 8_000);
     moveClock(2_050);
     moveClock(1_600);
-    until(() -> acceptedRequests() == 18);
+    awaitCondition(() -> acceptedRequests() == MAX_REQUESTS_IN_PROGRESS + 2);
     moveClock(2_100);
-    until(() -> clients() == 0);
+    awaitCondition(() -> clientCount() == 0);
   }
 
-  /** The process stood still: what its client had sent is read before that is judged. */
+  /**
+   * Guards against closing a client whose message was received in time but not read, as the reading
+   * thread was blocked: received bytes are read before the time limit is applied.
+   */
   @Test
-  void messageEndedWhileNobodyReadsIsServed() throws Exception {
+  void messageCompletedWhileReadingIsBlockedIsAccepted() throws Exception {
     final Socket first = connect();
     Socket client = connect();
-    byte[] statement = read().array();
-    client.getOutputStream().write(statement, 0, 60);
+    byte[] statement = readStatement().array();
+    sendFirstPart(client, statement);
     for (int pass = 0; pass < 4; pass++) {
-      finishReading();
+      finishPendingReads();
     }
-    readerHold = new CountDownLatch(1);
+    readerLatch = new CountDownLatch(1);
     sendReads(first, 1);
-    until(() -> readerWaits);
-    client.getOutputStream().write(statement, 60, statement.length - 60);
-    until(() -> unreadBytes(client) == statement.length - 60);
+    awaitCondition(() -> readerBlocked);
+    sendRest(client, statement);
+    awaitCondition(() -> unreadBytes(client) == statement.length - PARTIAL_STATEMENT_BYTES);
     moveClock(2_100);
-    readerHold.countDown();
-    until(() -> acceptedRequests() == 2);
+    readerLatch.countDown();
+    awaitCondition(() -> acceptedRequests() == 2);
   }
 
-  /** Nobody waits for it any more. */
+  /** Guards against useless attempts for a client that has already disconnected. */
   @Test
-  void statementReadWithItsClientsDisconnectIsNotAccepted() throws Exception {
+  void statementReadTogetherWithTheDisconnectOfItsClientIsNotAccepted() throws Exception {
     Socket first = connect();
-    final Socket leaves = connect();
-    readerHold = new CountDownLatch(1);
+    final Socket leavingClient = connect();
+    readerLatch = new CountDownLatch(1);
     sendReads(first, 1);
-    until(() -> readerWaits);
-    sendReads(leaves, 1);
-    leaves.close();
-    readerHold.countDown();
-    until(() -> clients() == 1 && acceptedRequests() > 0);
+    awaitCondition(() -> readerBlocked);
+    sendReads(leavingClient, 1);
+    leavingClient.close();
+    readerLatch.countDown();
+    awaitCondition(() -> clientCount() == 1 && acceptedRequests() > 0);
     assertEquals(1, acceptedRequests());
   }
 
-  /** Rule 1: other connections are still read. */
+  /** An exception of a task must not end the thread that reads all connections. */
   @Test
-  void faultInAProcessorTaskDoesNotStopReading() throws Exception {
+  void exceptionInAProcessorTaskDoesNotStopReading() throws Exception {
     Socket first = connect();
     transport.processor.afterPendingReads(
         () -> {
-          throw new IllegalStateException("a fault of one connection");
+          throw new IllegalStateException("thrown by the test");
         });
-    finishReading();
+    finishPendingReads();
     sendReads(first, 1);
-    until(() -> acceptedRequests() == 1);
+    awaitCondition(() -> acceptedRequests() == 1);
   }
 
-  /** Rule 1: a gateway that reads nothing only seems alive. */
+  /** Guards against a gateway process that keeps running although it reads no connection. */
   @Test
   void endOfTheReadingThreadEndsTheGateway() throws Exception {
     connect();
     readerEnded = true;
     transport.processor.afterPendingReads(
         () -> {
-          throw new StackOverflowError("planted");
+          throw new StackOverflowError("thrown by the test");
         });
-    long until = System.nanoTime() + BOUND_NANOS;
+    long start = System.nanoTime();
     IllegalStateException thrown = null;
-    while (thrown == null && System.nanoTime() < until) {
+    while (thrown == null && System.nanoTime() - start < TIMEOUT_NANOS) {
       try {
         loop.catchUp(gateway);
         Thread.onSpinWait();
@@ -412,58 +451,68 @@
         thrown != null && thrown.getCause() instanceof StackOverflowError, "thrown: " + thrown);
   }
 
-  /** Calls until nobody gets through any more; somebody else may have called there before. */
-  private static List<Socket> fillUp(InetSocketAddress to) throws IOException {
-    List<Socket> fill = new ArrayList<>();
+  /** Connects until the accept queue is full; connections of other origin may be in it already. */
+  private static List<Socket> fillAcceptQueue(InetSocketAddress listener) throws IOException {
+    List<Socket> queued = new ArrayList<>();
     for (boolean full = false; !full; ) {
-      Socket next = new Socket();
-      fill.add(next);
+      Socket socket = new Socket();
+      queued.add(socket);
       try {
-        next.connect(to, 250);
-      } catch (java.net.SocketTimeoutException e) {
+        socket.connect(listener, 250);
+      } catch (SocketTimeoutException e) {
         full = true;
       }
-      assertTrue(fill.size() < 10, "a queue for one takes ten");
+      assertTrue(queued.size() < 10, "accept queue with a backlog of 1 took 10 connections");
     }
-    return fill;
+    return queued;
   }
 
-  /** Connects that hang hold descriptors, too, and discovery needs some. */
+  /** Returns whether the gateway leaves a new connection of a client open. */
+  private static boolean isLeftOpen(Socket client) throws IOException {
+    client.setSoTimeout(300);
+    try {
+      return client.getInputStream().read() >= 0;
+    } catch (SocketTimeoutException e) {
+      return true;
+    } catch (IOException e) {
+      // Reset when it was accepted.
+      return false;
+    }
+  }
+
+  /**
+   * Guards against running out of file descriptors, of which discovery needs some: connections that
+   * stay pending have one each and must count against the limit for clients.
+   */
   @Test
   void pendingConnectsCountAgainstClientLimit() throws Exception {
-    end();
-    open.clear();
-    begin(64);
-    try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      InetSocketAddress to = (InetSocketAddress) full.getLocalSocketAddress();
-      final List<Socket> fill = fillUp(to);
-      // Nobody accepts and the queue is full: these stay on their way.
-      for (int k = 0; k < 40; k++) {
-        transport.connectToServer(-1_000 - k, to);
+    stop();
+    openSockets.clear();
+    start(64);
+    try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      InetSocketAddress listenAddress = (InetSocketAddress) listener.getLocalSocketAddress();
+      final List<Socket> queued = fillAcceptQueue(listenAddress);
+      // These stay pending because the accept queue is full and nothing is accepted.
+      for (int index = 0; index < PENDING_CONNECTS; index++) {
+        transport.connectToServer(FIRST_PENDING_CONNECT - index, listenAddress);
       }
-      int kept = 0;
       List<Socket> clients = new ArrayList<>();
-      for (int k = 0; k < 20; k++) {
-        Socket client = new Socket(address.getAddress(), address.getPort());
-        clients.add(client);
+      for (int index = 0; index < 20; index++) {
+        clients.add(new Socket(address.getAddress(), address.getPort()));
       }
+      int leftOpen = 0;
       for (Socket client : clients) {
-        client.setSoTimeout(300);
-        try {
-          kept += client.getInputStream().read() < 0 ? 0 : 1;
-        } catch (java.net.SocketTimeoutException e) {
-          kept++;
-        } catch (IOException e) {
-          // Reset where it was accepted.
-        }
+        leftOpen += isLeftOpen(client) ? 1 : 0;
         client.close();
       }
-      assertTrue(kept <= 48 - 40, kept + " of 20 clients beside 40 pending connects of 48");
-      for (Socket each : fill) {
-        each.close();
+      assertTrue(
+          leftOpen <= 48 - PENDING_CONNECTS,
+          leftOpen + " of 20 clients left open beside 40 pending connects, with a limit of 48");
+      for (Socket socket : queued) {
+        socket.close();
       }
-      for (int k = 0; k < 40; k++) {
-        transport.closeNow(-1_000 - k);
+      for (int index = 0; index < PENDING_CONNECTS; index++) {
+        transport.closeNow(FIRST_PENDING_CONNECT - index);
       }
     }
   }
--- a/gateway/src/test/java/weldcross/gateway/ExtensionHostTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ExtensionHostTest.java
@@ -105,7 +105,7 @@
     try (Client client = new Client(address)) {
       CountDownLatch listed = new CountDownLatch(1);
       while (listed.getCount() > 0) {
-        assertTrue(client.ask("").get(0).startsWith("E"), "not ready while an extension is not");
+        assertTrue(client.query("").get(0).startsWith("E"), "not ready while an extension is not");
         a.context.post(
             () -> {
               if (a.context.now().toMillis() > 1500) {
@@ -115,7 +115,7 @@
       }
       a.ready = true;
       a.context.post(a.context::changed);
-      while (!client.ask("").get(0).startsWith("I")) {
+      while (!client.query("").get(0).startsWith("I")) {
         Thread.onSpinWait();
       }
       GatewayConfig again = LoopbackFakes.readConfig(discovery);
--- a/gateway/src/test/java/weldcross/gateway/FakeConnection.java
+++ b/gateway/src/test/java/weldcross/gateway/FakeConnection.java
@@ -4,40 +4,40 @@
 import weldcross.pgwire.ClientMessageDecoder;
 import weldcross.pgwire.ServerMessageDecoder;
 
-/** One connection of a {@link GatewayHarness}, as its other side has it. */
+/** One connection of a {@link GatewayHarness}, from the view of the gateway's peer. */
 final class FakeConnection {
 
-  /** What the gateway wrote and nobody has taken. */
+  /** What the gateway wrote since the last call of {@link #takeReceived}. */
   final StringBuilder received = new StringBuilder();
 
   /** The name of the server; null for a connection to a client or to discovery. */
   String server;
 
-  /** The port of the address of discovery; zero for all others. */
+  /** The port of discovery; zero for a connection to a client or to a server. */
   int discoveryPort;
 
-  /** Whether it is up and was not closed by either side. */
+  /** Whether the connection is established and neither side has closed it. */
   boolean open;
 
-  /** Whether the gateway has dropped it. */
+  /** Whether the gateway has closed the connection with {@link Transport#closeNow}. */
   boolean dropped;
 
-  /** The statement that a server has not answered; null if there is none. */
+  /** The statement that the server has not answered; null if there is none. */
   String statement;
 
-  /** When a server last answered; null if it has not. */
+  /** When the server last answered; null if it has not. */
   Duration answeredAt;
 
-  /** The gateway's decoder of what a server sends; null for others. */
+  /** The gateway's decoder for what the server sends; null if the peer is no server. */
   ServerMessageDecoder serverDecoder;
 
-  /** The gateway's decoder of what a client sends; null for others. */
+  /** The gateway's decoder for what the client sends; null if the peer is no client. */
   ClientMessageDecoder clientDecoder;
 
-  /** Takes what the gateway wrote since the last call. */
+  /** Returns what the gateway wrote since the last call. */
   String takeReceived() {
-    String all = received.toString();
+    String text = received.toString();
     received.setLength(0);
-    return all;
+    return text;
   }
 }
--- a/gateway/src/test/java/weldcross/gateway/FakeTransport.java
+++ b/gateway/src/test/java/weldcross/gateway/FakeTransport.java
@@ -16,42 +16,45 @@
 import java.util.function.Consumer;
 
 /**
- * A transport in memory: records what a gateway asks for, has it checked by a {@link
- * RequestHistory}, and answers as the flags say.
+ * In-memory transport. Records the calls of a gateway, has a {@link RequestHistory} check the
+ * requests, and responds as its flags say.
  */
 abstract class FakeTransport implements Transport {
 
   private static final int FIRST_SERVER_PORT = 7000;
 
-  /** Length of a message's header: its type and four bytes of length. */
+  /** Length of a message's header: one byte of type and four bytes of length. */
   private static final int HEADER_BYTES = 5;
 
   final RequestHistory history = new RequestHistory();
   final Map<Long, FakeConnection> connections = new LinkedHashMap<>();
 
-  /** Calls of the transport that have no other trace here, as text. */
+  /** Names and arguments of those calls that change no other state here. */
   final List<String> calls = new ArrayList<>();
 
-  /** Connections with a write of which the gateway does not know that it is completed. */
+  /** Connections with a write whose completion has not been reported to the gateway. */
   final List<Long> pendingWrites = new ArrayList<>();
 
-  /** How long a server's connection was idle before it carried its statement; null if new. */
-  final Map<Long, Duration> idleBefore = new HashMap<>();
+  /** Idle time of each server connection before its last statement; null if it was new. */
+  final Map<Long, Duration> idleTimeBeforeStatement = new HashMap<>();
 
-  /** Clients that do not take yet what is written to them. */
+  /** Clients that do not read yet what is written to them. */
   final Set<Long> slowReaders = new HashSet<>();
 
-  /** Servers to which no connection comes up. */
+  /** Servers to which no connection is established. */
   final Set<String> unreachable = new HashSet<>();
 
-  /** Clients to be closed if quiet, with the number of messages known of each. */
+  /** Clients to be closed if quiet, with the number of messages that the gateway received. */
   final Map<Long, Integer> pendingCloses = new LinkedHashMap<>();
 
-  /** Clients whose message is to be looked at, with the number of messages known of each. */
+  /**
+   * Clients to be checked for an incomplete message, with the number of messages that the gateway
+   * received before it.
+   */
   final Map<Long, Integer> pendingChecks = new LinkedHashMap<>();
 
-  /** Connections that were closed, and not only ended from here. */
-  final Set<Long> droppedNumbers = new HashSet<>();
+  /** Connections closed with {@link #closeNow}, as opposed to half-closed ones. */
+  final Set<Long> droppedConnections = new HashSet<>();
 
   final EventLoop loop = new EventLoop(() -> this.now);
 
@@ -61,24 +64,24 @@
   /** The clock. */
   Duration now = Duration.ZERO;
 
-  /** The number of the last connection to discovery. */
+  /** The number of the latest connection to discovery. */
   long discovery;
 
   boolean listening;
 
-  /** Whether a write is completed when it is requested, as where nothing is in its way. */
-  boolean writesCompleteAtOnce;
+  /** Whether each write is completed immediately. */
+  boolean writesCompleteImmediately;
 
-  /** Whether the reading thread gets no time: nothing that was received is read. */
+  /** Whether received bytes are not read, as if the reading thread got no CPU time. */
   boolean readsDelayed;
 
-  /** Whether clients keep their side open after the gateway has closed its own. */
+  /** Whether clients keep their side open after the gateway has half-closed a connection. */
   boolean clientsKeepOpen;
 
-  /** How long the event under way has lasted when it writes. */
+  /** How far {@link #now()} is ahead of the time at which the current event began. */
   Duration eventDuration = Duration.ZERO;
 
-  /** Takes the server of each statement as it is sent. */
+  /** Called with the name of the server when a client's statement is sent to it. */
   Consumer<String> onSent = server -> {};
 
   @Override
@@ -103,7 +106,7 @@
 
   @Override
   public void listenForGossip(InetSocketAddress at) {
-    calls.add("join " + at.getPort());
+    calls.add("listenForGossip " + at.getPort());
   }
 
   @Override
@@ -111,7 +114,7 @@
     FakeConnection connection = new FakeConnection();
     connection.server = "s-" + (to.getPort() - FIRST_SERVER_PORT);
     connections.put(number, connection);
-    connection.serverDecoder = Streams.server(loop::post, number);
+    connection.serverDecoder = MessageDecoders.forServer(loop::post, number);
     if (!unreachable.contains(connection.server)) {
       gateway.soon(
           () -> {
@@ -131,34 +134,35 @@
   @Override
   public boolean write(long number, ByteBuffer... parts) {
     FakeConnection connection = connections.get(number);
-    RequestHistory.check(!connection.dropped, "written to a connection that was dropped");
-    if (!writesCompleteAtOnce) {
+    RequestHistory.check(!connection.dropped, "write to a dropped connection");
+    if (!writesCompleteImmediately) {
       pendingWrites.add(number);
     }
-    StringBuilder all = new StringBuilder();
+    StringBuilder message = new StringBuilder();
     for (ByteBuffer part : parts) {
-      all.append(StandardCharsets.ISO_8859_1.decode(part.duplicate()));
+      message.append(StandardCharsets.ISO_8859_1.decode(part.duplicate()));
     }
-    String text = all.toString();
+    String text = message.toString();
     if (number > 0) {
-      answered(number, text);
+      recordResponses(number, text);
     }
     if (number > 0 || connection.discoveryPort != 0) {
       connection.received.append(text);
     } else if (text.startsWith("Q")) {
       connection.serverDecoder.expectResponse();
-      sent(number, connection, text.substring(HEADER_BYTES));
+      recordStatement(number, connection, text.substring(HEADER_BYTES));
     } else {
       connection.serverDecoder.expectResponse();
       connection.serverDecoder.feed(ByteBuffer.wrap(message('Z', "I")));
     }
-    return writesCompleteAtOnce;
+    return writesCompleteImmediately;
   }
 
-  private void sent(long number, FakeConnection connection, String text) {
-    RequestHistory.check(connection.statement == null, "a second statement on a busy connection");
+  private void recordStatement(long number, FakeConnection connection, String text) {
+    RequestHistory.check(connection.statement == null, "second statement on a busy connection");
     connection.statement = text;
-    idleBefore.put(number, connection.answeredAt == null ? null : now.minus(connection.answeredAt));
+    idleTimeBeforeStatement.put(
+        number, connection.answeredAt == null ? null : now.minus(connection.answeredAt));
     history.sent(number, text, now);
     if (RequestHistory.idOf(text) != null) {
       onSent.accept(connection.server);
@@ -166,19 +170,20 @@
   }
 
   /**
-   * Several answers may be written as one; each ends with ReadyForQuery, or with the connection.
+   * Records the responses in one write. Each ends with ReadyForQuery or with the end of the
+   * connection.
    */
-  private void answered(long client, String text) {
-    for (String one : text.split("(?<=Z\0\0\0\5I)", -1)) {
-      if (one.startsWith("T") || one.startsWith("E")) {
-        history.answered(client, one, now);
+  private void recordResponses(long client, String text) {
+    for (String response : text.split("(?<=Z\0\0\0\5I)", -1)) {
+      if (response.startsWith("T") || response.startsWith("E")) {
+        history.answered(client, response, now);
       }
     }
   }
 
   @Override
-  public void setReading(long number, boolean on) {
-    calls.add((on ? "read " : "hold ") + number);
+  public void setReading(long number, boolean reading) {
+    calls.add((reading ? "resumeReading " : "pauseReading ") + number);
   }
 
   @Override
@@ -196,11 +201,11 @@
     }
   }
 
-  /** All that was received by now is read: whichever client sent nothing more is closed. */
+  /** Closes the clients in {@link #pendingCloses} that are quiet; reports all decisions. */
   void decideCloses() {
-    Map<Long, Integer> all = new LinkedHashMap<>(pendingCloses);
+    Map<Long, Integer> closes = new LinkedHashMap<>(pendingCloses);
     pendingCloses.clear();
-    all.forEach(this::decideClose);
+    closes.forEach(this::decideClose);
   }
 
   private void decideClose(long number, int messages) {
@@ -214,7 +219,7 @@
     gateway.soon(
         () -> {
           gateway.clients().closeDecided(number, quiet);
-          // A usual client closes its own side then.
+          // A well-behaved client closes its own side in response.
           if (quiet && !clientsKeepOpen) {
             gateway.clients().disconnected(number);
           }
@@ -229,11 +234,11 @@
     }
   }
 
-  /** All that was received by now is read: whoever has not ended its message is reported. */
+  /** Reports the clients in {@link #pendingChecks} whose message is still incomplete. */
   void decideChecks() {
-    Map<Long, Integer> all = new LinkedHashMap<>(pendingChecks);
+    Map<Long, Integer> checks = new LinkedHashMap<>(pendingChecks);
     pendingChecks.clear();
-    all.forEach(
+    checks.forEach(
         (number, messages) -> {
           FakeConnection connection = connections.get(number);
           if (connection.open && connection.clientDecoder.messageCount() <= messages) {
@@ -244,7 +249,7 @@
 
   @Override
   public void closeNow(long number) {
-    droppedNumbers.add(number);
+    droppedConnections.add(number);
     FakeConnection connection = connections.get(number);
     if (connection == null) {
       return;
@@ -257,11 +262,11 @@
   @Override
   public void closeGracefully(long number) {
     connections.get(number).open = false;
-    calls.add("finish " + number);
+    calls.add("closeGracefully " + number);
   }
 
   @Override
   public void sendGossip(InetSocketAddress to, byte[] message) {
-    calls.add("tell " + to.getPort() + " " + new String(message, StandardCharsets.UTF_8));
+    calls.add("sendGossip " + to.getPort() + " " + new String(message, StandardCharsets.UTF_8));
   }
 }
--- a/gateway/src/test/java/weldcross/gateway/GatewayHarness.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayHarness.java
@@ -206,7 +206,7 @@
     FakeConnection connection = new FakeConnection();
     connection.open = true;
     connections.put(number, connection);
-    connection.clientDecoder = Streams.client(loop::post, loop::post, () -> now, number);
+    connection.clientDecoder = MessageDecoders.forClient(loop::post, loop::post, () -> now, number);
     dispatch(g -> g.clients().accepted(number));
     return number;
   }
--- a/gateway/src/test/java/weldcross/gateway/GatewayProcessTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayProcessTest.java
@@ -46,7 +46,7 @@
       CompletableFuture<Integer> status = CompletableFuture.supplyAsync(gateway::serve);
       InetSocketAddress address = gateway.listening().get(20, TimeUnit.SECONDS);
       try (Client client = new Client(address)) {
-        while (!client.ask("").get(0).startsWith("I")) {
+        while (!client.query("").get(0).startsWith("I")) {
           Thread.onSpinWait();
         }
         String value = "0f".repeat(60_000) + "a" + life;
@@ -54,7 +54,7 @@
         List<String> read = fakes.read(client);
         assertEquals(List.of('T', 'D', 'C', 'Z'), read.stream().map(m -> m.charAt(0)).toList());
         assertEquals(value, read.get(1).substring(7));
-        assertTrue(client.ask("DROP TABLE kv").get(0).contains("C42601"));
+        assertTrue(client.query("DROP TABLE kv").get(0).contains("C42601"));
         gateway.stop();
         assertEquals(value, fakes.read(client).get(1).substring(7), "still served as it drains");
         assertEquals(0, status.get(20, TimeUnit.SECONDS));
@@ -73,20 +73,20 @@
     InetSocketAddress address = gateway.listening().get(20, TimeUnit.SECONDS);
     try (Client client = new Client(address)) {
       client.send(ByteBuffer.allocate(5).put((byte) 'Q').putInt(60 << 20).flip());
-      LoopbackFakes.thread(
+      LoopbackFakes.startThread(
           () -> {
             while (true) {
               client.socket.getOutputStream().write(new byte[60_000]);
             }
           });
-      assertTrue(LoopbackFakes.next(client.in).contains("C08P01"));
+      assertTrue(LoopbackFakes.readMessage(client.in).contains("C08P01"));
       assertEquals(-1, client.in.read());
     }
     gateway.stop();
   }
 
   private GatewayProcess serveWith64Descriptors(Primary primary) throws IOException {
-    String config = LoopbackFakes.text(fakes.discovery(primary)).replace("1024", "64");
+    String config = LoopbackFakes.configJson(fakes.discovery(primary)).replace("1024", "64");
     GatewayProcess gateway =
         new GatewayProcess(
             GatewayConfig.of(ConfigValues.ofJson(config.getBytes(StandardCharsets.UTF_8))));
@@ -102,7 +102,7 @@
     InetSocketAddress address = gateway.listening().get(20, TimeUnit.SECONDS);
     List<Socket> silent = new ArrayList<>();
     try (Client usual = new Client(address)) {
-      while (!usual.ask("").get(0).startsWith("I")) {
+      while (!usual.query("").get(0).startsWith("I")) {
         Thread.onSpinWait();
       }
       for (int k = 0; k < 300; k++) {
@@ -136,7 +136,7 @@
     long until = System.nanoTime() + time.toNanos();
     while (System.nanoTime() < until) {
       try (Client later = new Client(address)) {
-        if (later.ask("").get(0).startsWith("I")) {
+        if (later.query("").get(0).startsWith("I")) {
           return true;
         }
       } catch (IOException e) {
@@ -154,16 +154,16 @@
     InetSocketAddress address = gateway.listening().get(20, TimeUnit.SECONDS);
     List<Client> busy = new ArrayList<>();
     List<Socket> surplus = new ArrayList<>();
-    primary.stuck = new CountDownLatch(1);
+    primary.writeLatch = new CountDownLatch(1);
     try {
       busy.add(new Client(address));
-      while (!busy.get(0).ask("").get(0).startsWith("I")) {
+      while (!busy.get(0).query("").get(0).startsWith("I")) {
         Thread.onSpinWait();
       }
       for (int k = 0; k < 24; k++) {
         Client client = k == 0 ? busy.get(0) : new Client(address);
         // A client that has sent a statement is not evicted.
-        client.ask("");
+        client.query("");
         sendWrite(client, "b" + k);
         if (k > 0) {
           busy.add(client);
@@ -174,12 +174,12 @@
         surplus.add(new Socket(address.getAddress(), address.getPort()));
       }
       assertTrue(countWithoutAnswer(surplus) > 0, "all got an answer");
-      primary.stuck.countDown();
+      primary.writeLatch.countDown();
       for (Client each : busy) {
-        each.answer();
+        each.readResponse();
       }
     } finally {
-      primary.stuck.countDown();
+      primary.writeLatch.countDown();
       for (Socket each : surplus) {
         each.close();
       }
@@ -219,7 +219,7 @@
     GatewayConfig config =
         GatewayConfig.of(
             ConfigValues.ofJson(
-                LoopbackFakes.text(discovery)
+                LoopbackFakes.configJson(discovery)
                     .replace("127.0.0.1:0", "127.0.0.1:" + primary.socket.getLocalPort())
                     .getBytes(StandardCharsets.UTF_8)));
     GatewayProcess gateway = new GatewayProcess(config);
--- a/gateway/src/test/java/weldcross/gateway/GracefulShutdownTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GracefulShutdownTest.java
@@ -88,9 +88,9 @@
     harness.dispatch(Gateway::stop);
     harness.advance(460);
     assertEquals(Gateway.Phase.DRAINING, harness.gateway.phase());
-    assertFalse(harness.droppedNumbers.contains(idle));
+    assertFalse(harness.droppedConnections.contains(idle));
     harness.advance(250);
-    assertTrue(harness.droppedNumbers.contains(idle));
+    assertTrue(harness.droppedConnections.contains(idle));
     assertEquals(Gateway.Phase.STOPPED, harness.gateway.phase());
   }
 
--- a/gateway/src/test/java/weldcross/gateway/LoopbackFakes.java
+++ b/gateway/src/test/java/weldcross/gateway/LoopbackFakes.java
@@ -1,5 +1,8 @@
 package weldcross.gateway;
 
+import static weldcross.gateway.ServerMessages.message;
+
+import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -23,27 +26,27 @@
 import weldcross.config.GatewayConfig;
 import weldcross.pgwire.MessageEncoder;
 
-/** A server, a discovery and clients on loopback sockets, for tests of a whole process. */
+/** A fake server, fake discovery and clients on loopback sockets, for tests of a whole process. */
 final class LoopbackFakes implements AutoCloseable {
 
-  private final List<Closeable> fakes = new ArrayList<>();
+  private final List<Closeable> listeners = new ArrayList<>();
   private int nextRequest;
 
-  /** Accepts until it is closed; each connection on a thread of its own. */
+  /** Accepts connections until it is closed; each is served by its own thread. */
   abstract static class FakeListener implements Closeable {
     final ServerSocket socket;
     final List<Socket> open = new ArrayList<>();
 
     FakeListener() throws IOException {
       socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-      thread(
+      startThread(
           () -> {
             while (true) {
               Socket connection = socket.accept();
               synchronized (open) {
                 open.add(connection);
               }
-              thread(
+              startThread(
                   () ->
                       serve(
                           new DataInputStream(connection.getInputStream()),
@@ -65,12 +68,12 @@
     }
   }
 
-  /** A primary that keeps what is written, and reports itself at the present. */
+  /** A primary that stores the rows written to it and reports a current replication position. */
   static final class Primary extends FakeListener {
     final Map<String, String> rows = new ConcurrentHashMap<>();
 
-    /** While it is more than zero no write is answered. */
-    volatile CountDownLatch stuck = new CountDownLatch(0);
+    /** Writes are not answered until this latch reaches zero. */
+    volatile CountDownLatch writeLatch = new CountDownLatch(0);
 
     Primary() throws IOException {}
 
@@ -80,18 +83,18 @@
       out.write(message('R', "\0\0\0\0"));
       out.write(message('Z', "I"));
       while (true) {
-        String asked = next(in).substring(1);
+        String query = readMessage(in).substring(1);
         String value;
-        if (asked.startsWith("SHOW")) {
+        if (query.startsWith("SHOW")) {
           value = "x0=" + System.currentTimeMillis() / 1000.0 + ",x1=1";
-        } else if (asked.startsWith("INSERT")) {
-          value = asked.split("\\\\x|'\\) ", -1)[1];
-          awaitLatch(stuck);
-          rows.put(asked.split("'", -1)[1], value);
+        } else if (query.startsWith("INSERT")) {
+          value = query.split("\\\\x|'\\) ", -1)[1];
+          awaitLatch(writeLatch);
+          rows.put(query.split("'", -1)[1], value);
         } else {
-          value = rows.getOrDefault(asked.split("'", -1)[1], "");
+          value = rows.getOrDefault(query.split("'", -1)[1], "");
         }
-        out.write(row(value, asked.startsWith("INSERT") ? "INSERT 0 1" : "SELECT 1"));
+        out.write(row(value, query.startsWith("INSERT") ? "INSERT 0 1" : "SELECT 1"));
         out.write(message('S', "mode\0read-write\0"));
         out.write(message('S', "wal_time\0" + System.currentTimeMillis() + "\0"));
         out.write(message('Z', "I"));
@@ -107,11 +110,12 @@
     }
   }
 
+  /** A discovery whose endpoint list contains one primary and never changes. */
   static final class Discovery extends FakeListener {
-    private final String list;
+    private final String endpointList;
 
     Discovery(Primary primary) throws IOException {
-      list =
+      endpointList =
           "{\"revision\":7,\"complete\":true,\"members\":[{\"id\":\"s-0\","
               + "\"host_port\":\"127.0.0.1:"
               + primary.socket.getLocalPort()
@@ -127,15 +131,18 @@
       }
       if (request.startsWith("GET /catalog/members HTTP")) {
         out.write(
-            ("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
+            ("HTTP/1.1 200 OK\r\nContent-Length: "
+                    + endpointList.length()
+                    + "\r\n\r\n"
+                    + endpointList)
                 .getBytes(StandardCharsets.US_ASCII));
       }
-      // A watch in which nothing changes.
+      // Reads the request of a watch, which is not answered as nothing changes.
       in.readLine();
     }
   }
 
-  /** A client, blocking. */
+  /** A client with blocking I/O and an open session. */
   static final class Client implements AutoCloseable {
     final Socket socket = new Socket();
     final DataInputStream in;
@@ -144,7 +151,7 @@
       socket.connect(address);
       in = new DataInputStream(socket.getInputStream());
       send(MessageEncoder.startup());
-      answer();
+      readResponse();
     }
 
     void send(ByteBuffer bytes) throws IOException {
@@ -153,18 +160,19 @@
       socket.getOutputStream().write(message);
     }
 
-    /** The messages up to ReadyForQuery, each with its type. */
-    List<String> answer() throws IOException {
+    /** Returns the messages up to and including ReadyForQuery, each preceded by its type. */
+    List<String> readResponse() throws IOException {
       List<String> messages = new ArrayList<>();
       do {
-        messages.add(next(in));
+        messages.add(readMessage(in));
       } while (!messages.get(messages.size() - 1).startsWith("Z"));
       return messages;
     }
 
-    List<String> ask(String text) throws IOException {
+    /** Sends a query; returns the messages of the response. */
+    List<String> query(String text) throws IOException {
       send(MessageEncoder.query(text));
-      return answer();
+      return readResponse();
     }
 
     @Override
@@ -173,28 +181,29 @@
     }
   }
 
+  /** A task for {@link #startThread}. */
   interface IoTask {
     void run() throws IOException;
   }
 
-  /** Closes all listeners that were registered, with their connections. */
+  /** Closes the listeners created by {@link #discovery}, with their connections. */
   @Override
   public void close() throws IOException {
-    for (Closeable each : fakes) {
-      each.close();
+    for (Closeable listener : listeners) {
+      listener.close();
     }
   }
 
-  /** Creates a discovery that lists a primary; both are closed with this. */
+  /** Creates a discovery that lists a primary; {@link #close} closes both. */
   Discovery discovery(Primary primary) throws IOException {
     Discovery discovery = new Discovery(primary);
-    fakes.addAll(List.of(primary, discovery));
+    listeners.addAll(List.of(primary, discovery));
     return discovery;
   }
 
-  /** Writes a value; returns the messages of the answer. */
+  /** Writes a value; returns the messages of the response. */
   List<String> write(Client client, String hex) throws IOException {
-    return client.ask(
+    return client.query(
         "INSERT INTO kv (name, content) VALUES ('k', '\\x"
             + hex
             + "') RETURNING content"
@@ -203,28 +212,29 @@
             + ",c=entry-write,d=20000,cluster=0 */");
   }
 
-  /** Reads the value; returns the messages of the answer. */
+  /** Reads the value; returns the messages of the response. */
   List<String> read(Client client) throws IOException {
-    return client.ask(
+    return client.query(
         "SELECT content FROM kv WHERE name = 'k' /* id=i"
             + nextRequest++
             + ",c=entry-read,d=20000,cluster=0 */");
   }
 
-  /** Returns the example's configuration with this discovery. */
+  /** Returns the example configuration with this discovery. */
   static GatewayConfig readConfig(Discovery discovery) throws IOException {
-    return GatewayConfig.of(ConfigValues.ofJson(text(discovery).getBytes(StandardCharsets.UTF_8)));
+    return GatewayConfig.of(
+        ConfigValues.ofJson(configJson(discovery).getBytes(StandardCharsets.UTF_8)));
   }
 
-  /** Returns the example's configuration with this discovery, as JSON. */
-  static String text(Discovery discovery) throws IOException {
+  /** Returns the example configuration with this discovery, as JSON. */
+  static String configJson(Discovery discovery) throws IOException {
     return Files.readString(Path.of("deploy/example.json"))
         .replace("127.0.0.1:6543", "127.0.0.1:0")
         .replace("127.0.0.1:8500", "127.0.0.1:" + discovery.socket.getLocalPort());
   }
 
-  /** Runs a task on a thread of its own until a socket of it is closed. */
-  static void thread(IoTask task) {
+  /** Runs a task on a new daemon thread; an {@link IOException} ends it. */
+  static void startThread(IoTask task) {
     Thread thread =
         new Thread(
             () -> {
@@ -238,8 +248,8 @@
     thread.start();
   }
 
-  /** Returns the next message, with its type. */
-  static String next(DataInputStream in) throws IOException {
+  /** Returns the next message, preceded by its type. */
+  static String readMessage(DataInputStream in) throws IOException {
     char type = (char) in.readByte();
     byte[] body = new byte[in.readInt() - 4];
     in.readFully(body);
@@ -247,30 +257,22 @@
   }
 
   private static byte[] row(String value, String tag) {
-    ByteBuffer d =
-        ByteBuffer.allocate(6 + value.length())
+    ByteBuffer dataRow =
+        ByteBuffer.allocate(Short.BYTES + Integer.BYTES + value.length())
             .putShort((short) 1)
             .putInt(value.length())
             .put(value.getBytes(StandardCharsets.ISO_8859_1));
-    String body = new String(d.array(), StandardCharsets.ISO_8859_1);
     return concat(
-        message('T', "\0\1content\0" + "\0".repeat(18)),
-        message('D', body),
+        message('T', ServerMessages.ROW_DESCRIPTION_BODY),
+        message('D', new String(dataRow.array(), StandardCharsets.ISO_8859_1)),
         message('C', tag + "\0"));
   }
 
   private static byte[] concat(byte[]... messages) {
-    ByteBuffer all = ByteBuffer.allocate(200_000);
-    for (byte[] each : messages) {
-      all.put(each);
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    for (byte[] message : messages) {
+      bytes.writeBytes(message);
     }
-    byte[] bytes = new byte[all.position()];
-    all.flip().get(bytes);
-    return bytes;
-  }
-
-  private static byte[] message(char type, String body) {
-    byte[] b = body.getBytes(StandardCharsets.ISO_8859_1);
-    return ByteBuffer.allocate(5 + b.length).put((byte) type).putInt(4 + b.length).put(b).array();
+    return bytes.toByteArray();
   }
 }
--- a/gateway/src/test/java/weldcross/gateway/ReadBatchTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ReadBatchTest.java
@@ -25,7 +25,7 @@
 
   /** Returns a decoder that adds the messages of a client to the batch, as its stream does. */
   private ClientMessageDecoder decoderOf(long client) {
-    return Streams.client(
+    return MessageDecoders.forClient(
         event -> batch.addForClient(client, event), batch::add, () -> harness.now, client);
   }
 
--- a/gateway/src/test/java/weldcross/gateway/RequestPipelineTest.java
+++ b/gateway/src/test/java/weldcross/gateway/RequestPipelineTest.java
@@ -24,7 +24,9 @@
     harness.answer(harness.connectionOf(id), null);
     String value = "v-" + id;
     assertEquals(
-        new String(ServerMessages.message('T', ServerMessages.COLUMNS), StandardCharsets.ISO_8859_1)
+        new String(
+                ServerMessages.message('T', ServerMessages.ROW_DESCRIPTION_BODY),
+                StandardCharsets.ISO_8859_1)
             + "D"
             + "\0\0\0"
             + (char) (10 + value.length())
@@ -58,7 +60,7 @@
     for (int k = 0; k < 20; k++) {
       ids.add(harness.request(client, false, 5000));
     }
-    assertTrue(harness.calls.contains("hold " + client));
+    assertTrue(harness.calls.contains("pauseReading " + client));
     for (int k = 0; k < 12; k++) {
       harness.busyConnections().stream()
           .filter(l -> RequestHistory.idOf(harness.connections.get(l).statement) != null)
@@ -66,7 +68,8 @@
       harness.advance(40);
       harness.answerHealthChecks();
     }
-    assertTrue(harness.calls.contains("read " + client), harness.history.answers.toString());
+    assertTrue(
+        harness.calls.contains("resumeReading " + client), harness.history.answers.toString());
     assertTrue(harness.history.answers.keySet().containsAll(ids));
   }
 
--- a/gateway/src/test/java/weldcross/gateway/ServerConnectionPoolTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ServerConnectionPoolTest.java
@@ -13,22 +13,25 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** Connections to servers: reuse, ends and failures. */
+/** Tests reuse, timeouts and failures of connections to servers. */
 class ServerConnectionPoolTest {
 
+  /**
+   * Guards against a response that is taken for that of the next request: bytes that follow a
+   * response must be detected before its connection is reused.
+   */
   @Test
-  void bytesBehindAnAnswerCloseItsConnectionBeforeReuse() {
+  void bytesAfterAResponseCloseItsConnectionBeforeReuse() {
     GatewayHarness harness = GatewayHarness.serving();
     String first = harness.request(harness.connect(), true, 900);
     long connection = harness.connectionOf(first);
     harness.answer(connection, null);
     String second = harness.request(harness.connect(), true, 900);
     assertFalse(
-        connection == harness.connectionOf(second),
-        "too soon to tell whether more comes behind the answer");
+        connection == harness.connectionOf(second), "reused before the quiet period is over");
     harness.serverSends(
         harness.connections.get(connection),
-        ByteBuffer.wrap(ServerMessages.message('T', ServerMessages.COLUMNS)));
+        ByteBuffer.wrap(ServerMessages.message('T', ServerMessages.ROW_DESCRIPTION_BODY)));
     assertTrue(harness.connections.get(connection).dropped);
     harness.answer(harness.connectionOf(second), null);
     harness.advance(10);
@@ -37,19 +40,18 @@
             .open);
   }
 
+  /** Guards against a leaked connection: cancelling it may come too late to prevent it. */
   @Test
-  void connectionThatOpensAfterItWasGivenUpIsClosed() {
+  void connectionEstablishedAfterItsCancellationIsClosed() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.unreachable.add("s-0");
     harness.connections.values().stream()
-        .filter(x -> "s-0".equals(x.server))
-        .forEach(x -> x.open = false);
-    List.copyOf(harness.connections.keySet()).stream()
-        .filter(n -> n < 0 && "s-0".equals(harness.connections.get(n).server))
-        .forEach(harness::closeByServer);
+        .filter(connection -> "s-0".equals(connection.server))
+        .forEach(connection -> connection.open = false);
+    harness.closeAllOf("s-0");
     long client = harness.connect();
     harness.request(client, true, 900);
-    long connection = harness.connections.keySet().stream().min(Long::compare).orElseThrow();
+    long connection = harness.newestServerConnection();
     harness.disconnect(client);
     harness.connections.get(connection).dropped = false;
     harness.dispatch(g -> g.serverConnections().connected(connection));
@@ -57,25 +59,23 @@
   }
 
   @Test
-  void errorBeforeTheWelcomeMeansNotSent() {
+  void errorBeforeTheSessionIsReadyProvesThatNothingWasExecuted() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.unreachable.add("s-0");
-    List.copyOf(harness.connections.keySet()).stream()
-        .filter(n -> n < 0 && "s-0".equals(harness.connections.get(n).server))
-        .forEach(harness::closeByServer);
+    harness.closeAllOf("s-0");
     harness.history.writes.add("a0");
     final String id = harness.request(harness.connect(), true, 900);
-    long connection = harness.connections.keySet().stream().min(Long::compare).orElseThrow();
+    long connection = harness.newestServerConnection();
     harness.serverSends(
         harness.connections.get(connection),
         ByteBuffer.wrap(ServerMessages.message('E', "SFATAL\0C57P03\0\0")));
     harness.closeByServer(connection);
     harness.advance(900);
-    assertEquals("53300", harness.history.answers.get(id), "it may not be said to have run");
+    assertEquals("53300", harness.history.answers.get(id), "the write cannot have been executed");
   }
 
   @Test
-  void movedServerIsConnectedAtItsNewAddress() {
+  void serverWithAChangedAddressIsConnectedAtTheNewAddress() {
     GatewayHarness harness = GatewayHarness.serving();
     String id = harness.request(harness.connect(), true, 500);
     long before = harness.connectionOf(id);
@@ -101,7 +101,7 @@
   void mostRecentlyUsedConnectionIsReused() {
     GatewayHarness harness = GatewayHarness.serving();
     Set<Long> used = new HashSet<>();
-    for (int k = 0; k < 30; k++) {
+    for (int round = 0; round < 30; round++) {
       String id = harness.request(harness.connect(), true, 500);
       used.add(harness.connectionOf(id));
       harness.answer(harness.connectionOf(id), null);
@@ -110,17 +110,20 @@
     assertEquals(1, used.size());
   }
 
-  /** Connections idle for 0.1 s are lost; the pool learns not to use such. */
+  /**
+   * Requests on connections that were idle for more than 100 ms are lost; the pool must learn to
+   * avoid such connections, without ejecting their servers.
+   */
   @Test
-  void idleTimeThatLosesConnectionsIsLearned() {
+  void poolLearnsAfterWhichIdleTimeConnectionsAreLost() {
     GatewayHarness harness = GatewayHarness.serving();
     int lost = 0;
-    for (int k = 0; k < 60; k++) {
+    for (int round = 0; round < 60; round++) {
       String id = harness.request(harness.connect(), false, 900);
       harness.answerHealthChecks();
       long connection = harness.connectionOf(id);
-      Duration idled = harness.idleBefore.get(connection);
-      if (idled != null && idled.compareTo(Duration.ofMillis(100)) > 0) {
+      Duration idleTime = harness.idleTimeBeforeStatement.get(connection);
+      if (idleTime != null && idleTime.compareTo(Duration.ofMillis(100)) > 0) {
         lost++;
         harness.closeByServer(connection);
         harness.answerHealthChecks();
@@ -130,31 +133,30 @@
       assertEquals("ok", harness.history.answers.get(id));
       harness.advance(130);
     }
-    assertTrue(lost > 1 && lost < 12, "lost " + lost);
+    assertTrue(lost > 1 && lost < 12, lost + " requests lost");
     assertNoEndpointEjectedOrWarmingUp(harness);
     long open =
         harness.connections.entrySet().stream()
             .filter(e -> e.getKey() < 0 && e.getValue().open)
             .count();
-    assertTrue(open < 9, "those given up are ended: " + open);
+    assertTrue(open < 9, open + " connections open, avoided ones are not closed");
   }
 
-  /** A process was there, and nothing ran. */
+  /** A reset proves that the server process is running and that it executed nothing. */
   @Test
   void resetOnConnectDoesNotEjectTheServer() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.unreachable.add("s-0");
-    List.copyOf(harness.connections.keySet()).stream()
-        .filter(n -> n < 0 && "s-0".equals(harness.connections.get(n).server))
-        .forEach(harness::closeByServer);
+    harness.closeAllOf("s-0");
     final String id = harness.request(harness.connect(), true, 900);
-    long connection = harness.connections.keySet().stream().min(Long::compare).orElseThrow();
+    long connection = harness.newestServerConnection();
     harness.unreachable.clear();
     harness.dispatch(g -> g.serverConnections().connectionReset(connection));
     assertNoEndpointEjectedOrWarmingUp(harness);
     harness.advance(30);
     harness.answer(harness.connectionOf(id), null);
-    assertEquals("ok", harness.history.answers.get(id), "asked again, as nothing ran");
+    assertEquals(
+        "ok", harness.history.answers.get(id), "not retried although nothing was executed");
   }
 
   @Test
@@ -170,48 +172,54 @@
   }
 
   @Test
-  void serverWithoutWelcomeIsReportedUnreachable() {
+  void serverThatDoesNotAcceptConnectionsIsReportedByGossip() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.unreachable.addAll(List.of("s-1", "s-2"));
     harness.busyConnections().forEach(harness::closeByServer);
     List.copyOf(harness.connections.keySet()).stream()
-        .filter(n -> n < 0 && n != harness.discovery && harness.connections.get(n).open)
+        .filter(
+            number ->
+                number < 0 && number != harness.discovery && harness.connections.get(number).open)
         .forEach(harness::closeByServer);
     final String id = harness.request(harness.connect(), false, 2000);
     harness.advance(300);
     harness.answerHealthChecks();
     harness.advance(600);
     assertTrue(
-        harness.calls.stream().anyMatch(t -> t.startsWith("tell 7947 s-")),
+        harness.calls.stream().anyMatch(call -> call.startsWith("sendGossip 7947 s-")),
         "no gossip was sent: " + harness.calls);
-    harness.busyConnections().forEach(l -> harness.answer(l, null));
+    harness.busyConnections().forEach(number -> harness.answer(number, null));
     assertEquals("ok", harness.history.answers.get(id));
   }
 
+  /**
+   * Guards against a gateway that lacks CPU time and takes servers for unresponsive, whose messages
+   * were received in time and have not been read yet.
+   */
   @Test
-  void delayedReadsAreNotTakenForSilentServers() {
+  void delayedReadsDoNotTimeOutConnections() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.unreachable.add("s-0");
-    List.copyOf(harness.connections.keySet()).stream()
-        .filter(n -> n < 0 && "s-0".equals(harness.connections.get(n).server))
-        .forEach(harness::closeByServer);
+    harness.closeAllOf("s-0");
     final String id = harness.request(harness.connect(), true, 2000);
-    long connection = harness.connections.keySet().stream().min(Long::compare).orElseThrow();
+    long connection = harness.newestServerConnection();
     harness.readsDelayed = true;
     harness.advance(300);
-    assertFalse(harness.connections.get(connection).dropped, "what came in has not been read");
+    assertFalse(
+        harness.connections.get(connection).dropped, "timed out although reads are pending");
     harness.connections.get(connection).open = true;
     harness.dispatch(g -> g.serverConnections().connected(connection));
     harness.answer(connection, null);
     assertEquals("ok", harness.history.answers.get(id));
     harness.request(harness.connect(), true, 2000);
     harness.advance(400);
-    long other = harness.connections.keySet().stream().min(Long::compare).orElseThrow();
+    long other = harness.newestServerConnection();
     harness.dispatch(g -> g.serverConnections().pendingReadsDone(other));
-    assertTrue(harness.connections.get(other).dropped, "all was read, and it said nothing");
+    assertTrue(
+        harness.connections.get(other).dropped, "not timed out after all pending reads were done");
   }
 
-  /** Whole words are looked for, as the totals of the state name rejected requests. */
+  /** Matches whole words, because "ejected" is also a part of "rejected" in the totals. */
   private static void assertNoEndpointEjectedOrWarmingUp(GatewayHarness harness) {
     String state = harness.gateway.describe();
     assertFalse(Pattern.compile("\\b(warming-up|ejected)\\b").matcher(state).find(), state);
--- a/gateway/src/test/java/weldcross/gateway/ServerMessages.java
+++ b/gateway/src/test/java/weldcross/gateway/ServerMessages.java
@@ -5,11 +5,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Messages of PostgreSQL's protocol v3 as servers send them. */
+/** Encodes messages of the PostgreSQL protocol, version 3, as servers send them. */
 final class ServerMessages {
 
-  /** The body of a RowDescription of one column, "content". */
-  static final String COLUMNS = "\0\1content\0" + "\0".repeat(18);
+  /** The body of a RowDescription with one column, "content". */
+  static final String ROW_DESCRIPTION_BODY = "\0\1content\0" + "\0".repeat(18);
 
   private static final int HEADER_BYTES = 5;
 
@@ -25,15 +25,15 @@
         .array();
   }
 
-  /** Returns RowDescription, DataRow of one value and CommandComplete. */
+  /** Returns RowDescription, a DataRow with one value, and CommandComplete. */
   static List<byte[]> rowMessages(String value, String tag) {
     return List.of(
-        message('T', COLUMNS),
+        message('T', ROW_DESCRIPTION_BODY),
         message('D', "\0\1\0\0\0" + (char) value.length() + value),
         message('C', tag + "\0"));
   }
 
-  /** Returns the messages of {@link #rowMessages} as one. */
+  /** Returns the messages of {@link #rowMessages}, concatenated. */
   static byte[] row(String value, String tag) {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     rowMessages(value, tag).forEach(all::writeBytes);
