--- a/gateway/src/main/java/weldcross/consensus/ConsensusConfig.java
+++ b/gateway/src/main/java/weldcross/consensus/ConsensusConfig.java
@@ -5,23 +5,22 @@
 import weldcross.mesh.PeerName;
 
 /**
- * Configuration of the consensus of one gateway, fixed from its start on.
+ * Consensus configuration of one gateway; immutable once the gateway has started.
  *
- * @param group name of the cluster and its voters; gateways of different groups reject each other's
- *     messages
- * @param self this gateway
- * @param zone where this gateway stands; empty where there are no zones
+ * @param group cluster name and voter list; gateways reject messages of other groups
+ * @param self name of this gateway
+ * @param zone availability zone of this gateway; empty if zones are not used
  * @param weight traffic weight of this gateway in thousandths
- * @param voters in the same order on all gateways; may include this one
- * @param requestPeriod between two requests for the latest view; what was not answered is requested
- *     again
- * @param quotaGrowthDelay for which a view must be known before this gateway's share of the fleet's
- *     budgets grows by it
- * @param trustStorage whether storage never loses what it reported as durable, so that a restarted
- *     voter asks nobody
- * @param heartbeatPeriod of the leader, in whole seconds
- * @param leaderTimeout after which a silent leader is replaced, in whole seconds; longer than the
- *     heartbeat period
+ * @param voters all voters, in the same order on every gateway; may include this one
+ * @param requestPeriod interval between requests for the latest view; unanswered requests are
+ *     retried at this interval
+ * @param quotaGrowthDelay how long a view must have been known before it may increase this
+ *     gateway's share of the fleet's budgets
+ * @param trustStorage whether storage never loses data it reported as durable; if so, a restarted
+ *     voter resumes without querying the other voters
+ * @param heartbeatPeriod interval between the leader's heartbeats, in whole seconds
+ * @param leaderTimeout time without a heartbeat after which the leader is replaced, in whole
+ *     seconds; longer than the heartbeat period
  */
 public record ConsensusConfig(
     String group,
--- a/gateway/src/main/java/weldcross/consensus/FleetQuota.java
+++ b/gateway/src/main/java/weldcross/consensus/FleetQuota.java
@@ -6,60 +6,62 @@
 import java.util.Optional;
 
 /**
- * This gateway's share of the budgets that all gateways divide among them, from 0 to 1.
+ * This gateway's share, from 0 to 1, of the budgets that are divided among all gateways.
  *
- * <p>Gateways learn of a view at different times. So that the shares in force together do not
- * exceed the whole, a share shrinks at once and grows only after its view has been known for some
- * time. Pure.
+ * <p>Gateways receive a view at different times. To keep the sum of all shares in force at or below
+ * 1, a decrease takes effect immediately and an increase only after the growth delay. Performs no
+ * I/O and reads no clock.
  */
 final class FleetQuota {
 
-  private record KnownShare(Duration since, double share) {}
+  private record ShareUpdate(Duration receivedAt, double share) {}
 
   private final Duration growthDelay;
 
-  /** Strictly growing: the first is in force, the others wait for their delay to pass. */
-  private final ArrayDeque<KnownShare> shares = new ArrayDeque<>();
+  /** Strictly increasing shares: the first is in force, the others await the growth delay. */
+  private final ArrayDeque<ShareUpdate> updates = new ArrayDeque<>();
 
   /**
-   * Creates a quota from the configured share.
+   * Creates a quota that starts at the configured share.
    *
-   * @param configuredShare in force until the first view has been known for long enough
-   * @param growthDelay for which a larger share must be known before it is in force
+   * @param configuredShare share in force until a view changes it
+   * @param growthDelay how long a larger share must have been known before it takes effect
    */
   FleetQuota(double configuredShare, Duration growthDelay) {
     this.growthDelay = growthDelay;
-    shares.add(new KnownShare(Duration.ZERO, configuredShare));
+    updates.add(new ShareUpdate(Duration.ZERO, configuredShare));
   }
 
-  /** Takes the share by the view in force from now on. */
+  /** Records the share that results from a new view. */
   void update(Duration now, double share) {
-    while (!shares.isEmpty() && shares.peekLast().share() >= share) {
-      shares.pollLast();
+    while (!updates.isEmpty() && updates.peekLast().share() >= share) {
+      updates.pollLast();
     }
-    shares.add(new KnownShare(now, share));
+    updates.add(new ShareUpdate(now, share));
   }
 
-  /** The share in force. */
+  /** Returns the share in force at the given time. */
   double share(Duration now) {
-    while (shares.size() > 1 && hasMatured(now, second())) {
-      shares.poll();
+    while (updates.size() > 1 && isGrowthDelayOver(now, nextUpdate())) {
+      updates.poll();
     }
-    return shares.peek().share();
+    return updates.peek().share();
   }
 
-  /** When the share grows next if no other view comes; empty where it does not grow. */
+  /** Returns when the share next increases; empty if no increase is pending. */
   Optional<Duration> nextGrowthAt() {
-    return shares.size() > 1 ? Optional.of(second().since().plus(growthDelay)) : Optional.empty();
+    return updates.size() > 1
+        ? Optional.of(nextUpdate().receivedAt().plus(growthDelay))
+        : Optional.empty();
   }
 
-  private boolean hasMatured(Duration now, KnownShare known) {
-    return now.minus(known.since()).compareTo(growthDelay) >= 0;
+  private boolean isGrowthDelayOver(Duration now, ShareUpdate update) {
+    return now.minus(update.receivedAt()).compareTo(growthDelay) >= 0;
   }
 
-  private KnownShare second() {
-    Iterator<KnownShare> each = shares.iterator();
-    each.next();
-    return each.next();
+  private ShareUpdate nextUpdate() {
+    Iterator<ShareUpdate> iterator = updates.iterator();
+    iterator.next();
+    return iterator.next();
   }
 }
--- a/gateway/src/main/java/weldcross/consensus/LeaderHint.java
+++ b/gateway/src/main/java/weldcross/consensus/LeaderHint.java
@@ -4,30 +4,33 @@
 import java.util.Optional;
 import weldcross.mesh.PeerName;
 
-/** The leader that a voter named last, which may lead no more. Pure. */
+/**
+ * The leader named most recently by a voter; it may since have been replaced. Performs no I/O and
+ * reads no clock.
+ */
 final class LeaderHint {
 
   private PeerName leader;
-  private Duration namedAt;
+  private Duration updatedAt;
 
-  /** A voter names the leader. */
-  void update(Duration now, PeerName named) {
-    leader = named;
-    namedAt = now;
+  /** Records the leader named by a voter. */
+  void update(Duration now, PeerName newLeader) {
+    leader = newLeader;
+    updatedAt = now;
   }
 
-  /** The leader that was named last; empty where none ever was. */
+  /** Returns the latest known leader; empty if no voter has named one. */
   Optional<PeerName> leader() {
     return Optional.ofNullable(leader);
   }
 
-  /** The leader, if by that time it has been named for less than the maximum age. */
-  Optional<PeerName> freshAt(Duration time, Duration maxAge) {
-    return leader().filter(named -> namedAt.plus(maxAge).compareTo(time) > 0);
+  /** Returns the latest known leader if the hint is younger than the maximum age at that time. */
+  Optional<PeerName> leaderIfFresh(Duration time, Duration maxAge) {
+    return leader().filter(known -> updatedAt.plus(maxAge).compareTo(time) > 0);
   }
 
-  /** How long ago a voter last named a leader; empty where none ever did. */
+  /** Returns the time since a voter last named a leader; empty if none has. */
   Optional<Duration> age(Duration now) {
-    return Optional.ofNullable(namedAt).map(now::minus);
+    return Optional.ofNullable(updatedAt).map(now::minus);
   }
 }
--- a/gateway/src/main/java/weldcross/consensus/LogPosition.java
+++ b/gateway/src/main/java/weldcross/consensus/LogPosition.java
@@ -3,15 +3,15 @@
 import java.util.Comparator;
 
 /**
- * The last entry of a Raft log. Positions are ordered by term, then by index: of two logs the one
- * that ends at the greater position is the more up-to-date.
+ * Term and index of an entry of a Raft log. Positions are ordered by term, then by index: of two
+ * logs, the one whose last entry has the greater position is more up to date.
  *
- * @param term of the entry; zero where the log is empty
- * @param index of the entry; zero where the log is empty
+ * @param term term of the entry; zero for an empty log
+ * @param index index of the entry; zero for an empty log
  */
 public record LogPosition(int term, long index) implements Comparable<LogPosition> {
 
-  /** The end of an empty log. */
+  /** Position of an empty log. */
   public static final LogPosition NONE = new LogPosition(0, 0);
 
   private static final Comparator<LogPosition> ORDER =
@@ -22,7 +22,7 @@
     return ORDER.compare(this, other);
   }
 
-  /** Whether a log that ends here is less up-to-date than one that ends there. */
+  /** Returns whether a log that ends at this position is less up to date than one at the other. */
   public boolean isBefore(LogPosition other) {
     return compareTo(other) < 0;
   }
--- a/gateway/src/main/java/weldcross/consensus/MembershipStateMachine.java
+++ b/gateway/src/main/java/weldcross/consensus/MembershipStateMachine.java
@@ -8,39 +8,39 @@
 /**
  * Applies committed proposals to the membership view.
  *
- * <p>Deterministic: the same proposals in the same order give the same view on every voter, so that
- * consensus on the order of proposals is consensus on the view. Pure.
+ * <p>Deterministic: applying the same proposals in the same order yields the same view on every
+ * voter, so agreement on the log is agreement on the view. Performs no I/O.
  */
 public final class MembershipStateMachine {
 
   private MembershipView view = MembershipView.NONE;
 
-  /** The highest ended incarnation of each name, so that no late proposal brings it back. */
-  private final TreeMap<PeerName, Long> ended = new TreeMap<>();
+  /** The highest ended incarnation of each name; delayed proposals cannot make it join again. */
+  private final TreeMap<PeerName, Long> endedIncarnations = new TreeMap<>();
 
-  /** The view in force. */
+  /** Returns the current view. */
   public MembershipView view() {
     return view;
   }
 
-  /** The highest ended incarnation of each name; an unmodifiable view of the current state. */
-  public Map<PeerName, Long> ended() {
-    return Collections.unmodifiableMap(ended);
+  /** Returns the highest ended incarnation of each name, as a live unmodifiable map. */
+  public Map<PeerName, Long> endedIncarnations() {
+    return Collections.unmodifiableMap(endedIncarnations);
   }
 
   /**
-   * Replaces the whole state by that of a snapshot.
+   * Replaces the entire state with that of a snapshot.
    *
-   * @param snapshot the view of the snapshot
-   * @param endedIncarnations the highest ended incarnation of each name
+   * @param snapshotView view of the snapshot
+   * @param snapshotEndedIncarnations highest ended incarnation of each name in the snapshot
    */
-  public void restore(MembershipView snapshot, Map<PeerName, Long> endedIncarnations) {
-    view = snapshot;
-    ended.clear();
-    ended.putAll(endedIncarnations);
+  public void restore(MembershipView snapshotView, Map<PeerName, Long> snapshotEndedIncarnations) {
+    view = snapshotView;
+    endedIncarnations.clear();
+    endedIncarnations.putAll(snapshotEndedIncarnations);
   }
 
-  /** Applies a committed proposal; the view changes only where the result is {@code APPLIED}. */
+  /** Applies a committed proposal; the view changes only if the result is {@code APPLIED}. */
   public ProposalResult apply(Proposal proposal) {
     return switch (proposal.kind()) {
       case JOIN -> join(proposal);
@@ -61,7 +61,7 @@
       return ProposalResult.INCARNATION_ENDED;
     }
     if (current != null && current.incarnation() < proposal.incarnation()) {
-      ended.put(name, current.incarnation());
+      endedIncarnations.put(name, current.incarnation());
     }
     replace(name, next);
     return ProposalResult.APPLIED;
@@ -80,7 +80,7 @@
   }
 
   private ProposalResult forget(Proposal proposal) {
-    if (proposal.basis() != view.number()) {
+    if (proposal.expectedViewNumber() != view.number()) {
       return ProposalResult.STALE_VIEW;
     }
     Member current = view.members().get(proposal.member());
@@ -92,15 +92,15 @@
   }
 
   private boolean hasEnded(Proposal proposal) {
-    return proposal.incarnation() <= ended.getOrDefault(proposal.member(), 0L);
+    return proposal.incarnation() <= endedIncarnations.getOrDefault(proposal.member(), 0L);
   }
 
   private void remove(Member member) {
-    ended.merge(member.name(), member.incarnation(), Math::max);
+    endedIncarnations.merge(member.name(), member.incarnation(), Math::max);
     replace(member.name(), null);
   }
 
-  /** Begins the next view; {@code next} is null where the member leaves it. */
+  /** Creates the next view; a null {@code next} removes the member. */
   private void replace(PeerName name, Member next) {
     TreeMap<PeerName, Member> members = new TreeMap<>(view.members());
     if (next == null) {
--- a/gateway/src/main/java/weldcross/consensus/MembershipViewActions.java
+++ b/gateway/src/main/java/weldcross/consensus/MembershipViewActions.java
@@ -3,53 +3,54 @@
 import java.time.Duration;
 import weldcross.mesh.PeerName;
 
-/** What a {@link MembershipViewClient} has done outside; any message to a voter may be lost. */
+/** Side effects of a {@link MembershipViewClient}; any message to a voter may be lost. */
 public interface MembershipViewActions {
 
   /**
-   * Requests the view if it is later than the known one.
+   * Requests the latest view from a voter, which sends it if it is newer than the known one.
    *
-   * @param voter may be this gateway itself
-   * @param knownNumber number of the known view
+   * @param voter voter to query; may be this gateway
+   * @param knownNumber number of the latest known view
    */
   void requestView(PeerName voter, long knownNumber);
 
   /**
-   * Proposes a change.
+   * Sends a proposal to a voter.
    *
-   * @param voter may be this gateway itself
-   * @param number by which {@link MembershipViewClient#proposalAnswered} is called if an answer
-   *     comes
+   * @param voter recipient; may be this gateway
+   * @param number identifies the proposal in the call of {@link
+   *     MembershipViewClient#proposalAnswered} if a reply arrives
    */
   void propose(PeerName voter, long number, Proposal proposal);
 
-  /** A later view is in force on this gateway. */
+  /** Reports that a newer view is in force on this gateway. */
   void viewChanged(MembershipView view);
 
   /**
-   * This gateway's share of the fleet's budgets has changed.
+   * Applies a changed share of the fleet's budgets.
    *
-   * @param share above 0 and at most 1
+   * @param share greater than 0 and at most 1
    */
   void setQuota(double share);
 
-  /** This incarnation is no member any more and cannot become one; only a later one can. */
+  /** Reports that this incarnation has ended; the gateway can join only under a later one. */
   void incarnationEnded(long incarnation);
 
-  /** An operator's proposal was committed. */
+  /** Reports the result of an operator's proposal that was committed. */
   void operatorProposalDecided(Proposal proposal, ProposalResult result);
 
-  /** This gateway has left the view, or the time for leaving is over. */
+  /** Reports that this gateway has left the view, or that leaving has timed out. */
   void left();
 
   /**
-   * Two views have the same number: a majority of the voters has lost stored data.
+   * Reports two different views with the same number, which means that a majority of the voters has
+   * lost stored data.
    *
-   * @param held the view that stays in force here
-   * @param other the view that was received
+   * @param current view that stays in force on this gateway
+   * @param received conflicting view
    */
-  void conflictingViews(MembershipView held, MembershipView other);
+  void conflictingViews(MembershipView current, MembershipView received);
 
-  /** Schedules {@link MembershipViewClient#onTimer}; the last call replaces those before. */
+  /** Schedules {@link MembershipViewClient#onTimer}, replacing any earlier schedule. */
   void wakeAt(Duration when);
 }
--- a/gateway/src/main/java/weldcross/consensus/MembershipViewClient.java
+++ b/gateway/src/main/java/weldcross/consensus/MembershipViewClient.java
@@ -7,31 +7,31 @@
 import weldcross.mesh.PeerName;
 
 /**
- * Follows the membership view on one gateway, voter or not, and proposes that gateway's changes: to
- * join, to leave, and that a dead member is removed.
+ * Tracks the membership view on one gateway, voter or not, and proposes this gateway's changes:
+ * joining, leaving and the removal of dead members.
  *
- * <p>Views are accepted in any order and from any gateway that has them from the consensus; only a
- * later one replaces the known one, so numbers never go back within one process. Nothing here waits
- * for the consensus: without it the last view stays in force. Pure; called on the gateway's event
- * loop.
+ * <p>Views may arrive in any order and from any gateway; only a view with a higher number replaces
+ * the current one, so view numbers never decrease within one process. Nothing blocks on consensus:
+ * while the voters are unavailable, the last view stays in force. Performs no I/O and reads no
+ * clock; called on the gateway's event loop.
  */
 public final class MembershipViewClient {
 
-  /** The phases of one gateway's membership. */
+  /** Phases of this gateway's membership. */
   public enum Phase {
-    /** The incarnation of this process is not yet known. */
+    /** The incarnation of this process is not known yet. */
     STARTING,
-    /** This incarnation is not a member, and proposes to join. */
+    /** This incarnation is not a member and proposes to join. */
     OUTSIDE,
     /** This incarnation is a member. */
     MEMBER,
     /** This incarnation proposes to leave. */
     LEAVING,
-    /** This gateway has left, or has given up on being removed. */
+    /** This gateway has left, or waiting for its removal has timed out. */
     LEFT
   }
 
-  /** A named leader is asked for this many request periods. */
+  /** Number of request periods for which proposals are sent to the hinted leader. */
   private static final int LEADER_HINT_PERIODS = 2;
 
   private final ConsensusConfig config;
@@ -40,7 +40,7 @@
   private final ProposalTracker proposals = new ProposalTracker();
   private final LeaderHint leaderHint = new LeaderHint();
 
-  /** Incarnations that are proven dead and still members, by name. */
+  /** Confirmed dead incarnations that are still members, by name. */
   private final Map<PeerName, Long> deadMembers = new TreeMap<>();
 
   private Phase phase = Phase.STARTING;
@@ -48,15 +48,15 @@
   private Member self;
   private Duration nextRequestAt = Duration.ZERO;
   private Duration leaveDeadline;
-  private boolean answered;
+  private boolean replyReceived;
   private int voterIndex;
   private double share;
 
   /**
-   * Creates a client that knows no view.
+   * Creates a client without a view.
    *
-   * @param configuredShare of the fleet's budgets, in force until there is a view
-   * @param seed chooses which voter is asked first, so that not all gateways ask the same
+   * @param configuredShare share of the fleet's budgets, in force until a view is received
+   * @param seed selects the voter to query first, so that gateways spread their queries
    */
   public MembershipViewClient(
       ConsensusConfig config, MembershipViewActions actions, double configuredShare, long seed) {
@@ -67,7 +67,7 @@
     this.voterIndex = (int) Math.floorMod(seed, (long) config.voters().size());
   }
 
-  /** The first incarnation of this process begins, or a later one replaces it. */
+  /** Starts the first incarnation of this process, or replaces the previous incarnation. */
   public void start(Duration now, long incarnation) {
     self = new Member(config.self(), incarnation, config.zone(), config.weight());
     if (phase != Phase.LEAVING && phase != Phase.LEFT) {
@@ -77,8 +77,8 @@
   }
 
   /**
-   * Leaves the view; {@link MembershipViewActions#left} is called once that is done, or when the
-   * timeout has passed.
+   * Leaves the view; {@link MembershipViewActions#left} is called once the gateway has been removed
+   * or the timeout has expired.
    */
   public void leave(Duration now, Duration timeout) {
     if (phase == Phase.MEMBER || phase == Phase.OUTSIDE) {
@@ -86,11 +86,11 @@
       leaveDeadline = now.plus(timeout);
       requestNow(now);
     } else if (phase == Phase.STARTING) {
-      setLeft();
+      markLeft();
     }
   }
 
-  /** Joins again after leaving; as its incarnation has ended, it does so under a later one. */
+  /** Rejoins after leaving; if the incarnation has ended, a later one joins. */
   public void join(Duration now) {
     if (phase == Phase.LEAVING || phase == Phase.LEFT) {
       phase = Phase.OUTSIDE;
@@ -103,7 +103,7 @@
     onTimer(now);
   }
 
-  /** A committed view was received, from this gateway's own voter or from another gateway. */
+  /** Handles a committed view from the local voter or from another gateway. */
   public void viewReceived(Duration now, MembershipView received) {
     if (received.number() == view.number() && !received.equals(view)) {
       actions.conflictingViews(view, received);
@@ -128,23 +128,23 @@
     } else if (phase == Phase.MEMBER && !isMember) {
       phase = Phase.OUTSIDE;
     } else if (phase == Phase.LEAVING && !isMember) {
-      setLeft();
+      markLeft();
     }
   }
 
   /**
-   * A voter answered, with a view or without.
+   * Handles any reply of a voter, with or without a view.
    *
-   * @param leader the leader that it names, if any
+   * @param leader leader known to the voter, if any
    */
   public void voterAnswered(Duration now, Optional<PeerName> leader) {
-    answered = true;
-    leader.ifPresent(named -> leaderHint.update(now, named));
+    replyReceived = true;
+    leader.ifPresent(known -> leaderHint.update(now, known));
   }
 
-  /** A voter answered a proposal; a number that is not pending is ignored. */
+  /** Handles a voter's reply to a proposal; replies to unknown proposals are ignored. */
   public void proposalAnswered(Duration now, long number, ProposalOutcome outcome) {
-    Optional<Proposal> proposal = proposals.take(number);
+    Optional<Proposal> proposal = proposals.remove(number);
     if (proposal.isEmpty()) {
       return;
     }
@@ -167,7 +167,7 @@
         && phase == Phase.OUTSIDE) {
       actions.incarnationEnded(self.incarnation());
     } else if (proposal.kind() == Proposal.Kind.LEAVE && phase == Phase.LEAVING) {
-      setLeft();
+      markLeft();
     } else if (proposal.kind() == Proposal.Kind.DEAD && result != ProposalResult.APPLIED) {
       deadMembers.remove(proposal.member(), proposal.incarnation());
     }
@@ -175,7 +175,7 @@
     scheduleTimer(now);
   }
 
-  /** There is proof that this incarnation has ended; it is proposed until a view is without it. */
+  /** Proposes to remove a confirmed dead incarnation, until a view no longer contains it. */
   public void memberDied(Duration now, PeerName name, long incarnation) {
     if (view.contains(name, incarnation)) {
       deadMembers.put(name, incarnation);
@@ -185,22 +185,23 @@
   }
 
   /**
-   * An operator vouches that the member of this name has ended. Proposed once, and answered at most
-   * once by {@link MembershipViewActions#operatorProposalDecided}.
+   * Proposes to remove a member on behalf of an operator, who has confirmed that it has ended. The
+   * proposal is sent once; its result is reported at most once, through {@link
+   * MembershipViewActions#operatorProposalDecided}.
    */
   public void forget(Duration now, PeerName name) {
     Proposal proposal = Proposal.forget(name, config.self(), view.number());
     proposals.addOperatorProposal(proposal);
-    propose(voter(), proposal);
+    propose(queriedVoter(), proposal);
   }
 
-  /** Does what is due by now, and schedules the next call. */
+  /** Performs all actions that are due and schedules the next call. */
   public void onTimer(Duration now) {
     if (phase == Phase.STARTING || phase == Phase.LEFT) {
       return;
     }
     if (phase == Phase.LEAVING && leaveDeadline.compareTo(now) <= 0) {
-      setLeft();
+      markLeft();
       return;
     }
     double nextShare = quota.share(now);
@@ -216,37 +217,37 @@
 
   private void sendRequests(Duration now) {
     nextRequestAt = now.plus(config.requestPeriod());
-    if (!answered) {
+    if (!replyReceived) {
       voterIndex = (voterIndex + 1) % config.voters().size();
     }
-    answered = false;
-    proposals.dropRepeated();
-    actions.requestView(voter(), view.number());
+    replyReceived = false;
+    proposals.removeRetried();
+    actions.requestView(queriedVoter(), view.number());
     if (phase == Phase.OUTSIDE) {
-      propose(leaderOrVoter(), Proposal.join(self));
+      propose(proposalTarget(), Proposal.join(self));
     } else if (phase == Phase.LEAVING) {
-      propose(leaderOrVoter(), Proposal.leave(self));
+      propose(proposalTarget(), Proposal.leave(self));
     }
     deadMembers.forEach(
         (name, incarnation) ->
-            propose(leaderOrVoter(), Proposal.dead(name, incarnation, config.self())));
+            propose(proposalTarget(), Proposal.dead(name, incarnation, config.self())));
   }
 
   private void propose(PeerName voter, Proposal proposal) {
     actions.propose(voter, proposals.register(proposal), proposal);
   }
 
-  private PeerName voter() {
+  private PeerName queriedVoter() {
     return config.isVoter() ? config.self() : config.voters().get(voterIndex);
   }
 
-  /** A wrong hint costs one answer, which names the leader or sends the request elsewhere. */
-  private PeerName leaderOrVoter() {
+  /** Returns the hinted leader, or else the queried voter; a wrong target replies with a hint. */
+  private PeerName proposalTarget() {
     Duration maxAge = config.requestPeriod().multipliedBy(LEADER_HINT_PERIODS);
-    return leaderHint.freshAt(nextRequestAt, maxAge).orElseGet(this::voter);
+    return leaderHint.leaderIfFresh(nextRequestAt, maxAge).orElseGet(this::queriedVoter);
   }
 
-  private void setLeft() {
+  private void markLeft() {
     phase = Phase.LEFT;
     actions.left();
   }
@@ -256,42 +257,42 @@
       return;
     }
     Duration next = nextRequestAt;
-    next = earlier(next, quota.nextGrowthAt().orElse(next));
-    next = phase == Phase.LEAVING ? earlier(next, leaveDeadline) : next;
+    next = min(next, quota.nextGrowthAt().orElse(next));
+    next = phase == Phase.LEAVING ? min(next, leaveDeadline) : next;
     next = quota.share(now) != share ? now : next;
     actions.wakeAt(next.compareTo(now) > 0 ? next : now);
   }
 
-  private static Duration earlier(Duration one, Duration other) {
-    return other.compareTo(one) < 0 ? other : one;
+  private static Duration min(Duration first, Duration second) {
+    return second.compareTo(first) < 0 ? second : first;
   }
 
-  /** The phase of this gateway's membership. */
+  /** Returns the phase of this gateway's membership. */
   public Phase phase() {
     return phase;
   }
 
-  /** The latest known view; {@link MembershipView#NONE} before any. */
+  /** Returns the current view; {@link MembershipView#NONE} before the first one is received. */
   public MembershipView view() {
     return view;
   }
 
-  /** The leader that a voter named last; empty where none ever was. It may lead no more. */
+  /** Returns the latest known leader, which may be outdated; empty if none is known. */
   public Optional<PeerName> leader() {
     return leaderHint.leader();
   }
 
-  /** How long ago a voter last named a leader; empty where none ever did. */
+  /** Returns the time since a voter last named a leader; empty if none has. */
   public Optional<Duration> leaderAge(Duration now) {
     return leaderHint.age(now);
   }
 
-  /** This gateway's share of the fleet's budgets, above 0 and at most 1. */
+  /** Returns this gateway's share of the fleet's budgets, greater than 0 and at most 1. */
   public double share() {
     return share;
   }
 
-  /** One line for the log, without a line end. */
+  /** Returns a one-line summary for the log. */
   public String describe(Duration now) {
     return "view="
         + view.number()
--- a/gateway/src/main/java/weldcross/consensus/Proposal.java
+++ b/gateway/src/main/java/weldcross/consensus/Proposal.java
@@ -5,16 +5,17 @@
 import weldcross.mesh.PeerName;
 
 /**
- * A proposed change of the membership view. Proposing the same change twice has no further effect,
- * so whoever gets no answer proposes it again.
+ * A proposed change of the membership view. Idempotent, so a proposal without a reply is retried.
  *
- * @param kind never null
- * @param member whom the change is about
- * @param incarnation of that member; zero and ignored for {@code FORGET} and {@code NO_OP}
- * @param zone of the member, for {@code JOIN}; else empty
- * @param weight of the member in thousandths, for {@code JOIN}; else zero
- * @param proposer who proposes it; for readers of the log only
- * @param basis for {@code FORGET} the number of the view that the operator saw; else zero
+ * @param kind kind of change; never null
+ * @param member gateway that the change concerns
+ * @param incarnation incarnation of that gateway; zero and ignored for {@code FORGET} and {@code
+ *     NO_OP}
+ * @param zone availability zone of the member for {@code JOIN}; otherwise empty
+ * @param weight traffic weight of the member in thousandths for {@code JOIN}; otherwise zero
+ * @param proposer gateway that proposes the change; informational only
+ * @param expectedViewNumber for {@code FORGET}, the number of the view that the operator saw;
+ *     otherwise zero
  */
 public record Proposal(
     Kind kind,
@@ -23,19 +24,19 @@
     String zone,
     int weight,
     PeerName proposer,
-    long basis) {
+    long expectedViewNumber) {
 
-  /** The kinds of changes. */
+  /** Kinds of changes. */
   public enum Kind {
-    /** This incarnation becomes a member. */
+    /** This incarnation joins the view. */
     JOIN("JOIN"),
-    /** This incarnation leaves by itself. */
+    /** This incarnation leaves voluntarily. */
     LEAVE("LEAVE"),
-    /** There is proof that this incarnation has ended. */
+    /** This incarnation is confirmed to have ended. */
     DEAD("GONE"),
-    /** An operator vouches that the member of this name has ended. */
+    /** An operator confirms that the member of this name has ended. */
     FORGET("FORGET"),
-    /** Commits the entries of earlier terms; changes nothing. */
+    /** No change; committed by a new leader to commit the entries of earlier terms. */
     NO_OP("NOTHING");
 
     private final String wireName;
@@ -44,22 +45,22 @@
       this.wireName = wireName;
     }
 
-    /** The word for this kind in messages and stored records; never changes. */
+    /** Returns the stable name of this kind in messages and stored records. */
     public String wireName() {
       return wireName;
     }
 
     /**
-     * The kind of a word in a message or stored record.
+     * Returns the kind with a name read from a message or stored record.
      *
-     * @return empty for a word that this version does not know
+     * @return empty for a name that this version does not know
      */
-    public static Optional<Kind> fromWireName(String word) {
-      return Arrays.stream(values()).filter(kind -> kind.wireName.equals(word)).findFirst();
+    public static Optional<Kind> fromWireName(String wireName) {
+      return Arrays.stream(values()).filter(kind -> kind.wireName.equals(wireName)).findFirst();
     }
   }
 
-  /** This member joins the view. */
+  /** Creates a proposal that this member joins the view. */
   public static Proposal join(Member member) {
     return new Proposal(
         Kind.JOIN,
@@ -71,26 +72,27 @@
         0);
   }
 
-  /** This member leaves the view by itself. */
+  /** Creates a proposal that this member leaves the view voluntarily. */
   public static Proposal leave(Member member) {
     return new Proposal(Kind.LEAVE, member.name(), member.incarnation(), "", 0, member.name(), 0);
   }
 
-  /** The proposer has proof that this incarnation has ended. */
+  /** Creates a proposal to remove an incarnation that the proposer has confirmed as dead. */
   public static Proposal dead(PeerName member, long incarnation, PeerName proposer) {
     return new Proposal(Kind.DEAD, member, incarnation, "", 0, proposer, 0);
   }
 
   /**
-   * An operator removes a member.
+   * Creates an operator's proposal to remove a member.
    *
-   * @param basis number of the view that the operator saw; the change applies to that view only
+   * @param expectedViewNumber number of the view that the operator saw; the change applies only to
+   *     that view
    */
-  public static Proposal forget(PeerName member, PeerName proposer, long basis) {
-    return new Proposal(Kind.FORGET, member, 0, "", 0, proposer, basis);
+  public static Proposal forget(PeerName member, PeerName proposer, long expectedViewNumber) {
+    return new Proposal(Kind.FORGET, member, 0, "", 0, proposer, expectedViewNumber);
   }
 
-  /** Changes nothing. */
+  /** Creates a proposal that does not change the view. */
   public static Proposal noOp(PeerName proposer) {
     return new Proposal(Kind.NO_OP, proposer, 0, "", 0, proposer, 0);
   }
--- a/gateway/src/main/java/weldcross/consensus/ProposalOutcome.java
+++ b/gateway/src/main/java/weldcross/consensus/ProposalOutcome.java
@@ -3,24 +3,24 @@
 import java.util.Optional;
 import weldcross.mesh.PeerName;
 
-/** A voter's answer to a proposal. */
+/** A voter's reply to a proposal. */
 public sealed interface ProposalOutcome {
 
-  /** The leader as far as the answering voter knows; empty where it knows none. */
+  /** Returns the leader known to the replying voter; empty if it knows none. */
   Optional<PeerName> leader();
 
   /**
    * The proposal was committed.
    *
-   * @param result what became of it
-   * @param leader as far as the answering voter knows
+   * @param result result of applying the proposal
+   * @param leader leader known to the replying voter
    */
   record Committed(ProposalResult result, Optional<PeerName> leader) implements ProposalOutcome {}
 
   /**
-   * The answering voter does not lead, so nothing became of the proposal.
+   * The replying voter is not the leader and has ignored the proposal.
    *
-   * @param leader as far as the answering voter knows
+   * @param leader leader known to the replying voter
    */
   record NotLeader(Optional<PeerName> leader) implements ProposalOutcome {}
 }
--- a/gateway/src/main/java/weldcross/consensus/ProposalResult.java
+++ b/gateway/src/main/java/weldcross/consensus/ProposalResult.java
@@ -3,15 +3,15 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** What became of a committed proposal. */
+/** Result of applying a committed proposal. */
 public enum ProposalResult {
-  /** The view has changed by it. */
+  /** The proposal changed the view. */
   APPLIED("DONE"),
-  /** The view already was as proposed. */
+  /** The view already contained the proposed change. */
   UNCHANGED("SAME"),
-  /** The proposal's incarnation has ended by an earlier view. */
+  /** The proposal's incarnation was ended by an earlier view. */
   INCARNATION_ENDED("ENDED"),
-  /** It was based on another view than the one in force. */
+  /** The current view is not the one that the proposal expects. */
   STALE_VIEW("CHANGED"),
   /** No member has that name. */
   UNKNOWN_MEMBER("UNKNOWN");
@@ -22,17 +22,17 @@
     this.wireName = wireName;
   }
 
-  /** The word for this result in messages and in the control endpoint's JSON; never changes. */
+  /** Returns the stable name of this result in messages and in the control endpoint's JSON. */
   public String wireName() {
     return wireName;
   }
 
   /**
-   * The result of a word in a message.
+   * Returns the result with a name read from a message.
    *
-   * @return empty for a word that this version does not know, and for the empty one
+   * @return empty for the empty name and for a name that this version does not know
    */
-  public static Optional<ProposalResult> fromWireName(String word) {
-    return Arrays.stream(values()).filter(result -> result.wireName.equals(word)).findFirst();
+  public static Optional<ProposalResult> fromWireName(String wireName) {
+    return Arrays.stream(values()).filter(result -> result.wireName.equals(wireName)).findFirst();
   }
 }
--- a/gateway/src/main/java/weldcross/consensus/ProposalTracker.java
+++ b/gateway/src/main/java/weldcross/consensus/ProposalTracker.java
@@ -6,36 +6,36 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** The proposals that a gateway has sent and not yet heard of, by number. Pure. */
+/** A gateway's proposals that await a reply, by number. Performs no I/O. */
 final class ProposalTracker {
 
   private final Map<Long, Proposal> pending = new TreeMap<>();
   private final List<Proposal> operatorProposals = new ArrayList<>();
   private long lastNumber;
 
-  /** Marks a proposal as an operator's, who is answered once. */
+  /** Marks a proposal as an operator's, whose result is reported once. */
   void addOperatorProposal(Proposal proposal) {
     operatorProposals.add(proposal);
   }
 
-  /** Registers a proposal that is sent, and returns its number. */
+  /** Registers a proposal that is being sent and returns its number. */
   long register(Proposal proposal) {
     pending.put(++lastNumber, proposal);
     return lastNumber;
   }
 
-  /** Removes the proposal of this number; empty where it is not pending, or not any more. */
-  Optional<Proposal> take(long number) {
+  /** Removes and returns the proposal with this number; empty if it is not pending. */
+  Optional<Proposal> remove(long number) {
     return Optional.ofNullable(pending.remove(number));
   }
 
-  /** Whether an operator waits for this proposal, who then does so no more. */
+  /** Returns whether this was an operator's proposal awaiting its result, and unmarks it. */
   boolean completeOperatorProposal(Proposal proposal) {
     return operatorProposals.remove(proposal);
   }
 
-  /** Drops all that are proposed again each period; an operator's proposal is sent once. */
-  void dropRepeated() {
+  /** Removes the proposals that are retried each period; an operator's proposal is sent once. */
+  void removeRetried() {
     pending.values().removeIf(proposal -> !operatorProposals.contains(proposal));
   }
 }
--- a/gateway/src/main/java/weldcross/consensus/VoterRecovery.java
+++ b/gateway/src/main/java/weldcross/consensus/VoterRecovery.java
@@ -8,57 +8,57 @@
 import weldcross.mesh.PeerName;
 
 /**
- * Decides whether a voter that has started may vote. Its storage may have lost the end of its log
- * or a vote that it reported as durable, and nothing in it shows that; so the other voters are
- * asked what they know before anything is sent under the voter's identity.
+ * Decides whether a restarted voter may vote. Its storage may have lost log entries or a vote that
+ * it had reported as durable, which the storage itself cannot reveal. The other voters are
+ * therefore queried before anything is sent under the voter's identity.
  *
- * <p>A voter with a log has enough replies once every majority that it may have been part of is
- * represented: with n voters, n - n/2 others that have a log. Then whatever it may have helped to
- * commit, or voted for, is known to one of them. Fewer than half of the voters may lose their
- * storage; where that many others already report a loss, this one has not lost its own. Pure; the
- * voter asks again until it votes.
+ * <p>A voter with a log has enough replies once they intersect every majority that it may have been
+ * part of: with n voters, n - n/2 replies of others that have a log. Any entry that it helped to
+ * commit, and any vote that it cast, is then known to at least one of them. Fewer than half of the
+ * voters may lose their storage; if that many others already report a loss, this voter's log is
+ * assumed intact. Performs no I/O; the voter repeats its queries until it votes.
  */
 public final class VoterRecovery {
 
-  /** What a voter does after it has started. */
+  /** What a voter does after a restart. */
   public enum Decision {
     /** More replies are needed. */
     UNDECIDED,
-    /** No voter has a log: it founds the group. */
+    /** No voter has a log: it bootstraps the group. */
     FOUND_GROUP,
-    /** Its log holds all that it ever acknowledged: it votes. */
+    /** Its log contains everything it has acknowledged: it votes. */
     RESUME,
-    /** Its log may lack entries or votes: it votes once it has caught up with the others. */
+    /** Its log may lack entries or votes: it votes after catching up with the other voters. */
     CATCH_UP,
-    /** Its log was lost, or never was while others have one: it joins under a new identity. */
+    /** It has lost its log, or never had one while others do: it joins under a new identity. */
     NEW_IDENTITY
   }
 
   /**
    * Summary of a voter's stored log.
    *
-   * @param identity under which it voted; empty where there is no usable log
-   * @param term the highest stored term
-   * @param last the end of the log
+   * @param identity identity under which it voted; empty if there is no usable log
+   * @param term highest stored term
+   * @param last position of the last log entry
    */
   public record LogSummary(Optional<String> identity, int term, LogPosition last) {
 
-    /** No log, or none that can be used. */
+    /** Summary of a missing or unusable log. */
     public static final LogSummary NONE = new LogSummary(Optional.empty(), 0, LogPosition.NONE);
   }
 
   /**
-   * What another voter replied.
+   * Reply of another voter to a recovery query.
    *
-   * @param hasLog whether it has a log of its own
-   * @param founding whether, as far as it knows, no voter has changed its identity or lost its log
-   * @param unknownIdentity whether the identity that asked is not in its group
-   * @param term the highest term that it knows
-   * @param last the end of its log
-   * @param acknowledged the last entry that the asking identity acknowledged to it; {@link
-   *     LogPosition#NONE} where it remembers none
-   * @param votedTerm the highest term in which the asking identity voted for it; zero where it
-   *     remembers none
+   * @param hasLog whether the replying voter has a log
+   * @param founding whether, to its knowledge, no voter has changed its identity or lost its log
+   * @param unknownIdentity whether the querying identity is not a member of its group
+   * @param term highest term known to the replying voter
+   * @param last position of its last log entry
+   * @param acknowledged last entry that the querying identity acknowledged to it; {@link
+   *     LogPosition#NONE} if none is recorded
+   * @param votedTerm highest term in which the querying identity voted for it; zero if none is
+   *     recorded
    */
   public record Reply(
       boolean hasLog,
@@ -72,147 +72,150 @@
   private final int voterCount;
   private final boolean logUnusable;
   private final Map<PeerName, Reply> replies = new TreeMap<>();
-  private LogSummary local;
+  private LogSummary localLog;
   private Decision decision;
   private String reason = "";
 
   /**
-   * Begins the recovery of a voter.
+   * Starts the recovery of a voter.
    *
-   * @param voterCount number of all voters, this one included
-   * @param trustStorage whether storage never loses what it reported as durable
-   * @param local this voter's log
-   * @param logUnusable whether storage holds a log that is not used: damaged, or of an identity
-   *     that is no voter any more
+   * @param voterCount number of voters, including this one
+   * @param trustStorage whether storage never loses data it reported as durable
+   * @param localLog summary of this voter's log
+   * @param logUnusable whether storage holds a log that cannot be used because it is corrupt or its
+   *     identity is no longer a voter
    */
   public VoterRecovery(
-      int voterCount, boolean trustStorage, LogSummary local, boolean logUnusable) {
+      int voterCount, boolean trustStorage, LogSummary localLog, boolean logUnusable) {
     this.voterCount = voterCount;
     this.logUnusable = logUnusable;
-    this.local = local;
+    this.localLog = localLog;
     decision = initialDecision(trustStorage);
   }
 
   private Decision initialDecision(boolean trustStorage) {
-    boolean hasIdentity = local.identity().isPresent();
+    boolean hasIdentity = localLog.identity().isPresent();
     if (voterCount == 1) {
       return hasIdentity || logUnusable ? Decision.RESUME : Decision.FOUND_GROUP;
     }
     return trustStorage && hasIdentity ? Decision.RESUME : Decision.UNDECIDED;
   }
 
-  /** Takes a reply, which replaces an earlier one of the same voter. */
-  public Decision replied(PeerName from, Reply reply) {
+  /** Handles a reply, which replaces any earlier reply of the same voter. */
+  public Decision replyReceived(PeerName from, Reply reply) {
     if (decision == Decision.UNDECIDED || decision == Decision.CATCH_UP) {
       replies.put(from, reply);
-      decide();
+      updateDecision();
     }
     return decision;
   }
 
-  /** Takes the current state of this voter's log, which grows while it catches up. */
+  /** Updates the summary of this voter's log, which grows while the voter catches up. */
   public Decision localLogChanged(LogSummary current) {
     if (decision == Decision.CATCH_UP) {
-      local = current;
-      decide();
+      localLog = current;
+      updateDecision();
     }
     return decision;
   }
 
-  private void decide() {
-    if (local.identity().isEmpty()) {
+  private void updateDecision() {
+    if (localLog.identity().isEmpty()) {
       decideWithoutLog();
     } else {
-      decideWithLog(local.identity().get());
+      decideWithLog(localLog.identity().get());
     }
   }
 
   private void decideWithoutLog() {
-    boolean groupExists = replies.values().stream().anyMatch(VoterRecovery::showsExistingGroup);
+    boolean groupExists = replies.values().stream().anyMatch(VoterRecovery::indicatesExistingGroup);
     if (groupExists) {
-      become(Decision.NEW_IDENTITY, "local log is empty, another voter has entries");
+      setDecision(Decision.NEW_IDENTITY, "local log is empty, another voter has entries");
     } else if (replies.size() == voterCount - 1 && !logUnusable) {
-      // With an unusable log the others have lost theirs: only an operator may found a new group.
-      become(Decision.FOUND_GROUP, "no voter has entries");
+      // An unusable log shows that the group existed and the others have lost their logs; only an
+      // operator may then bootstrap a new group.
+      setDecision(Decision.FOUND_GROUP, "no voter has entries");
     }
   }
 
-  private static boolean showsExistingGroup(Reply reply) {
+  private static boolean indicatesExistingGroup(Reply reply) {
     return (reply.hasLog() && reply.last().index() > 0) || !reply.founding();
   }
 
   private void decideWithLog(String identity) {
     List<Reply> withLog = replies.values().stream().filter(Reply::hasLog).toList();
     for (Reply reply : withLog) {
-      Optional<String> loss = lossShownBy(reply, identity);
+      Optional<String> loss = detectDataLoss(reply, identity);
       if (loss.isPresent()) {
-        become(Decision.NEW_IDENTITY, loss.get());
+        setDecision(Decision.NEW_IDENTITY, loss.get());
         return;
       }
     }
     int withoutLog = replies.size() - withLog.size();
     if (withLog.size() >= voterCount - voterCount / 2 || withoutLog >= (voterCount - 1) / 2) {
       if (isBehind(withLog)) {
-        become(Decision.CATCH_UP, "another voter has more");
+        setDecision(Decision.CATCH_UP, "another voter's log or term is ahead");
       } else {
-        become(Decision.RESUME, "no other voter has more");
+        setDecision(Decision.RESUME, "no other voter's log or term is ahead");
       }
     }
   }
 
-  private Optional<String> lossShownBy(Reply reply, String identity) {
+  private Optional<String> detectDataLoss(Reply reply, String identity) {
     if (reply.unknownIdentity()) {
-      return Optional.of(identity + " is not in the group any more");
+      return Optional.of(identity + " is no longer a member of the group");
     }
-    if (local.last().isBefore(reply.acknowledged())) {
+    if (localLog.last().isBefore(reply.acknowledged())) {
       return Optional.of(
           "local log ends at entry "
-              + local.last().index()
-              + ", but acknowledged entry "
+              + localLog.last().index()
+              + ", but this voter acknowledged entry "
               + reply.acknowledged().index());
     }
-    if (reply.votedTerm() > local.term()) {
+    if (reply.votedTerm() > localLog.term()) {
       return Optional.of(
           "local log ends at term "
-              + local.term()
-              + ", but a vote was counted in term "
+              + localLog.term()
+              + ", but this voter voted in term "
               + reply.votedTerm());
     }
     return Optional.empty();
   }
 
   private boolean isBehind(Collection<Reply> withLog) {
-    // Lost votes precede this start: terms that begin while it catches up say nothing of them.
+    // Only terms from before the restart can indicate a lost vote; terms that begin while this
+    // voter
+    // catches up cannot.
     boolean compareTerms = decision == Decision.UNDECIDED;
     return withLog.stream()
         .anyMatch(
             reply ->
-                (compareTerms && reply.term() > local.term())
-                    || local.last().isBefore(reply.last()));
+                (compareTerms && reply.term() > localLog.term())
+                    || localLog.last().isBefore(reply.last()));
   }
 
-  private void become(Decision next, String nextReason) {
-    decision = next;
-    reason = nextReason;
+  private void setDecision(Decision newDecision, String newReason) {
+    decision = newDecision;
+    reason = newReason;
   }
 
-  /** The decision by the replies so far. */
+  /** Returns the decision based on the replies received so far. */
   public Decision decision() {
     return decision;
   }
 
-  /** The reason of the decision, for the log; empty where it needed no reply. */
+  /** Returns the reason of the decision, for the log; empty if it required no reply. */
   public String reason() {
     return reason;
   }
 
-  /** The highest known term: in it, and in those before, this voter may have voted. */
+  /** Returns the highest known term; this voter may have voted in it or in any earlier term. */
   public int highestTerm() {
-    int replied = replies.values().stream().mapToInt(Reply::term).max().orElse(0);
-    return Math.max(local.term(), replied);
+    int highestReplied = replies.values().stream().mapToInt(Reply::term).max().orElse(0);
+    return Math.max(localLog.term(), highestReplied);
   }
 
-  /** The position that this voter's log must reach before it votes. */
+  /** Returns the position that this voter's log must reach before the voter votes. */
   public LogPosition target() {
     return replies.values().stream()
         .map(Reply::last)
@@ -220,10 +223,10 @@
         .orElse(LogPosition.NONE);
   }
 
-  /** The decision and who has replied, for the log; one line without a line end. */
+  /** Returns a one-line summary of the decision and the replies, for the log. */
   public String describe() {
     long withLog = replies.values().stream().filter(Reply::hasLog).count();
-    int needed = local.identity().isEmpty() ? voterCount - 1 : voterCount - voterCount / 2;
+    int needed = localLog.identity().isEmpty() ? voterCount - 1 : voterCount - voterCount / 2;
     return "decision="
         + decision
         + " replies="
--- a/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
+++ b/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
@@ -232,7 +232,7 @@
                   + " member="
                   + proposal.member()
                   + " view="
-                  + proposal.basis()
+                  + proposal.expectedViewNumber()
                   + " result="
                   + result);
       operatorListener.accept(proposal, result);
--- a/gateway/src/main/java/weldcross/consensus/raft/MembershipCodec.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/MembershipCodec.java
@@ -70,7 +70,7 @@
         .setZone(proposal.zone())
         .setWeight(proposal.weight())
         .setProposer(proposal.proposer().name())
-        .setBasis(proposal.basis())
+        .setExpectedViewNumber(proposal.expectedViewNumber())
         .build();
   }
 
@@ -83,6 +83,6 @@
         proposal.getZone(),
         proposal.getWeight(),
         new PeerName(proposal.getProposer()),
-        proposal.getBasis());
+        proposal.getExpectedViewNumber());
   }
 }
--- a/gateway/src/main/java/weldcross/consensus/raft/RaftVoter.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/RaftVoter.java
@@ -393,7 +393,7 @@
     if (phase == Phase.LEARNING) {
       recovery.localLogChanged(storage.summary());
     }
-    recovery.replied(from, RecoveryReplies.decode(reply));
+    recovery.replyReceived(from, RecoveryReplies.decode(reply));
     if (phase == Phase.VOTING) {
       if (reply.getHasLog() && reply.getUnknownIdentity()) {
         actions.log(Level.WARNING, "voter is not in the group any more: voter=" + self);
--- a/gateway/src/main/java/weldcross/consensus/raft/ReplicatedView.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/ReplicatedView.java
@@ -40,7 +40,8 @@
 
   @Override
   public void takeSnapshot(long index, Consumer<Object> chunks) {
-    chunks.accept(MembershipCodec.encodeSnapshot(stateMachine.view(), stateMachine.ended()));
+    chunks.accept(
+        MembershipCodec.encodeSnapshot(stateMachine.view(), stateMachine.endedIncarnations()));
   }
 
   @Override
--- a/gateway/src/test/java/weldcross/consensus/FleetQuotaTest.java
+++ b/gateway/src/test/java/weldcross/consensus/FleetQuotaTest.java
@@ -15,7 +15,7 @@
 class FleetQuotaTest {
 
   @Test
-  void shareShrinksAtOnceAndGrowsLate() {
+  void shareShrinksImmediatelyAndGrowsAfterDelay() {
     FleetQuota quota = new FleetQuota(0.2, Duration.ofSeconds(30));
     quota.update(Duration.ofSeconds(1), 0.5);
     assertEquals(0.2, quota.share(Duration.ofSeconds(30)));
@@ -29,37 +29,37 @@
     assertEquals(
         0.25,
         quota.share(Duration.ofSeconds(89)),
-        "a larger share that was replaced before its delay passed");
+        "an increase replaced before its growth delay has passed never takes effect");
     assertEquals(0.3, quota.share(Duration.ofSeconds(90)));
   }
 
-  /** The share is at most the smallest that was in force within the delay. */
+  /** The share never exceeds the smallest share received within the growth delay. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void shareNeverExceedsTheSmallestKnownWithinTheDelay(long seed) {
+  void shareNeverExceedsSmallestShareWithinGrowthDelay(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     FleetQuota quota = new FleetQuota(0.1, Duration.ofSeconds(30));
     List<Double> shares = new ArrayList<>(List.of(0.1));
-    List<Duration> since = new ArrayList<>(List.of(Duration.ofSeconds(-100)));
+    List<Duration> receivedAt = new ArrayList<>(List.of(Duration.ofSeconds(-100)));
     Duration now = Duration.ZERO;
     for (int step = 0; step < 2000; step++) {
       now = now.plusMillis(random.nextInt(20_000));
       double smallest = shares.get(shares.size() - 1);
       for (int k = shares.size() - 1; k >= 0; k--) {
         smallest = Math.min(smallest, shares.get(k));
-        // It was in force until the next came, and counts for the delay after that.
-        if (now.minus(since.get(k)).compareTo(Duration.ofSeconds(30)) >= 0) {
+        // Older shares were replaced by this one more than a growth delay ago.
+        if (now.minus(receivedAt.get(k)).compareTo(Duration.ofSeconds(30)) >= 0) {
           break;
         }
       }
       assertTrue(
           quota.share(now) <= smallest + 1e-12,
-          step + ": " + quota.share(now) + " over " + smallest);
+          "step " + step + ": share " + quota.share(now) + " exceeds " + smallest);
       if (random.nextBoolean()) {
         double next = 1.0 / (1 + random.nextInt(20));
         quota.update(now, next);
         shares.add(next);
-        since.add(now);
+        receivedAt.add(now);
       }
     }
   }
--- a/gateway/src/test/java/weldcross/consensus/MembershipStateMachineTest.java
+++ b/gateway/src/test/java/weldcross/consensus/MembershipStateMachineTest.java
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void endedIncarnationNeverJoinsAgain() {
+  void endedIncarnationCannotRejoin() {
     MembershipStateMachine stateMachine = new MembershipStateMachine();
     assertEquals(ProposalResult.APPLIED, stateMachine.apply(Proposal.join(member(A, 3))));
     assertEquals(ProposalResult.UNCHANGED, stateMachine.apply(Proposal.join(member(A, 3))));
@@ -35,17 +35,17 @@
     assertEquals(
         ProposalResult.INCARNATION_ENDED,
         stateMachine.apply(Proposal.leave(member(A, 3))),
-        "a late proposal of the incarnation before");
+        "a delayed proposal of the previous incarnation");
     assertTrue(stateMachine.view().contains(A, 4));
     assertEquals(3, stateMachine.view().number());
-    // A later incarnation ends the one it replaces.
+    // Joining under a later incarnation ends the previous one.
     assertEquals(ProposalResult.APPLIED, stateMachine.apply(Proposal.join(member(A, 6))));
     assertEquals(ProposalResult.INCARNATION_ENDED, stateMachine.apply(Proposal.join(member(A, 5))));
   }
 
-  /** An operator removes the member that was seen, and none that joined later. */
+  /** An operator's removal applies only to the view the operator saw, not to later members. */
   @Test
-  void forgetAppliesOnlyToTheViewItIsBasedOn() {
+  void forgetAppliesOnlyToExpectedView() {
     MembershipStateMachine stateMachine = new MembershipStateMachine();
     stateMachine.apply(Proposal.join(member(A, 1)));
     stateMachine.apply(Proposal.join(member(B, 1)));
@@ -55,31 +55,31 @@
   }
 
   /**
-   * Numbers have no gaps, an ended incarnation stays ended, and a copy that gets the same proposals
-   * gives the same views.
+   * View numbers are contiguous, an ended incarnation never rejoins, and a replica that applies the
+   * same proposals has the same views.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void randomProposalsKeepTheRulesOfViews(long seed) {
+  void randomProposalsPreserveViewInvariants(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     MembershipStateMachine stateMachine = new MembershipStateMachine();
-    MembershipStateMachine copy = new MembershipStateMachine();
+    MembershipStateMachine replica = new MembershipStateMachine();
     Map<PeerName, Long> highestEnded = new TreeMap<>();
     for (int step = 0; step < 5000; step++) {
       Proposal proposal = randomProposal(random, stateMachine.view().number());
       MembershipView before = stateMachine.view();
       ProposalResult result = stateMachine.apply(proposal);
-      assertEquals(result, copy.apply(proposal));
-      assertEquals(stateMachine.view(), copy.view());
+      assertEquals(result, replica.apply(proposal));
+      assertEquals(stateMachine.view(), replica.view());
       assertEquals(
           before.number() + (result == ProposalResult.APPLIED ? 1 : 0),
           stateMachine.view().number());
-      assertEndedStayEnded(before, stateMachine.view(), highestEnded);
+      assertEndedMembersStayEnded(before, stateMachine.view(), highestEnded);
       List.of(A, B, C).forEach(lost -> assertSuccessorIsAnotherMember(stateMachine.view(), lost));
       if (step % 500 == 0) {
         MembershipStateMachine restored = new MembershipStateMachine();
-        restored.restore(copy.view(), Map.copyOf(copy.ended()));
-        copy.restore(restored.view(), restored.ended());
+        restored.restore(replica.view(), Map.copyOf(replica.endedIncarnations()));
+        replica.restore(restored.view(), restored.endedIncarnations());
       }
     }
   }
@@ -95,19 +95,18 @@
     };
   }
 
-  /** Takes note of members that ended with this view, and checks that none has come back. */
-  private static void assertEndedStayEnded(
+  /** Records the members removed by this view, and asserts that none has rejoined. */
+  private static void assertEndedMembersStayEnded(
       MembershipView before, MembershipView view, Map<PeerName, Long> highestEnded) {
-    for (Member each : before.members().values()) {
-      if (!view.contains(each.name(), each.incarnation())) {
-        highestEnded.merge(each.name(), each.incarnation(), Math::max);
+    for (Member member : before.members().values()) {
+      if (!view.contains(member.name(), member.incarnation())) {
+        highestEnded.merge(member.name(), member.incarnation(), Math::max);
       }
     }
-    for (Member each : view.members().values()) {
-      long ended = highestEnded.getOrDefault(each.name(), 0L);
-      assertTrue(
-          each.incarnation() > ended
-              || (before.contains(each.name(), each.incarnation()) && each.incarnation() >= ended));
+    for (Member member : view.members().values()) {
+      long ended = highestEnded.getOrDefault(member.name(), 0L);
+      boolean wasMember = before.contains(member.name(), member.incarnation());
+      assertTrue(member.incarnation() > ended || (wasMember && member.incarnation() >= ended));
     }
   }
 
--- a/gateway/src/test/java/weldcross/consensus/ProposalTrackerTest.java
+++ b/gateway/src/test/java/weldcross/consensus/ProposalTrackerTest.java
@@ -16,22 +16,22 @@
   private final ProposalTracker tracker = new ProposalTracker();
 
   @Test
-  void registeredProposalIsTakenOnceByItsNumber() {
+  void registeredProposalIsRemovedOnceByNumber() {
     long first = tracker.register(DEAD);
     long second = tracker.register(FORGET);
-    assertEquals(Optional.of(FORGET), tracker.take(second));
-    assertEquals(Optional.empty(), tracker.take(second));
-    assertEquals(Optional.of(DEAD), tracker.take(first));
+    assertEquals(Optional.of(FORGET), tracker.remove(second));
+    assertEquals(Optional.empty(), tracker.remove(second));
+    assertEquals(Optional.of(DEAD), tracker.remove(first));
   }
 
   @Test
-  void onlyOperatorProposalsOutliveAPeriod() {
+  void onlyOperatorProposalsRemainAfterRetriedOnesAreRemoved() {
     tracker.addOperatorProposal(FORGET);
-    long repeated = tracker.register(DEAD);
-    long once = tracker.register(FORGET);
-    tracker.dropRepeated();
-    assertEquals(Optional.empty(), tracker.take(repeated));
-    assertEquals(Optional.of(FORGET), tracker.take(once));
+    long retriedNumber = tracker.register(DEAD);
+    long operatorNumber = tracker.register(FORGET);
+    tracker.removeRetried();
+    assertEquals(Optional.empty(), tracker.remove(retriedNumber));
+    assertEquals(Optional.of(FORGET), tracker.remove(operatorNumber));
   }
 
   @Test
--- a/gateway/src/test/java/weldcross/consensus/VoterRecoveryTest.java
+++ b/gateway/src/test/java/weldcross/consensus/VoterRecoveryTest.java
@@ -28,104 +28,109 @@
   }
 
   @Test
-  void groupIsFoundedOnlyOnceAllOthersReplyWithoutEntries() {
+  void groupIsFoundedOnlyAfterAllOthersReplyWithoutEntries() {
     VoterRecovery recovery = new VoterRecovery(3, false, LogSummary.NONE, false);
-    assertEquals(Decision.UNDECIDED, recovery.replied(B, REPLY_WITHOUT_LOG));
+    assertEquals(Decision.UNDECIDED, recovery.replyReceived(B, REPLY_WITHOUT_LOG));
     assertEquals(
         Decision.UNDECIDED,
-        recovery.replied(B, REPLY_WITHOUT_LOG),
-        "the same voter twice counts once");
-    assertEquals(Decision.FOUND_GROUP, recovery.replied(C, REPLY_WITHOUT_LOG));
+        recovery.replyReceived(B, REPLY_WITHOUT_LOG),
+        "two replies of the same voter count once");
+    assertEquals(Decision.FOUND_GROUP, recovery.replyReceived(C, REPLY_WITHOUT_LOG));
     VoterRecovery late = new VoterRecovery(3, false, LogSummary.NONE, false);
-    late.replied(B, replyWithLog(0, 0, 0));
+    late.replyReceived(B, replyWithLog(0, 0, 0));
     assertEquals(
         Decision.FOUND_GROUP,
-        late.replied(C, REPLY_WITHOUT_LOG),
-        "another founded the group, which has no entries");
+        late.replyReceived(C, REPLY_WITHOUT_LOG),
+        "another voter has founded the group, which has no entries yet");
     VoterRecovery lost = new VoterRecovery(3, false, LogSummary.NONE, false);
     assertEquals(
-        Decision.NEW_IDENTITY, lost.replied(C, replyWithLog(1, 1, 1)), "another voter has entries");
+        Decision.NEW_IDENTITY,
+        lost.replyReceived(C, replyWithLog(1, 1, 1)),
+        "another voter has entries");
   }
 
-  /** Two lost their logs and one cannot read its own: none of them founds a new group. */
+  /** Two voters have lost their logs and the third log is corrupt: none founds a new group. */
   @Test
-  void voterWithUnusableLogFoundsNoGroup() {
-    VoterRecovery damaged = new VoterRecovery(3, false, LogSummary.NONE, true);
-    damaged.replied(B, REPLY_WITHOUT_LOG);
-    assertEquals(Decision.UNDECIDED, damaged.replied(C, REPLY_WITHOUT_LOG));
+  void voterWithUnusableLogDoesNotFoundGroup() {
+    VoterRecovery corrupt = new VoterRecovery(3, false, LogSummary.NONE, true);
+    corrupt.replyReceived(B, REPLY_WITHOUT_LOG);
+    assertEquals(Decision.UNDECIDED, corrupt.replyReceived(C, REPLY_WITHOUT_LOG));
     VoterRecovery empty = new VoterRecovery(3, false, LogSummary.NONE, false);
-    empty.replied(B, REPLY_WITHOUT_LOG);
+    empty.replyReceived(B, REPLY_WITHOUT_LOG);
     assertEquals(
         Decision.NEW_IDENTITY,
-        empty.replied(C, new Reply(false, false, false, 0, LogPosition.NONE, LogPosition.NONE, 0)));
+        empty.replyReceived(
+            C, new Reply(false, false, false, 0, LogPosition.NONE, LogPosition.NONE, 0)));
   }
 
   /**
-   * A vote that was lost may not be cast again in the same term, so the highest known term is used
-   * up.
+   * A founder may have lost a vote in any term known to the others, and must not vote twice in one
+   * term.
    */
   @Test
-  void founderUsesUpTheHighestKnownTerm() {
+  void highestTermOfFounderIncludesReplies() {
     VoterRecovery recovery = new VoterRecovery(3, false, LogSummary.NONE, false);
-    recovery.replied(B, replyWithLog(4, 0, 0));
-    assertEquals(Decision.FOUND_GROUP, recovery.replied(C, replyWithLog(2, 0, 0)));
+    recovery.replyReceived(B, replyWithLog(4, 0, 0));
+    assertEquals(Decision.FOUND_GROUP, recovery.replyReceived(C, replyWithLog(2, 0, 0)));
     assertEquals(4, recovery.highestTerm());
   }
 
   @Test
-  void lostEntriesAndLostVotesLeadToANewIdentity() {
+  void voterThatLostEntriesOrVotesTakesNewIdentity() {
     LogSummary local = summary("a#0", 3, 2, 90);
     assertEquals(
         Decision.NEW_IDENTITY,
         new VoterRecovery(3, false, local, false)
-            .replied(
+            .replyReceived(
                 B,
                 new Reply(
                     true, true, false, 3, new LogPosition(2, 100), new LogPosition(2, 91), 0)));
     assertEquals(
         Decision.NEW_IDENTITY,
         new VoterRecovery(3, false, local, false)
-            .replied(
+            .replyReceived(
                 B,
                 new Reply(
                     true, true, false, 3, new LogPosition(2, 90), new LogPosition(2, 90), 4)));
-    VoterRecovery well = new VoterRecovery(3, false, local, false);
+    VoterRecovery intact = new VoterRecovery(3, false, local, false);
     assertEquals(
         Decision.UNDECIDED,
-        well.replied(
+        intact.replyReceived(
             B, new Reply(true, true, false, 3, new LogPosition(2, 90), new LogPosition(2, 90), 3)));
     assertEquals(
         Decision.RESUME,
-        well.replied(
+        intact.replyReceived(
             C, new Reply(true, true, false, 3, new LogPosition(2, 88), LogPosition.NONE, 0)));
   }
 
   @Test
-  void voterBehindTheOthersCatchesUp() {
+  void voterBehindOthersCatchesUp() {
     VoterRecovery recovery = new VoterRecovery(5, false, summary("a#0", 3, 2, 90), false);
-    recovery.replied(B, replyWithLog(3, 2, 90));
-    recovery.replied(C, REPLY_WITHOUT_LOG);
+    recovery.replyReceived(B, replyWithLog(3, 2, 90));
+    recovery.replyReceived(C, REPLY_WITHOUT_LOG);
     assertEquals(
         Decision.UNDECIDED,
-        recovery.replied(new PeerName("d"), replyWithLog(5, 2, 95)),
-        "a reply without a log does not count");
-    assertEquals(Decision.CATCH_UP, recovery.replied(new PeerName("e"), replyWithLog(4, 1, 99)));
+        recovery.replyReceived(new PeerName("d"), replyWithLog(5, 2, 95)),
+        "a reply without a log does not count towards the required replies");
+    assertEquals(
+        Decision.CATCH_UP, recovery.replyReceived(new PeerName("e"), replyWithLog(4, 1, 99)));
     assertEquals(5, recovery.highestTerm());
     assertEquals(new LogPosition(2, 95), recovery.target());
   }
 
-  /** Every majority that the voter may have been part of is represented among the replies. */
+  /** The required replies intersect every majority that the voter may have been part of. */
   @Test
-  void repliesNeededRepresentEveryMajority() {
+  void requiredRepliesIntersectEveryMajority() {
     for (int voters : new int[] {3, 5, 7}) {
-      int wanted = 0;
+      int replies = 0;
       VoterRecovery recovery = new VoterRecovery(voters, false, summary("v0#0", 1, 1, 1), false);
       while (recovery.decision() == Decision.UNDECIDED) {
-        wanted++;
-        recovery.replied(new PeerName("v" + wanted), replyWithLog(1, 1, 1));
+        replies++;
+        recovery.replyReceived(new PeerName("v" + replies), replyWithLog(1, 1, 1));
       }
       int othersInMajority = voters / 2;
-      assertTrue(wanted + othersInMajority > voters - 1, voters + " voters, " + wanted + " asked");
+      assertTrue(
+          replies + othersInMajority > voters - 1, voters + " voters, " + replies + " replies");
     }
   }
 }
--- a/gateway/src/test/java/weldcross/consensus/WireNamesTest.java
+++ b/gateway/src/test/java/weldcross/consensus/WireNamesTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The words of messages and stored records, which never change. */
+/** Guards the names in messages and stored records, which must never change. */
 class WireNamesTest {
 
   @ParameterizedTest
   @CsvSource({"JOIN, JOIN", "LEAVE, LEAVE", "DEAD, GONE", "FORGET, FORGET", "NO_OP, NOTHING"})
-  void kindOfProposalHasItsWord(Proposal.Kind kind, String word) {
-    assertEquals(word, kind.wireName());
-    assertEquals(Optional.of(kind), Proposal.Kind.fromWireName(word));
+  void proposalKindHasStableWireName(Proposal.Kind kind, String wireName) {
+    assertEquals(wireName, kind.wireName());
+    assertEquals(Optional.of(kind), Proposal.Kind.fromWireName(wireName));
   }
 
   @ParameterizedTest
@@ -28,20 +28,20 @@
     "STALE_VIEW, CHANGED",
     "UNKNOWN_MEMBER, UNKNOWN"
   })
-  void resultOfProposalHasItsWord(ProposalResult result, String word) {
-    assertEquals(word, result.wireName());
-    assertEquals(Optional.of(result), ProposalResult.fromWireName(word));
+  void proposalResultHasStableWireName(ProposalResult result, String wireName) {
+    assertEquals(wireName, result.wireName());
+    assertEquals(Optional.of(result), ProposalResult.fromWireName(wireName));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "done", "LATER"})
-  void unknownWordHasNoKindAndNoResult(String word) {
-    assertEquals(Optional.empty(), Proposal.Kind.fromWireName(word));
-    assertEquals(Optional.empty(), ProposalResult.fromWireName(word));
+  void unknownWireNameHasNoKindAndNoResult(String wireName) {
+    assertEquals(Optional.empty(), Proposal.Kind.fromWireName(wireName));
+    assertEquals(Optional.empty(), ProposalResult.fromWireName(wireName));
   }
 
   @Test
-  void everyConstantHasAWordOfItsOwn() {
+  void everyConstantHasUniqueWireName() {
     Set<Proposal.Kind> kinds = EnumSet.noneOf(Proposal.Kind.class);
     for (Proposal.Kind kind : Proposal.Kind.values()) {
       Proposal.Kind.fromWireName(kind.wireName()).ifPresent(kinds::add);
--- a/gateway/src/test/java/weldcross/consensus/raft/StoredDataCompatibilityTest.java
+++ b/gateway/src/test/java/weldcross/consensus/raft/StoredDataCompatibilityTest.java
@@ -140,7 +140,7 @@
                 G1, new Member(G1, G1_INCARNATION, "zone-a", 1000),
                 G2, new Member(G2, G2_INCARNATION, "", 250))),
         machine.view());
-    assertEquals(Map.of(G0, 77L), machine.ended());
+    assertEquals(Map.of(G0, 77L), machine.endedIncarnations());
   }
 
   private static void assertEntries(List<LogEntry> entries) {
