--- a/gateway/src/main/java/weldcross/consensus/net/ConsensusActions.java
+++ b/gateway/src/main/java/weldcross/consensus/net/ConsensusActions.java
@@ -11,12 +11,12 @@
 import weldcross.storage.StorageDirectory;
 
 /**
- * What a {@link ConsensusService} has done outside. Called on the gateway's event loop where not
- * said otherwise.
+ * Side effects of a {@link ConsensusService}. Called on the gateway's event loop unless stated
+ * otherwise.
  */
 public interface ConsensusActions {
 
-  /** Time since the start of the gateway. */
+  /** Returns the time since the gateway was started. */
   Duration now();
 
   /** Sends a message to another gateway; it may be lost. */
@@ -25,31 +25,31 @@
   /** Runs a task on the event loop; called on the voter's thread. */
   void post(Runnable task);
 
-  /** Schedules {@link ConsensusService#onTimer}; the last call replaces those before. */
+  /** Schedules {@link ConsensusService#onTimer}, replacing any earlier schedule. */
   void wakeAt(Duration when);
 
   /**
-   * Opens the directory that the voter alone uses; called on the voter's thread.
+   * Opens the directory reserved for the voter; called on the voter's thread.
    *
-   * @throws IOException where it is in use or cannot be accessed
+   * @throws IOException if the directory is in use or cannot be accessed
    */
   StorageDirectory openDirectory() throws IOException;
 
-  /** As {@link weldcross.consensus.MembershipViewActions#viewChanged}. */
+  /** See {@link weldcross.consensus.MembershipViewActions#viewChanged}. */
   void viewChanged(MembershipView view);
 
-  /** As {@link weldcross.consensus.MembershipViewActions#setQuota}. */
+  /** See {@link weldcross.consensus.MembershipViewActions#setQuota}. */
   void setQuota(double share);
 
-  /** As {@link weldcross.consensus.MembershipViewActions#incarnationEnded}. */
+  /** See {@link weldcross.consensus.MembershipViewActions#incarnationEnded}. */
   void incarnationEnded(long incarnation);
 
-  /** As {@link weldcross.consensus.MembershipViewActions#operatorProposalDecided}. */
+  /** See {@link weldcross.consensus.MembershipViewActions#operatorProposalDecided}. */
   void operatorProposalDecided(Proposal proposal, ProposalResult result);
 
-  /** As {@link weldcross.consensus.MembershipViewActions#left}. */
+  /** See {@link weldcross.consensus.MembershipViewActions#left}. */
   void left();
 
-  /** Writes one line to the log; called on any thread. */
-  void log(Level level, String line);
+  /** Writes a log message; may be called on any thread. */
+  void log(Level level, String message);
 }
--- a/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
+++ b/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
@@ -28,29 +28,29 @@
 import weldcross.storage.StorageDirectory;
 
 /**
- * The consensus as an extension of the gateway: a {@link ConsensusService} whose messages the mesh
- * carries, and whose proofs that a member has ended come from failure detection.
+ * Gateway extension that runs a {@link ConsensusService}: the mesh carries its messages, and the
+ * failure detector reports dead members to it.
  */
 public final class ConsensusExtension implements GatewayExtension, PeerListener {
 
-  /** The subject under which the mesh carries consensus messages. */
+  /** Mesh subject of consensus messages. */
   public static final int SUBJECT = 3;
 
-  /** Also the name of the table that configures it. */
+  /** Name of the extension and of its configuration table. */
   private static final String NAME = "agreement";
 
-  /** The voter's directory below the gateway's; names stored data, so it never changes. */
+  /** Name of the voter's subdirectory; stable, because existing deployments store data there. */
   private static final String DIRECTORY = "agreement";
 
   private static final Logger LOG = Logger.getLogger(ConsensusExtension.class.getName());
 
   /**
-   * The Raft library's logger, which logs each message that it rejects. Held here, as a logger that
-   * nobody references loses its level.
+   * Logger of the Raft library, which logs each message it rejects. Referenced strongly, because a
+   * logger that is garbage collected loses its level.
    */
   private static final Logger RAFT_LOG = Logger.getLogger("io.microraft");
 
-  /** How long a stop waits until this gateway has left the view. */
+  /** How long a graceful shutdown waits for this gateway to leave the view. */
   private static final Duration LEAVE_TIMEOUT = Duration.ofSeconds(2);
 
   private final MeshExtension mesh;
@@ -63,13 +63,13 @@
   private BiConsumer<Proposal, ProposalResult> operatorListener = (proposal, result) -> {};
 
   /**
-   * Creates the extension; nothing runs before {@link #start}.
+   * Creates the extension, which is inactive until {@link #start}.
    *
    * @param mesh carries messages between gateways
-   * @param membership gives proof that an incarnation has ended
-   * @param directory of this gateway's stored data; the voter uses a directory below it
-   * @param configuredShare of the fleet's budgets, in force until there is a view
-   * @param seed of random election timeouts
+   * @param membership failure detection, which reports dead incarnations
+   * @param directory data directory of this gateway; the voter uses a subdirectory
+   * @param configuredShare share of the fleet's budgets, in force until a view is received
+   * @param seed seed of random election timeouts
    */
   public ConsensusExtension(
       ConsensusConfig config,
@@ -100,17 +100,17 @@
         });
   }
 
-  /** The service, for use on the event loop. */
+  /** Returns the service, which may only be used on the event loop. */
   public ConsensusService service() {
     return service;
   }
 
-  /** Sets the listener for results of operators' proposals; called before the start. */
+  /** Sets the listener for results of operators' proposals; must be called before the start. */
   public void setOperatorListener(BiConsumer<Proposal, ProposalResult> listener) {
     operatorListener = listener;
   }
 
-  // ---- Calls of the gateway
+  // ---- GatewayExtension
 
   @Override
   public String name() {
@@ -135,7 +135,7 @@
 
   @Override
   public void stop() {
-    service.end();
+    service.stop();
     executor.shutdown();
   }
 
@@ -146,7 +146,7 @@
         + service.voter().map(voter -> " voter=" + voter.phase()).orElse("");
   }
 
-  // ---- Calls of the mesh
+  // ---- PeerListener
 
   @Override
   public void onStarted(Incarnation self) {
@@ -158,7 +158,8 @@
     try {
       service.receive(from, ConsensusMessage.parseFrom(content));
     } catch (InvalidProtocolBufferException e) {
-      LOG.fine(() -> "consensus: message ignored: peer=" + from + " reason=" + e.getMessage());
+      LOG.fine(
+          () -> "consensus: invalid message ignored: peer=" + from + " reason=" + e.getMessage());
     }
   }
 
@@ -167,7 +168,7 @@
     service.peerConnected(peer);
   }
 
-  /** Effects of the service. */
+  /** Side effects of the service, mapped to the mesh, the event loop and the log. */
   private final class ExtensionActions implements ConsensusActions {
 
     @Override
@@ -217,9 +218,9 @@
     public void incarnationEnded(long incarnation) {
       LOG.severe(
           () ->
-              "consensus: own incarnation ended by the view, a later one begins: incarnation="
+              "consensus: own incarnation was ended, starting a later one: incarnation="
                   + incarnation
-                  + " reason=forgotten by an operator or declared dead while alive");
+                  + " reason=removed by an operator or declared dead while alive");
       mesh.raiseIncarnation(incarnation);
     }
 
@@ -245,8 +246,8 @@
     }
 
     @Override
-    public void log(Level level, String line) {
-      LOG.log(level, () -> "consensus: " + line);
+    public void log(Level level, String message) {
+      LOG.log(level, () -> "consensus: " + message);
     }
   }
 }
--- a/gateway/src/main/java/weldcross/consensus/net/ConsensusService.java
+++ b/gateway/src/main/java/weldcross/consensus/net/ConsensusService.java
@@ -25,13 +25,13 @@
 import weldcross.storage.StorageDirectory;
 
 /**
- * One gateway's side of the consensus: a {@link MembershipViewClient} on the gateway's event loop
- * and, where this gateway is a voter, a {@link RaftVoter} on its own thread, joined to the messages
- * of other gateways. All methods are called on the event loop.
+ * Consensus service of one gateway: connects the messages of other gateways to a {@link
+ * MembershipViewClient} on the gateway's event loop and, if this gateway is a voter, to a {@link
+ * RaftVoter} on its own thread. All methods are called on the event loop.
  */
 public final class ConsensusService {
 
-  /** Requests any view, as view numbers begin at one. */
+  /** Number of the latest known view if none is known; view numbers start at one. */
   private static final long NO_VIEW = 0;
 
   private final ConsensusConfig config;
@@ -42,13 +42,15 @@
   private boolean foreignGroupLogged;
 
   /**
-   * Creates the service of a gateway; nothing is sent before {@link #start}.
+   * Creates the service, which sends nothing before {@link #start}.
    *
-   * @param configuredShare of the fleet's budgets, in force until there is a view
-   * @param executor of the voter's thread; unused where this gateway is no voter
-   * @param clock of the voter; never jumps
-   * @param seed of the voter's random election timeouts, and of the first voter that is asked
-   * @param nonces of new voter identities; no value twice, over all processes of all voters
+   * @param configuredShare share of the fleet's budgets, in force until a view is received
+   * @param executor executor of the voter's thread; unused if this gateway is not a voter
+   * @param clock monotonic clock of the voter
+   * @param seed seed of the voter's random election timeouts and of the choice of the voter to
+   *     query first
+   * @param nonces generates the nonces of new voter identities, which must be unique across all
+   *     processes of all voters
    */
   public ConsensusService(
       ConsensusConfig config,
@@ -71,7 +73,7 @@
             : Optional.empty();
   }
 
-  /** An incarnation begins; the voter is started with the first of this process. */
+  /** Starts an incarnation; the first one of this process also starts the voter. */
   public void start(long incarnation) {
     if (viewClient.phase() == MembershipViewClient.Phase.STARTING) {
       voter.ifPresent(RaftVoter::start);
@@ -79,41 +81,41 @@
     viewClient.start(actions.now(), incarnation);
   }
 
-  /** The timer set by {@link ConsensusActions#wakeAt} has expired. */
+  /** Handles the expiry of the timer set by {@link ConsensusActions#wakeAt}. */
   public void onTimer() {
     viewClient.onTimer(actions.now());
   }
 
   /**
-   * As {@link MembershipViewClient#leave}.
+   * Leaves the view; see {@link MembershipViewClient#leave}.
    *
-   * @param timeout after which {@link ConsensusActions#left} is called in any case
+   * @param timeout time after which {@link ConsensusActions#left} is called in any case
    */
   public void leave(Duration timeout) {
     viewClient.leave(actions.now(), timeout);
   }
 
-  /** As {@link MembershipViewClient#join}. */
+  /** Rejoins the view; see {@link MembershipViewClient#join}. */
   public void join() {
     viewClient.join(actions.now());
   }
 
-  /** Ends the voter; nothing else has to be ended. */
-  public void end() {
-    voter.ifPresent(RaftVoter::end);
+  /** Stops the voter, the only component with a thread of its own. */
+  public void stop() {
+    voter.ifPresent(RaftVoter::stop);
   }
 
-  /** As {@link MembershipViewClient#memberDied}. */
+  /** Reports a dead member; see {@link MembershipViewClient#memberDied}. */
   public void memberDied(PeerName name, long incarnation) {
     viewClient.memberDied(actions.now(), name, incarnation);
   }
 
-  /** As {@link MembershipViewClient#forget}. */
+  /** Removes a member on behalf of an operator; see {@link MembershipViewClient#forget}. */
   public void forget(PeerName name) {
     viewClient.forget(actions.now(), name);
   }
 
-  /** Takes a message of another gateway; one of another group is rejected. */
+  /** Handles a message of another gateway; messages of other groups are rejected. */
   public void receive(PeerName from, ConsensusMessage message) {
     if (!message.getGroup().equals(config.group())) {
       logForeignGroup(from, message.getGroup());
@@ -128,7 +130,7 @@
               actions.now(),
               message.getProposalReply().getNumber(),
               MessageFactory.decodeOutcome(message.getProposalReply()));
-      default -> voter.ifPresent(one -> one.receive(from, message));
+      default -> voter.ifPresent(raftVoter -> raftVoter.receive(from, message));
     }
   }
 
@@ -156,12 +158,12 @@
 
   private void receiveProposal(PeerName from, ProposalRequest request) {
     voter.ifPresent(
-        one ->
-            one.propose(
+        raftVoter ->
+            raftVoter.propose(
                 from, request.getNumber(), MembershipCodec.decodeProposal(request.getProposal())));
   }
 
-  /** A gateway has connected: it is sent the view, of which it may have missed changes. */
+  /** Sends the current view to a gateway that has connected and may have missed changes. */
   public void peerConnected(PeerName peer) {
     if (viewClient.view().number() > NO_VIEW) {
       sendView(peer, NO_VIEW);
@@ -170,24 +172,24 @@
 
   private void sendView(PeerName to, long knownNumber) {
     voter.ifPresent(
-        one -> {
-          Optional<MembershipView> later =
+        raftVoter -> {
+          Optional<MembershipView> newerView =
               Optional.of(viewClient.view()).filter(view -> view.number() > knownNumber);
-          actions.send(to, messages.viewReply(later, one.leader()));
+          actions.send(to, messages.viewReply(newerView, raftVoter.leader()));
         });
   }
 
-  /** The view as this gateway knows it. */
+  /** Returns the client that tracks the membership view. */
   public MembershipViewClient viewClient() {
     return viewClient;
   }
 
-  /** The voter; empty where this gateway is none. */
+  /** Returns the voter; empty if this gateway is not a voter. */
   public Optional<RaftVoter> voter() {
     return voter;
   }
 
-  /** Sends requests to voters, or passes them to this gateway's own. */
+  /** Sends requests to remote voters, or passes them to the local one. */
   private final class ViewClientActions implements MembershipViewActions {
 
     @Override
@@ -202,7 +204,7 @@
     @Override
     public void propose(PeerName to, long number, Proposal proposal) {
       if (to.equals(config.self())) {
-        voter.ifPresent(one -> one.propose(to, number, proposal));
+        voter.ifPresent(raftVoter -> raftVoter.propose(to, number, proposal));
       } else {
         actions.send(to, messages.proposalRequest(number, proposal));
       }
@@ -229,16 +231,16 @@
     }
 
     @Override
-    public void conflictingViews(MembershipView held, MembershipView other) {
+    public void conflictingViews(MembershipView current, MembershipView received) {
       actions.log(
           Level.SEVERE,
-          "two views of one number: view="
-              + held.number()
+          "conflicting views with the same number: view="
+              + current.number()
               + " held="
-              + held.members()
+              + current.members()
               + " other="
-              + other.members()
-              + " reason=a majority of the voters lost stored data; compare them, stop one side");
+              + received.members()
+              + " reason=a majority of the voters lost stored data; compare the views, stop one side");
     }
 
     @Override
@@ -252,7 +254,7 @@
     }
   }
 
-  /** Called on the voter's thread. */
+  /** Side effects of the voter; called on the voter's thread. */
   private final class VoterActions implements RaftVoterActions {
 
     @Override
@@ -265,17 +267,17 @@
       actions.post(() -> actions.send(to, message));
     }
 
-    /** The leader sends a new view to all members at once; the others request it. */
+    /** The leader pushes a new view to all members; gateways that miss it request it later. */
     @Override
     public void viewCommitted(MembershipView view) {
       actions.post(
           () -> {
-            long before = viewClient.view().number();
+            long previousNumber = viewClient.view().number();
             viewClient.viewReceived(actions.now(), view);
-            if (viewClient.view().number() > before && isLeader()) {
+            if (viewClient.view().number() > previousNumber && isLeader()) {
               view.members().keySet().stream()
                   .filter(name -> !name.equals(config.self()))
-                  .forEach(name -> sendView(name, before));
+                  .forEach(name -> sendView(name, previousNumber));
             }
           });
     }
@@ -297,8 +299,8 @@
     }
 
     @Override
-    public void log(Level level, String line) {
-      actions.log(level, line);
+    public void log(Level level, String message) {
+      actions.log(level, message);
     }
   }
 }
--- a/gateway/src/main/java/weldcross/consensus/net/MessageFactory.java
+++ b/gateway/src/main/java/weldcross/consensus/net/MessageFactory.java
@@ -13,8 +13,8 @@
 import weldcross.mesh.PeerName;
 
 /**
- * Creates the messages about views and proposals of one group, and reads the fields of such
- * messages that have no type of their own in protobuf.
+ * Creates the view and proposal messages of one group, and decodes the fields of such messages that
+ * protobuf represents as plain strings.
  */
 final class MessageFactory {
 
@@ -28,7 +28,7 @@
     return message().setViewRequest(knownNumber).build();
   }
 
-  /** A reply to a view request; the view is empty where the receiver has it already. */
+  /** Creates a view reply; the view is empty if the receiver already has the latest one. */
   ConsensusMessage viewReply(Optional<MembershipView> view, Optional<PeerName> leader) {
     ViewReply.Builder reply = ViewReply.newBuilder().setLeader(encodeName(leader));
     view.map(MembershipCodec::encodeView).ifPresent(reply::setView);
@@ -60,7 +60,7 @@
     return ConsensusMessage.newBuilder().setGroup(group);
   }
 
-  /** A result that this version does not know counts as none: the change is proposed again. */
+  /** Decodes an outcome; an unknown result is treated as no result, so the proposal is retried. */
   static ProposalOutcome decodeOutcome(ProposalReply reply) {
     Optional<PeerName> leader = decodeName(reply.getLeader());
     Optional<ProposalResult> result = ProposalResult.fromWireName(reply.getResult());
@@ -69,7 +69,7 @@
         : new ProposalOutcome.NotLeader(leader);
   }
 
-  /** The name in a message; empty for the empty string. */
+  /** Decodes a gateway name; empty for the empty string. */
   static Optional<PeerName> decodeName(String name) {
     return name.isEmpty() ? Optional.empty() : Optional.of(new PeerName(name));
   }
--- a/gateway/src/main/java/weldcross/consensus/net/MonotonicClock.java
+++ b/gateway/src/main/java/weldcross/consensus/net/MonotonicClock.java
@@ -5,10 +5,10 @@
 import java.time.ZoneId;
 import java.time.ZoneOffset;
 
-/** A clock that advances evenly whatever the wall clock does; its instants name no real time. */
+/** A clock that is unaffected by wall-clock changes; its instants do not represent real time. */
 final class MonotonicClock extends Clock {
 
-  /** Far enough from zero that no time that the Raft library looks back to is negative. */
+  /** Large enough that timestamps stay positive when the Raft library subtracts time-outs. */
   private static final Instant START = Instant.ofEpochSecond(3600);
 
   private final long startNanos = System.nanoTime();
--- a/gateway/src/main/java/weldcross/consensus/net/VoterExecutor.java
+++ b/gateway/src/main/java/weldcross/consensus/net/VoterExecutor.java
@@ -8,8 +8,9 @@
 import java.util.logging.Logger;
 
 /**
- * The voter's thread, which may wait for storage and is used by nothing else. It is started with
- * the first task; tasks that come after {@link #shutdown} are dropped.
+ * Executor with a single thread that is dedicated to the voter, because the voter blocks on
+ * storage. The thread is started with the first task; tasks submitted after {@link #shutdown} are
+ * discarded.
  */
 final class VoterExecutor implements RaftNodeExecutor {
 
@@ -20,7 +21,7 @@
   /**
    * Creates the executor.
    *
-   * @param threads one where the gateway is a voter, zero where it is none
+   * @param threads one if the gateway is a voter, otherwise zero
    */
   VoterExecutor(int threads) {
     thread = new ScheduledThreadPoolExecutor(threads, VoterExecutor::newThread);
@@ -60,7 +61,7 @@
     }
   }
 
-  /** Runs what has been submitted, and takes nothing more. */
+  /** Runs the submitted tasks and accepts no more. */
   void shutdown() {
     thread.shutdown();
   }
--- a/gateway/src/main/java/weldcross/consensus/raft/RaftVoter.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/RaftVoter.java
@@ -116,8 +116,8 @@
     executor.execute(this::open);
   }
 
-  /** Ends the voter for good; may be called from any thread. */
-  public void end() {
+  /** Stops the voter permanently; may be called from any thread. */
+  public void stop() {
     executor.execute(
         () -> {
           phase = Phase.ENDED;
@@ -145,7 +145,7 @@
     } catch (CorruptLogException e) {
       // Nothing in it is trusted: the log is fetched from the others, under a new identity.
       corrupt = true;
-      actions.log(Level.SEVERE, "voter log damaged, not used: reason=" + e.getMessage());
+      actions.log(Level.SEVERE, "voter log corrupt, not used: reason=" + e.getMessage());
     } catch (IOException e) {
       storageFailed(e);
       return;
--- a/gateway/src/test/java/weldcross/consensus/net/ConsensusSimulation.java
+++ b/gateway/src/test/java/weldcross/consensus/net/ConsensusSimulation.java
@@ -34,25 +34,26 @@
 import weldcross.storage.StorageDirectory;
 
 /**
- * Gateways with consensus services over a network, storage and a clock in memory. Checks in each
- * step that there is one view of each number, and that numbers never go back in one process.
+ * Simulates gateways with consensus services on an in-memory network, storage and clock. Asserts
+ * with each view change that every view number has one view and that view numbers never decrease
+ * within one process.
  */
 final class ConsensusSimulation {
 
-  /** The Raft library logs each message that it rejects. */
+  /** Logger of the Raft library, silenced because it logs each message it rejects. */
   private static final Logger RAFT_LOG = Logger.getLogger("io.microraft");
 
   static {
     RAFT_LOG.setLevel(Level.OFF);
   }
 
-  private record Event(Duration at, long order, Runnable run) {}
+  private record Event(Duration at, long order, Runnable action) {}
 
-  /** One gateway through its processes; its two threads run in the order of the simulation. */
+  /** A gateway and its successive processes; the simulation runs the tasks of both its threads. */
   final class Node {
     final PeerName name;
     final FaultyStorageDirectory directory;
-    final List<String> logLines = new ArrayList<>();
+    final List<String> logMessages = new ArrayList<>();
     final List<ProposalResult> operatorResults = new ArrayList<>();
     private final ArrayDeque<Runnable> tasksWhilePaused = new ArrayDeque<>();
     ConsensusService service;
@@ -61,7 +62,7 @@
     boolean paused;
     boolean left;
 
-    /** Only nodes of one partition reach each other. */
+    /** Only nodes of the same partition can communicate. */
     int partition;
 
     private long viewNumber;
@@ -73,10 +74,10 @@
       directory = new FaultyStorageDirectory(1000 + index);
     }
 
-    private void later(Duration delayed, Runnable task) {
+    private void schedule(Duration taskDelay, Runnable task) {
       int scheduledBy = process;
-      after(
-          delayed,
+      scheduleEvent(
+          taskDelay,
           () -> {
             if (scheduledBy == process && paused) {
               tasksWhilePaused.add(task);
@@ -109,14 +110,14 @@
                   Duration.ofSeconds(2)),
               new NodeActions(),
               0.01,
-              new VoterThread(),
+              new SimulationExecutor(),
               new SimulationClock(),
               random.nextLong(),
               () -> 1 + random.nextLong(Long.MAX_VALUE));
       service.start(incarnation);
     }
 
-    /** Loses power: what was not forced may be lost. */
+    /** Simulates a power failure: data that was not forced to storage may be lost. */
     void kill() {
       process++;
       alive = false;
@@ -145,12 +146,14 @@
       @Override
       public void send(PeerName to, ConsensusMessage message) {
         Node receiver = nodes.get(to);
-        if (createdBy != process || isCut(Node.this, receiver) || random.nextDouble() < loss) {
+        if (createdBy != process
+            || isBlocked(Node.this, receiver)
+            || random.nextDouble() < lossProbability) {
           return;
         }
         byte[] bytes = message.toByteArray();
-        receiver.later(
-            Duration.ofMillis(delay + random.nextInt(delay + 1)),
+        receiver.schedule(
+            Duration.ofMillis(minDelayMillis + random.nextInt(minDelayMillis + 1)),
             () -> {
               try {
                 receiver.service.receive(name, ConsensusMessage.parseFrom(bytes));
@@ -163,14 +166,14 @@
       @Override
       public void post(Runnable task) {
         if (createdBy == process) {
-          later(Duration.ZERO, task);
+          schedule(Duration.ZERO, task);
         }
       }
 
       @Override
       public void wakeAt(Duration when) {
         long timer = ++timers;
-        later(
+        schedule(
             when.minus(now),
             () -> {
               if (timer == timers) {
@@ -188,12 +191,12 @@
       public void viewChanged(MembershipView view) {
         assertTrue(
             view.number() > viewNumber,
-            name + " goes back from " + viewNumber + " to " + view.number());
+            name + ": view number decreased from " + viewNumber + " to " + view.number());
         viewNumber = view.number();
         assertEquals(
             committedViews.computeIfAbsent(view.number(), number -> view),
             view,
-            "views of one number, at " + name);
+            name + ": conflicting views with the same number");
       }
 
       @Override
@@ -204,7 +207,7 @@
       @Override
       public void incarnationEnded(long ended) {
         incarnation = Math.max(incarnation, ended) + 1;
-        later(Duration.ofMillis(1), () -> service.start(incarnation));
+        schedule(Duration.ofMillis(1), () -> service.start(incarnation));
       }
 
       @Override
@@ -218,12 +221,12 @@
       }
 
       @Override
-      public void log(Level level, String line) {
-        logLines.add(line);
+      public void log(Level level, String message) {
+        logMessages.add(message);
       }
     }
 
-    private final class VoterThread implements RaftNodeExecutor {
+    private final class SimulationExecutor implements RaftNodeExecutor {
       private final int createdBy = process;
 
       @Override
@@ -237,9 +240,9 @@
       }
 
       @Override
-      public void schedule(Runnable task, long delayed, TimeUnit unit) {
+      public void schedule(Runnable task, long taskDelay, TimeUnit unit) {
         if (createdBy == process) {
-          later(Duration.of(delayed, unit.toChronoUnit()), task);
+          Node.this.schedule(Duration.of(taskDelay, unit.toChronoUnit()), task);
         }
       }
     }
@@ -267,7 +270,7 @@
   final List<Node> allNodes = new ArrayList<>();
   final List<PeerName> voters;
 
-  /** By number, as the first node that learnt of it had it. */
+  /** Committed views by number, as first received by any node. */
   final TreeMap<Long, MembershipView> committedViews = new TreeMap<>();
 
   final SplittableRandom random;
@@ -280,21 +283,21 @@
   private final boolean trustStorage;
   private long order;
   Duration now = Duration.ZERO;
-  double loss;
-  int delay = 1;
+  double lossProbability;
+  int minDelayMillis = 1;
 
-  /** Pairs of which the first does not receive messages of the second. */
-  final List<List<Node>> cutPairs = new ArrayList<>();
+  /** Pairs of a receiver and a sender whose messages do not reach it. */
+  final List<List<Node>> blockedLinks = new ArrayList<>();
 
-  ConsensusSimulation(int count, int voting, long seed, boolean trustStorage) {
+  ConsensusSimulation(int nodeCount, int voterCount, long seed, boolean trustStorage) {
     random = new SplittableRandom(seed);
     this.trustStorage = trustStorage;
-    for (int k = 0; k < count; k++) {
+    for (int k = 0; k < nodeCount; k++) {
       Node node = new Node(k);
       nodes.put(node.name, node);
       allNodes.add(node);
     }
-    voters = allNodes.subList(0, voting).stream().map(n -> n.name).toList();
+    voters = allNodes.subList(0, voterCount).stream().map(node -> node.name).toList();
     allNodes.forEach(Node::start);
   }
 
@@ -302,53 +305,54 @@
     return allNodes.get(index);
   }
 
-  boolean isCut(Node from, Node to) {
-    return from.partition != to.partition || cutPairs.contains(List.of(to, from));
+  private boolean isBlocked(Node from, Node to) {
+    return from.partition != to.partition || blockedLinks.contains(List.of(to, from));
   }
 
-  private void after(Duration time, Runnable run) {
-    events.add(new Event(now.plus(time.isNegative() ? Duration.ZERO : time), ++order, run));
+  private void scheduleEvent(Duration eventDelay, Runnable action) {
+    Duration at = now.plus(eventDelay.isNegative() ? Duration.ZERO : eventDelay);
+    events.add(new Event(at, ++order, action));
   }
 
-  void run(Duration span) {
-    Duration until = now.plus(span);
+  void run(Duration duration) {
+    Duration until = now.plus(duration);
     while (!events.isEmpty() && events.peek().at().compareTo(until) <= 0) {
       Event next = events.poll();
       now = next.at().compareTo(now) > 0 ? next.at() : now;
-      next.run().run();
+      next.action().run();
     }
     now = until;
   }
 
   /**
-   * Runs until a condition holds, which is checked ten times a second.
+   * Runs until a condition holds, checking it every 100 ms of simulated time.
    *
-   * @return how long that took; empty where it does not hold within the timeout
+   * @return the time it took; empty if the condition does not hold within the timeout
    */
   Optional<Duration> runUntil(Duration timeout, BooleanSupplier condition) {
-    Duration began = now;
+    Duration startedAt = now;
     while (!condition.getAsBoolean()) {
-      if (now.minus(began).compareTo(timeout) > 0) {
+      if (now.minus(startedAt).compareTo(timeout) > 0) {
         return Optional.empty();
       }
       run(Duration.ofMillis(100));
     }
-    return Optional.of(now.minus(began));
+    return Optional.of(now.minus(startedAt));
   }
 
-  /** Whether all running nodes have one view, whose members are their present incarnations. */
+  /** Returns whether all running nodes have the same view and are members of it. */
   boolean allAgree() {
-    List<Node> running = allNodes.stream().filter(n -> n.alive && !n.paused).toList();
-    MembershipView one = running.get(0).view();
+    List<Node> running = allNodes.stream().filter(node -> node.alive && !node.paused).toList();
+    MembershipView expected = running.get(0).view();
     return running.stream()
         .allMatch(
-            n ->
-                n.view().equals(one)
-                    && one.contains(n.name, n.incarnation)
-                    && n.service.viewClient().phase() == MembershipViewClient.Phase.MEMBER);
+            node ->
+                node.view().equals(expected)
+                    && expected.contains(node.name, node.incarnation)
+                    && node.service.viewClient().phase() == MembershipViewClient.Phase.MEMBER);
   }
 
-  /** What each node knows, for the message of a failed check. */
+  /** Describes the state of each node, for assertion messages. */
   String describe() {
     return allNodes.stream()
         .map(
@@ -360,11 +364,11 @@
         .collect(Collectors.joining("; "));
   }
 
-  /** Ends all faults, and starts what is not running. */
+  /** Removes all faults, and starts or resumes the nodes that are not running. */
   void heal() {
-    loss = 0;
-    delay = 1;
-    cutPairs.clear();
+    lossProbability = 0;
+    minDelayMillis = 1;
+    blockedLinks.clear();
     for (Node node : allNodes) {
       node.partition = 0;
       node.directory.forceLies = false;
--- a/gateway/src/test/java/weldcross/consensus/net/ConsensusSweep.java
+++ b/gateway/src/test/java/weldcross/consensus/net/ConsensusSweep.java
@@ -8,9 +8,9 @@
 import java.util.logging.LogManager;
 
 /**
- * Runs the random faults of {@link ConsensusTest} over many seeds, by hand: prints each seed that
- * breaks a rule, and how long gateways took to agree once all faults had ended. Exits with 1 where
- * a rule was broken.
+ * Runs the random faults of {@link ConsensusTest} with many seeds; started manually. Prints each
+ * seed that violates an invariant, and the time that gateways took to agree after all faults were
+ * removed. Exits with status 1 if an invariant was violated.
  */
 final class ConsensusSweep {
 
@@ -21,44 +21,44 @@
   /**
    * Runs the sweep.
    *
-   * @param args the first seed, the last, the steps of each; and "trusted" to have voters trust
-   *     storage that loses data
+   * @param args first seed, last seed and number of steps per seed; a fourth argument, "trusted",
+   *     makes voters trust storage that loses data
    */
   public static void main(String[] args) {
     LogManager.getLogManager().reset();
-    List<Duration> durations = new ArrayList<>();
-    int broken = 0;
+    List<Duration> agreementTimes = new ArrayList<>();
+    int violations = 0;
     for (long seed = Long.parseLong(args[0]); seed <= Long.parseLong(args[1]); seed++) {
       try {
         ConsensusSimulation simulation =
-            ConsensusTest.random(seed, args.length > 3, Integer.parseInt(args[2]));
+            ConsensusTest.runWithRandomFaults(seed, args.length > 3, Integer.parseInt(args[2]));
         simulation.heal();
-        Optional<Duration> agreed = simulation.runUntil(TIMEOUT, simulation::allAgree);
-        if (agreed.isEmpty()) {
-          throw new AssertionError("not agreed: " + simulation.describe());
+        Optional<Duration> agreementTime = simulation.runUntil(TIMEOUT, simulation::allAgree);
+        if (agreementTime.isEmpty()) {
+          throw new AssertionError("gateways do not agree: " + simulation.describe());
         }
         long last = simulation.committedViews.lastKey();
         if (last > simulation.node(0).view().number()) {
-          throw new AssertionError("view " + last + " was lost");
+          throw new AssertionError("committed view " + last + " was lost");
         }
-        durations.add(agreed.get());
+        agreementTimes.add(agreementTime.get());
       } catch (AssertionError | RuntimeException e) {
-        broken++;
+        violations++;
         System.out.println("seed " + seed + ": " + e);
       }
     }
-    Collections.sort(durations);
+    Collections.sort(agreementTimes);
     System.out.println(
-        durations.size()
-            + " seeds kept the rules, "
-            + broken
-            + " broke one; agreed after healing: median "
-            + durations.get(durations.size() / 2).toMillis()
-            + " ms, 99 in 100 within "
-            + durations.get(durations.size() * 99 / 100).toMillis()
-            + " ms, worst "
-            + durations.get(durations.size() - 1).toMillis()
+        agreementTimes.size()
+            + " seeds passed, "
+            + violations
+            + " violated an invariant; time to agreement after healing: median "
+            + agreementTimes.get(agreementTimes.size() / 2).toMillis()
+            + " ms, 99th percentile "
+            + agreementTimes.get(agreementTimes.size() * 99 / 100).toMillis()
+            + " ms, maximum "
+            + agreementTimes.get(agreementTimes.size() - 1).toMillis()
             + " ms");
-    System.exit(broken > 0 ? 1 : 0);
+    System.exit(violations > 0 ? 1 : 0);
   }
 }
--- a/gateway/src/test/java/weldcross/consensus/net/ConsensusTest.java
+++ b/gateway/src/test/java/weldcross/consensus/net/ConsensusTest.java
@@ -20,8 +20,8 @@
 import weldcross.consensus.wire.ViewReply;
 
 /**
- * The consensus of several gateways in memory: each situation of the table in docs/consensus.md,
- * and random faults.
+ * Tests the consensus of several simulated gateways in each situation listed in docs/consensus.md,
+ * and under random faults.
  */
 @Timeout(60)
 class ConsensusTest {
@@ -31,13 +31,14 @@
 
   private static ConsensusSimulation start(int count, int voters, long seed) {
     ConsensusSimulation simulation = new ConsensusSimulation(count, voters, seed, false);
-    assertWithin(simulation, MINUTE, simulation::allAgree, "all agree on all");
+    assertWithin(
+        simulation, MINUTE, simulation::allAgree, "all gateways agree on a view of all members");
     return simulation;
   }
 
   private static void assertWithin(
       ConsensusSimulation simulation, Duration timeout, BooleanSupplier condition) {
-    assertWithin(simulation, timeout, condition, "the condition holds in time");
+    assertWithin(simulation, timeout, condition, "condition not met in time");
   }
 
   private static void assertWithin(
@@ -49,11 +50,11 @@
 
   private static void assertHeals(ConsensusSimulation simulation) {
     simulation.heal();
-    assertWithin(simulation, MINUTE, simulation::allAgree, "healed, all agree");
+    assertWithin(simulation, MINUTE, simulation::allAgree, "all gateways agree after healing");
   }
 
   @Test
-  void allJoinOneViewAndALeavingGatewayIsRemoved() {
+  void allGatewaysJoinAndLeavingGatewayIsRemoved() {
     ConsensusSimulation simulation = start(5, 3, 1);
     assertEquals(5, simulation.node(4).view().members().size());
     ConsensusSimulation.Node leaving = simulation.node(4);
@@ -67,31 +68,33 @@
   }
 
   /**
-   * A dead member stays in the view until there is proof, which removes it everywhere; its next
-   * incarnation joins again.
+   * A silent member stays in the view until it is confirmed dead; then it is removed everywhere,
+   * and its next incarnation joins.
    */
   @Test
-  void proofRemovesADeadIncarnationAndTheNextOneJoins() {
+  void confirmedDeadIncarnationIsRemovedAndNextOneJoins() {
     ConsensusSimulation simulation = start(5, 3, 2);
     ConsensusSimulation.Node dead = simulation.node(3);
     dead.kill();
     simulation.run(Duration.ofSeconds(20));
-    assertTrue(simulation.node(0).view().contains(dead.name, 1), "silence alone removes nobody");
+    assertTrue(
+        simulation.node(0).view().contains(dead.name, 1),
+        "an unconfirmed failure removes no member");
     simulation.node(4).service.memberDied(dead.name, 1);
     assertWithin(
         simulation,
         RECOVERY_TIMEOUT,
         () ->
             simulation.allNodes.stream()
-                .allMatch(n -> !n.alive || !n.view().contains(dead.name, 1)));
+                .allMatch(node -> !node.alive || !node.view().contains(dead.name, 1)));
     dead.start();
     assertWithin(simulation, RECOVERY_TIMEOUT, simulation::allAgree);
     assertTrue(simulation.node(0).view().contains(dead.name, 2));
   }
 
-  /** Cut off with the minority, or alone: no view changes there, and none is taken back later. */
+  /** Nodes partitioned from the majority commit no view, and their view is not reverted later. */
   @Test
-  void minorityChangesNoView() {
+  void minorityCannotChangeView() {
     ConsensusSimulation simulation = start(5, 3, 3);
     simulation.node(0).partition = 1;
     simulation.node(3).partition = 1;
@@ -107,17 +110,17 @@
     assertEquals(before, simulation.node(0).view().number());
     assertEquals(before, simulation.node(3).view().number());
     assertHeals(simulation);
-    // Declared dead while it was alive: it joins again under a later incarnation.
+    // The node was declared dead while alive and rejoins under a later incarnation.
     assertTrue(simulation.node(0).view().contains(simulation.node(3).name, 2));
   }
 
-  /** Messages pass in one direction, then only by way of a third voter: still one view. */
+  /** Two voters are cut off from each other, first in one direction, then in both. */
   @Test
-  void votersCutFromEachOtherButNotFromAThirdStillAgree() {
+  void votersPartitionedFromEachOtherAgreeThroughThirdVoter() {
     ConsensusSimulation simulation = start(4, 3, 4);
-    simulation.cutPairs.add(List.of(simulation.node(0), simulation.node(1)));
+    simulation.blockedLinks.add(List.of(simulation.node(0), simulation.node(1)));
     simulation.run(Duration.ofSeconds(20));
-    simulation.cutPairs.add(List.of(simulation.node(1), simulation.node(0)));
+    simulation.blockedLinks.add(List.of(simulation.node(1), simulation.node(0)));
     simulation.node(3).kill();
     simulation.node(2).service.memberDied(simulation.node(3).name, 1);
     assertWithin(
@@ -126,11 +129,11 @@
   }
 
   /**
-   * One voter, a majority and all voters are down: the last view stays; once they are back with
-   * their storage, it changes again.
+   * One voter, then a majority, then all voters are down: the last view stays in force, and changes
+   * again once the voters are back with their storage.
    */
   @Test
-  void viewIsKeptWhileVotersAreDownAndChangesOnceTheyAreBack() {
+  void viewIsKeptWithoutMajorityAndChangesAfterRecovery() {
     ConsensusSimulation simulation = start(5, 3, 5);
     simulation.node(0).kill();
     simulation.node(3).kill();
@@ -139,21 +142,23 @@
         simulation,
         MINUTE,
         () -> !simulation.node(4).view().contains(simulation.node(3).name, 1),
-        "two of three continue");
+        "two of three voters commit a view");
     simulation.node(1).kill();
     long before = simulation.node(4).view().number();
     simulation.node(4).service.memberDied(simulation.node(0).name, 1);
     simulation.run(MINUTE);
-    assertEquals(before, simulation.node(4).view().number(), "one of three changes no view");
+    assertEquals(before, simulation.node(4).view().number(), "one of three voters commits no view");
     simulation.node(2).kill();
     simulation.run(MINUTE);
     assertHeals(simulation);
     assertTrue(simulation.committedViews.lastKey() > before);
   }
 
-  /** A paused process holds an old view, and acts on none of it. */
+  /**
+   * A leader that was paused while another one committed a view must not keep its outdated view.
+   */
   @Test
-  void pausedLeaderReceivesTheLaterViewOnceItResumes() {
+  void pausedLeaderReceivesNewerViewAfterResuming() {
     ConsensusSimulation simulation = start(5, 3, 6);
     ConsensusSimulation.Node leader =
         simulation.nodes.get(simulation.node(4).service.viewClient().leader().orElseThrow());
@@ -165,14 +170,14 @@
         simulation,
         MINUTE,
         () -> !simulation.node(4).view().contains(dead.name, 1),
-        "another voter leads");
+        "another voter becomes leader and commits the removal");
     assertTrue(leader.view().contains(dead.name, 1));
     leader.resume();
     assertWithin(simulation, RECOVERY_TIMEOUT, () -> !leader.view().contains(dead.name, 1));
     assertHeals(simulation);
   }
 
-  /** Two clusters of different configuration meet. */
+  /** A gateway whose cluster name or voter list differs connects. */
   @Test
   void messageOfAnotherGroupIsRejectedAndLogged() {
     ConsensusSimulation simulation = start(3, 3, 7);
@@ -190,13 +195,13 @@
     assertTrue(
         simulation
             .node(0)
-            .logLines
-            .get(simulation.node(0).logLines.size() - 1)
+            .logMessages
+            .get(simulation.node(0).logMessages.size() - 1)
             .contains("message of another group rejected"));
   }
 
   @Test
-  void operatorForgetsASilentMemberOnceAndIsAnswered() {
+  void forgetRemovesMemberOnceAndReportsResult() {
     ConsensusSimulation simulation = start(4, 3, 8);
     simulation.node(3).kill();
     simulation.node(0).service.forget(simulation.node(3).name);
@@ -219,9 +224,9 @@
                 .equals(List.of(ProposalResult.APPLIED, ProposalResult.UNKNOWN_MEMBER)));
   }
 
-  /** The other voters know what its storage lost, and it joins again under a new identity. */
+  /** Storage loses entries that it reported as durable; the other voters detect the loss. */
   @Test
-  void voterThatLostAcknowledgedEntriesTakesANewIdentity() {
+  void voterThatLostAcknowledgedEntriesTakesNewIdentity() {
     ConsensusSimulation simulation = start(4, 3, 9);
     ConsensusSimulation.Node faulty = simulation.node(1);
     faulty.directory.forceLies = true;
@@ -236,16 +241,16 @@
         MINUTE,
         () -> faulty.service.voter().orElseThrow().phase() == RaftVoter.Phase.VOTING);
     assertTrue(
-        faulty.logLines.stream()
+        faulty.logMessages.stream()
             .anyMatch(
-                s ->
-                    s.startsWith("voter started: voter=n1#")
-                        && s.contains("decision=NEW_IDENTITY")),
-        faulty.logLines.toString());
+                message ->
+                    message.startsWith("voter started: voter=n1#")
+                        && message.contains("decision=NEW_IDENTITY")),
+        faulty.logMessages.toString());
     assertHeals(simulation);
   }
 
-  /** A flipped byte in durable data is found, and the log fetched from the others. */
+  /** A flipped bit in durable data is detected, and the log is replicated from the others. */
   @Test
   void corruptLogIsNotUsed() {
     ConsensusSimulation simulation = start(3, 3, 10);
@@ -258,17 +263,17 @@
         MINUTE,
         () -> faulty.service.voter().orElseThrow().phase() == RaftVoter.Phase.VOTING);
     assertTrue(
-        faulty.logLines.stream().anyMatch(s -> s.contains("voter log damaged")),
-        faulty.logLines.toString());
+        faulty.logMessages.stream().anyMatch(message -> message.contains("voter log corrupt")),
+        faulty.logMessages.toString());
     assertHeals(simulation);
   }
 
   /**
-   * A majority that lost its storage does not silently found a new group: no view changes until an
-   * operator decides.
+   * A majority that lost its storage must not silently found a new group: the view does not change
+   * until an operator intervenes.
    */
   @Test
-  void majorityWithoutStorageLogsItAndFoundsNoGroup() {
+  void majorityThatLostStorageFoundsNoGroupAndLogsLoss() {
     ConsensusSimulation simulation = start(4, 3, 11);
     for (int k = 0; k < 2; k++) {
       simulation.node(k).kill();
@@ -281,13 +286,14 @@
     assertNotEquals(
         RaftVoter.Phase.VOTING, simulation.node(0).service.voter().orElseThrow().phase());
     assertTrue(
-        simulation.node(0).logLines.stream().anyMatch(s -> s.contains("decision=NEW_IDENTITY")),
-        simulation.node(0).logLines.toString());
+        simulation.node(0).logMessages.stream()
+            .anyMatch(message -> message.contains("decision=NEW_IDENTITY")),
+        simulation.node(0).logMessages.toString());
   }
 
-  /** The same where the third log is corrupt: the empty ones are not taken for a first start. */
+  /** With the third log corrupt too, the empty logs must not be mistaken for a first start. */
   @Test
-  void majorityWithoutStorageAndACorruptLogFoundNoGroup() {
+  void emptyMajorityAndCorruptLogFoundNoGroup() {
     ConsensusSimulation simulation = start(4, 3, 14);
     for (int k = 0; k < 3; k++) {
       simulation.node(k).kill();
@@ -309,14 +315,17 @@
 
   private static void corruptLog(ConsensusSimulation.Node node) {
     String log =
-        node.directory.names().stream().filter(n -> n.startsWith("log-")).findFirst().orElseThrow();
+        node.directory.names().stream()
+            .filter(name -> name.startsWith("log-"))
+            .findFirst()
+            .orElseThrow();
     byte[] bytes = node.directory.bytes(log).clone();
     bytes[bytes.length / 3] ^= 4;
     node.directory.set(log, bytes);
   }
 
   @Test
-  void voterWithFailingStorageDoesNotVoteUntilItWorks() {
+  void voterWithFailingStorageDoesNotVoteUntilItRecovers() {
     ConsensusSimulation simulation = start(3, 3, 12);
     ConsensusSimulation.Node faulty = simulation.node(1);
     faulty.directory.forceFails = true;
@@ -326,14 +335,14 @@
     dead.start();
     simulation.run(Duration.ofSeconds(10));
     assertTrue(
-        faulty.logLines.stream().anyMatch(s -> s.contains("voter storage failed")),
-        faulty.logLines.toString());
+        faulty.logMessages.stream().anyMatch(message -> message.contains("voter storage failed")),
+        faulty.logMessages.toString());
     assertHeals(simulation);
   }
 
-  /** Snapshots keep logs short, and a voter that was down for long is sent one. */
+  /** Snapshots compact the log, and a voter that was down for a long time receives one. */
   @Test
-  void manyChangesAreReplacedBySnapshots() {
+  void snapshotsCompactLongLogs() {
     ConsensusSimulation simulation = start(4, 3, 13);
     simulation.node(2).kill();
     ConsensusSimulation.Node leaving = simulation.node(3);
@@ -349,7 +358,8 @@
     }
     assertTrue(simulation.committedViews.lastKey() > 290);
     assertTrue(
-        simulation.node(0).directory.names().stream().anyMatch(n -> n.startsWith("snapshot-")),
+        simulation.node(0).directory.names().stream()
+            .anyMatch(name -> name.startsWith("snapshot-")),
         simulation.node(0).directory.names().toString());
     assertHeals(simulation);
   }
@@ -357,13 +367,13 @@
   // ---- Random faults
 
   /**
-   * Runs a simulation with random faults, which checks views in each step.
+   * Runs a simulation with random faults; the simulation asserts the invariants of views.
    *
-   * @param trusted whether voters trust their storage, which may lose data
+   * @param trustStorage whether voters trust their storage, which may lose data
    */
-  static ConsensusSimulation random(long seed, boolean trusted, int steps) {
+  static ConsensusSimulation runWithRandomFaults(long seed, boolean trustStorage, int steps) {
     ConsensusSimulation simulation =
-        new ConsensusSimulation(5 + (int) (seed % 3), seed % 2 == 0 ? 3 : 5, seed, trusted);
+        new ConsensusSimulation(5 + (int) (seed % 3), seed % 2 == 0 ? 3 : 5, seed, trustStorage);
     assertWithin(simulation, MINUTE, simulation::allAgree);
     ConsensusSimulation.Node faulty =
         simulation.allNodes.get(simulation.random.nextInt(simulation.voters.size()));
@@ -420,12 +430,12 @@
       int kind) {
     switch (kind) {
       case 8 -> node.partition = simulation.random.nextInt(2);
-      case 9 -> simulation.allNodes.forEach(each -> each.partition = 0);
-      case 10 -> simulation.cutPairs.add(List.of(node, other));
+      case 9 -> simulation.allNodes.forEach(anyNode -> anyNode.partition = 0);
+      case 10 -> simulation.blockedLinks.add(List.of(node, other));
       default -> {
-        simulation.cutPairs.clear();
-        simulation.loss = simulation.random.nextBoolean() ? 0.2 : 0;
-        simulation.delay = 1 + simulation.random.nextInt(100);
+        simulation.blockedLinks.clear();
+        simulation.lossProbability = simulation.random.nextBoolean() ? 0.2 : 0;
+        simulation.minDelayMillis = 1 + simulation.random.nextInt(100);
       }
     }
   }
@@ -433,31 +443,32 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void viewsStayConsistentUnderRandomFaults(long seed) {
-    ConsensusSimulation simulation = random(seed, false, 150);
+    ConsensusSimulation simulation = runWithRandomFaults(seed, false, 150);
     assertHeals(simulation);
     assertEquals(
         simulation.committedViews.lastKey(),
         simulation.node(0).view().number(),
-        "no committed view was lost");
+        "a committed view was lost");
   }
 
   /**
-   * With storage that is trusted and loses data the same faults break a rule: the checks do find
-   * such faults.
+   * Guards the checks themselves: with trusted storage that loses data, the same faults violate an
+   * invariant, which the checks must detect.
    */
   @Test
-  void trustedStorageThatLosesDataIsFoundOut() {
-    int found = 0;
-    for (long seed = 1; seed <= 60 && found == 0; seed++) {
+  void checksDetectTrustedStorageThatLosesData() {
+    int violations = 0;
+    for (long seed = 1; seed <= 60 && violations == 0; seed++) {
       try {
-        ConsensusSimulation simulation = random(seed, true, 150);
+        ConsensusSimulation simulation = runWithRandomFaults(seed, true, 150);
         simulation.heal();
         simulation.runUntil(MINUTE, simulation::allAgree);
-        found += simulation.committedViews.lastKey() > simulation.node(0).view().number() ? 1 : 0;
+        boolean viewLost = simulation.committedViews.lastKey() > simulation.node(0).view().number();
+        violations += viewLost ? 1 : 0;
       } catch (AssertionError e) {
-        found++;
+        violations++;
       }
     }
-    assertTrue(found > 0);
+    assertTrue(violations > 0);
   }
 }
