--- a/gateway/src/main/java/weldcross/consensus/ConsensusConfig.java
+++ b/gateway/src/main/java/weldcross/consensus/ConsensusConfig.java
@@ -34,7 +34,7 @@
     Duration heartbeatPeriod,
     Duration leaderTimeout) {
 
-  /** Whether this gateway is one of the voters. */
+  /** Returns whether this gateway is a voter. */
   public boolean isVoter() {
     return voters.contains(self);
   }
--- a/gateway/src/main/java/weldcross/consensus/raft/AcknowledgementHistory.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/AcknowledgementHistory.java
@@ -9,16 +9,17 @@
 import weldcross.consensus.LogPosition;
 
 /**
- * What each identity has acknowledged and voted for to this voter, as far as this process has heard
- * it. It shows a voter that lost part of its log what it has lost. Pure.
+ * Records the log entries that each voter identity has acknowledged to this voter, and the terms in
+ * which it voted for this voter, during this process. Enables a voter that lost part of its log to
+ * detect the loss. Performs no I/O.
  */
 final class AcknowledgementHistory {
 
   /**
-   * What one identity has acknowledged and voted for.
+   * Acknowledgements and votes of one identity.
    *
-   * @param acknowledged the last log entry that it acknowledged
-   * @param votedTerm the highest term in which it granted its vote; zero where it never did
+   * @param acknowledged last log entry that it acknowledged
+   * @param votedTerm highest term in which it granted its vote; zero if it never did
    */
   record Acknowledgement(LogPosition acknowledged, int votedTerm) {
 
@@ -36,13 +37,13 @@
   private final Map<VoterId, Acknowledgement> byIdentity = new HashMap<>();
 
   /**
-   * Takes note of a received message.
+   * Records the acknowledgement or vote in a received message.
    *
-   * @param termAt gives the term of an entry of this voter's log by its index
+   * @param termAt returns the term of the entry at an index of this voter's log
    */
   void record(RaftMessage message, LongToIntFunction termAt) {
     VoterId sender = (VoterId) message.getSender();
-    Acknowledgement known = of(sender);
+    Acknowledgement known = get(sender);
     if (message instanceof AppendEntriesSuccessResponse response) {
       long index = response.getLastLogIndex();
       known = known.withEntry(new LogPosition(termAt.applyAsInt(index), index));
@@ -53,14 +54,14 @@
   }
 
   /**
-   * What an identity has acknowledged and voted for; {@link Acknowledgement#NONE} where it was
-   * never heard.
+   * Returns the acknowledgements and votes of an identity; {@link Acknowledgement#NONE} if it has
+   * sent no message.
    */
-  Acknowledgement of(VoterId identity) {
+  Acknowledgement get(VoterId identity) {
     return byIdentity.getOrDefault(identity, Acknowledgement.NONE);
   }
 
-  /** Whether all identities that were heard are those of founders. */
+  /** Returns whether all messages came from founder identities. */
   boolean hasOnlyFounders() {
     return byIdentity.keySet().stream().allMatch(VoterId::isFounder);
   }
--- a/gateway/src/main/java/weldcross/consensus/raft/ElectionFilter.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/ElectionFilter.java
@@ -6,16 +6,16 @@
 import io.microraft.model.message.VoteRequest;
 import weldcross.consensus.LogPosition;
 
-/** Keeps a voter whose log may lack entries from electing a leader that lacks them too. */
+/** Prevents a voter whose log may lack entries from electing a leader that lacks them as well. */
 final class ElectionFilter {
 
   private ElectionFilter() {}
 
   /**
-   * Whether a message would have such a voter elect a candidate, or itself, that may lack entries
-   * which the voter helped to commit.
+   * Returns whether handling a message could make such a voter elect a candidate, or itself, that
+   * lacks entries which the voter helped to commit.
    *
-   * @param target the position that a complete log reaches
+   * @param target position that a complete log reaches
    */
   static boolean mayElectIncompleteLog(RaftMessage message, LogPosition target) {
     if (message instanceof VoteRequest request) {
--- a/gateway/src/main/java/weldcross/consensus/raft/FailStopRaftStore.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/FailStopRaftStore.java
@@ -11,8 +11,9 @@
 import java.util.function.Consumer;
 
 /**
- * Passes writes of one Raft node on until the first fails; that failure is reported, and every
- * later write fails at once. What is stored after a failed write is unknown until it is read again.
+ * Forwards the writes of one Raft node until the first failure, which is reported; every later
+ * write then fails immediately, because the stored state after a failed write is unknown until it
+ * is read again.
  */
 final class FailStopRaftStore implements RaftStore {
 
@@ -26,16 +27,16 @@
   private boolean detached;
 
   /**
-   * Guards a store.
+   * Creates a guard for the writes to a store.
    *
-   * @param onFailure called at most once, within the write that fails
+   * @param onFailure called at most once, from within the failing write
    */
   FailStopRaftStore(RaftStore store, Consumer<IOException> onFailure) {
     this.store = store;
     this.onFailure = onFailure;
   }
 
-  /** Drops all later writes: their node has been terminated and acknowledges nothing more. */
+  /** Discards all later writes; their node has been terminated and acknowledges nothing more. */
   void detach() {
     detached = true;
   }
@@ -45,7 +46,7 @@
       return;
     }
     if (failed) {
-      throw new IOException("a write to the voter's store has failed, later ones are rejected");
+      throw new IOException("write rejected, as an earlier write to the voter's store failed");
     }
     try {
       write.run();
--- a/gateway/src/main/java/weldcross/consensus/raft/MembershipCodec.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/MembershipCodec.java
@@ -12,21 +12,21 @@
 import weldcross.consensus.wire.ViewRecord;
 import weldcross.mesh.PeerName;
 
-/** Maps views and proposals to and from protobuf, for messages and stored records alike. */
+/** Converts views and proposals to and from protobuf, for both messages and stored records. */
 public final class MembershipCodec {
 
   private MembershipCodec() {}
 
-  /** A view without the incarnations that have ended, as gateways send it. */
+  /** Encodes a view without ended incarnations, as sent between gateways. */
   public static ViewRecord encodeView(MembershipView view) {
     return encodeSnapshot(view, Map.of());
   }
 
-  /** The whole state of a {@link MembershipStateMachine}. */
-  static ViewRecord encodeSnapshot(MembershipView view, Map<PeerName, Long> ended) {
+  /** Encodes the entire state of a {@link MembershipStateMachine}. */
+  static ViewRecord encodeSnapshot(MembershipView view, Map<PeerName, Long> endedIncarnations) {
     ViewRecord.Builder snapshot = ViewRecord.newBuilder().setNumber(view.number());
     view.members().values().forEach(member -> snapshot.addMembers(encodeMember(member)));
-    ended.forEach(
+    endedIncarnations.forEach(
         (name, incarnation) ->
             snapshot.addEnded(
                 EndedIncarnation.newBuilder().setName(name.name()).setIncarnation(incarnation)));
@@ -42,26 +42,27 @@
         .build();
   }
 
-  /** The view of a message or snapshot. */
+  /** Decodes the view of a message or snapshot. */
   public static MembershipView decodeView(ViewRecord view) {
     Map<PeerName, Member> members = new TreeMap<>();
-    for (MemberRecord each : view.getMembersList()) {
-      PeerName name = new PeerName(each.getName());
-      members.put(name, new Member(name, each.getIncarnation(), each.getZone(), each.getWeight()));
+    for (MemberRecord member : view.getMembersList()) {
+      PeerName name = new PeerName(member.getName());
+      members.put(
+          name, new Member(name, member.getIncarnation(), member.getZone(), member.getWeight()));
     }
     return new MembershipView(view.getNumber(), members);
   }
 
-  /** Replaces the state of the state machine by that of a snapshot. */
+  /** Replaces the state of the state machine with that of a snapshot. */
   static void restore(MembershipStateMachine stateMachine, ViewRecord snapshot) {
-    Map<PeerName, Long> ended = new TreeMap<>();
-    for (EndedIncarnation each : snapshot.getEndedList()) {
-      ended.put(new PeerName(each.getName()), each.getIncarnation());
+    Map<PeerName, Long> endedIncarnations = new TreeMap<>();
+    for (EndedIncarnation ended : snapshot.getEndedList()) {
+      endedIncarnations.put(new PeerName(ended.getName()), ended.getIncarnation());
     }
-    stateMachine.restore(decodeView(snapshot), ended);
+    stateMachine.restore(decodeView(snapshot), endedIncarnations);
   }
 
-  /** A proposal as it is sent and stored. */
+  /** Encodes a proposal for a message or log entry. */
   public static ProposalRecord encodeProposal(Proposal proposal) {
     return ProposalRecord.newBuilder()
         .setKind(proposal.kind().wireName())
@@ -74,7 +75,7 @@
         .build();
   }
 
-  /** The proposal of a message or log entry; one of an unknown kind changes nothing. */
+  /** Decodes the proposal of a message or log entry; an unknown kind becomes a no-op. */
   public static Proposal decodeProposal(ProposalRecord proposal) {
     return new Proposal(
         Proposal.Kind.fromWireName(proposal.getKind()).orElse(Proposal.Kind.NO_OP),
--- a/gateway/src/main/java/weldcross/consensus/raft/PersistentRaftStore.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/PersistentRaftStore.java
@@ -22,8 +22,8 @@
 import weldcross.storage.StorageDirectory;
 
 /**
- * Stores a voter's Raft state as records of a {@link RecordLog}. Used on the voter's thread, which
- * waits for storage: the library acknowledges only what these methods have made durable.
+ * Stores a voter's Raft state as records of a {@link RecordLog}. Used on the voter's thread and
+ * blocks on storage: the Raft library acknowledges only what these methods have made durable.
  */
 final class PersistentRaftStore implements RaftStore {
 
@@ -38,7 +38,7 @@
     this.log = RecordLog.open(directory, SEGMENT_BYTES, new Replay());
   }
 
-  /** Rebuilds the state from what the log holds. */
+  /** Rebuilds the state from the log. */
   private final class Replay implements RecordLog.Reader {
 
     @Override
@@ -62,17 +62,17 @@
   }
 
   /**
-   * Reads everything that is stored.
+   * Opens the store and reads the stored state.
    *
-   * @param directory closed with the store, not where this method throws
-   * @throws CorruptLogException where a durable record cannot be read
-   * @throws IOException where the directory cannot be read or written
+   * @param directory directory of the log; closed with the store, but not if this method throws
+   * @throws CorruptLogException if a durable record cannot be read
+   * @throws IOException if the directory cannot be read or written
    */
   static PersistentRaftStore open(StorageDirectory directory) throws IOException {
     return new PersistentRaftStore(directory);
   }
 
-  /** Deletes everything that is stored, and opens an empty store. */
+  /** Deletes all stored data and opens an empty store. */
   static PersistentRaftStore recreate(StorageDirectory directory) throws IOException {
     for (String name : List.copyOf(directory.names())) {
       directory.delete(name);
@@ -81,34 +81,36 @@
     return open(directory);
   }
 
-  /** Number of bytes of an unfinished write that opening has cut from the end of the log. */
+  /**
+   * Returns the size of the incomplete write that was truncated from the log when it was opened.
+   */
   long tornBytes() {
     return log.recovered().tornBytes();
   }
 
-  /** Summary to compare with what other voters know. */
+  /** Returns a summary to compare with the replies of other voters. */
   VoterRecovery.LogSummary summary() {
     return state.summary();
   }
 
-  /** The term of the entry of this index; zero where it is not stored, or not any more. */
+  /** Returns the term of the entry at this index; zero if it is not stored. */
   int termAt(long index) {
     return state.termAt(index);
   }
 
-  /** The state from which a node of the Raft library starts. */
+  /** Returns the state from which a Raft node starts. */
   RestoredRaftState restore() {
     return state.restore();
   }
 
   /**
-   * Stores the first state of an identity.
+   * Stores the initial state of an identity.
    *
-   * @param founders ids of the group's first members
-   * @param voting whether the identity votes from its start on
-   * @param usedTerm the highest term in which it may have voted; zero where there is none
+   * @param founders ids of the initial members of the group
+   * @param voting whether the identity is a voting member from the start
+   * @param votedTerm highest term in which it may have voted; zero if there is none
    */
-  void initialize(VoterId self, List<String> founders, boolean voting, int usedTerm)
+  void initialize(VoterId self, List<String> founders, boolean voting, int votedTerm)
       throws IOException {
     append(
         StoredRecord.newBuilder()
@@ -117,14 +119,16 @@
         StoredRecord.newBuilder()
             .setInitialGroup(
                 VoterGroup.newBuilder().addAllMembers(founders).addAllVoting(founders)));
-    if (usedTerm > 0) {
-      append(termRecord(usedTerm, self));
+    if (votedTerm > 0) {
+      append(termRecord(votedTerm, self));
     }
     flush();
   }
 
-  /** Marks a term and those before as voted in, so that the voter casts no second vote there. */
-  void useUpTerm(int term, VoterId self) throws IOException {
+  /**
+   * Stores a vote for itself, so that the voter casts no second vote in this or an earlier term.
+   */
+  void recordSelfVote(int term, VoterId self) throws IOException {
     if (term > state.term()) {
       appendAndFlush(termRecord(term, self));
     }
@@ -186,7 +190,7 @@
     append(StoredRecord.newBuilder().setTruncateFrom(index));
   }
 
-  /** Also replaces the whole record log by a snapshot of the state, so that it stays short. */
+  /** Also compacts the record log by replacing it with a snapshot of the state. */
   @Override
   public void truncateLogEntriesUntil(long index) throws IOException {
     appendAndFlush(StoredRecord.newBuilder().setTruncateUntil(index));
@@ -203,13 +207,13 @@
     log.commit();
   }
 
-  /** Closes the log and its directory; what was not flushed is lost. */
+  /** Closes the log and its directory; unflushed records are lost. */
   void close() {
     try {
       log.close();
       directory.close();
     } catch (IOException e) {
-      // Flushed records are durable, and nothing more is written.
+      // Ignored: flushed records are durable, and nothing more is written.
     }
   }
 }
--- a/gateway/src/main/java/weldcross/consensus/raft/RaftMessageDecoder.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/RaftMessageDecoder.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import weldcross.consensus.wire.RaftEnvelope;
 
-/** Maps protobuf messages to those of the Raft library. */
+/** Converts protobuf messages to messages of the Raft library. */
 final class RaftMessageDecoder {
 
   private final RaftEnvelope envelope;
@@ -21,10 +21,10 @@
   }
 
   /**
-   * The message of an envelope.
+   * Decodes an envelope.
    *
-   * @param groupId of this voter's group, as envelopes do not name it
-   * @return empty for a kind that this version does not know
+   * @param groupId id of this voter's group, which envelopes do not contain
+   * @return the message; empty if this version does not know its kind
    */
   static Optional<RaftMessage> decode(RaftEnvelope envelope, String groupId) {
     RaftMessageDecoder decoder = new RaftMessageDecoder(envelope, groupId);
@@ -49,7 +49,7 @@
   private RaftMessage appendEntries() {
     List<LogEntry> entries =
         envelope.getEntriesList().stream().map(RaftRecordCodec::decodeEntry).toList();
-    return RaftRecordCodec.MODELS
+    return RaftRecordCodec.MODEL_FACTORY
         .createAppendEntriesRequestBuilder()
         .setGroupId(groupId)
         .setSender(sender)
@@ -64,7 +64,7 @@
   }
 
   private RaftMessage appendEntriesSuccess() {
-    return RaftRecordCodec.MODELS
+    return RaftRecordCodec.MODEL_FACTORY
         .createAppendEntriesSuccessResponseBuilder()
         .setGroupId(groupId)
         .setSender(sender)
@@ -76,7 +76,7 @@
   }
 
   private RaftMessage appendEntriesFailure() {
-    return RaftRecordCodec.MODELS
+    return RaftRecordCodec.MODEL_FACTORY
         .createAppendEntriesFailureResponseBuilder()
         .setGroupId(groupId)
         .setSender(sender)
@@ -88,7 +88,7 @@
   }
 
   private RaftMessage installSnapshot() {
-    return RaftRecordCodec.MODELS
+    return RaftRecordCodec.MODEL_FACTORY
         .createInstallSnapshotRequestBuilder()
         .setGroupId(groupId)
         .setSender(sender)
@@ -107,7 +107,7 @@
   }
 
   private RaftMessage installSnapshotResponse() {
-    return RaftRecordCodec.MODELS
+    return RaftRecordCodec.MODEL_FACTORY
         .createInstallSnapshotResponseBuilder()
         .setGroupId(groupId)
         .setSender(sender)
@@ -120,7 +120,7 @@
   }
 
   private RaftMessage preVote() {
-    return RaftRecordCodec.MODELS
+    return RaftRecordCodec.MODEL_FACTORY
         .createPreVoteRequestBuilder()
         .setGroupId(groupId)
         .setSender(sender)
@@ -131,7 +131,7 @@
   }
 
   private RaftMessage preVoteResponse() {
-    return RaftRecordCodec.MODELS
+    return RaftRecordCodec.MODEL_FACTORY
         .createPreVoteResponseBuilder()
         .setGroupId(groupId)
         .setSender(sender)
@@ -141,7 +141,7 @@
   }
 
   private RaftMessage vote() {
-    return RaftRecordCodec.MODELS
+    return RaftRecordCodec.MODEL_FACTORY
         .createVoteRequestBuilder()
         .setGroupId(groupId)
         .setSender(sender)
@@ -153,7 +153,7 @@
   }
 
   private RaftMessage voteResponse() {
-    return RaftRecordCodec.MODELS
+    return RaftRecordCodec.MODEL_FACTORY
         .createVoteResponseBuilder()
         .setGroupId(groupId)
         .setSender(sender)
@@ -163,7 +163,7 @@
   }
 
   private RaftMessage triggerLeaderElection() {
-    return RaftRecordCodec.MODELS
+    return RaftRecordCodec.MODEL_FACTORY
         .createTriggerLeaderElectionRequestBuilder()
         .setGroupId(groupId)
         .setSender(sender)
--- a/gateway/src/main/java/weldcross/consensus/raft/RaftMessageEncoder.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/RaftMessageEncoder.java
@@ -13,15 +13,15 @@
 import io.microraft.model.message.VoteResponse;
 import weldcross.consensus.wire.RaftEnvelope;
 
-/** Maps messages of the Raft library to protobuf. */
+/** Converts messages of the Raft library to protobuf. */
 final class RaftMessageEncoder {
 
   private RaftMessageEncoder() {}
 
   /**
-   * The envelope of a message.
+   * Encodes a message.
    *
-   * @throws IllegalArgumentException for a message of a type that this library version lacks
+   * @throws IllegalArgumentException if the type of the message is not supported
    */
   static RaftEnvelope encode(RaftMessage message) {
     return encodeFields(message)
@@ -60,7 +60,7 @@
           .setLogIndex(request.getLastLogIndex());
     }
     throw new IllegalArgumentException(
-        "no kind for a Raft message of type " + message.getClass().getName());
+        "unsupported Raft message type: " + message.getClass().getName());
   }
 
   private static RaftEnvelope.Builder envelope(RaftMessageKind kind) {
--- a/gateway/src/main/java/weldcross/consensus/raft/RaftMessageKind.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/RaftMessageKind.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** The kinds of messages of the Raft library, with the words for them on the wire. */
+/** Message types of the Raft library, with their names on the wire. */
 enum RaftMessageKind {
   APPEND_ENTRIES("append"),
   APPEND_ENTRIES_SUCCESS("appended"),
@@ -22,13 +22,13 @@
     this.wireName = wireName;
   }
 
-  /** The word for this kind on the wire; never changes. */
+  /** Returns the stable name of this kind on the wire. */
   String wireName() {
     return wireName;
   }
 
-  /** The kind of a word on the wire; empty for one that this version does not know. */
-  static Optional<RaftMessageKind> fromWireName(String word) {
-    return Arrays.stream(values()).filter(kind -> kind.wireName.equals(word)).findFirst();
+  /** Returns the kind with this name on the wire; empty if this version does not know the name. */
+  static Optional<RaftMessageKind> fromWireName(String wireName) {
+    return Arrays.stream(values()).filter(kind -> kind.wireName.equals(wireName)).findFirst();
   }
 }
--- a/gateway/src/main/java/weldcross/consensus/raft/RaftRecordCodec.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/RaftRecordCodec.java
@@ -20,13 +20,13 @@
 import weldcross.consensus.wire.VoterGroup;
 
 /**
- * Maps groups, log entries and snapshot chunks of the Raft library to and from protobuf, for
- * messages and stored records alike.
+ * Converts groups, log entries and snapshot chunks of the Raft library to and from protobuf, for
+ * both messages and stored records.
  */
 final class RaftRecordCodec {
 
-  /** Creates the library's model objects. */
-  static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
+  /** Factory of the Raft library's model objects. */
+  static final RaftModelFactory MODEL_FACTORY = new DefaultRaftModelFactory();
 
   private RaftRecordCodec() {}
 
@@ -49,7 +49,7 @@
   }
 
   static RaftGroupMembersView decodeGroup(VoterGroup group) {
-    return MODELS
+    return MODEL_FACTORY
         .createRaftGroupMembersViewBuilder()
         .setLogIndex(group.getIndex())
         .setMembers(decodeEndpoints(group.getMembersList()))
@@ -79,7 +79,7 @@
 
   static LogEntry decodeEntry(LogEntryRecord entry) {
     Object operation = entry.hasChange() ? decodeChange(entry.getChange()) : entry.getProposal();
-    return MODELS
+    return MODEL_FACTORY
         .createLogEntryBuilder()
         .setIndex(entry.getIndex())
         .setTerm(entry.getTerm())
@@ -88,7 +88,7 @@
   }
 
   private static UpdateRaftGroupMembersOp decodeChange(GroupChange change) {
-    return MODELS
+    return MODEL_FACTORY
         .createUpdateRaftGroupMembersOpBuilder()
         .setMembers(decodeEndpoints(change.getMembersList()))
         .setVotingMembers(decodeEndpoints(change.getVotingList()))
@@ -109,7 +109,7 @@
   }
 
   static SnapshotChunk decodeChunk(SnapshotChunkRecord chunk) {
-    return MODELS
+    return MODEL_FACTORY
         .createSnapshotChunkBuilder()
         .setIndex(chunk.getIndex())
         .setTerm(chunk.getTerm())
--- a/gateway/src/main/java/weldcross/consensus/raft/RaftVoter.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/RaftVoter.java
@@ -25,39 +25,39 @@
 import weldcross.storage.CorruptLogException;
 
 /**
- * One voter: a node of the consensus library (MicroRaft) with its storage and its messages.
+ * A voter: a node of the Raft library (MicroRaft) with its storage and its messages.
  *
- * <p>Before it sends anything under its identity, {@link VoterRecovery} has compared its log with
- * what the other voters know. While its log may lack entries it grants its vote only to candidates
- * that have all of them, and never stands for election.
+ * <p>Before the voter sends anything under its identity, {@link VoterRecovery} compares its log
+ * with the replies of the other voters. While its log may lack entries, it grants its vote only to
+ * candidates that have all of them, and never becomes a candidate.
  *
- * <p>Everything runs on the executor's one thread; only {@link #leader} and {@link #phase} may be
- * called from others.
+ * <p>All tasks run on the executor's single thread. Methods may only be called on that thread
+ * unless stated otherwise.
  */
 public final class RaftVoter {
 
-  /** The phases of a voter. */
+  /** Phases of a voter. */
   public enum Phase {
-    /** Its storage is being read, or failed and is opened again. */
+    /** Its storage is being opened, or reopened after a failure. */
     OPENING,
-    /** It asks the other voters what they know of it. */
+    /** It queries the other voters to detect whether its log is complete. */
     ASKING,
-    /** It has a new identity that the leader has yet to admit. */
+    /** It has a new identity that the leader has not admitted yet. */
     JOINING,
-    /** Its log may lack entries that it has acknowledged. */
+    /** Its log may lack acknowledged entries, and is catching up. */
     LEARNING,
-    /** It takes part in elections and commits. */
+    /** It participates in elections and commits. */
     VOTING,
-    /** It has been ended. */
+    /** It has been stopped. */
     ENDED
   }
 
-  /** Between two queries, and between two requests for admission. */
+  /** Interval between recovery queries, and between admission requests. */
   private static final Duration QUERY_PERIOD = Duration.ofMillis(500);
 
   private static final Duration STORAGE_RETRY_DELAY = Duration.ofSeconds(1);
 
-  /** A voter that waits logs a warning once in so many queries. */
+  /** Number of unsuccessful queries between two logged warnings. */
   private static final int QUERIES_PER_WARNING = 20;
 
   private final ConsensusConfig config;
@@ -65,7 +65,7 @@
   private final VoterNode.VoterRuntime runtime;
   private final LongSupplier nonces;
   private final RaftVoterActions actions;
-  private final LeaderWatch leaderWatch;
+  private final LeaderWatchdog leaderWatchdog;
   private final VoterMessenger messenger;
   private final VoterStorage storage = new VoterStorage();
   private final AcknowledgementHistory history = new AcknowledgementHistory();
@@ -75,25 +75,26 @@
   private VoterRecovery recovery;
   private String loggedFailure;
 
-  /** Grows with each node; what was scheduled for an earlier one does nothing. */
+  /** Incremented for each node, to ignore tasks scheduled for an earlier one. */
   private int generation;
 
-  private int queries;
-  private int highestTermHeard;
+  private int queryCount;
+  private int highestRepliedTerm;
 
-  /** Whether the stored log belongs to an identity that is no voter any more. */
+  /** Whether the stored log belongs to an identity that is no longer a voter. */
   private boolean identityReplaced;
 
-  /** Whether there is a stored log that is not used. */
+  /** Whether there is a stored log that cannot be used. */
   private boolean logUnusable;
 
   /**
-   * Creates a voter that has yet to be started.
+   * Creates a voter, which is inactive until {@link #start}.
    *
    * @param executor runs all tasks of this voter on one thread, in order
-   * @param clock that never jumps, for the library's timeouts
-   * @param random for the library's election timeouts
-   * @param nonces of new identities; no value twice, over all processes of all voters
+   * @param clock monotonic clock for the Raft library's timeouts
+   * @param random source of the Raft library's random election timeouts
+   * @param nonces generates the nonces of new identities, which must be unique across all processes
+   *     of all voters
    */
   public RaftVoter(
       ConsensusConfig config,
@@ -104,14 +105,14 @@
       RaftVoterActions actions) {
     this.config = config;
     this.executor = executor;
-    this.leaderWatch = new LeaderWatch(clock, config.leaderTimeout());
+    this.leaderWatchdog = new LeaderWatchdog(clock, config.leaderTimeout());
     this.runtime = new VoterNode.VoterRuntime(executor, clock, random);
     this.nonces = nonces;
     this.actions = actions;
     this.messenger = new VoterMessenger(config, actions);
   }
 
-  /** Opens the storage and begins the recovery; may be called from any thread, once. */
+  /** Opens the storage and starts the recovery; called once, from any thread. */
   public void start() {
     executor.execute(this::open);
   }
@@ -143,7 +144,7 @@
     try {
       summary = openStore();
     } catch (CorruptLogException e) {
-      // Nothing in it is trusted: the log is fetched from the others, under a new identity.
+      // The log is discarded and replicated from the other voters under a new identity.
       corrupt = true;
       actions.log(Level.SEVERE, "voter log corrupt, not used: reason=" + e.getMessage());
     } catch (IOException e) {
@@ -155,7 +156,7 @@
     recovery =
         new VoterRecovery(config.voters().size(), config.trustStorage(), summary, logUnusable);
     phase = Phase.ASKING;
-    queries = 0;
+    queryCount = 0;
     applyDecision();
     queryPeriodically(generation);
   }
@@ -164,18 +165,22 @@
     PersistentRaftStore store = storage.open(actions.openDirectory());
     if (store.tornBytes() > 0) {
       actions.log(
-          Level.WARNING, "voter log repaired, torn end cut: tornBytes=" + store.tornBytes());
+          Level.WARNING,
+          "voter log repaired, incomplete write truncated: tornBytes=" + store.tornBytes());
     }
     return identityReplaced ? VoterRecovery.LogSummary.NONE : store.summary();
   }
 
-  /** What was written may be durable or not: the log is read and compared with the others anew. */
+  /**
+   * Reopens the storage after a delay. The failed write may or may not be durable, so the log is
+   * read and compared with the other voters again.
+   */
   private void storageFailed(IOException failure) {
     String reason = String.valueOf(failure.getMessage());
     if (!reason.equals(loggedFailure)) {
       loggedFailure = reason;
       actions.log(
-          Level.SEVERE, "voter storage failed, not voting until it works: reason=" + reason);
+          Level.SEVERE, "voter storage failed, not voting until it recovers: reason=" + reason);
     }
     if (phase != Phase.ENDED) {
       phase = Phase.OPENING;
@@ -185,8 +190,8 @@
   }
 
   /**
-   * Asks the other voters what they know of this one. It also does so while it catches up, as what
-   * it waits for may be lost by whoever had it, and while it votes without a leader, as another
+   * Queries the other voters. Queries continue while this voter catches up, because the voter that
+   * had the missing entries may lose them, and while it votes without a leader, because another
    * identity may have replaced it.
    */
   private void queryPeriodically(int queriedGeneration) {
@@ -202,22 +207,23 @@
     if (phase == Phase.JOINING || (phase == Phase.VOTING && leader().isPresent())) {
       return;
     }
-    messenger.sendRecoveryQuery(selfId());
-    if (++queries % QUERIES_PER_WARNING == 0) {
+    messenger.sendRecoveryQuery(ownIdentity());
+    queryCount++;
+    if (queryCount % QUERIES_PER_WARNING == 0) {
       logWaiting();
     }
   }
 
   private boolean hasLostLeader() {
-    return node != null && phase != Phase.JOINING && !node.isLeader() && leaderWatch.isExpired();
+    return node != null && phase != Phase.JOINING && !node.isLeader() && leaderWatchdog.isExpired();
   }
 
   private void logWaiting() {
     actions.log(
         Level.WARNING,
         phase == Phase.VOTING
-            ? "voter knows of no leader: voter=" + self
-            : "voter waits for replies before it votes: " + recovery.describe());
+            ? "voter has no known leader: voter=" + self
+            : "voter is waiting for replies before it votes: " + recovery.describe());
   }
 
   private void applyDecision() {
@@ -230,7 +236,7 @@
         }
         case RESUME -> startNode(Phase.VOTING);
         case CATCH_UP -> {
-          storage.store().useUpTerm(recovery.highestTerm(), self);
+          storage.store().recordSelfVote(recovery.highestTerm(), self);
           startNode(Phase.LEARNING);
         }
         case NEW_IDENTITY -> {
@@ -250,17 +256,17 @@
     }
   }
 
-  private void initializeStore(boolean voting, int usedTerm) throws IOException {
+  private void initializeStore(boolean voting, int votedTerm) throws IOException {
     List<String> founders =
         config.voters().stream().map(voter -> VoterId.founder(voter).getId()).toList();
-    storage.store().initialize(self, founders, voting, usedTerm);
+    storage.store().initialize(self, founders, voting, votedTerm);
   }
 
-  private void startNode(Phase next) {
+  private void startNode(Phase nextPhase) {
     logStart();
     loggedFailure = null;
-    leaderWatch.reset();
-    phase = next;
+    leaderWatchdog.reset();
+    phase = nextPhase;
     node = new VoterNode(self, config, runtime, storage.store(), new NodeListener());
     node.start();
     voteIfCaughtUp();
@@ -277,14 +283,15 @@
         "voter started: voter=" + self + " decision=" + decision + reason);
   }
 
-  /** Starts a new node on the same store. */
+  /** Replaces the node with a new one on the same store. */
   private void restartNode() {
-    actions.log(Level.INFO, "voter node restarted: voter=" + self + " reason=no leader heard");
+    actions.log(
+        Level.INFO, "voter node restarted: voter=" + self + " reason=no message from a leader");
     generation++;
     node.terminate();
     try {
       storage.store().flush();
-      storage.store().useUpTerm(highestTermHeard, self);
+      storage.store().recordSelfVote(highestRepliedTerm, self);
       startNode(phase);
       queryPeriodically(generation);
     } catch (IOException e) {
@@ -292,7 +299,7 @@
     }
   }
 
-  /** Reads the store and asks the others anew. */
+  /** Restarts the recovery: reads the store and queries the other voters again. */
   private void reopen() {
     close();
     phase = Phase.OPENING;
@@ -322,7 +329,7 @@
     return recovery.localLogChanged(storage.summary()) == VoterRecovery.Decision.RESUME;
   }
 
-  /** Takes a message of another gateway; may be called from any thread. */
+  /** Handles a message of another gateway; may be called from any thread. */
   public void receive(PeerName from, ConsensusMessage message) {
     executor.execute(
         () -> {
@@ -331,11 +338,12 @@
           }
           switch (message.getKindCase()) {
             case RAFT -> receiveRaft(from, message.getRaft());
-            case RECOVERY_QUERY -> reply(from, message.getRecoveryQuery().getIdentity());
-            case RECOVERY_REPLY -> receiveReply(from, message.getRecoveryReply());
+            case RECOVERY_QUERY ->
+                sendRecoveryReply(from, message.getRecoveryQuery().getIdentity());
+            case RECOVERY_REPLY -> receiveRecoveryReply(from, message.getRecoveryReply());
             case ADMISSION_REQUEST -> admit(VoterId.parse(message.getAdmissionRequest()));
             default -> {
-              // Not for a voter, or of a later version.
+              // Not addressed to a voter, or sent by a later version.
             }
           }
         });
@@ -350,7 +358,7 @@
       return;
     }
     if (message instanceof AppendEntriesRequest || message instanceof InstallSnapshotRequest) {
-      leaderWatch.reset();
+      leaderWatchdog.reset();
     }
     history.record(message, storage.store()::termAt);
     if (phase == Phase.LEARNING
@@ -366,37 +374,38 @@
         });
   }
 
-  private void reply(PeerName from, String identity) {
+  private void sendRecoveryReply(PeerName to, String identity) {
     if (phase == Phase.OPENING) {
       return;
     }
-    RecoveryReplies.Knowledge knowledge =
-        new RecoveryReplies.Knowledge(
+    RecoveryReplyCodec.LocalState state =
+        new RecoveryReplyCodec.LocalState(
             Optional.ofNullable(self),
             Optional.ofNullable(node).map(VoterNode::raft),
             storage.summary(),
             self != null && phase != Phase.JOINING,
             logUnusable,
             history);
-    messenger.sendRecoveryReply(from, RecoveryReplies.create(identity, knowledge));
+    messenger.sendRecoveryReply(to, RecoveryReplyCodec.encode(identity, state));
   }
 
-  private void receiveReply(PeerName from, RecoveryReply reply) {
-    // A reply to an earlier process, which asked under another identity, says nothing of this one.
+  private void receiveRecoveryReply(PeerName from, RecoveryReply reply) {
+    // Replies to an earlier process that queried under another identity are ignored.
     if (phase == Phase.OPENING
         || phase == Phase.JOINING
-        || !reply.getIdentity().equals(selfId())
+        || !reply.getIdentity().equals(ownIdentity())
         || !messenger.isOtherVoter(from)) {
       return;
     }
-    highestTermHeard = Math.max(highestTermHeard, reply.getTerm());
+    highestRepliedTerm = Math.max(highestRepliedTerm, reply.getTerm());
     if (phase == Phase.LEARNING) {
       recovery.localLogChanged(storage.summary());
     }
-    recovery.replyReceived(from, RecoveryReplies.decode(reply));
+    recovery.replyReceived(from, RecoveryReplyCodec.decode(reply));
     if (phase == Phase.VOTING) {
       if (reply.getHasLog() && reply.getUnknownIdentity()) {
-        actions.log(Level.WARNING, "voter is not in the group any more: voter=" + self);
+        actions.log(
+            Level.WARNING, "voter identity is no longer a member of the group: voter=" + self);
         identityReplaced = true;
         reopen();
       }
@@ -416,10 +425,11 @@
   }
 
   /**
-   * Proposes a change; may be called from any thread.
+   * Proposes a change; may be called from any thread. The reply, which may never come, is passed to
+   * {@link RaftVoterActions#proposalAnswered} together with the proposer and the number.
    *
-   * @param proposer passed to {@link RaftVoterActions#proposalAnswered}, as is the number
-   * @param number passed back with the answer, which may never come
+   * @param proposer gateway that receives the reply
+   * @param number identifies the proposal to the proposer
    */
   public void propose(PeerName proposer, long number, Proposal proposal) {
     executor.execute(
@@ -436,21 +446,21 @@
         });
   }
 
-  private String selfId() {
+  private String ownIdentity() {
     return self == null ? "" : self.getId();
   }
 
-  /** The leader as far as this voter knows; may be called from any thread. */
+  /** Returns the leader known to this voter; may be called from any thread. */
   public Optional<PeerName> leader() {
     return Optional.ofNullable(node).flatMap(VoterNode::leader);
   }
 
-  /** The phase of this voter; may be called from any thread. */
+  /** Returns the phase of this voter; may be called from any thread. */
   public Phase phase() {
     return phase;
   }
 
-  /** One line for the log without a line end; called on the voter's thread. */
+  /** Returns a one-line summary for the log; called on the voter's thread. */
   public String describe() {
     return "phase="
         + phase
@@ -463,7 +473,7 @@
         + (recovery == null ? "" : " " + recovery.describe());
   }
 
-  /** Takes what the present node does. */
+  /** Handles the events of the current node. */
   private final class NodeListener implements VoterNode.Listener {
 
     @Override
@@ -472,7 +482,7 @@
     }
 
     @Override
-    public boolean mayStandForElection() {
+    public boolean mayBecomeCandidate() {
       return phase == Phase.VOTING;
     }
 
@@ -481,7 +491,7 @@
       actions.viewCommitted(view);
     }
 
-    /** Acts once the node's call that has failed is over. */
+    /** Handles the failure in a new task, after the node's failed call has returned. */
     @Override
     public void storageFailed(IOException failure) {
       int failedGeneration = generation;
--- a/gateway/src/main/java/weldcross/consensus/raft/RaftVoterActions.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/RaftVoterActions.java
@@ -9,32 +9,32 @@
 import weldcross.storage.StorageDirectory;
 
 /**
- * What a {@link RaftVoter} has done outside. All methods are called on the voter's thread, and only
- * {@link #openDirectory} may block.
+ * Side effects of a {@link RaftVoter}. All methods are called on the voter's thread; only {@link
+ * #openDirectory} may block.
  */
 public interface RaftVoterActions {
 
   /**
-   * Opens the directory that this voter alone uses; the voter closes it.
+   * Opens the directory reserved for this voter, which the voter closes.
    *
-   * @throws IOException where it is in use or cannot be accessed; the voter tries again
+   * @throws IOException if the directory is in use or cannot be accessed; the voter retries
    */
   StorageDirectory openDirectory() throws IOException;
 
-  /** Sends a message to another voter; it may be lost, delayed and repeated. */
+  /** Sends a message to another voter; it may be lost, delayed or duplicated. */
   void send(PeerName to, ConsensusMessage message);
 
-  /** A view was committed, or was restored from storage or a snapshot. */
+  /** Reports a view that was committed, or restored from storage or a snapshot. */
   void viewCommitted(MembershipView view);
 
   /**
-   * Answers a proposal that was made here.
+   * Replies to a proposal.
    *
-   * @param proposer as passed to {@link RaftVoter#propose}
-   * @param number as passed to {@link RaftVoter#propose}
+   * @param proposer proposer passed to {@link RaftVoter#propose}
+   * @param number number passed to {@link RaftVoter#propose}
    */
   void proposalAnswered(PeerName proposer, long number, ProposalOutcome outcome);
 
-  /** Writes one line to the log. */
-  void log(Level level, String line);
+  /** Writes a log message. */
+  void log(Level level, String message);
 }
--- a/gateway/src/main/java/weldcross/consensus/raft/RecoveryReplies.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/RecoveryReplyCodec.java
@@ -10,20 +10,20 @@
 import weldcross.consensus.raft.AcknowledgementHistory.Acknowledgement;
 import weldcross.consensus.wire.RecoveryReply;
 
-/** Maps what a voter knows of another one to and from {@link RecoveryReply}. */
-final class RecoveryReplies {
+/** Encodes and decodes replies to recovery queries. */
+final class RecoveryReplyCodec {
 
   /**
-   * What a voter knows when it is asked.
+   * State of the replying voter.
    *
-   * @param self its identity; empty while it has none
-   * @param node its Raft node; empty while it has none
-   * @param log its stored log
-   * @param hasLog whether it has a log, and is not joining under a new identity
-   * @param logUnusable whether it has lost a log
-   * @param history what it has heard of other identities
+   * @param self its identity; empty if it has none yet
+   * @param node its Raft node; empty if none is running
+   * @param log summary of its stored log
+   * @param hasLog whether it has a log and is not joining under a new identity
+   * @param logUnusable whether it has a stored log that it cannot use
+   * @param history acknowledgements and votes that it has received from other identities
    */
-  record Knowledge(
+  record LocalState(
       Optional<VoterId> self,
       Optional<RaftNode> node,
       VoterRecovery.LogSummary log,
@@ -31,7 +31,7 @@
       boolean logUnusable,
       AcknowledgementHistory history) {
 
-    /** The members of the group, by the committed and by the latest entry that changes it. */
+    /** Returns the members of the committed and of the latest, possibly uncommitted, group. */
     private List<VoterId> groupMembers() {
       return node.stream()
           .flatMap(raft -> Stream.of(raft.getCommittedMembers(), raft.getEffectiveMembers()))
@@ -41,20 +41,20 @@
     }
   }
 
-  private RecoveryReplies() {}
+  private RecoveryReplyCodec() {}
 
   /**
-   * Answers a recovery query.
+   * Encodes the reply to a recovery query.
    *
-   * @param identity that is asked about; empty where the asking voter has none
+   * @param identity identity of the querying voter; empty if it has none
    */
-  static RecoveryReply create(String identity, Knowledge knowledge) {
+  static RecoveryReply encode(String identity, LocalState state) {
     Acknowledgement acknowledgement =
-        identity.isEmpty() ? Acknowledgement.NONE : knowledge.history().of(VoterId.parse(identity));
-    VoterRecovery.LogSummary log = knowledge.log();
-    int nodeTerm = knowledge.node().map(raft -> raft.getTerm().getTerm()).orElse(0);
+        identity.isEmpty() ? Acknowledgement.NONE : state.history().get(VoterId.parse(identity));
+    VoterRecovery.LogSummary log = state.log();
+    int nodeTerm = state.node().map(raft -> raft.getTerm().getTerm()).orElse(0);
     return RecoveryReply.newBuilder()
-        .setHasLog(knowledge.hasLog())
+        .setHasLog(state.hasLog())
         .setIdentity(identity)
         .setTerm(Math.max(log.term(), nodeTerm))
         .setLastTerm(log.last().term())
@@ -62,25 +62,25 @@
         .setAcknowledgedTerm(acknowledgement.acknowledged().term())
         .setAcknowledgedIndex(acknowledgement.acknowledged().index())
         .setVotedTerm(acknowledgement.votedTerm())
-        .setFounding(isFounding(knowledge))
-        .setUnknownIdentity(isUnknown(identity, knowledge))
+        .setFounding(isFounding(state))
+        .setUnknownIdentity(isUnknownIdentity(identity, state))
         .build();
   }
 
-  private static boolean isFounding(Knowledge knowledge) {
-    return !knowledge.logUnusable()
-        && knowledge.self().stream().allMatch(VoterId::isFounder)
-        && knowledge.history().hasOnlyFounders()
-        && knowledge.groupMembers().stream().allMatch(VoterId::isFounder);
+  private static boolean isFounding(LocalState state) {
+    return !state.logUnusable()
+        && state.self().stream().allMatch(VoterId::isFounder)
+        && state.history().hasOnlyFounders()
+        && state.groupMembers().stream().allMatch(VoterId::isFounder);
   }
 
-  private static boolean isUnknown(String identity, Knowledge knowledge) {
-    return knowledge.node().isPresent()
+  private static boolean isUnknownIdentity(String identity, LocalState state) {
+    return state.node().isPresent()
         && !identity.isEmpty()
-        && knowledge.groupMembers().stream().map(RaftEndpoint::getId).noneMatch(identity::equals);
+        && state.groupMembers().stream().map(RaftEndpoint::getId).noneMatch(identity::equals);
   }
 
-  /** The reply as {@link VoterRecovery} takes it. */
+  /** Decodes a reply for {@link VoterRecovery}. */
   static VoterRecovery.Reply decode(RecoveryReply reply) {
     return new VoterRecovery.Reply(
         reply.getHasLog(),
--- a/gateway/src/main/java/weldcross/consensus/raft/ReplicatedView.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/ReplicatedView.java
@@ -11,7 +11,7 @@
 import weldcross.consensus.wire.ViewRecord;
 import weldcross.mesh.PeerName;
 
-/** The membership view as the Raft library's replicated state machine. */
+/** Adapts {@link MembershipStateMachine} to the Raft library's replicated state machine. */
 final class ReplicatedView implements StateMachine {
 
   private final PeerName self;
@@ -19,9 +19,9 @@
   private final MembershipStateMachine stateMachine = new MembershipStateMachine();
 
   /**
-   * Creates the state before the first entry.
+   * Creates the initial state, before the first log entry.
    *
-   * @param onCommit called with each view that differs from the one before
+   * @param onCommit called with each new view, including views restored from a snapshot
    */
   ReplicatedView(PeerName self, Consumer<MembershipView> onCommit) {
     this.self = self;
--- a/gateway/src/main/java/weldcross/consensus/raft/StoredRaftState.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/StoredRaftState.java
@@ -18,19 +18,19 @@
 import weldcross.consensus.wire.StoredTerm;
 import weldcross.consensus.wire.VoterGroup;
 
-/** The state that a voter's stored records amount to, held in memory. Pure. */
+/** In-memory state that results from applying a voter's stored records. Performs no I/O. */
 final class StoredRaftState {
 
   private final TreeMap<Long, LogEntryRecord> entries = new TreeMap<>();
 
-  /** Chunks of snapshots by log index and chunk number. */
+  /** Snapshot chunks by log index and chunk number. */
   private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> chunks = new TreeMap<>();
 
   private StoredEndpoint endpoint;
   private VoterGroup initialGroup;
   private StoredTerm term = StoredTerm.getDefaultInstance();
 
-  /** Applies the next record; one of an unknown kind changes nothing. */
+  /** Applies the next record; records of an unknown kind are ignored. */
   void apply(StoredRecord stored) {
     switch (stored.getKindCase()) {
       case ENDPOINT -> endpoint = stored.getEndpoint();
@@ -43,12 +43,12 @@
       case DELETE_CHUNKS -> chunks.remove(stored.getDeleteChunks());
       case STATE -> stored.getState().getRecordsList().forEach(this::apply);
       default -> {
-        // Written by a later version, and not needed by this one.
+        // Written by a later version; not needed by this one.
       }
     }
   }
 
-  /** An entry replaces all from its index on. */
+  /** Stores an entry, which replaces all entries from its index on. */
   private void put(LogEntryRecord entry) {
     entries.tailMap(entry.getIndex(), true).clear();
     entries.put(entry.getIndex(), entry);
@@ -60,7 +60,7 @@
         .put(chunk.getSnapshotChunkIndex(), chunk);
   }
 
-  /** The whole state as one record, from which {@link #apply} restores it. */
+  /** Returns the entire state as one record, from which {@link #apply} restores it. */
   StoredRecord toRecord() {
     StoredState.Builder state =
         StoredState.newBuilder()
@@ -76,20 +76,21 @@
     return StoredRecord.newBuilder().setState(state).build();
   }
 
-  /** The stored term; zero where there is none. */
+  /** Returns the stored term; zero if none is stored. */
   int term() {
     return term.getTerm();
   }
 
-  /** Summary to compare with what other voters know. */
+  /** Returns a summary to compare with the replies of other voters. */
   VoterRecovery.LogSummary summary() {
     if (endpoint == null || initialGroup == null) {
       return VoterRecovery.LogSummary.NONE;
     }
-    return new VoterRecovery.LogSummary(Optional.of(endpoint.getId()), term.getTerm(), last());
+    return new VoterRecovery.LogSummary(
+        Optional.of(endpoint.getId()), term.getTerm(), lastPosition());
   }
 
-  private LogPosition last() {
+  private LogPosition lastPosition() {
     if (!entries.isEmpty()) {
       LogEntryRecord last = entries.lastEntry().getValue();
       return new LogPosition(last.getTerm(), last.getIndex());
@@ -99,7 +100,7 @@
         .orElse(LogPosition.NONE);
   }
 
-  /** The term of the entry of this index; zero where it is not stored, or not any more. */
+  /** Returns the term of the entry at this index; zero if it is not stored. */
   int termAt(long index) {
     LogEntryRecord entry = entries.get(index);
     if (entry != null) {
@@ -111,14 +112,14 @@
         .orElse(0);
   }
 
-  /** The latest snapshot of which all chunks are stored. */
+  /** Returns the latest snapshot of which all chunks are stored. */
   private Optional<SnapshotEntry> latestSnapshot() {
     for (Long index : chunks.descendingKeySet()) {
       List<SnapshotChunk> stored = new ArrayList<>(chunks.get(index).values());
       SnapshotChunk first = stored.get(0);
       if (stored.size() == first.getSnapshotChunkCount()) {
         return Optional.of(
-            RaftRecordCodec.MODELS
+            RaftRecordCodec.MODEL_FACTORY
                 .createSnapshotEntryBuilder()
                 .setIndex(index)
                 .setTerm(first.getTerm())
@@ -130,16 +131,16 @@
     return Optional.empty();
   }
 
-  /** The state from which a node of the Raft library starts; endpoint and group must be stored. */
+  /** Returns the state from which a Raft node starts; endpoint and group must be stored. */
   RestoredRaftState restore() {
     Optional<SnapshotEntry> snapshot = latestSnapshot();
     long snapshotIndex = snapshot.map(SnapshotEntry::getIndex).orElse(0L);
-    List<LogEntry> entriesBehindSnapshot =
+    List<LogEntry> entriesAfterSnapshot =
         entries.tailMap(snapshotIndex, false).values().stream()
             .map(RaftRecordCodec::decodeEntry)
             .toList();
     return new RestoredRaftState(
-        RaftRecordCodec.MODELS
+        RaftRecordCodec.MODEL_FACTORY
             .createRaftEndpointPersistentStateBuilder()
             .setLocalEndpoint(VoterId.parse(endpoint.getId()))
             .setVoting(endpoint.getVoting())
@@ -147,12 +148,12 @@
         RaftRecordCodec.decodeGroup(initialGroup),
         restoreTerm(),
         snapshot.orElse(null),
-        entriesBehindSnapshot);
+        entriesAfterSnapshot);
   }
 
   private RaftTermPersistentState restoreTerm() {
     String votedFor = term.getVotedFor();
-    return RaftRecordCodec.MODELS
+    return RaftRecordCodec.MODEL_FACTORY
         .createRaftTermPersistentStateBuilder()
         .setTerm(term.getTerm())
         .setVotedFor(votedFor.isEmpty() ? null : VoterId.parse(votedFor))
--- a/gateway/src/main/java/weldcross/consensus/raft/VoterAdmission.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/VoterAdmission.java
@@ -9,9 +9,9 @@
 import java.util.logging.Level;
 
 /**
- * Replaces the identity of a voter that lost its log, on the leader: the old identity is removed
- * first, then the new one is added. Only one change of the group is made at a time; the voter asks
- * again until it votes, so a change that fails is simply made again.
+ * Replaces, on the leader, the identity of a voter that lost its log: the old identity is removed
+ * first, then the new one is added. Group changes are made one at a time; the voter repeats its
+ * request until it votes, so a failed change is retried with the next request.
  */
 final class VoterAdmission {
 
@@ -23,22 +23,22 @@
     this.actions = actions;
   }
 
-  /** Makes the next change by which this identity becomes a voter; none while one is under way. */
+  /** Starts the next group change towards admitting this identity, unless one is in progress. */
   void admit(VoterId candidate) {
     RaftGroupMembers group = node.getCommittedMembers();
     if (group.getLogIndex() != node.getEffectiveMembers().getLogIndex()) {
       return;
     }
-    Optional<VoterId> member = memberOfSameName(group, candidate);
+    Optional<VoterId> member = memberWithSameName(group, candidate);
     if (member.isEmpty()) {
-      // The next call makes it again if it fails.
+      // The result is ignored: a failed change is retried with the next request.
       Future<?> unused =
           node.changeMembership(
               candidate, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, group.getLogIndex());
     } else if (!member.get().equals(candidate)) {
       actions.log(
           Level.WARNING,
-          "voter lost its log and is replaced: voter="
+          "replacing identity of voter that lost its log: voter="
               + member.get()
               + " replacement="
               + candidate);
@@ -48,7 +48,7 @@
     }
   }
 
-  private static Optional<VoterId> memberOfSameName(RaftGroupMembers group, VoterId candidate) {
+  private static Optional<VoterId> memberWithSameName(RaftGroupMembers group, VoterId candidate) {
     for (RaftEndpoint endpoint : group.getMembers()) {
       VoterId member = (VoterId) endpoint;
       if (member.name().equals(candidate.name())) {
--- a/gateway/src/main/java/weldcross/consensus/raft/VoterId.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/VoterId.java
@@ -4,19 +4,19 @@
 import weldcross.mesh.PeerName;
 
 /**
- * The identity under which a voter takes part in the group. A voter that lost its log continues
- * under a new nonce, so that nothing the old identity acknowledged counts as acknowledged by the
- * new one. Nonces are drawn at random: a counter could be lost with the log and be counted twice.
+ * Identity of a voter in the Raft group. A voter that lost its log continues under a new nonce, so
+ * that entries acknowledged by the old identity do not count as acknowledged by the new one. Nonces
+ * are random, because a counter could be lost together with the log and then be reused.
  *
- * @param name of the gateway
- * @param nonce zero for the founders of the group
+ * @param name name of the gateway
+ * @param nonce distinguishes identities of the same gateway; zero for founders of the group
  */
 record VoterId(PeerName name, long nonce) implements RaftEndpoint {
 
   private static final int RADIX = 16;
   private static final char SEPARATOR = '#';
 
-  /** Parses the form of {@link #getId}. */
+  /** Parses an id in the format of {@link #getId}. */
   static VoterId parse(String id) {
     int separator = id.lastIndexOf(SEPARATOR);
     return new VoterId(
@@ -24,7 +24,7 @@
         Long.parseUnsignedLong(id.substring(separator + 1), RADIX));
   }
 
-  /** The identity of a founder. */
+  /** Returns the identity of a founder. */
   static VoterId founder(PeerName name) {
     return new VoterId(name, 0);
   }
@@ -33,7 +33,9 @@
     return nonce == 0;
   }
 
-  /** The name, {@code #} and the nonce in hexadecimal digits; stored and sent in this form. */
+  /**
+   * Returns the name, {@code #} and the nonce in hexadecimal; the format on the wire and on disk.
+   */
   @Override
   public String getId() {
     return name.name() + SEPARATOR + Long.toHexString(nonce);
--- a/gateway/src/main/java/weldcross/consensus/raft/VoterMessenger.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/VoterMessenger.java
@@ -12,31 +12,32 @@
 final class VoterMessenger {
 
   private final String group;
-  private final List<PeerName> others;
+  private final List<PeerName> otherVoters;
   private final RaftVoterActions actions;
 
   VoterMessenger(ConsensusConfig config, RaftVoterActions actions) {
     this.group = config.group();
-    this.others = config.voters().stream().filter(voter -> !voter.equals(config.self())).toList();
+    this.otherVoters =
+        config.voters().stream().filter(voter -> !voter.equals(config.self())).toList();
     this.actions = actions;
   }
 
-  /** Whether a gateway is another voter of the group. */
+  /** Returns whether a gateway is another voter of the group. */
   boolean isOtherVoter(PeerName name) {
-    return others.contains(name);
+    return otherVoters.contains(name);
   }
 
   /**
-   * Asks all other voters what they know.
+   * Sends a recovery query to all other voters.
    *
-   * @param identity that they are asked about; empty where there is none
+   * @param identity identity of this voter; empty if it has none
    */
   void sendRecoveryQuery(String identity) {
     sendToOthers(
         message().setRecoveryQuery(RecoveryQuery.newBuilder().setIdentity(identity)).build());
   }
 
-  /** Asks all other voters, of which the leader acts, to admit a new identity. */
+  /** Sends an admission request to all other voters; only the leader acts on it. */
   void sendAdmissionRequest(VoterId identity) {
     sendToOthers(message().setAdmissionRequest(identity.getId()).build());
   }
@@ -54,6 +55,6 @@
   }
 
   private void sendToOthers(ConsensusMessage message) {
-    others.forEach(voter -> actions.send(voter, message));
+    otherVoters.forEach(voter -> actions.send(voter, message));
   }
 }
--- a/gateway/src/main/java/weldcross/consensus/raft/VoterNode.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/VoterNode.java
@@ -23,34 +23,36 @@
 import weldcross.mesh.PeerName;
 
 /**
- * One node of the Raft library on a voter's store. A voter that is restarted on the same store gets
- * another; of a terminated one nothing is sent, stored or reported any more.
+ * A node of the Raft library that runs on a voter's store. Restarting the node creates a new
+ * instance on the same store; a terminated one sends, stores and reports nothing more.
  */
 final class VoterNode {
 
   private static final Duration ELECTION_TIMEOUT = Duration.ofMillis(500);
   private static final int COMMITS_PER_SNAPSHOT = 256;
 
-  /** Takes what a node does; called on the voter's thread. */
+  /** Receives the events of a node; called on the voter's thread. */
   interface Listener {
 
     void send(PeerName to, RaftEnvelope envelope);
 
-    /** Whether the node may stand for election at present. */
-    boolean mayStandForElection();
+    /** Returns whether the node may currently become a candidate. */
+    boolean mayBecomeCandidate();
 
     void viewCommitted(MembershipView view);
 
-    /** A write to the store failed, after which it takes none; called within the node. */
+    /**
+     * Reports a failed write, after which the store rejects writes; called from within the node.
+     */
     void storageFailed(IOException failure);
   }
 
   /**
-   * What a node runs on.
+   * Runtime environment of a node.
    *
    * @param executor runs all tasks of the node on one thread, in order
-   * @param clock that never jumps
-   * @param random for election timeouts
+   * @param clock monotonic clock
+   * @param random source of random election timeouts
    */
   record VoterRuntime(RaftNodeExecutor executor, Clock clock, Random random) {}
 
@@ -60,7 +62,7 @@
   private final RaftNode raft;
   private boolean terminated;
 
-  /** Creates a node from what is stored; {@link #start} has it run. */
+  /** Creates a node from the stored state; it is inactive until {@link #start}. */
   VoterNode(
       VoterId self,
       ConsensusConfig config,
@@ -79,7 +81,7 @@
             .setTransport(new EnvelopeTransport())
             .setStateMachine(new ReplicatedView(config.self(), this::viewCommitted))
             .setStore(store)
-            .setModelFactory(RaftRecordCodec.MODELS)
+            .setModelFactory(RaftRecordCodec.MODEL_FACTORY)
             .setRandom(runtime.random())
             .setClock(runtime.clock())
             .build();
@@ -104,7 +106,7 @@
     Future<?> unused = raft.start();
   }
 
-  /** Ends the node; writes that it still makes are dropped. */
+  /** Terminates the node; writes that it still makes are discarded. */
   void terminate() {
     terminated = true;
     store.detach();
@@ -116,9 +118,10 @@
   }
 
   /**
-   * Has a proposal committed; only the leader can.
+   * Replicates a proposal; succeeds only on the leader.
    *
-   * @param onCommit not called where it fails, after which it may be committed or not
+   * @param onCommit called with the result after the commit; not called on failure, in which case
+   *     the proposal may or may not be committed
    */
   void replicate(Proposal proposal, Consumer<ProposalResult> onCommit) {
     Future<?> unused =
@@ -131,35 +134,35 @@
                 });
   }
 
-  /** Whether this node is the leader, as far as it knows. */
+  /** Returns whether this node is the leader, to its own knowledge. */
   boolean isLeader() {
     return self.equals(raft.getTerm().getLeaderEndpoint());
   }
 
-  /** The leader as far as this node knows; may be called from any thread. */
+  /** Returns the leader known to this node; may be called from any thread. */
   Optional<PeerName> leader() {
     return Optional.ofNullable(raft.getTerm().getLeaderEndpoint())
         .map(leader -> ((VoterId) leader).name());
   }
 
-  /** Whether the committed group has this node's identity as a voting member. */
+  /** Returns whether this node's identity is a voting member of the committed group. */
   boolean isVotingMember() {
     return raft.getCommittedMembers().getVotingMembers().contains(self);
   }
 
-  /** The library's node, to look at its term and group. */
+  /** Returns the Raft library's node, for access to its term and group. */
   RaftNode raft() {
     return raft;
   }
 
-  /** Sends messages to the other voters. */
+  /** Sends the Raft library's messages to the other voters. */
   private final class EnvelopeTransport implements Transport {
 
     @Override
     public void send(RaftEndpoint to, RaftMessage message) {
-      boolean standsForElection =
+      boolean isCandidateRequest =
           message instanceof VoteRequest || message instanceof PreVoteRequest;
-      if (!terminated && (listener.mayStandForElection() || !standsForElection)) {
+      if (!terminated && (listener.mayBecomeCandidate() || !isCandidateRequest)) {
         listener.send(((VoterId) to).name(), RaftMessageEncoder.encode(message));
       }
     }
--- a/gateway/src/main/java/weldcross/consensus/raft/VoterStorage.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/VoterStorage.java
@@ -5,41 +5,42 @@
 import weldcross.storage.CorruptLogException;
 import weldcross.storage.StorageDirectory;
 
-/** A voter's directory and the store in it, from being opened to being closed. */
+/** Manages the life cycle of a voter's storage directory and the store in it. */
 final class VoterStorage {
 
   private StorageDirectory directory;
   private PersistentRaftStore store;
 
   /**
-   * Opens the store of a directory, which is closed with it.
+   * Opens the store in a directory, which is closed together with the store.
    *
-   * @throws CorruptLogException where a durable record cannot be read; {@link #recreate} may follow
-   * @throws IOException where the directory cannot be read or written
+   * @throws CorruptLogException if a durable record cannot be read; the store may then be recreated
+   *     with {@link #recreate}
+   * @throws IOException if the directory cannot be read or written
    */
-  PersistentRaftStore open(StorageDirectory opened) throws IOException {
-    directory = opened;
-    store = PersistentRaftStore.open(opened);
+  PersistentRaftStore open(StorageDirectory storageDirectory) throws IOException {
+    directory = storageDirectory;
+    store = PersistentRaftStore.open(storageDirectory);
     return store;
   }
 
-  /** Replaces what is stored in the open directory by an empty store. */
+  /** Replaces the store in the open directory with an empty one. */
   PersistentRaftStore recreate() throws IOException {
     store = PersistentRaftStore.recreate(directory);
     return store;
   }
 
-  /** The open store; null where it was never opened, or has been closed. */
+  /** Returns the open store; null if none is open. */
   PersistentRaftStore store() {
     return store;
   }
 
-  /** Summary of the stored log; {@link VoterRecovery.LogSummary#NONE} where no store is open. */
+  /** Returns a summary of the log; {@link VoterRecovery.LogSummary#NONE} if no store is open. */
   VoterRecovery.LogSummary summary() {
     return store == null ? VoterRecovery.LogSummary.NONE : store.summary();
   }
 
-  /** Closes whatever is open. */
+  /** Closes the store and the directory, if open. */
   void close() {
     if (store != null) {
       store.close();
@@ -47,7 +48,7 @@
       try {
         directory.close();
       } catch (IOException e) {
-        // Nothing was written since it was opened.
+        // Ignored: nothing was written since the directory was opened.
       }
     }
     store = null;
--- a/gateway/src/main/java/weldcross/consensus/raft/package-info.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The Raft voter of a gateway: the consensus library (MicroRaft) with its storage, its messages and
- * the recovery of a voter that has been restarted.
+ * The Raft voter of a gateway: the Raft library (MicroRaft) with its storage, its messages and the
+ * recovery of a restarted voter.
  *
- * <p>Everything here runs on the voter's own executor thread, which may wait for storage, and calls
- * out through {@link weldcross.consensus.raft.RaftVoterActions} alone. The protobuf messages of
- * {@code consensus.proto} are mapped to and from the library's types by the codecs of this package.
+ * <p>All code of this package runs on the voter's dedicated executor thread, which may block on
+ * storage; all side effects go through {@link weldcross.consensus.raft.RaftVoterActions}. The
+ * codecs convert the protobuf messages of {@code consensus.proto} to and from the library's types.
  */
 package weldcross.consensus.raft;
--- a/gateway/src/test/java/weldcross/consensus/raft/AcknowledgementHistoryTest.java
+++ b/gateway/src/test/java/weldcross/consensus/raft/AcknowledgementHistoryTest.java
@@ -17,7 +17,7 @@
   private final AcknowledgementHistory history = new AcknowledgementHistory();
 
   private static RaftMessage appended(VoterId sender, long index) {
-    return RaftRecordCodec.MODELS
+    return RaftRecordCodec.MODEL_FACTORY
         .createAppendEntriesSuccessResponseBuilder()
         .setGroupId("group")
         .setSender(sender)
@@ -29,7 +29,7 @@
   }
 
   private static RaftMessage vote(VoterId sender, int term, boolean granted) {
-    return RaftRecordCodec.MODELS
+    return RaftRecordCodec.MODEL_FACTORY
         .createVoteResponseBuilder()
         .setGroupId("group")
         .setSender(sender)
@@ -39,27 +39,27 @@
   }
 
   @Test
-  void identityThatWasNeverHeardHasAcknowledgedNothing() {
-    assertEquals(Acknowledgement.NONE, history.of(FOUNDER));
+  void identityWithoutMessagesHasNoAcknowledgement() {
+    assertEquals(Acknowledgement.NONE, history.get(FOUNDER));
     assertTrue(history.hasOnlyFounders());
   }
 
   @Test
-  void highestEntryAndHighestGrantedVoteAreKept() {
+  void highestAcknowledgedEntryAndGrantedVoteAreKept() {
     history.record(appended(FOUNDER, 9), index -> 2);
     history.record(appended(FOUNDER, 5), index -> 2);
     history.record(vote(FOUNDER, 4, true), index -> 0);
     history.record(vote(FOUNDER, 3, true), index -> 0);
     history.record(vote(FOUNDER, 8, false), index -> 0);
-    assertEquals(new Acknowledgement(new LogPosition(2, 9), 4), history.of(FOUNDER));
+    assertEquals(new Acknowledgement(new LogPosition(2, 9), 4), history.get(FOUNDER));
   }
 
   @Test
-  void identitiesOfOneNameAreKeptApart() {
+  void identitiesOfSameNameAreTrackedSeparately() {
     history.record(appended(FOUNDER, 9), index -> 2);
     assertTrue(history.hasOnlyFounders());
     history.record(vote(REPLACEMENT, 5, false), index -> 0);
-    assertEquals(Acknowledgement.NONE, history.of(REPLACEMENT));
+    assertEquals(Acknowledgement.NONE, history.get(REPLACEMENT));
     assertFalse(history.hasOnlyFounders());
   }
 }
--- a/gateway/src/test/java/weldcross/consensus/raft/LeaderWatchTest.java
+++ b/gateway/src/test/java/weldcross/consensus/raft/LeaderWatchdogTest.java
@@ -10,9 +10,8 @@
 import java.time.ZoneOffset;
 import org.junit.jupiter.api.Test;
 
-class LeaderWatchTest {
+class LeaderWatchdogTest {
 
-  /** Is advanced by hand. */
   private static final class ManualClock extends Clock {
     private Instant now = Instant.ofEpochSecond(1000);
 
@@ -33,15 +32,15 @@
   }
 
   @Test
-  void watchExpiresOnceMoreThanFourLeaderTimeoutsHavePassed() {
+  void expiresOnlyAfterMoreThanFourLeaderTimeouts() {
     ManualClock clock = new ManualClock();
-    LeaderWatch watch = new LeaderWatch(clock, Duration.ofSeconds(2));
-    watch.reset();
+    LeaderWatchdog watchdog = new LeaderWatchdog(clock, Duration.ofSeconds(2));
+    watchdog.reset();
     clock.now = clock.now.plusSeconds(8);
-    assertFalse(watch.isExpired());
+    assertFalse(watchdog.isExpired());
     clock.now = clock.now.plusMillis(1);
-    assertTrue(watch.isExpired());
-    watch.reset();
-    assertFalse(watch.isExpired());
+    assertTrue(watchdog.isExpired());
+    watchdog.reset();
+    assertFalse(watchdog.isExpired());
   }
 }
--- a/gateway/src/test/java/weldcross/consensus/raft/RaftMessageCodecTest.java
+++ b/gateway/src/test/java/weldcross/consensus/raft/RaftMessageCodecTest.java
@@ -16,6 +16,7 @@
 import io.microraft.model.message.VoteResponse;
 import java.util.List;
 import java.util.Optional;
+import java.util.function.Function;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -79,7 +80,7 @@
 
   private static Stream<Arguments> envelopes() {
     return Stream.of(appendEnvelopes(), snapshotEnvelopes(), electionEnvelopes())
-        .flatMap(each -> each);
+        .flatMap(Function.identity());
   }
 
   private static Stream<Arguments> appendEnvelopes() {
@@ -181,19 +182,19 @@
     "VOTE_RESPONSE, voted",
     "TRIGGER_LEADER_ELECTION, stand"
   })
-  void kindHasItsWordOnTheWire(RaftMessageKind kind, String word) {
-    assertEquals(word, kind.wireName());
-    assertEquals(Optional.of(kind), RaftMessageKind.fromWireName(word));
+  void kindHasStableWireName(RaftMessageKind kind, String wireName) {
+    assertEquals(wireName, kind.wireName());
+    assertEquals(Optional.of(kind), RaftMessageKind.fromWireName(wireName));
   }
 
   @Test
-  void messageOfAnUnknownKindIsNotDecoded() {
+  void messageOfUnknownKindIsNotDecoded() {
     RaftEnvelope unknown = RaftEnvelope.newBuilder().setKind("later").setSender("n1#0").build();
     assertEquals(Optional.empty(), RaftMessageDecoder.decode(unknown, GROUP_ID));
   }
 
   @Test
-  void proposalOfAnUnknownKindChangesNothing() {
+  void proposalOfUnknownKindDecodesToNoOp() {
     Proposal proposal = Proposal.noOp(new PeerName("n1"));
     assertEquals(
         proposal,
--- a/gateway/src/test/java/weldcross/consensus/raft/StoredDataCompatibilityTest.java
+++ b/gateway/src/test/java/weldcross/consensus/raft/StoredDataCompatibilityTest.java
@@ -32,25 +32,24 @@
 import weldcross.storage.StorageDirectory;
 import weldcross.storage.StoredDataFixture;
 
-/** Reads Raft stores that commit e72908e wrote. */
+/** Guards that Raft stores written by commit e72908e can still be read. */
 class StoredDataCompatibilityTest {
 
   private static final VoterId N0 = VoterId.parse("n0#0");
   private static final VoterId N1 = VoterId.parse("n1#0");
   private static final VoterId N2 = VoterId.parse("n2#0");
-  private static final VoterId N2_RETURNED = VoterId.parse("n2#8000000000000abc");
+  private static final VoterId N2_REPLACEMENT = VoterId.parse("n2#8000000000000abc");
   private static final PeerName G0 = new PeerName("g0");
   private static final PeerName G1 = new PeerName("g1");
   private static final PeerName G2 = new PeerName("g2");
   private static final PeerName G3 = new PeerName("g3");
   private static final long G1_INCARNATION = 1700000000001L;
 
-  /** Does not fit in a signed long. */
+  /** Exceeds the range of a signed long when read as unsigned. */
   private static final long G2_INCARNATION = -2;
 
   @Test
-  void storeOfRecordsYieldsEveryValueThatAnEarlierBuildWrote(@TempDir Path scratch)
-      throws IOException {
+  void recordsOfEarlierBuildAreReadCompletely(@TempDir Path scratch) throws IOException {
     RestoredRaftState state = restore("raft-store-records", scratch, "n0#0");
     assertEquals(N0, state.getLocalEndpointPersistentState().getLocalEndpoint());
     assertEquals(true, state.getLocalEndpointPersistentState().isVoting());
@@ -58,16 +57,15 @@
   }
 
   @Test
-  void storeWithSnapshotYieldsEveryValueThatAnEarlierBuildWrote(@TempDir Path scratch)
-      throws IOException {
+  void snapshotOfEarlierBuildIsReadCompletely(@TempDir Path scratch) throws IOException {
     RestoredRaftState state = restore("raft-store-snapshot", scratch, "n2#8000000000000abc");
-    assertEquals(N2_RETURNED, state.getLocalEndpointPersistentState().getLocalEndpoint());
+    assertEquals(N2_REPLACEMENT, state.getLocalEndpointPersistentState().getLocalEndpoint());
     assertEquals(false, state.getLocalEndpointPersistentState().isVoting());
     assertState(state);
   }
 
   @Test
-  void voteOfAnEarlierBuildIsReadUntilALaterTermIsStored(@TempDir Path scratch) throws IOException {
+  void voteInLatestTermOfEarlierBuildIsRead(@TempDir Path scratch) throws IOException {
     RestoredRaftState state = restore("raft-store-vote", scratch, "n0#0");
     assertEquals(3, state.getTermPersistentState().getTerm());
     assertEquals(N1, state.getTermPersistentState().getVotedFor());
@@ -131,16 +129,16 @@
     assertEquals(0, chunk.getSnapshotChunkIndex());
     assertEquals(1, chunk.getSnapshotChunkCount());
     assertGroup(chunk.getGroupMembersView(), List.of(N0, N1, N2), List.of(N0, N1));
-    MembershipStateMachine machine = new MembershipStateMachine();
-    MembershipCodec.restore(machine, (ViewRecord) chunk.getOperation());
+    MembershipStateMachine stateMachine = new MembershipStateMachine();
+    MembershipCodec.restore(stateMachine, (ViewRecord) chunk.getOperation());
     assertEquals(
         new MembershipView(
             2,
             Map.of(
                 G1, new Member(G1, G1_INCARNATION, "zone-a", 1000),
                 G2, new Member(G2, G2_INCARNATION, "", 250))),
-        machine.view());
-    assertEquals(Map.of(G0, 77L), machine.endedIncarnations());
+        stateMachine.view());
+    assertEquals(Map.of(G0, 77L), stateMachine.endedIncarnations());
   }
 
   private static void assertEntries(List<LogEntry> entries) {
@@ -156,9 +154,9 @@
         new Proposal(Proposal.Kind.DEAD, G2, G2_INCARNATION, "", 0, G1, 0),
         proposal(entries.get(2)));
     UpdateRaftGroupMembersOp change = (UpdateRaftGroupMembersOp) entries.get(3).getOperation();
-    assertEquals(Set.of(N0, N1, N2_RETURNED), new HashSet<>(change.getMembers()));
+    assertEquals(Set.of(N0, N1, N2_REPLACEMENT), new HashSet<>(change.getMembers()));
     assertEquals(Set.of(N0, N1), new HashSet<>(change.getVotingMembers()));
-    assertEquals(N2_RETURNED, change.getEndpoint());
+    assertEquals(N2_REPLACEMENT, change.getEndpoint());
     assertEquals(MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, change.getMode());
     assertEquals(new Proposal(Proposal.Kind.FORGET, G3, 0, "", 0, G1, 2), proposal(entries.get(4)));
   }
