--- a/gateway/src/test/java/weldcross/consensus/net/ConsensusTest.java
+++ b/gateway/src/test/java/weldcross/consensus/net/ConsensusTest.java
@@ -366,6 +366,37 @@
 
   // ---- Random faults
 
+  private enum Fault {
+    KILL,
+    START,
+    PAUSE,
+    RESUME,
+    PARTITION,
+    MERGE_PARTITIONS,
+    BLOCK_LINK,
+    CHANGE_LINK_QUALITY,
+    TOGGLE_LOST_WRITES,
+    REPORT_DEAD
+  }
+
+  /** Faults to draw from; a repeated fault is more likely. */
+  private static final List<Fault> WEIGHTED_FAULTS =
+      List.of(
+          Fault.KILL,
+          Fault.KILL,
+          Fault.START,
+          Fault.START,
+          Fault.START,
+          Fault.PAUSE,
+          Fault.RESUME,
+          Fault.RESUME,
+          Fault.PARTITION,
+          Fault.MERGE_PARTITIONS,
+          Fault.BLOCK_LINK,
+          Fault.CHANGE_LINK_QUALITY,
+          Fault.TOGGLE_LOST_WRITES,
+          Fault.REPORT_DEAD);
+
   /**
    * Runs a simulation with random faults; the simulation asserts the invariants of views.
    *
@@ -390,53 +421,48 @@
         simulation.allNodes.get(random.nextInt(simulation.allNodes.size()));
     ConsensusSimulation.Node other =
         simulation.allNodes.get(random.nextInt(simulation.allNodes.size()));
-    int kind = random.nextInt(14);
-    if (kind <= 7) {
-      changeProcess(node, kind);
-    } else if (kind <= 11) {
-      changeNetwork(simulation, node, other, kind);
-    } else if (kind == 12) {
-      faulty.directory.forceLies = !faulty.directory.forceLies;
-    } else if (!other.alive && node.alive && !node.paused) {
-      node.service.memberDied(other.name, other.incarnation);
+    switch (WEIGHTED_FAULTS.get(random.nextInt(WEIGHTED_FAULTS.size()))) {
+      case KILL -> kill(node);
+      case START -> start(node);
+      case PAUSE -> node.paused = node.alive;
+      case RESUME -> resume(node);
+      case PARTITION -> node.partition = random.nextInt(2);
+      case MERGE_PARTITIONS -> simulation.allNodes.forEach(anyNode -> anyNode.partition = 0);
+      case BLOCK_LINK -> simulation.blockedLinks.add(List.of(node, other));
+      case CHANGE_LINK_QUALITY -> changeLinkQuality(simulation);
+      case TOGGLE_LOST_WRITES -> faulty.directory.forceLies = !faulty.directory.forceLies;
+      case REPORT_DEAD -> reportDead(node, other);
     }
   }
 
-  private static void changeProcess(ConsensusSimulation.Node node, int kind) {
-    switch (kind) {
-      case 0, 1 -> {
-        if (node.alive) {
-          node.kill();
-        }
-      }
-      case 2, 3, 4 -> {
-        if (!node.alive) {
-          node.start();
-        }
-      }
-      case 5 -> node.paused = node.alive;
-      default -> {
-        if (node.paused && node.alive) {
-          node.resume();
-        }
-      }
+  private static void kill(ConsensusSimulation.Node node) {
+    if (node.alive) {
+      node.kill();
     }
   }
 
-  private static void changeNetwork(
-      ConsensusSimulation simulation,
-      ConsensusSimulation.Node node,
-      ConsensusSimulation.Node other,
-      int kind) {
-    switch (kind) {
-      case 8 -> node.partition = simulation.random.nextInt(2);
-      case 9 -> simulation.allNodes.forEach(anyNode -> anyNode.partition = 0);
-      case 10 -> simulation.blockedLinks.add(List.of(node, other));
-      default -> {
-        simulation.blockedLinks.clear();
-        simulation.lossProbability = simulation.random.nextBoolean() ? 0.2 : 0;
-        simulation.minDelayMillis = 1 + simulation.random.nextInt(100);
-      }
+  private static void start(ConsensusSimulation.Node node) {
+    if (!node.alive) {
+      node.start();
+    }
+  }
+
+  private static void resume(ConsensusSimulation.Node node) {
+    if (node.paused && node.alive) {
+      node.resume();
+    }
+  }
+
+  private static void changeLinkQuality(ConsensusSimulation simulation) {
+    simulation.blockedLinks.clear();
+    simulation.lossProbability = simulation.random.nextBoolean() ? 0.2 : 0;
+    simulation.minDelayMillis = 1 + simulation.random.nextInt(100);
+  }
+
+  private static void reportDead(
+      ConsensusSimulation.Node reporter, ConsensusSimulation.Node member) {
+    if (!member.alive && reporter.alive && !reporter.paused) {
+      reporter.service.memberDied(member.name, member.incarnation);
     }
   }
 
