--- a/gateway/src/main/java/weldcross/consensus/MembershipViewClient.java
+++ b/gateway/src/main/java/weldcross/consensus/MembershipViewClient.java
@@ -10,10 +10,10 @@
  * Tracks the membership view on one gateway, voter or not, and proposes this gateway's changes:
  * joining, leaving and the removal of dead members.
  *
- * <p>Views may arrive in any order and from any gateway; only a view with a higher number replaces
- * the current one, so view numbers never decrease within one process. Nothing blocks on consensus:
- * while the voters are unavailable, the last view stays in force. Performs no I/O and reads no
- * clock; called on the gateway's event loop.
+ * <p>Committed views may arrive in any order and from any gateway; only a view with a higher number
+ * replaces the current one, so view numbers never decrease within one process. Nothing blocks on
+ * consensus: while the voters are unavailable, the last view stays in force. Performs no I/O and
+ * reads no clock; called on the gateway's event loop.
  */
 public final class MembershipViewClient {
 
--- a/gateway/src/main/java/weldcross/consensus/VoterRecovery.java
+++ b/gateway/src/main/java/weldcross/consensus/VoterRecovery.java
@@ -8,15 +8,15 @@
 import weldcross.mesh.PeerName;
 
 /**
- * Decides whether a restarted voter may vote. Its storage may have lost log entries or a vote that
- * it had reported as durable, which the storage itself cannot reveal. The other voters are
- * therefore queried before anything is sent under the voter's identity.
+ * Decides whether a restarted voter may vote. Its storage may have lost the end of its log or a
+ * vote that it had reported as durable, which the storage itself cannot reveal. The other voters
+ * are therefore queried before anything is sent under the voter's identity.
  *
  * <p>A voter with a log has enough replies once they intersect every majority that it may have been
  * part of: with n voters, n - n/2 replies of others that have a log. Any entry that it helped to
- * commit, and any vote that it cast, is then known to at least one of them. Fewer than half of the
- * voters may lose their storage; if that many others already report a loss, this voter's log is
- * assumed intact. Performs no I/O; the voter repeats its queries until it votes.
+ * commit, and any vote that it cast, is then known to at least one of them. Recovery assumes that
+ * fewer than half of the voters lose their storage; if that many others already report a loss, this
+ * voter's log is taken to be intact. Performs no I/O; the voter repeats its queries until it votes.
  */
 public final class VoterRecovery {
 
--- a/gateway/src/main/java/weldcross/consensus/net/ConsensusService.java
+++ b/gateway/src/main/java/weldcross/consensus/net/ConsensusService.java
@@ -240,7 +240,8 @@
               + current.members()
               + " other="
               + received.members()
-              + " reason=a majority of the voters lost stored data; compare the views, stop one side");
+              + " reason=a majority of the voters lost stored data;"
+              + " compare the views and stop one side");
     }
 
     @Override
--- a/gateway/src/test/java/weldcross/consensus/net/ConsensusTest.java
+++ b/gateway/src/test/java/weldcross/consensus/net/ConsensusTest.java
@@ -422,10 +422,10 @@
     ConsensusSimulation.Node other =
         simulation.allNodes.get(random.nextInt(simulation.allNodes.size()));
     switch (WEIGHTED_FAULTS.get(random.nextInt(WEIGHTED_FAULTS.size()))) {
-      case KILL -> kill(node);
-      case START -> start(node);
+      case KILL -> killIfAlive(node);
+      case START -> startIfStopped(node);
       case PAUSE -> node.paused = node.alive;
-      case RESUME -> resume(node);
+      case RESUME -> resumeIfPaused(node);
       case PARTITION -> node.partition = random.nextInt(2);
       case MERGE_PARTITIONS -> simulation.allNodes.forEach(anyNode -> anyNode.partition = 0);
       case BLOCK_LINK -> simulation.blockedLinks.add(List.of(node, other));
@@ -435,19 +435,19 @@
     }
   }
 
-  private static void kill(ConsensusSimulation.Node node) {
+  private static void killIfAlive(ConsensusSimulation.Node node) {
     if (node.alive) {
       node.kill();
     }
   }
 
-  private static void start(ConsensusSimulation.Node node) {
+  private static void startIfStopped(ConsensusSimulation.Node node) {
     if (!node.alive) {
       node.start();
     }
   }
 
-  private static void resume(ConsensusSimulation.Node node) {
+  private static void resumeIfPaused(ConsensusSimulation.Node node) {
     if (node.paused && node.alive) {
       node.resume();
     }
