--- a/gateway/src/main/java/weldcross/gateway/AttemptTracker.java
+++ b/gateway/src/main/java/weldcross/gateway/AttemptTracker.java
@@ -103,7 +103,7 @@
       return;
     }
     gateway.serverConnections().send(server, attempt);
-    gateway.at(
+    gateway.schedule(
         deadline,
         () -> {
           if (!attempt.done) {
@@ -166,7 +166,7 @@
     request.answered = true;
     gateway.pipeline().respond(request.pipelined, response);
     // The router is in the middle of a decision.
-    gateway.soon(() -> gateway.pipeline().startNext(request.pipelined.client));
+    gateway.defer(() -> gateway.pipeline().startNext(request.pipelined.client));
   }
 
   /** The client of an unanswered request has left: nothing more is sent for it. */
--- a/gateway/src/main/java/weldcross/gateway/ClientConnections.java
+++ b/gateway/src/main/java/weldcross/gateway/ClientConnections.java
@@ -90,7 +90,7 @@
   /** Closes a connection whose client sends no statement within the message timeout. */
   private void startFirstStatementTimeout(ClientConnection client) {
     if (client.statements == 0) {
-      gateway.at(
+      gateway.schedule(
           gateway.now().plus(messageTimeout),
           () -> {
             if (client.statements == 0 && !client.closed) {
@@ -141,7 +141,7 @@
       return;
     }
     int messages = client.messages;
-    gateway.at(
+    gateway.schedule(
         gateway.now().plus(messageTimeout),
         () -> {
           if (!client.closed && client.messages == messages) {
@@ -269,7 +269,7 @@
   /** Closes a half-closed connection after the connect timeout, unless its client does earlier. */
   private void linger(ClientConnection client) {
     lingering.add(client.id);
-    gateway.at(
+    gateway.schedule(
         gateway.now().plus(connectTimeout),
         () -> {
           transport.closeNow(client.id);
--- a/gateway/src/main/java/weldcross/gateway/ConfigReload.java
+++ b/gateway/src/main/java/weldcross/gateway/ConfigReload.java
@@ -5,8 +5,8 @@
 import weldcross.config.GatewayConfig;
 
 /**
- * Takes a configuration that was read again while the gateway runs: the address of discovery
- * applies at once, other keys from the next start on.
+ * Applies a configuration that was reloaded while the gateway runs. The discovery address takes
+ * effect immediately; all other keys need a restart.
  */
 final class ConfigReload {
 
@@ -17,9 +17,9 @@
   private final ExtensionHost extensions;
 
   /**
-   * Creates the handler of reloads.
+   * Creates a reload handler.
    *
-   * @param config the configuration that the gateway was started with
+   * @param config the configuration with which the gateway was started
    */
   ConfigReload(GatewayConfig config, DiscoveryWatcher discovery, ExtensionHost extensions) {
     this.config = config;
@@ -27,7 +27,7 @@
     this.extensions = extensions;
   }
 
-  /** Applies what can change without a restart and logs the keys that cannot. */
+  /** Applies the discovery address and logs the other keys that differ. */
   void reload(GatewayConfig next) {
     List<String> needRestart = config.keysThatNeedRestart(next);
     LOG.info(
@@ -40,8 +40,9 @@
     extensions.reloaded();
   }
 
-  /** Logs why a configuration was not taken; the one in force stays. */
+  /** Logs why a configuration was rejected; the current one stays in effect. */
   void failed(String reason) {
-    LOG.warning(() -> "configuration reload failed, the one in force stays: reason=" + reason);
+    LOG.warning(
+        () -> "configuration reload failed, keeping the current configuration: reason=" + reason);
   }
 }
--- a/gateway/src/main/java/weldcross/gateway/ConnectionLimitAcceptor.java
+++ b/gateway/src/main/java/weldcross/gateway/ConnectionLimitAcceptor.java
@@ -10,10 +10,11 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /**
- * Accepts clients up to a limit of open connections of all kinds. A client beyond it is closed as
- * it is accepted, before anything of it is read: it costs no session, no event and no lasting
- * descriptor, however fast it returns. It is sent no error: a message before its first request
- * would be taken for the answer to that, and what it sends meanwhile would reset the connection.
+ * Accepts client connections up to a limit on all open connections of the process. A connection
+ * beyond the limit is closed as soon as it is accepted, before anything is read, so that clients
+ * that reconnect quickly cost no session, no event and no descriptor for longer than that. No error
+ * is sent: the client would take it for the response to its first request, and whatever the client
+ * sends meanwhile would reset the connection.
  */
 final class ConnectionLimitAcceptor extends NioSocketAcceptor {
 
@@ -25,9 +26,9 @@
    * Creates an acceptor.
    *
    * @param executor provides its thread
-   * @param processor reads and writes its sessions
-   * @param maxConnections limit for accepted and other connections together
-   * @param otherConnections number of open connections that were not accepted here
+   * @param processor reads and writes the sessions
+   * @param maxConnections limit on the sum of accepted and other connections
+   * @param otherConnections returns the number of open connections not accepted by this acceptor
    */
   ConnectionLimitAcceptor(
       Executor executor,
@@ -39,7 +40,7 @@
     this.otherConnections = otherConnections;
   }
 
-  /** Notes that an accepted connection was closed. */
+  /** Must be called once for each accepted connection that is closed. */
   void connectionClosed() {
     accepted.decrementAndGet();
   }
--- a/gateway/src/main/java/weldcross/gateway/DiscoverySession.java
+++ b/gateway/src/main/java/weldcross/gateway/DiscoverySession.java
@@ -156,7 +156,7 @@
   void connect() {
     connected = false;
     answered = false;
-    connection = gateway.nextNumber();
+    connection = gateway.nextConnectionId();
     transport.connectToDiscovery(connection, address);
     expectWithin(timeouts.grace());
   }
@@ -164,7 +164,7 @@
   /** Connects again after {@link #close}, unless something else happens in the meantime. */
   void connectAfter(Duration backoff) {
     long closed = expectation;
-    gateway.at(
+    gateway.schedule(
         gateway.now().plus(backoff),
         () -> {
           if (expectation == closed) {
@@ -229,7 +229,7 @@
   /** An agent that has a list answers at once, so no answer in this time is worth a look. */
   private void checkForAnswerAfterConnectTimeout() {
     long expected = expectation;
-    gateway.at(
+    gateway.schedule(
         gateway.now().plus(timeouts.connect()),
         () -> {
           if (expectation == expected) {
@@ -241,7 +241,7 @@
 
   private void expectWithin(Duration time) {
     long expected = ++expectation;
-    gateway.at(
+    gateway.schedule(
         gateway.now().plus(time),
         () -> {
           if (expectation == expected) {
--- a/gateway/src/main/java/weldcross/gateway/EndpointListLeaseMonitor.java
+++ b/gateway/src/main/java/weldcross/gateway/EndpointListLeaseMonitor.java
@@ -49,7 +49,7 @@
 
   private void setTimer(Duration expiry) {
     nextCheck = expiry;
-    gateway.at(
+    gateway.schedule(
         expiry,
         () -> {
           // A timer that an earlier one replaced is void.
--- a/gateway/src/main/java/weldcross/gateway/EndpointListUpdater.java
+++ b/gateway/src/main/java/weldcross/gateway/EndpointListUpdater.java
@@ -69,7 +69,7 @@
                   + endpoints.size());
     }
     revision = newRevision;
-    gateway.listed(complete, endpoints);
+    gateway.endpointsListed(complete, endpoints);
     return newRevision;
   }
 
@@ -107,7 +107,7 @@
    * known, or over.
    */
   private long applyDrains(ConfigValues list) {
-    gateway.listed(
+    gateway.endpointsListed(
         false,
         DiscoveredEndpoint.read(list, zones).stream()
             .filter(endpoint -> endpoint.status() != EndpointStatus.ACTIVE)
--- a/gateway/src/main/java/weldcross/gateway/EventLoop.java
+++ b/gateway/src/main/java/weldcross/gateway/EventLoop.java
@@ -9,13 +9,16 @@
 import java.util.logging.Logger;
 import java.util.stream.Collectors;
 
-/** The one thread that makes a gateway's changes: posted events in their order, and timers. */
+/**
+ * Runs posted events, in the order posted, and due timers on a single thread. All state of a
+ * gateway is changed on this thread.
+ */
 final class EventLoop {
 
-  /** An iteration that takes longer is logged while it lasts: until it ends nobody is answered. */
+  /** An iteration that takes longer is logged as a stall, as no request is processed meanwhile. */
   private static final Duration STALL_THRESHOLD = Duration.ofSeconds(2);
 
-  /** Number of stack frames that are logged of a stalled iteration. */
+  /** Number of stack frames logged for a stalled iteration. */
   private static final int LOGGED_FRAMES = 8;
 
   private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
@@ -23,14 +26,14 @@
   private final LinkedBlockingQueue<Gateway.Event> posted = new LinkedBlockingQueue<>();
   private final Supplier<Duration> clock;
 
-  /** When the iteration under way began; null between iterations. */
-  private volatile Duration iterationBegan;
+  /** When the current iteration started; null between iterations. */
+  private volatile Duration iterationStart;
 
-  /** The beginning of the last iteration that was logged as stalled; null if none was. */
+  /** The start of the last iteration that was logged as stalled; null if there was none. */
   private Duration loggedStall;
 
   /**
-   * Creates an event loop, which does nothing until it is run.
+   * Creates an event loop that is not yet running.
    *
    * @param clock the time since the gateway's start
    */
@@ -38,37 +41,37 @@
     this.clock = clock;
   }
 
-  /** Adds an event; may be called from any thread. */
+  /** Queues an event; may be called from any thread. */
   void post(Gateway.Event event) {
     posted.add(event);
   }
 
-  /** Handles all events that were posted and all timers that are due, without waiting for more. */
-  void catchUp(Gateway gateway) {
+  /** Handles all posted events and due timers without waiting for more. */
+  void runPending(Gateway gateway) {
     for (Gateway.Event event = posted.poll(); event != null; event = posted.poll()) {
-      gateway.reduce(clock.get(), event);
+      gateway.handle(clock.get(), event);
     }
     runDueTimers(gateway);
   }
 
   /**
-   * Logs the iteration under way if it takes long, once, with the stack of its thread. Called
-   * periodically, by one other thread.
+   * Logs the current iteration, with the stack of its thread, if it exceeds the stall threshold and
+   * has not been logged yet. Called periodically by a single other thread.
    *
    * @param loopThread the thread that runs the loop
    */
   void logStall(Thread loopThread) {
-    Duration began = iterationBegan;
-    if (began == null
-        || began.equals(loggedStall)
-        || clock.get().minus(began).compareTo(STALL_THRESHOLD) <= 0) {
+    Duration start = iterationStart;
+    if (start == null
+        || start.equals(loggedStall)
+        || clock.get().minus(start).compareTo(STALL_THRESHOLD) <= 0) {
       return;
     }
-    loggedStall = began;
+    loggedStall = start;
     List<StackTraceElement> stack = Arrays.asList(loopThread.getStackTrace());
     LOG.warning(
         () ->
-            "event loop stalled, nobody is answered: overMillis="
+            "event loop stalled, no requests are processed: overMillis="
                 + STALL_THRESHOLD.toMillis()
                 + " stack="
                 + stack.stream()
@@ -78,34 +81,36 @@
   }
 
   /**
-   * Runs the timers that are due when this begins, and no more: a timer that adds itself again is
-   * run after the events that were posted meanwhile.
+   * Runs only the timers that are due when this method is called. A timer that reschedules itself
+   * runs again after the events that were posted in the meantime.
    */
   private void runDueTimers(Gateway gateway) {
-    Duration until = clock.get();
-    for (Duration at = until; gateway.reduceNextDue(until, at); ) {
-      at = clock.get();
+    Duration dueBy = clock.get();
+    Duration now = dueBy;
+    while (gateway.runNextDueTimers(dueBy, now)) {
+      now = clock.get();
     }
   }
 
   /**
-   * Runs until the gateway has stopped. A fault in it is thrown, as a process that only seems alive
-   * is worse than none.
+   * Runs until the gateway has stopped. Exceptions of events and timers are not caught: the process
+   * must exit rather than stay alive without serving requests.
    *
    * @throws InterruptedException if the thread is interrupted while it waits for events
    */
   void run(Gateway gateway) throws InterruptedException {
     while (gateway.phase() != Gateway.Phase.STOPPED) {
-      Duration next = gateway.nextDue();
-      long nanos = next == null ? Long.MAX_VALUE : next.minus(clock.get()).toNanos();
-      Gateway.Event event = nanos <= 0 ? posted.poll() : posted.poll(nanos, TimeUnit.NANOSECONDS);
-      iterationBegan = clock.get();
-      // Posted events go before timers: an event may be what a timer waited for.
+      Duration nextTimer = gateway.nextTimerTime();
+      long waitNanos = nextTimer == null ? Long.MAX_VALUE : nextTimer.minus(clock.get()).toNanos();
+      Gateway.Event event =
+          waitNanos <= 0 ? posted.poll() : posted.poll(waitNanos, TimeUnit.NANOSECONDS);
+      iterationStart = clock.get();
+      // Events run before timers: an event may make a timeout that is already due unnecessary.
       for (int left = posted.size(); event != null; event = left-- > 0 ? posted.poll() : null) {
-        gateway.reduce(clock.get(), event);
+        gateway.handle(clock.get(), event);
       }
       runDueTimers(gateway);
-      iterationBegan = null;
+      iterationStart = null;
     }
   }
 }
--- a/gateway/src/main/java/weldcross/gateway/ExtensionHost.java
+++ b/gateway/src/main/java/weldcross/gateway/ExtensionHost.java
@@ -8,22 +8,22 @@
 import weldcross.extension.ExtensionContext;
 import weldcross.extension.GatewayExtension;
 
-/** The extensions of one gateway, started in the order added and stopped in reverse. */
+/** The extensions of one gateway, started in the order added and stopped in reverse order. */
 final class ExtensionHost {
 
   private final List<GatewayExtension> extensions = new ArrayList<>();
 
-  /** Adds an extension; called before the start. */
+  /** Adds an extension; must be called before {@link #start}. */
   void add(GatewayExtension extension) {
     extensions.add(extension);
   }
 
   /**
-   * Returns what extensions may ask of the gateway.
+   * Creates the interface through which extensions access the gateway.
    *
-   * @param post takes events from any thread, in the order of all other events
+   * @param post posts an event to the event loop, from any thread
    */
-  static ExtensionContext context(Gateway gateway, Consumer<Gateway.Event> post) {
+  static ExtensionContext createContext(Gateway gateway, Consumer<Gateway.Event> post) {
     return new ExtensionContext() {
       @Override
       public Duration now() {
@@ -31,18 +31,18 @@
       }
 
       @Override
-      public void at(Duration when, Runnable due) {
-        gateway.at(when, due);
+      public void at(Duration when, Runnable task) {
+        gateway.schedule(when, task);
       }
 
       @Override
-      public void soon(Runnable next) {
-        gateway.soon(next);
+      public void soon(Runnable task) {
+        gateway.defer(task);
       }
 
       @Override
-      public void post(Runnable event) {
-        post.accept(g -> event.run());
+      public void post(Runnable task) {
+        post.accept(g -> task.run());
       }
 
       @Override
@@ -69,20 +69,20 @@
     extensions.forEach(GatewayExtension::reloaded);
   }
 
-  /** Whether no extension holds back the gateway's readiness. */
+  /** Whether all extensions are ready. */
   boolean isReady() {
     return extensions.stream().allMatch(GatewayExtension::isReady);
   }
 
-  /** Whether no extension holds up the gateway's stop. */
+  /** Whether all extensions allow the gateway to stop. */
   boolean isDone() {
     return extensions.stream().allMatch(GatewayExtension::isDone);
   }
 
-  /** Stops all extensions, the last started first. */
+  /** Stops all extensions in reverse order. */
   void stop() {
-    for (int k = extensions.size() - 1; k >= 0; k--) {
-      extensions.get(k).stop();
+    for (int index = extensions.size() - 1; index >= 0; index--) {
+      extensions.get(index).stop();
     }
   }
 
@@ -90,7 +90,7 @@
     return extensions.isEmpty();
   }
 
-  /** Describes the state of each extension, for the log. */
+  /** Describes the state of all extensions for the log. */
   String describe() {
     return extensions.stream().map(GatewayExtension::describe).collect(Collectors.joining("; "));
   }
--- a/gateway/src/main/java/weldcross/gateway/Gateway.java
+++ b/gateway/src/main/java/weldcross/gateway/Gateway.java
@@ -17,31 +17,31 @@
 import weldcross.routing.ServerId;
 
 /**
- * The one owner of a gateway's state. Every change is an event that goes through {@link #reduce},
- * on one thread. Events call the router, which acts through this as its {@link RouterActions}; all
- * input and output goes through {@link Transport}. What the router decides is carried out as it
- * says; no routing decision is made here.
+ * Owns the state of a gateway. All changes are events that {@link #handle} applies on the event
+ * loop's thread. Events call the router, which acts through this class as its {@link
+ * RouterActions}; all I/O goes through {@link Transport}. This class carries out the router's
+ * decisions and makes none itself.
  *
- * <p>This class keeps the phases and the order of events. The other classes of this package each
- * own one concern, and are called on the same thread only.
+ * <p>It manages the lifecycle phases and the order of events. The other classes of this package
+ * each have one responsibility and are called only on the same thread.
  */
 public final class Gateway implements RouterActions {
 
-  /** The phases from start to exit. */
+  /** The lifecycle phases, from start to exit. */
   public enum Phase {
-    /** Created; not listening yet. */
+    /** Created, but not yet listening. */
     STARTING,
-    /** Accepts clients, but cannot route requests yet. */
+    /** Accepts clients, but is not yet ready to route requests. */
     LISTENING,
     /** Routes requests. */
     SERVING,
-    /** A stop was requested: what is received is still served. */
+    /** Shutdown was requested; requests that are received are still served. */
     DRAINING,
-    /** Done; the event loop returns. */
+    /** Shutdown is complete; the event loop returns. */
     STOPPED
   }
 
-  /** A change of the gateway's state, made on its one thread. */
+  /** A change of the gateway's state, applied on the event loop's thread. */
   @FunctionalInterface
   interface Event extends Consumer<Gateway> {}
 
@@ -53,7 +53,7 @@
   private final Transport transport;
   private final TimerQueue timers = new TimerQueue();
 
-  /** Run before the event under way ends, but not inside the call that asked for them. */
+  /** Tasks to run at the end of the current event or timer. */
   private final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
 
   private final RateLimitedLogger warnings = new RateLimitedLogger(LOG);
@@ -69,25 +69,25 @@
   private final ConfigReload configReload;
   private final GracefulShutdown shutdown;
 
-  /** Null until the start. */
+  /** Null before the gateway is started. */
   private Router router;
 
   private Phase phase = Phase.STARTING;
   private boolean warmedUp;
   private Duration now = Duration.ZERO;
-  private long lastNumber;
+  private long lastConnectionId;
 
   /**
    * Creates a gateway in phase {@link Phase#STARTING}.
    *
-   * @param unixAtStart Unix time, as time since 1970, when the time given to events was zero
+   * @param unixTimeAtStart the Unix time, as a duration since 1970, at time zero of the event loop
    */
-  Gateway(GatewayConfig config, Transport transport, Duration unixAtStart) {
+  Gateway(GatewayConfig config, Transport transport, Duration unixTimeAtStart) {
     this.config = config;
     this.transport = transport;
-    UnixTime unixTime = new UnixTime(unixAtStart);
-    // Three eighths of the sockets each for clients and servers; the rest is for the process
-    // itself, and for connections that are accepted before room is made for them.
+    UnixTime unixTime = new UnixTime(unixTimeAtStart);
+    // Three eighths of the descriptors each for clients and servers. The remaining quarter is for
+    // the process itself and for connections accepted before another one is evicted for them.
     int maxConnections = config.maxDescriptors() * 3 / 8;
     serverConnections =
         new ServerConnectionPool(
@@ -105,35 +105,37 @@
     shutdown = new GracefulShutdown(this, transport, clients, attempts, extensions);
   }
 
-  // ---- Order of events
+  // ---- Events and timers
 
-  /** Makes one change: all that follows from it at this moment is done when this returns. */
-  void reduce(Duration at, Event event) {
-    advance(at);
+  /** Applies one event, with all tasks that it defers. */
+  void handle(Duration time, Event event) {
+    advanceTo(time);
     event.accept(this);
     runDeferred();
   }
 
-  /** Runs all timers that are due. */
-  void reduceDue(Duration at) {
-    for (boolean more = true; more; ) {
-      more = reduceNextDue(at, at);
+  /** Runs all timers that are due at the given current time. */
+  void runDueTimers(Duration time) {
+    boolean more = true;
+    while (more) {
+      more = runNextDueTimers(time, time);
     }
   }
 
   /**
-   * Runs the timers of the earliest due time, if that is not after {@code until}. Each due time is
-   * an event of its own: run at the time of the first, the last would act on a time long past.
+   * Runs the timers of the earliest due time, if that is not after {@code dueBy}. The caller reads
+   * the clock again for each due time; otherwise, after slow timers, the last ones would act on an
+   * outdated time.
    *
-   * @param at the current time
+   * @param time the current time
    * @return whether any timer was due
    */
-  boolean reduceNextDue(Duration until, Duration at) {
-    List<Runnable> due = timers.poll(until);
+  boolean runNextDueTimers(Duration dueBy, Duration time) {
+    List<Runnable> due = timers.pollDue(dueBy);
     if (due == null) {
       return false;
     }
-    advance(at);
+    advanceTo(time);
     for (Runnable timer : due) {
       timer.run();
       runDeferred();
@@ -142,41 +144,43 @@
   }
 
   /** Returns the earliest due time of any timer; null if there is none. */
-  Duration nextDue() {
-    return timers.next();
+  Duration nextTimerTime() {
+    return timers.nextDueTime();
   }
 
-  private void advance(Duration at) {
-    now = at.compareTo(now) > 0 ? at : now;
+  private void advanceTo(Duration time) {
+    now = time.compareTo(now) > 0 ? time : now;
   }
 
   private void runDeferred() {
-    for (Runnable next = deferred.poll(); next != null; next = deferred.poll()) {
-      next.run();
+    for (Runnable task = deferred.poll(); task != null; task = deferred.poll()) {
+      task.run();
     }
   }
 
-  /** Returns the time of the event under way since the gateway's start; it never goes back. */
+  /** Returns the time of the current event since the gateway's start; it never decreases. */
   Duration now() {
     return now;
   }
 
-  /** Has a timer run at a time, or at once if that has passed, as an event of its own. */
-  void at(Duration when, Runnable timer) {
-    timers.at(when, timer);
+  /** Schedules a timer. If its due time has passed, it runs with the next timers. */
+  void schedule(Duration dueTime, Runnable timer) {
+    timers.add(dueTime, timer);
   }
 
-  /** Has this run in the event under way, but not inside the call that is being made. */
-  void soon(Runnable next) {
-    deferred.add(next);
+  /** Runs a task at the end of the current event or timer, after the current call has returned. */
+  void defer(Runnable task) {
+    deferred.add(task);
   }
 
-  /** Returns a number for an outgoing connection: negative; accepted ones have positive numbers. */
-  long nextNumber() {
-    return --lastNumber;
+  /**
+   * Returns an id for an outgoing connection: negative, as accepted connections have positive ids.
+   */
+  long nextConnectionId() {
+    return --lastConnectionId;
   }
 
-  // ---- The concerns, each with its own state
+  // ---- Components
 
   ServerConnectionPool serverConnections() {
     return serverConnections;
@@ -210,24 +214,24 @@
     return shutdown;
   }
 
-  /** Returns the router; null until the start. */
+  /** Returns the router; null before the gateway is started. */
   Router router() {
     return router;
   }
 
-  // ---- Phases
+  // ---- Lifecycle
 
   Phase phase() {
     return phase;
   }
 
-  /** Goes on to a phase; called by this package's own classes only. */
-  void enter(Phase next) {
+  /** Enters a phase. */
+  void enterPhase(Phase next) {
     LOG.info(() -> phase + " to " + next + " after " + now.toMillis() + " ms");
     phase = next;
   }
 
-  /** Adds an extension; called before the start, in the order in which they are to start. */
+  /** Adds an extension; must be called before the start, in the order of the extensions' start. */
   void addExtension(GatewayExtension extension) {
     extensions.add(extension);
   }
@@ -235,7 +239,7 @@
   /**
    * Starts the extensions, then the gateway.
    *
-   * @param context what extensions may ask of the gateway; unused if there are none
+   * @param context gives extensions access to the gateway; unused if there are none
    */
   void start(ExtensionContext context) {
     extensions.start(context);
@@ -246,7 +250,7 @@
   void start() {
     LOG.info(() -> config.describe().lines().findFirst().orElse(""));
     router = new Router(this, config.routing(), config.seed());
-    enter(Phase.LISTENING);
+    enterPhase(Phase.LISTENING);
     transport.listen(config.listenAddress());
     transport.warmUp();
     if (config.gossipListenAddress() != null) {
@@ -258,7 +262,7 @@
     }
   }
 
-  /** Requests a stop; see {@link GracefulShutdown}. */
+  /** Requests a graceful shutdown; see {@link GracefulShutdown}. */
   void stop() {
     shutdown.begin();
   }
@@ -269,41 +273,44 @@
         && !endpoints.isEmpty()
         && discovery.isListValid()
         && extensions.isReady()) {
-      enter(Phase.SERVING);
+      enterPhase(Phase.SERVING);
     }
   }
 
-  /** The code of the request path has been run often enough to be compiled. */
+  /** Records that the request path has been run often enough for the JVM to compile it. */
   void warmUpCompleted() {
     warmedUp = true;
     serveIfReady();
   }
 
-  boolean isWarm() {
+  boolean isWarmedUp() {
     return warmedUp;
   }
 
-  /** Whether an extension is ready, or done, may have changed. */
+  /** Re-evaluates the phase after an extension's readiness or completion may have changed. */
   void extensionStateChanged() {
     serveIfReady();
     shutdown.stopIfDone();
   }
 
-  // ---- Log
+  // ---- Logging
 
-  /** Logs a warning that may come with every request: once a second, with a count of the rest. */
+  /** Logs a warning that may occur with every request, at a limited rate. */
   void warn(String message) {
     warnings.log(now, Level.WARNING, message);
   }
 
-  /** Logs the state periodically, to be compared with what crosses the sockets. */
-  private void logState(Duration due) {
-    LOG.fine(() -> now.minus(due).toMillis() + " ms behind; " + describe());
+  /** Logs the state periodically, for comparison with the observed network traffic. */
+  private void logState(Duration dueTime) {
+    LOG.fine(() -> "event loop lag " + now.minus(dueTime).toMillis() + " ms; " + describe());
     Duration next = now.plus(STATE_LOG_INTERVAL);
-    at(next, () -> logState(next));
+    schedule(next, () -> logState(next));
   }
 
-  /** Describes the state, for the log; its size is bounded by what is open and listed. */
+  /**
+   * Describes the state for the log. The length is bounded by the numbers of open connections and
+   * listed endpoints.
+   */
   String describe() {
     return clients.size()
         + " clients, "
@@ -321,40 +328,40 @@
         + (extensions.isEmpty() ? "" : "; " + extensions.describe());
   }
 
-  // ---- What others report
+  // ---- Notifications
 
   /**
-   * All that was received on any connection when {@link Transport#afterPendingReads} was called has
-   * been read.
+   * Handles the completion of {@link Transport#afterPendingReads}: everything that had arrived on
+   * any connection at the time of the call has been read.
    */
-  void pendingReadsDone(long connection) {
-    if (!discovery.pendingReadsDone(connection)) {
-      serverConnections.pendingReadsDone(connection);
+  void pendingReadsDone(long connectionId) {
+    if (!discovery.pendingReadsDone(connectionId)) {
+      serverConnections.pendingReadsDone(connectionId);
     }
   }
 
   /**
-   * Discovery listed endpoints.
+   * Updates the known endpoints from discovery.
    *
    * @param complete whether endpoints that are not in the list are removed
    */
-  void listed(boolean complete, List<DiscoveredEndpoint> listed) {
+  void endpointsListed(boolean complete, List<DiscoveredEndpoint> listed) {
     endpoints.listed(complete, listed);
     serveIfReady();
   }
 
-  /** Whether the endpoint list is valid has changed, or is to be looked at again. */
+  /** Sets whether the endpoint list is valid and re-evaluates readiness. */
   void setEndpointListValid(boolean valid) {
     router.setEndpointListValid(now, valid);
     serveIfReady();
   }
 
-  /** Another gateway found no process at a server's address. */
+  /** Handles gossip from another gateway that a server is unreachable. */
   void gossipReceived(ServerId server) {
     router.gossipReceived(now, server);
   }
 
-  // ---- What the router asks for
+  // ---- Actions of the router
 
   @Override
   public void sendAttempt(RequestId id, ServerId server, Duration until) {
@@ -395,17 +402,19 @@
     endpoints.remove(server);
   }
 
-  /** Does nothing: the list is watched from the start, and again after each failure. */
+  /**
+   * Does nothing: {@link DiscoveryWatcher} watches the list from the start, also after failures.
+   */
   @Override
   public void watchEndpointList() {}
 
   @Override
   public void scheduleTick(Duration when) {
-    at(when, () -> router.tick(now));
+    schedule(when, () -> router.tick(now));
   }
 
   @Override
   public void scheduleTimer(Duration when) {
-    at(when, () -> router.timersDue(now));
+    schedule(when, () -> router.timersDue(now));
   }
 }
--- a/gateway/src/main/java/weldcross/gateway/GatewayProcess.java
+++ b/gateway/src/main/java/weldcross/gateway/GatewayProcess.java
@@ -64,7 +64,7 @@
       loop.post(Gateway::start);
     } else {
       extensions.forEach(gateway::addExtension);
-      ExtensionContext context = ExtensionHost.context(gateway, loop::post);
+      ExtensionContext context = ExtensionHost.createContext(gateway, loop::post);
       loop.post(g -> g.start(context));
     }
   }
--- a/gateway/src/main/java/weldcross/gateway/GracefulShutdown.java
+++ b/gateway/src/main/java/weldcross/gateway/GracefulShutdown.java
@@ -47,10 +47,10 @@
     if (requestedAt != null) {
       return;
     }
-    gateway.enter(Gateway.Phase.DRAINING);
+    gateway.enterPhase(Gateway.Phase.DRAINING);
     requestedAt = gateway.now();
     extensions.drain();
-    gateway.at(
+    gateway.schedule(
         gateway.now().plus(GRACE_PERIOD),
         () -> {
           transport.stopListening();
@@ -85,14 +85,14 @@
     }
     if (clients.hasOpen() && answeredAt == null) {
       answeredAt = gateway.now();
-      gateway.at(gateway.now().plus(GRACE_PERIOD), this::stopIfDone);
+      gateway.schedule(gateway.now().plus(GRACE_PERIOD), this::stopIfDone);
     }
     boolean waitedLongEnough =
         answeredAt != null && gateway.now().minus(answeredAt).compareTo(GRACE_PERIOD) >= 0;
     if ((clients.allClosed() || waitedLongEnough) && extensions.isDone()) {
       extensions.stop();
       LOG.info(() -> "stopped: " + attempts.describeTotals());
-      gateway.enter(Gateway.Phase.STOPPED);
+      gateway.enterPhase(Gateway.Phase.STOPPED);
     }
   }
 }
--- a/gateway/src/main/java/weldcross/gateway/JitWarmUp.java
+++ b/gateway/src/main/java/weldcross/gateway/JitWarmUp.java
@@ -76,7 +76,7 @@
                   + k
                   + "', '\\x00') RETURNING content"
                   + comment));
-      loop.catchUp(gateway);
+      loop.runPending(gateway);
       now = now.plus(REQUEST_INTERVAL);
     }
   }
--- a/gateway/src/main/java/weldcross/gateway/RequestPipeline.java
+++ b/gateway/src/main/java/weldcross/gateway/RequestPipeline.java
@@ -173,7 +173,7 @@
     }
     client.writing = true;
     if (transport.write(client.id, parts.toArray(new ByteBuffer[0]))) {
-      gateway.soon(() -> responsesWritten(client.id));
+      gateway.defer(() -> responsesWritten(client.id));
     }
   }
 
--- a/gateway/src/main/java/weldcross/gateway/ServerConnectionPool.java
+++ b/gateway/src/main/java/weldcross/gateway/ServerConnectionPool.java
@@ -91,7 +91,7 @@
       return;
     }
     if (!request.maySend()) {
-      gateway.soon(() -> complete(request, AttemptOutcome.NOT_SENT, null));
+      gateway.defer(() -> complete(request, AttemptOutcome.NOT_SENT, null));
       return;
     }
     Duration idleTime = gateway.now().minus(settled.idleSince);
@@ -130,10 +130,10 @@
     InetSocketAddress address = addresses.get(server);
     if (connections.size() >= maxConnections || address == null) {
       gateway.warn("no descriptor for a connection: endpoint=" + server.name());
-      gateway.soon(() -> complete(request, AttemptOutcome.UNREACHABLE, null));
+      gateway.defer(() -> complete(request, AttemptOutcome.UNREACHABLE, null));
       return;
     }
-    ServerConnection connection = new ServerConnection(gateway.nextNumber(), server, address);
+    ServerConnection connection = new ServerConnection(gateway.nextConnectionId(), server, address);
     connections.put(connection.number, connection);
     assign(connection, request);
     transport.connectToServer(connection.number, address);
@@ -145,7 +145,7 @@
     if (request.connection != null) {
       close(request.connection);
     }
-    gateway.soon(() -> complete(request, outcome, null));
+    gateway.defer(() -> complete(request, outcome, null));
   }
 
   private static void assign(ServerConnection connection, ServerRequest request) {
@@ -170,7 +170,7 @@
    */
   private void startTimeout(ServerConnection connection) {
     int step = ++connection.step;
-    gateway.at(
+    gateway.schedule(
         gateway.now().plus(connectTimeout),
         () -> {
           if (connection.step == step) {
@@ -178,7 +178,7 @@
             transport.afterPendingReads(connection.number);
           }
         });
-    gateway.at(
+    gateway.schedule(
         gateway.now().plus(connectTimeout.multipliedBy(2)), () -> timedOut(connection, step));
   }
 
@@ -416,7 +416,7 @@
   private void setIdleTimer() {
     if (!idleTimerSet && !idle.isEmpty()) {
       idleTimerSet = true;
-      gateway.at(idle.longestIdle().idleSince.plus(idleTimeout), this::closeExpired);
+      gateway.schedule(idle.longestIdle().idleSince.plus(idleTimeout), this::closeExpired);
     }
   }
 
--- a/gateway/src/main/java/weldcross/gateway/TimerQueue.java
+++ b/gateway/src/main/java/weldcross/gateway/TimerQueue.java
@@ -5,14 +5,13 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** Timers in the order of their due time and, at one due time, in the order they were added. */
+/** Timers ordered by due time and, for equal due times, by the order in which they were added. */
 final class TimerQueue {
 
   private final TreeMap<Duration, List<Runnable>> timers = new TreeMap<>();
 
-  /** Adds a timer. */
-  void at(Duration when, Runnable timer) {
-    timers.computeIfAbsent(when, time -> new ArrayList<>(1)).add(timer);
+  void add(Duration dueTime, Runnable timer) {
+    timers.computeIfAbsent(dueTime, time -> new ArrayList<>(1)).add(timer);
   }
 
   /** Returns the number of distinct due times. */
@@ -21,12 +20,12 @@
   }
 
   /** Returns the earliest due time; null if there are no timers. */
-  Duration next() {
+  Duration nextDueTime() {
     return timers.isEmpty() ? null : timers.firstKey();
   }
 
-  /** Removes and returns the timers of the earliest due time; null if none is due by now. */
-  List<Runnable> poll(Duration now) {
+  /** Removes and returns the timers of the earliest due time; null if none is due. */
+  List<Runnable> pollDue(Duration now) {
     return timers.isEmpty() || timers.firstKey().compareTo(now) > 0
         ? null
         : timers.pollFirstEntry().getValue();
--- a/gateway/src/main/java/weldcross/gateway/UnixTime.java
+++ b/gateway/src/main/java/weldcross/gateway/UnixTime.java
@@ -3,18 +3,20 @@
 import java.time.Duration;
 
 /**
- * Converts between Unix time and time since the gateway's start.
+ * Converts Unix time to time since the gateway's start.
  *
- * @param atStart Unix time, as time since 1970, at the gateway's time zero
+ * @param atStart the Unix time, as a duration since 1970, at the gateway's start
  */
 record UnixTime(Duration atStart) {
 
-  /** Returns the time since the gateway's start for a Unix time; negative if before the start. */
+  /** Converts a Unix time in milliseconds; negative if before the gateway's start. */
   Duration sinceStart(long unixMillis) {
     return sinceStart(Duration.ofMillis(unixMillis));
   }
 
-  /** Returns the time since the gateway's start for a Unix time; negative if before the start. */
+  /**
+   * Converts a Unix time given as a duration since 1970; negative if before the gateway's start.
+   */
   Duration sinceStart(Duration unix) {
     return unix.minus(atStart);
   }
--- a/gateway/src/test/java/weldcross/gateway/AttemptTrackerTest.java
+++ b/gateway/src/test/java/weldcross/gateway/AttemptTrackerTest.java
@@ -183,7 +183,7 @@
                     + "'\\x00') "
                     + "RETURNING content /* id=a0,c=file,d=2000,cluster=0 */"));
     harness.history.clientOf.put("a0", client);
-    harness.loop.catchUp(harness.gateway);
+    harness.loop.runPending(harness.gateway);
     long connection = harness.connectionOf("a0");
     harness.pendingWrites.clear();
     harness.connections.get(connection).statement = null;
--- a/gateway/src/test/java/weldcross/gateway/ConfigReloadTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ConfigReloadTest.java
@@ -11,11 +11,11 @@
 import weldcross.config.ConfigValues;
 import weldcross.config.GatewayConfig;
 
-/** A configuration read again while the gateway serves, and discovery that moves with it. */
+/** Configuration reloads while the gateway serves, and changes of the discovery address by them. */
 class ConfigReloadTest {
 
   @Test
-  void newDiscoveryAddressTakesOverWithItsFirstList() {
+  void newDiscoveryAddressReplacesTheOldOneAtItsFirstList() {
     GatewayHarness harness = GatewayHarness.serving();
     long old = harness.discovery;
     harness.dispatch(g -> g.discovery().connected(old));
@@ -24,12 +24,12 @@
     long first = harness.discovery;
     harness.reload(3);
     long second = harness.discovery;
-    assertTrue(harness.connections.get(first).dropped, "two reloads in quick succession");
+    assertTrue(harness.connections.get(first).dropped, "superseded by the second reload");
     harness.dispatch(g -> g.discovery().connected(second));
     assertTrue(
         harness.connections.get(second).takeReceived().startsWith("GET /catalog/members HTTP"),
-        "all of it, lest a " + "change be missed");
-    assertFalse(harness.connections.get(old).dropped, "kept until the new address answers");
+        "requests the complete list, so that no change is missed");
+    assertFalse(harness.connections.get(old).dropped, "kept until the new address responds");
     harness.discovery = old;
     harness.listEndpoints(42, false, "leaving");
     harness.discovery = second;
@@ -37,7 +37,7 @@
     assertTrue(harness.connections.get(old).dropped);
     assertTrue(harness.connections.get(second).takeReceived().contains("?since=42&"));
     harness.dispatch(g -> g.discovery().closed(old));
-    assertEquals(second, harness.discovery, "nothing is asked for at the old address");
+    assertEquals(second, harness.discovery, "the old address is not used again");
   }
 
   @Test
@@ -50,7 +50,7 @@
     long next = harness.discovery;
     harness.dispatch(g -> g.discovery().closed(old));
     harness.advance(1300);
-    assertFalse(harness.discovery == next, "the new one is silent and dialled again");
+    assertFalse(harness.discovery == next, "the new address does not respond and is reconnected");
     harness.dispatch(g -> g.discovery().connected(harness.discovery));
     harness.listEndpoints(43, true, "active");
     harness.reload(2);
@@ -60,7 +60,7 @@
     harness.listEndpoints(44, true, "active");
     assertTrue(harness.connections.get(back).takeReceived().contains("?since=44&"));
     harness.reload(1);
-    assertEquals(back, harness.discovery, "nothing changed");
+    assertEquals(back, harness.discovery, "same address: no reconnect");
   }
 
   @Test
@@ -87,14 +87,15 @@
     assertEquals(
         "configuration reloaded: restart needed for keys=limits.sockets,settings", lines.get(0));
     assertEquals(
-        "configuration reload failed, the one in force stays: reason=limits.sockets: found 'x'",
+        "configuration reload failed, keeping the current configuration:"
+            + " reason=limits.sockets: found 'x'",
         lines.get(1));
     harness.request(harness.connect(), false, 500);
   }
 
-  /** Rule 3: an older list must not undo a drain. */
+  /** An endpoint list with an older revision must not undo a drain. */
   @Test
-  void discoveryAddressThatIsBehindRevertsNothing() {
+  void olderListFromANewDiscoveryAddressRevertsNothing() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.dispatch(g -> g.discovery().connected(harness.discovery));
     harness.listEndpoints(42, true, "leaving");
@@ -109,12 +110,12 @@
             .endsWith(
                 "since=40&timeout_ms=1500 HTTP/1.1\r\nHost: 127.0.0.1:2"
                     + "\r\nAccept: application/json\r\n\r\n"),
-        "goes on from where it is");
-    assertFalse(serversOf(harness, 40).contains("s-1"), "sent to a server that drains");
+        "watches from the revision of that list");
+    assertFalse(serversOf(harness, 40).contains("s-1"), "request sent to a draining server");
     harness.listEndpoints(41, false, "active");
-    assertFalse(serversOf(harness, 40).contains("s-1"), "sent to a server that drains");
+    assertFalse(serversOf(harness, 40).contains("s-1"), "request sent to a draining server");
     harness.listEndpoints(43, false, "active");
-    assertTrue(serversOf(harness, 40).contains("s-1"), "what is newer counts");
+    assertTrue(serversOf(harness, 40).contains("s-1"), "a newer revision applies");
     harness.listEndpoints(45, false, "leaving");
     harness.reload(3);
     harness.dispatch(g -> g.discovery().connected(harness.discovery));
@@ -130,21 +131,21 @@
             .get(harness.discovery)
             .takeReceived()
             .contains("GET /catalog/members HTTP"),
-        "it counts anew");
+        "requests the complete list again");
     assertFalse(serversOf(harness, 40).contains("s-1"));
     harness.listEndpoints(5, true, "active");
     assertTrue(serversOf(harness, 40).contains("s-1"));
   }
 
-  /** Rule 3: a drain that it lists is news, whatever its revisions. */
+  /** A drain applies even if it is listed with an older revision. */
   @Test
-  void drainListedByAnAddressThatSeemsBehindCounts() {
+  void drainInAnOlderListFromANewDiscoveryAddressApplies() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.listEndpoints(42, true, "active");
     harness.reload(2);
     harness.dispatch(g -> g.discovery().connected(harness.discovery));
     harness.listEndpoints(7, true, "leaving");
-    assertFalse(serversOf(harness, 40).contains("s-1"), "sent to a server that drains");
+    assertFalse(serversOf(harness, 40).contains("s-1"), "request sent to a draining server");
   }
 
   private static Set<String> serversOf(GatewayHarness harness, int requests) {
@@ -155,9 +156,9 @@
       harness
           .busyConnections()
           .forEach(
-              l -> {
-                servers.add(harness.connections.get(l).server);
-                harness.answer(l, null);
+              connection -> {
+                servers.add(harness.connections.get(connection).server);
+                harness.answer(connection, null);
               });
       harness.advance(20);
     }
--- a/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
@@ -87,11 +87,11 @@
     GatewayConfig gatewayConfig = GatewayConfig.of(ConfigValues.ofJson(config));
     transport = new MinaTransport(loop, this::clock, sockets * 3 / 4);
     gateway = new Gateway(gatewayConfig, transport, Duration.ofHours(500_000));
-    gateway.reduce(now, Gateway::start);
+    gateway.handle(now, Gateway::start);
     address = transport.listening().get(20, TimeUnit.SECONDS);
     // Its connection to itself has ended before anything is counted; before that began there are no
     // clients either.
-    until(() -> gateway.isWarm() && clients() == 0);
+    until(() -> gateway.isWarmedUp() && clients() == 0);
   }
 
   @AfterEach
@@ -108,7 +108,7 @@
   private void until(BooleanSupplier condition) {
     long began = System.nanoTime();
     do {
-      loop.catchUp(gateway);
+      loop.runPending(gateway);
       assertTrue(
           System.nanoTime() - began < BOUND_NANOS, () -> "not within 20 s: " + gateway.describe());
       Thread.onSpinWait();
@@ -120,7 +120,7 @@
     CountDownLatch read = new CountDownLatch(1);
     transport.processor.afterPendingReads(read::countDown);
     until(() -> read.getCount() == 0);
-    loop.catchUp(gateway);
+    loop.runPending(gateway);
   }
 
   private int clients() {
@@ -129,7 +129,7 @@
 
   private void moveClock(int millis) {
     now = now.plusMillis(millis);
-    loop.catchUp(gateway);
+    loop.runPending(gateway);
   }
 
   /** A client that was welcomed. */
@@ -247,7 +247,7 @@
     assertEquals(-1, client.getInputStream().read());
     sendReads(client, 3);
     assertEquals(-1, client.getInputStream().read(), "not reset by what came unread");
-    loop.catchUp(gateway);
+    loop.runPending(gateway);
     assertEquals(0, acceptedRequests());
     client.close();
   }
@@ -402,7 +402,7 @@
     IllegalStateException thrown = null;
     while (thrown == null && System.nanoTime() < until) {
       try {
-        loop.catchUp(gateway);
+        loop.runPending(gateway);
         Thread.onSpinWait();
       } catch (IllegalStateException e) {
         thrown = e;
--- a/gateway/src/test/java/weldcross/gateway/EventLoopTest.java
+++ b/gateway/src/test/java/weldcross/gateway/EventLoopTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The order of events and timers, and stalls. */
+/** The order of events and timers, and the log of stalls. */
 class EventLoopTest {
 
   @Test
@@ -17,13 +17,13 @@
     GatewayHarness harness = new GatewayHarness();
     EventLoop loop = new EventLoop(() -> clock[0]);
     List<String> order = new ArrayList<>();
-    harness.gateway.at(Duration.ofMillis(1), () -> order.add("due"));
+    harness.gateway.schedule(Duration.ofMillis(1), () -> order.add("timer"));
     for (int k = 0; k < 3; k++) {
-      loop.post(g -> order.add("came"));
+      loop.post(g -> order.add("event"));
     }
     loop.post(
         g ->
-            g.at(
+            g.schedule(
                 Duration.ofMillis(2),
                 () -> {
                   g.stop();
@@ -31,40 +31,42 @@
                 }));
     clock[0] = Duration.ofSeconds(5);
     loop.run(harness.gateway);
-    assertEquals(List.of("came", "came", "came", "due"), order);
+    assertEquals(List.of("event", "event", "event", "timer"), order);
   }
 
-  /** Rule 5: a late timer must not act on the time of an earlier one. */
+  /**
+   * A timer that runs late must see the current time, not the time at which the timers before it
+   * ran. A timer that reschedules itself must not keep the loop from handling events.
+   */
   @Test
   @Timeout(20)
-  void eachTimerRunsAtItsOwnTimeAndNoneForEver() {
+  void timersSeeTheCurrentTimeAndSelfReschedulingTimersRunOncePerPass() {
     GatewayHarness harness = GatewayHarness.serving();
-    List<Duration> at = new ArrayList<>();
-    int[] again = {0};
-    harness.gateway.at(
+    List<Duration> runTimes = new ArrayList<>();
+    int[] reschedulingRuns = {0};
+    harness.gateway.schedule(
         harness.now.plusMillis(1),
         () -> {
           harness.now = harness.now.plusMillis(50);
-          at.add(harness.gateway.now());
+          runTimes.add(harness.gateway.now());
         });
-    harness.gateway.at(harness.now.plusMillis(2), () -> at.add(harness.gateway.now()));
-    Runnable[] always = new Runnable[1];
-    always[0] =
+    harness.gateway.schedule(harness.now.plusMillis(2), () -> runTimes.add(harness.gateway.now()));
+    Runnable[] rescheduling = new Runnable[1];
+    rescheduling[0] =
         () -> {
-          again[0]++;
+          reschedulingRuns[0]++;
           harness.now = harness.now.plusNanos(1);
-          harness.gateway.at(harness.gateway.now().plusNanos(1), always[0]);
+          harness.gateway.schedule(harness.gateway.now().plusNanos(1), rescheduling[0]);
         };
-    harness.gateway.at(harness.now.plusMillis(2), always[0]);
+    harness.gateway.schedule(harness.now.plusMillis(2), rescheduling[0]);
     harness.now = harness.now.plusMillis(2);
-    harness.loop.catchUp(harness.gateway);
-    assertEquals(Duration.ofMillis(50), at.get(1).minus(at.get(0)));
-    assertEquals(1, again[0], "a timer that adds itself again waits for the next pass");
+    harness.loop.runPending(harness.gateway);
+    assertEquals(Duration.ofMillis(50), runTimes.get(1).minus(runTimes.get(0)));
+    assertEquals(1, reschedulingRuns[0], "a rescheduled timer waits for the next pass");
   }
 
-  /** With the stack of its thread. */
   @Test
-  void stalledIterationIsLoggedOnceWhileItLasts() throws InterruptedException {
+  void stalledIterationIsLoggedOnceWithTheStackOfItsThread() throws InterruptedException {
     Duration[] clock = {Duration.ZERO};
     EventLoop loop = new EventLoop(() -> clock[0]);
     Gateway gateway = GatewayHarness.serving().gateway;
@@ -78,7 +80,7 @@
                     loop.logStall(Thread.currentThread());
                     loop.logStall(Thread.currentThread());
                     g.stop();
-                    g.at(g.now().plusSeconds(9), () -> {});
+                    g.schedule(g.now().plusSeconds(9), () -> {});
                     clock[0] = Duration.ofSeconds(30);
                   });
               try {
@@ -92,9 +94,10 @@
         1,
         lines.stream()
             .filter(
-                l ->
-                    l.startsWith("event loop stalled, nobody is answered: overMillis=2000")
-                        && l.contains("stalledIterationIsLoggedOnceWhileItLasts"))
+                line ->
+                    line.startsWith(
+                            "event loop stalled, no requests are processed: overMillis=2000")
+                        && line.contains("stalledIterationIsLoggedOnceWithTheStackOfItsThread"))
             .count(),
         lines::toString);
   }
--- a/gateway/src/test/java/weldcross/gateway/ExtensionHostTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ExtensionHostTest.java
@@ -22,7 +22,7 @@
 import weldcross.gateway.LoopbackFakes.Discovery;
 import weldcross.gateway.LoopbackFakes.Primary;
 
-/** Extensions from the start of their gateway to its stop. */
+/** The lifecycle of extensions, from the start of their gateway to its stop. */
 @Timeout(60)
 class ExtensionHostTest {
 
@@ -33,7 +33,7 @@
     fakes.close();
   }
 
-  /** An extension that records its calls; a test says when it is ready and done. */
+  /** Records the calls of its methods; the test controls whether it is ready and done. */
   private static final class RecordingExtension implements GatewayExtension {
     final String name;
     final List<String> calls;
@@ -52,8 +52,8 @@
     }
 
     @Override
-    public void start(ExtensionContext given) {
-      context = given;
+    public void start(ExtensionContext extensionContext) {
+      context = extensionContext;
       calls.add(name + " starts");
     }
 
@@ -88,57 +88,62 @@
     }
   }
 
-  /** Before clients are accepted, and with the stop held up as well. */
+  /**
+   * Extensions start before clients are accepted. The gateway is not ready until all extensions are
+   * ready, and does not stop until all are done.
+   */
   @Test
-  void extensionsStartInOrderHoldReadinessAndStopInReverse() throws Exception {
+  void extensionsStartInOrderDelayReadinessAndStopInReverseOrder() throws Exception {
     Discovery discovery = fakes.discovery(new Primary());
     List<String> calls = Collections.synchronizedList(new ArrayList<>());
-    RecordingExtension a = new RecordingExtension("a", calls);
-    RecordingExtension b = new RecordingExtension("b", calls);
-    b.ready = true;
-    a.done = true;
+    RecordingExtension first = new RecordingExtension("first", calls);
+    RecordingExtension second = new RecordingExtension("second", calls);
+    second.ready = true;
+    first.done = true;
     GatewayProcess gateway =
-        new GatewayProcess(LoopbackFakes.readConfig(discovery), List.of(a, b), Instant::now);
+        new GatewayProcess(
+            LoopbackFakes.readConfig(discovery), List.of(first, second), Instant::now);
     CompletableFuture<Integer> status = CompletableFuture.supplyAsync(gateway::serve);
     InetSocketAddress address = gateway.listening().get(20, TimeUnit.SECONDS);
-    assertEquals(List.of("a starts", "b starts"), calls);
+    assertEquals(List.of("first starts", "second starts"), calls);
     try (Client client = new Client(address)) {
-      CountDownLatch listed = new CountDownLatch(1);
-      while (listed.getCount() > 0) {
+      CountDownLatch delayed = new CountDownLatch(1);
+      while (delayed.getCount() > 0) {
         assertTrue(client.ask("").get(0).startsWith("E"), "not ready while an extension is not");
-        a.context.post(
+        first.context.post(
             () -> {
-              if (a.context.now().toMillis() > 1500) {
-                listed.countDown();
+              if (first.context.now().toMillis() > 1500) {
+                delayed.countDown();
               }
             });
       }
-      a.ready = true;
-      a.context.post(a.context::changed);
+      first.ready = true;
+      first.context.post(first.context::changed);
       while (!client.ask("").get(0).startsWith("I")) {
         Thread.onSpinWait();
       }
-      GatewayConfig again = LoopbackFakes.readConfig(discovery);
-      gateway.reload(() -> again);
+      GatewayConfig reloaded = LoopbackFakes.readConfig(discovery);
+      gateway.reload(() -> reloaded);
       gateway.stop();
       CountDownLatch waited = new CountDownLatch(1);
-      b.context.post(() -> b.context.at(b.context.now().plusMillis(1500), waited::countDown));
+      second.context.post(
+          () -> second.context.at(second.context.now().plusMillis(1500), waited::countDown));
       assertTrue(waited.await(20, TimeUnit.SECONDS));
       assertFalse(status.isDone(), "it waits for the extension that is not done");
-      b.done = true;
-      b.context.post(b.context::changed);
+      second.done = true;
+      second.context.post(second.context::changed);
       assertEquals(0, status.get(20, TimeUnit.SECONDS));
     }
     assertEquals(
         List.of(
-            "a starts",
-            "b starts",
-            "a reloaded",
-            "b reloaded",
-            "a drains",
-            "b drains",
-            "b stops",
-            "a stops"),
+            "first starts",
+            "second starts",
+            "first reloaded",
+            "second reloaded",
+            "first drains",
+            "second drains",
+            "second stops",
+            "first stops"),
         calls);
   }
 }
--- a/gateway/src/test/java/weldcross/gateway/FakeTransport.java
+++ b/gateway/src/test/java/weldcross/gateway/FakeTransport.java
@@ -93,7 +93,7 @@
 
   @Override
   public void warmUp() {
-    gateway.soon(gateway::warmUpCompleted);
+    gateway.defer(gateway::warmUpCompleted);
   }
 
   @Override
@@ -113,7 +113,7 @@
     connections.put(number, connection);
     connection.serverDecoder = Streams.server(loop::post, number);
     if (!unreachable.contains(connection.server)) {
-      gateway.soon(
+      gateway.defer(
           () -> {
             connection.open = true;
             gateway.serverConnections().connected(number);
@@ -184,7 +184,7 @@
   @Override
   public void afterPendingReads(long number) {
     if (!readsDelayed) {
-      gateway.soon(() -> gateway.pendingReadsDone(number));
+      gateway.defer(() -> gateway.pendingReadsDone(number));
     }
   }
 
@@ -192,7 +192,7 @@
   public void closeIfQuiet(long number, int messages) {
     pendingCloses.put(number, messages);
     if (!readsDelayed) {
-      gateway.soon(this::decideCloses);
+      gateway.defer(this::decideCloses);
     }
   }
 
@@ -211,7 +211,7 @@
                 && !connection.clientDecoder.isInMessage());
     connection.open &= !quiet;
     connection.dropped |= quiet;
-    gateway.soon(
+    gateway.defer(
         () -> {
           gateway.clients().closeDecided(number, quiet);
           // A usual client closes its own side then.
@@ -225,7 +225,7 @@
   public void checkMessageIncomplete(long number, int messages) {
     pendingChecks.put(number, messages);
     if (!readsDelayed) {
-      gateway.soon(this::decideChecks);
+      gateway.defer(this::decideChecks);
     }
   }
 
--- a/gateway/src/test/java/weldcross/gateway/GatewayHarness.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayHarness.java
@@ -99,8 +99,8 @@
 
   /** Has the gateway handle an event and all that it posts. */
   void dispatch(Gateway.Event event) {
-    gateway.reduce(now, event);
-    loop.catchUp(gateway);
+    gateway.handle(now, event);
+    loop.runPending(gateway);
   }
 
   /** Moves the clock; timers run at their times. */
@@ -128,12 +128,12 @@
   }
 
   private void advanceTo(Duration end) {
-    for (Duration next = gateway.nextDue();
+    for (Duration next = gateway.nextTimerTime();
         next != null && next.compareTo(end) <= 0;
-        next = gateway.nextDue()) {
+        next = gateway.nextTimerTime()) {
       now = next.compareTo(now) > 0 ? next : now;
-      gateway.reduceDue(now);
-      loop.catchUp(gateway);
+      gateway.runDueTimers(now);
+      loop.runPending(gateway);
       completeWrites();
     }
     now = end;
@@ -214,7 +214,7 @@
   /** A client sends bytes. */
   void send(long client, ByteBuffer bytes) {
     connections.get(client).clientDecoder.feed(bytes);
-    loop.catchUp(gateway);
+    loop.runPending(gateway);
     completeWrites();
   }
 
@@ -325,7 +325,7 @@
   /** A server sends bytes. */
   void serverSends(FakeConnection connection, ByteBuffer bytes) {
     connection.serverDecoder.feed(bytes);
-    loop.catchUp(gateway);
+    loop.runPending(gateway);
     completeWrites();
   }
 
--- a/gateway/src/test/java/weldcross/gateway/ProcessSignalsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ProcessSignalsTest.java
@@ -29,7 +29,9 @@
       await(log, "STARTING to LISTENING");
       Files.writeString(config, "{\"name\":");
       hangUp(process);
-      await(log, "configuration reload failed, the one in force stays: reason=NODE_CONFIG");
+      await(
+          log,
+          "configuration reload failed, keeping the current configuration: reason=NODE_CONFIG");
       Files.writeString(
           config,
           Files.readString(Path.of("deploy/example.json"))
--- a/gateway/src/test/java/weldcross/gateway/TimerQueueTest.java
+++ b/gateway/src/test/java/weldcross/gateway/TimerQueueTest.java
@@ -8,33 +8,33 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The order of timers. */
+/** The order in which timers become due. */
 class TimerQueueTest {
 
   private static final Duration EARLY = Duration.ofMillis(1);
   private static final Duration LATE = Duration.ofMillis(2);
 
   private final TimerQueue timers = new TimerQueue();
-  private final List<String> fired = new ArrayList<>();
+  private final List<String> run = new ArrayList<>();
 
   @Test
-  void timersOfOneDueTimeFireInTheOrderAdded() {
-    timers.at(LATE, () -> fired.add("late"));
-    timers.at(EARLY, () -> fired.add("first"));
-    timers.at(EARLY, () -> fired.add("second"));
-    assertEquals(EARLY, timers.next());
+  void timersWithEqualDueTimesRunInTheOrderAdded() {
+    timers.add(LATE, () -> run.add("late"));
+    timers.add(EARLY, () -> run.add("first"));
+    timers.add(EARLY, () -> run.add("second"));
+    assertEquals(EARLY, timers.nextDueTime());
     assertEquals(2, timers.size());
-    timers.poll(LATE).forEach(Runnable::run);
-    assertEquals(List.of("first", "second"), fired);
-    assertEquals(LATE, timers.next());
+    timers.pollDue(LATE).forEach(Runnable::run);
+    assertEquals(List.of("first", "second"), run);
+    assertEquals(LATE, timers.nextDueTime());
   }
 
   @Test
-  void timerThatIsNotDueStays() {
-    assertNull(timers.next());
-    assertNull(timers.poll(LATE));
-    timers.at(LATE, () -> fired.add("late"));
-    assertNull(timers.poll(EARLY));
+  void timerThatIsNotDueStaysQueued() {
+    assertNull(timers.nextDueTime());
+    assertNull(timers.pollDue(LATE));
+    timers.add(LATE, () -> run.add("late"));
+    assertNull(timers.pollDue(EARLY));
     assertEquals(1, timers.size());
   }
 }
