--- a/gateway/src/main/java/weldcross/gateway/GatewayProcess.java
+++ b/gateway/src/main/java/weldcross/gateway/GatewayProcess.java
@@ -18,15 +18,17 @@
 import weldcross.extension.GatewayExtension;
 
 /**
- * One gateway as a process: its clock, its threads, and the signals that stop it (TERM, INT) or
- * have it read its configuration again (HUP).
+ * Runs a gateway as a process: provides its clock and threads, and handles the signals that request
+ * a graceful shutdown (TERM, INT) or a configuration reload (HUP).
  */
 public final class GatewayProcess {
 
-  /** Exit status after a fault, distinct from those of a wrong command line or configuration. */
-  private static final int FAULT_STATUS = 70;
+  /**
+   * Exit status after an unexpected error; differs from those of usage and configuration errors.
+   */
+  private static final int INTERNAL_ERROR_STATUS = 70;
 
-  /** The JVM compiles a method after some 200 calls. */
+  /** The JVM compiles a method after about 200 calls. */
   private static final int WARM_UP_REQUESTS = 200;
 
   private static final long STALL_CHECK_INTERVAL_MILLIS = 1000;
@@ -42,24 +44,26 @@
   }
 
   /**
-   * Creates a gateway, which starts when it is served.
+   * Creates a gateway, which starts when {@link #serve} is called.
    *
-   * @param extensions in the order of their start
-   * @param wallClock read once
+   * @param extensions the extensions, in the order in which they start
+   * @param wallClock returns the current time; called once
    */
   GatewayProcess(
       GatewayConfig config, List<GatewayExtension> extensions, Supplier<Instant> wallClock) {
-    // The monotonic clock is read first: what passes between the two readings makes all data look
-    // older than it is. In the other order it would look fresher, and reads past their staleness
-    // bound would be sent.
-    long zero = System.nanoTime();
-    Instant wall = wallClock.get();
-    Supplier<Duration> clock = () -> Duration.ofNanos(System.nanoTime() - zero);
+    // The monotonic clock is read before the wall clock. A delay between the two readings then
+    // makes
+    // data appear older than it is; in the opposite order data would appear fresher, and reads that
+    // violate their staleness bound would be sent.
+    long startNanos = System.nanoTime();
+    Instant startTime = wallClock.get();
+    Supplier<Duration> clock = () -> Duration.ofNanos(System.nanoTime() - startNanos);
     loop = new EventLoop(clock);
-    // Three quarters of the descriptors are for connections of clients and servers.
+    // Three quarters of the descriptors are for client and server connections.
     transport = new MinaTransport(loop, clock, config.maxDescriptors() * 3 / 4);
     gateway =
-        new Gateway(config, transport, Duration.ofSeconds(wall.getEpochSecond(), wall.getNano()));
+        new Gateway(
+            config, transport, Duration.ofSeconds(startTime.getEpochSecond(), startTime.getNano()));
     if (extensions.isEmpty()) {
       loop.post(Gateway::start);
     } else {
@@ -70,52 +74,55 @@
   }
 
   /**
-   * Serves without extensions until the process is asked to stop.
+   * Serves without extensions until shutdown is requested.
    *
-   * @param reader reads the configuration, now and at each SIGHUP
-   * @param started is handed the process before it serves
-   * @return the exit status: 0 after a stop, 70 after a fault
-   * @throws InvalidConfigException if the configuration cannot be used at the start
+   * @param configReader reads the configuration, at the start and at each SIGHUP
+   * @param beforeServing is passed the process before it serves
+   * @return the exit status: 0 after a graceful shutdown, 70 after an unexpected error
+   * @throws InvalidConfigException if the initial configuration is invalid
    */
-  public static int run(Supplier<GatewayConfig> reader, Consumer<GatewayProcess> started) {
-    return run(reader, config -> List.of(), Instant::now, started);
+  public static int run(
+      Supplier<GatewayConfig> configReader, Consumer<GatewayProcess> beforeServing) {
+    return run(configReader, config -> List.of(), Instant::now, beforeServing);
   }
 
   /**
-   * Serves with extensions until the process is asked to stop.
+   * Serves with extensions until shutdown is requested.
    *
-   * @param reader reads the configuration, now and at each SIGHUP
-   * @param extensions creates the extensions from the gateway's configuration; called once
-   * @param wallClock read once
-   * @param started is handed the process before it serves
-   * @return the exit status: 0 after a stop, 70 after a fault
-   * @throws InvalidConfigException if the configuration cannot be used at the start
+   * @param configReader reads the configuration, at the start and at each SIGHUP
+   * @param extensionFactory creates the extensions from the gateway's configuration; called once
+   * @param wallClock returns the current time; called once
+   * @param beforeServing is passed the process before it serves
+   * @return the exit status: 0 after a graceful shutdown, 70 after an unexpected error
+   * @throws InvalidConfigException if the initial configuration is invalid
    */
   public static int run(
-      Supplier<GatewayConfig> reader,
-      Function<GatewayConfig, List<GatewayExtension>> extensions,
+      Supplier<GatewayConfig> configReader,
+      Function<GatewayConfig, List<GatewayExtension>> extensionFactory,
       Supplier<Instant> wallClock,
-      Consumer<GatewayProcess> started) {
-    GatewayConfig config = reader.get();
-    List<GatewayExtension> created = extensions.apply(config);
-    JitWarmUp.play(config, WARM_UP_REQUESTS);
-    GatewayProcess process = new GatewayProcess(config, created, wallClock);
-    process.handleSignals(reader);
-    started.accept(process);
+      Consumer<GatewayProcess> beforeServing) {
+    GatewayConfig config = configReader.get();
+    List<GatewayExtension> extensions = extensionFactory.apply(config);
+    JitWarmUp.run(config, WARM_UP_REQUESTS);
+    GatewayProcess process = new GatewayProcess(config, extensions, wallClock);
+    process.handleSignals(configReader);
+    beforeServing.accept(process);
     return process.serve();
   }
 
-  private void handleSignals(Supplier<GatewayConfig> reader) {
-    if (!ProcessSignals.handle("HUP", () -> reload(reader))) {
+  private void handleSignals(Supplier<GatewayConfig> configReader) {
+    if (!ProcessSignals.handle("HUP", () -> reload(configReader))) {
       LOG.warning(
-          "SIGHUP is ignored from the start, as under nohup: the configuration cannot be reloaded");
+          "process was started with SIGHUP ignored, as by nohup:"
+              + " the configuration cannot be reloaded");
     }
-    // Not a shutdown hook: by then the log is closed, and the status is that of a killed process.
+    // A shutdown hook would run after the log is closed, and the exit status would be that of a
+    // killed process.
     ProcessSignals.handle("TERM", this::stop);
     ProcessSignals.handle("INT", this::stop);
   }
 
-  /** Serves until the gateway has stopped or a fault has ended it; returns the exit status. */
+  /** Serves until shutdown is complete or an unexpected error occurs; returns the exit status. */
   int serve() {
     Timer stallChecks = startStallChecks(Thread.currentThread());
     try {
@@ -123,9 +130,10 @@
       transport.end();
       return 0;
     } catch (Throwable e) {
-      // Its sockets end with the process: MINA's end waits for a thread that may be at fault.
-      LOG.log(Level.SEVERE, "gateway ended by a fault", e);
-      return FAULT_STATUS;
+      // The transport is not closed: MINA would wait for a thread that may have caused the error.
+      // The operating system closes the sockets when the process exits.
+      LOG.log(Level.SEVERE, "gateway terminated by an unexpected error", e);
+      return INTERNAL_ERROR_STATUS;
     } finally {
       stallChecks.cancel();
     }
@@ -146,24 +154,24 @@
   }
 
   /**
-   * Reads the configuration again. Synchronized so that configurations are posted in the order
-   * read.
+   * Reloads the configuration. Synchronized so that configurations are applied in the order in
+   * which they are read.
    */
-  synchronized void reload(Supplier<GatewayConfig> reader) {
+  synchronized void reload(Supplier<GatewayConfig> configReader) {
     try {
-      GatewayConfig next = reader.get();
+      GatewayConfig next = configReader.get();
       loop.post(g -> g.configReload().reload(next));
     } catch (InvalidConfigException e) {
       loop.post(g -> g.configReload().failed(e.getMessage()));
     }
   }
 
-  /** Requests a stop; may be called from any thread. */
+  /** Requests a graceful shutdown; may be called from any thread. */
   void stop() {
     loop.post(Gateway::stop);
   }
 
-  /** Returns the address that clients connect to, completed once the gateway listens. */
+  /** Returns the address for clients; completed when the gateway listens on it. */
   CompletableFuture<InetSocketAddress> listening() {
     return transport.listening();
   }
--- a/gateway/src/main/java/weldcross/gateway/GracefulShutdown.java
+++ b/gateway/src/main/java/weldcross/gateway/GracefulShutdown.java
@@ -4,14 +4,15 @@
 import java.util.logging.Logger;
 
 /**
- * Stops a gateway without loss: for a grace period it serves on, as clients learn of the stop late;
- * then it closes idle connections, and stops when all requests are answered.
+ * Shuts a gateway down without losing requests. For a grace period it continues to serve, as
+ * clients learn of the shutdown with a delay; then it closes idle connections, and stops when all
+ * requests are answered.
  */
 final class GracefulShutdown {
 
   /**
-   * For this long after a stop was requested new connections are accepted; also the time that
-   * clients have to take their last responses.
+   * How long new connections are accepted after shutdown was requested, and how long clients have
+   * to read their last responses.
    */
   private static final Duration GRACE_PERIOD = Duration.ofMillis(450);
 
@@ -23,11 +24,14 @@
   private final AttemptTracker attempts;
   private final ExtensionHost extensions;
 
-  /** When the stop was requested; null before. */
+  /** When shutdown was requested; null before. */
   private Duration requestedAt;
 
-  /** When the last response was written, with clients still connected; null if not yet. */
-  private Duration answeredAt;
+  /**
+   * Since when all requests have been answered while clients are still connected; null if that is
+   * not the case.
+   */
+  private Duration allAnsweredSince;
 
   GracefulShutdown(
       Gateway gateway,
@@ -42,7 +46,7 @@
     this.extensions = extensions;
   }
 
-  /** Begins the stop; does nothing if one has begun. */
+  /** Begins the shutdown; does nothing if it has begun already. */
   void begin() {
     if (requestedAt != null) {
       return;
@@ -59,37 +63,38 @@
         });
   }
 
-  /** Whether the grace period of a stop is over. */
+  /** Whether shutdown was requested and its grace period has ended. */
   boolean isClosing() {
     return isClosing(gateway.now());
   }
 
-  /** Whether the grace period of a stop was over at a time. */
-  boolean isClosing(Duration at) {
+  /** Whether shutdown was requested and its grace period had ended at the given time. */
+  boolean isClosing(Duration time) {
     return gateway.phase() == Gateway.Phase.DRAINING
-        && at.minus(requestedAt).compareTo(GRACE_PERIOD) >= 0;
+        && time.minus(requestedAt).compareTo(GRACE_PERIOD) >= 0;
   }
 
-  /** Called when a response is written: while any client takes its own, the others may as well. */
+  /** Restarts the wait for clients to read their last responses after one has been written. */
   void extendDrain() {
-    answeredAt = null;
+    allAnsweredSince = null;
   }
 
   /**
-   * Stops the gateway once all requests are answered and all clients are gone. A client that does
-   * not take its last response is waited for once more, for a grace period.
+   * Stops the gateway once all requests are answered and all clients have disconnected. Clients
+   * that do not read their last responses are waited for only for another grace period.
    */
   void stopIfDone() {
     if (!isClosing() || !attempts.allAnswered()) {
       return;
     }
-    if (clients.hasOpen() && answeredAt == null) {
-      answeredAt = gateway.now();
+    if (clients.hasOpen() && allAnsweredSince == null) {
+      allAnsweredSince = gateway.now();
       gateway.schedule(gateway.now().plus(GRACE_PERIOD), this::stopIfDone);
     }
-    boolean waitedLongEnough =
-        answeredAt != null && gateway.now().minus(answeredAt).compareTo(GRACE_PERIOD) >= 0;
-    if ((clients.allClosed() || waitedLongEnough) && extensions.isDone()) {
+    boolean gracePeriodEnded =
+        allAnsweredSince != null
+            && gateway.now().minus(allAnsweredSince).compareTo(GRACE_PERIOD) >= 0;
+    if ((clients.allClosed() || gracePeriodEnded) && extensions.isDone()) {
       extensions.stop();
       LOG.info(() -> "stopped: " + attempts.describeTotals());
       gateway.enterPhase(Gateway.Phase.STOPPED);
--- a/gateway/src/main/java/weldcross/gateway/JitWarmUp.java
+++ b/gateway/src/main/java/weldcross/gateway/JitWarmUp.java
@@ -15,24 +15,24 @@
 import weldcross.pgwire.ServerMessageDecoder;
 
 /**
- * Has the JVM compile the request path before the real gateway is ready, as each request costs many
- * times as much until then: plays requests to a gateway of its own in memory, without sockets and
- * on a clock moved by hand.
+ * Makes the JVM compile the request path before the real gateway is ready, as interpreted code
+ * takes many times as long for each request. Sends requests to a separate in-memory gateway without
+ * sockets, on a simulated clock.
  */
 final class JitWarmUp implements Transport {
 
   private static final Duration REQUEST_INTERVAL = Duration.ofMillis(3);
 
-  /** The number of the only client's connection. */
+  /** The id of the only client connection. */
   private static final long CLIENT = 1;
 
-  /** Length of a typed message's header: the type and a length of four bytes. */
+  /** Length of a message header: one byte for the type and four for the length. */
   private static final int HEADER_BYTES = 5;
 
-  private static final byte[] NO_CHANGES =
+  private static final byte[] UNCHANGED_ENDPOINT_LIST =
       "{\"revision\":0,\"complete\":false,\"members\":[]}".getBytes(StandardCharsets.US_ASCII);
 
-  /** Kept, as a logger that is not referenced may lose its level. */
+  /** A strong reference, as a garbage-collected logger would lose its level. */
   private final Logger log = Logger.getLogger(Gateway.class.getPackageName());
 
   private final EventLoop loop = new EventLoop(() -> this.now);
@@ -41,33 +41,38 @@
       Streams.client(loop::post, loop::post, () -> this.now, CLIENT);
   private final Gateway gateway;
   private Duration now = Duration.ZERO;
-  private int served;
+  private int servedRequests;
 
   private JitWarmUp(GatewayConfig config) {
     gateway = new Gateway(config, this, Duration.ZERO);
   }
 
-  /** Plays pairs of a read and a write, of which one is served; returns how many were served. */
-  static int play(GatewayConfig config, int requests) {
+  /**
+   * Sends pairs of a read and a write to a separate gateway, which serves one of each pair.
+   *
+   * @param requestPairs number of pairs to send
+   * @return the number of requests that were served
+   */
+  static int run(GatewayConfig config, int requestPairs) {
     JitWarmUp warmUp = new JitWarmUp(config.onLoopback(1, 2, 3, 4));
     Level level = warmUp.log.getLevel();
     warmUp.log.setLevel(Level.OFF);
     try {
-      warmUp.play(config.requestClassNames(), requests);
+      warmUp.sendRequests(config.requestClassNames(), requestPairs);
     } finally {
       warmUp.log.setLevel(level);
     }
-    return warmUp.served;
+    return warmUp.servedRequests;
   }
 
-  private void play(List<String> requestClasses, int requests) {
+  private void sendRequests(List<String> requestClasses, int requestPairs) {
     loop.post(Gateway::start);
     loop.post(g -> g.clients().accepted(CLIENT));
     client.feed(MessageEncoder.startup());
-    for (int k = 0; k < requests; k++) {
+    for (int k = 0; k < requestPairs; k++) {
       String requestClass = requestClasses.get(k % requestClasses.size());
       String comment = " /* id=" + k + ",c=" + requestClass + ",d=900,cluster=0 */";
-      // One of the two is rejected, as it is not of the request class.
+      // One of the two is rejected, as the request class allows either reads or writes.
       client.feed(
           MessageEncoder.query("SELECT content FROM kv WHERE name = 'k" + k + "'" + comment));
       client.feed(
@@ -89,7 +94,7 @@
   @Override
   public boolean write(long connection, ByteBuffer... parts) {
     if (connection > 0) {
-      served += parts[0].get(0) == 'T' ? 1 : 0;
+      servedRequests += parts[0].get(0) == 'T' ? 1 : 0;
       return true;
     }
     ServerMessageDecoder server = servers.get(connection);
@@ -102,23 +107,23 @@
   }
 
   private byte[] response(ByteBuffer... request) {
-    // The startup message has no type.
+    // Only queries have this type; the startup message has none.
     if (request[0].get(0) != 'Q') {
       return MessageEncoder.sessionReady().array();
     }
-    // The first two letters of a query tell which it is.
+    // The first two letters distinguish SHOW, INSERT and SELECT.
     ByteBuffer query =
         request[0].remaining() > HEADER_BYTES ? request[0].slice(HEADER_BYTES, 2) : request[1];
     long unixMillis = now.toMillis();
     if (query.get(1) == 'H') {
-      String report = "x0=" + unixMillis / 1000 + "." + unixMillis % 1000 + ",x1=1";
-      return MessageEncoder.row(report, "SHOW", unixMillis);
+      String loadReport = "x0=" + unixMillis / 1000 + "." + unixMillis % 1000 + ",x1=1";
+      return MessageEncoder.row(loadReport, "SHOW", unixMillis);
     }
     return MessageEncoder.row("v", query.get(0) == 'I' ? "INSERT 0 1" : "SELECT 1", unixMillis);
   }
 
   @Override
-  public void connectToServer(long connection, InetSocketAddress to) {
+  public void connectToServer(long connection, InetSocketAddress address) {
     servers.put(connection, Streams.server(loop::post, connection));
     loop.post(g -> g.serverConnections().connected(connection));
   }
@@ -129,13 +134,13 @@
   }
 
   @Override
-  public void connectToDiscovery(long connection, InetSocketAddress to) {
+  public void connectToDiscovery(long connection, InetSocketAddress address) {
     loop.post(g -> g.discovery().connected(connection));
-    loop.post(g -> g.discovery().responseReceived(connection, 200, NO_CHANGES));
+    loop.post(g -> g.discovery().responseReceived(connection, 200, UNCHANGED_ENDPOINT_LIST));
   }
 
   @Override
-  public void listen(InetSocketAddress at) {}
+  public void listen(InetSocketAddress address) {}
 
   @Override
   public void warmUp() {
@@ -146,13 +151,13 @@
   public void stopListening() {}
 
   @Override
-  public void listenForGossip(InetSocketAddress at) {}
+  public void listenForGossip(InetSocketAddress address) {}
 
   @Override
-  public void sendGossip(InetSocketAddress to, byte[] message) {}
+  public void sendGossip(InetSocketAddress address, byte[] message) {}
 
   @Override
-  public void setReading(long connection, boolean on) {}
+  public void setReading(long connection, boolean reading) {}
 
   @Override
   public void afterPendingReads(long connection) {}
--- a/gateway/src/main/java/weldcross/gateway/ProcessSignals.java
+++ b/gateway/src/main/java/weldcross/gateway/ProcessSignals.java
@@ -4,22 +4,21 @@
 import sun.misc.SignalHandler;
 
 /**
- * Handles the signals of this process. Java has no other API for them than the JDK's own, which is
- * named here and nowhere else.
+ * Installs handlers for the signals of this process. Java has no standard API for signals, so all
+ * uses of the JDK's internal one are in this class.
  */
 final class ProcessSignals {
 
   private ProcessSignals() {}
 
   /**
-   * Runs an action at each signal of a kind, on a thread of its own.
+   * Installs an action to run, on a separate thread, each time the process receives a signal.
    *
-   * @param name of the signal without SIG, such as HUP
-   * @return false if the process had been started with the signal ignored, in which case it stays
-   *     ignored
+   * @param name the signal's name without SIG, such as HUP
+   * @return false if the process was started with the signal ignored; it then remains ignored
    */
   static boolean handle(String name, Runnable action) {
-    SignalHandler before = Signal.handle(new Signal(name), signal -> action.run());
-    return before != SignalHandler.SIG_IGN;
+    SignalHandler previous = Signal.handle(new Signal(name), signal -> action.run());
+    return previous != SignalHandler.SIG_IGN;
   }
 }
--- a/gateway/src/main/java/weldcross/gateway/RateLimitedLogger.java
+++ b/gateway/src/main/java/weldcross/gateway/RateLimitedLogger.java
@@ -5,29 +5,29 @@
 import java.util.logging.Logger;
 
 /**
- * Logs what may happen with every request: the first message at once, then one a second with a
- * count of those left out.
+ * Limits the rate of log messages that may occur with every request: logs the first one immediately
+ * and then at most one per second, with the number of messages suppressed in between.
  */
 final class RateLimitedLogger {
 
   private static final Duration INTERVAL = Duration.ofSeconds(1);
 
   private final Logger log;
-  private Duration nextAt = Duration.ZERO;
+  private Duration nextLogTime = Duration.ZERO;
   private int suppressed;
 
   RateLimitedLogger(Logger log) {
     this.log = log;
   }
 
-  /** Logs a message, or counts it if one was logged less than an interval ago. */
+  /** Logs a message, or only counts it if another one was logged within the last interval. */
   void log(Duration now, Level level, String message) {
-    if (now.compareTo(nextAt) < 0) {
+    if (now.compareTo(nextLogTime) < 0) {
       suppressed++;
       return;
     }
     log.log(level, suppressed == 0 ? message : message + " suppressed=" + suppressed);
     suppressed = 0;
-    nextAt = now.plus(INTERVAL);
+    nextLogTime = now.plus(INTERVAL);
   }
 }
--- a/gateway/src/test/java/weldcross/gateway/GatewayProcessTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayProcessTest.java
@@ -27,7 +27,7 @@
 import weldcross.gateway.LoopbackFakes.Primary;
 import weldcross.pgwire.MessageEncoder;
 
-/** A gateway over loopback sockets, with a fake server and a fake discovery. */
+/** A gateway that serves over loopback sockets, with a fake server and a fake discovery. */
 @Timeout(60)
 class GatewayProcessTest {
 
@@ -39,9 +39,9 @@
   }
 
   @Test
-  void gatewayServesOverLoopbackStopsAndStartsAgain() throws Exception {
+  void gatewayServesShutsDownAndStartsAgain() throws Exception {
     Discovery discovery = fakes.discovery(new Primary());
-    for (int life = 0; life < 2; life++) {
+    for (int run = 0; run < 2; run++) {
       GatewayProcess gateway = new GatewayProcess(LoopbackFakes.readConfig(discovery));
       CompletableFuture<Integer> status = CompletableFuture.supplyAsync(gateway::serve);
       InetSocketAddress address = gateway.listening().get(20, TimeUnit.SECONDS);
@@ -49,14 +49,14 @@
         while (!client.ask("").get(0).startsWith("I")) {
           Thread.onSpinWait();
         }
-        String value = "0f".repeat(60_000) + "a" + life;
+        String value = "0f".repeat(60_000) + "a" + run;
         assertEquals("D\0\1", fakes.write(client, value).get(1).substring(0, 3));
         List<String> read = fakes.read(client);
         assertEquals(List.of('T', 'D', 'C', 'Z'), read.stream().map(m -> m.charAt(0)).toList());
         assertEquals(value, read.get(1).substring(7));
         assertTrue(client.ask("DROP TABLE kv").get(0).contains("C42601"));
         gateway.stop();
-        assertEquals(value, fakes.read(client).get(1).substring(7), "still served as it drains");
+        assertEquals(value, fakes.read(client).get(1).substring(7), "still served while draining");
         assertEquals(0, status.get(20, TimeUnit.SECONDS));
         assertEquals(-1, client.in.read());
       }
@@ -64,9 +64,9 @@
     }
   }
 
-  /** The error reaches a client that goes on sending, and its end comes soon after. */
+  /** A client that keeps sending must receive the error and the end of the stream, not a reset. */
   @Test
-  void malformedMessageIsAnsweredBeforeTheCloseWhileMoreArrives() throws Exception {
+  void malformedMessageIsAnsweredBeforeTheCloseWhileMoreDataArrives() throws Exception {
     GatewayProcess gateway =
         new GatewayProcess(LoopbackFakes.readConfig(fakes.discovery(new Primary())));
     CompletableFuture<Integer> unused = CompletableFuture.supplyAsync(gateway::serve);
@@ -94,49 +94,49 @@
     return gateway;
   }
 
-  /** Hundreds of silent clients take no place of an active one. */
+  /** Hundreds of silent clients must not displace an active one. */
   @Test
-  void surplusConnectionsAreClosedByTheAcceptor() throws Exception {
+  void connectionsBeyondTheLimitAreClosedByTheAcceptor() throws Exception {
     Primary primary = new Primary();
     GatewayProcess gateway = serveWith64Descriptors(primary);
     InetSocketAddress address = gateway.listening().get(20, TimeUnit.SECONDS);
     List<Socket> silent = new ArrayList<>();
-    try (Client usual = new Client(address)) {
-      while (!usual.ask("").get(0).startsWith("I")) {
+    try (Client active = new Client(address)) {
+      while (!active.ask("").get(0).startsWith("I")) {
         Thread.onSpinWait();
       }
       for (int k = 0; k < 300; k++) {
         silent.add(new Socket(address.getAddress(), address.getPort()));
       }
-      assertEquals("D\0\1", fakes.write(usual, "0f").get(1).substring(0, 3));
+      assertEquals("D\0\1", fakes.write(active, "0f").get(1).substring(0, 3));
       int open = 0;
-      for (Socket each : silent) {
-        each.setSoTimeout(1);
+      for (Socket socket : silent) {
+        socket.setSoTimeout(1);
         try {
-          // Closed at once, with or without an answer.
-          each.getInputStream().read();
+          // Returns at once if the connection was closed, with or without an error message.
+          socket.getInputStream().read();
         } catch (SocketTimeoutException e) {
           open++;
         } catch (IOException e) {
-          // Reset.
+          // The connection was reset.
         }
       }
-      assertTrue(open <= 48, open + " of 64 descriptors");
+      assertTrue(open <= 48, open + " connections open with 64 descriptors");
     } finally {
-      for (Socket each : silent) {
-        each.close();
+      for (Socket socket : silent) {
+        socket.close();
       }
     }
-    assertTrue(isServedWithin(Duration.ofSeconds(20), address), "there is room again");
+    assertTrue(isServedWithin(Duration.ofSeconds(20), address), "new clients are accepted again");
     gateway.stop();
   }
 
-  /** Tries again while the closes of earlier connections have not been read. */
-  private static boolean isServedWithin(Duration time, InetSocketAddress address) {
-    long until = System.nanoTime() + time.toNanos();
-    while (System.nanoTime() < until) {
-      try (Client later = new Client(address)) {
-        if (later.ask("").get(0).startsWith("I")) {
+  /** Retries, as the gateway may not have processed the closes of earlier connections yet. */
+  private static boolean isServedWithin(Duration timeout, InetSocketAddress address) {
+    long deadline = System.nanoTime() + timeout.toNanos();
+    while (System.nanoTime() < deadline) {
+      try (Client client = new Client(address)) {
+        if (client.ask("").get(0).startsWith("I")) {
           return true;
         }
       } catch (IOException e) {
@@ -146,14 +146,14 @@
     return false;
   }
 
-  /** An error would cross the first statement and be lost by the reset. */
+  /** An error could be lost, as the client's first statement would reset the connection. */
   @Test
-  void connectionClosedByTheAcceptorGetsNoAnswer() throws Exception {
+  void connectionClosedByTheAcceptorReceivesNoError() throws Exception {
     Primary primary = new Primary();
     GatewayProcess gateway = serveWith64Descriptors(primary);
     InetSocketAddress address = gateway.listening().get(20, TimeUnit.SECONDS);
     List<Client> busy = new ArrayList<>();
-    List<Socket> surplus = new ArrayList<>();
+    List<Socket> overLimit = new ArrayList<>();
     primary.stuck = new CountDownLatch(1);
     try {
       busy.add(new Client(address));
@@ -162,29 +162,30 @@
       }
       for (int k = 0; k < 24; k++) {
         Client client = k == 0 ? busy.get(0) : new Client(address);
-        // A client that has sent a statement is not evicted.
+        // A client with a request in progress is not evicted.
         client.ask("");
         sendWrite(client, "b" + k);
         if (k > 0) {
           busy.add(client);
         }
       }
-      // All at once: one after the other, on a slow machine, those before have left by then.
+      // All are opened first: if each were checked before the next one is opened, on a slow
+      // machine the gateway could have closed the earlier ones and would never reach its limit.
       for (int k = 0; k < 200; k++) {
-        surplus.add(new Socket(address.getAddress(), address.getPort()));
+        overLimit.add(new Socket(address.getAddress(), address.getPort()));
       }
-      assertTrue(countWithoutAnswer(surplus) > 0, "all got an answer");
+      assertTrue(countWithoutResponse(overLimit) > 0, "all received a response");
       primary.stuck.countDown();
-      for (Client each : busy) {
-        each.answer();
+      for (Client client : busy) {
+        client.answer();
       }
     } finally {
       primary.stuck.countDown();
-      for (Socket each : surplus) {
-        each.close();
+      for (Socket socket : overLimit) {
+        socket.close();
       }
-      for (Client each : busy) {
-        each.close();
+      for (Client client : busy) {
+        client.close();
       }
     }
     gateway.stop();
@@ -198,7 +199,7 @@
                 + ",c=entry-write,d=20000,cluster=0 */"));
   }
 
-  private static int countWithoutAnswer(List<Socket> clients) throws IOException {
+  private static int countWithoutResponse(List<Socket> clients) throws IOException {
     int count = 0;
     for (Socket client : clients) {
       client.setSoTimeout(5000);
@@ -213,7 +214,7 @@
   }
 
   @Test
-  void addressInUseEndsTheStart() throws Exception {
+  void startFailsIfTheAddressIsInUse() throws Exception {
     Primary primary = new Primary();
     Discovery discovery = fakes.discovery(primary);
     GatewayConfig config =
@@ -224,6 +225,7 @@
                     .getBytes(StandardCharsets.UTF_8)));
     GatewayProcess gateway = new GatewayProcess(config);
     assertFalse(gateway.serve() == 0);
-    assertTrue(gateway.listening().isCompletedExceptionally(), "nobody waits for it forever");
+    assertTrue(
+        gateway.listening().isCompletedExceptionally(), "callers do not wait for it forever");
   }
 }
--- a/gateway/src/test/java/weldcross/gateway/GatewayTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import weldcross.pgwire.MessageEncoder;
 
-/** The rules that a gateway must keep, through random events on a {@link GatewayHarness}. */
+/** Invariants of a gateway, checked through random events on a {@link GatewayHarness}. */
 class GatewayTest {
 
   /** Clients send, disconnect and wait; servers answer, fail, close, hang or are unreachable. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
-  void requestRulesHoldThroughRandomEvents(long seed) {
+  void requestInvariantsHoldThroughRandomEvents(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     GatewayHarness harness =
         GatewayHarness.serving(
@@ -54,10 +54,10 @@
                 RequestHistory.check(
                     harness.history.answers.containsKey(id)
                         || harness.history.abandoned.contains(id),
-                    "rule 1: lost " + id));
+                    "request lost: " + id));
     assertTrue(
         harness.history.answers.values().stream().filter("ok"::equals).count() > 100,
-        "hardly any served: " + harness.history.answers);
+        "too few requests served: " + harness.history.answers);
   }
 
   private static void sendRandomRequest(
@@ -77,7 +77,7 @@
     clients.add(client);
   }
 
-  /** Answers with a row mostly; a replica answers a write with SQLSTATE 25006. */
+  /** Answers with a row in most cases; a replica answers a write with SQLSTATE 25006. */
   private static void answerAtRandom(GatewayHarness harness, long number, SplittableRandom random) {
     int kind = random.nextInt(40);
     FakeConnection connection = harness.connections.get(number);
@@ -99,27 +99,27 @@
     harness.answer(number, writeAtReplica ? "25006" : failure);
   }
 
-  /** With ids, keys, clients and servers that are always new. */
+  /** The state must not grow with the request ids, clients and servers seen over time. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void stateIsBoundedByWhatIsOpenAndListed(long seed) {
+  void stateIsBoundedByOpenConnectionsAndListedEndpoints(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     GatewayHarness harness = GatewayHarness.serving();
     harness.dispatch(g -> g.discovery().connected(harness.discovery));
-    for (int k = 3; k < 1500; k++) {
+    for (int revision = 3; revision < 1500; revision++) {
       String text =
           "{\"revision\":"
-              + k
+              + revision
               + ",\"complete\":"
               + random.nextBoolean()
               + ",\"members\":["
               + TestConfig.member(0, "active")
               + ","
-              + TestConfig.member(k - 1, "left")
+              + TestConfig.member(revision - 1, "left")
               + ","
-              + TestConfig.member(k, "active")
+              + TestConfig.member(revision, "active")
               + ","
-              + TestConfig.member(k + 1, "active")
+              + TestConfig.member(revision + 1, "active")
               + "]}";
       harness.dispatch(
           g ->
@@ -133,7 +133,8 @@
       harness.advance(random.nextInt(20));
       harness
           .busyConnections()
-          .forEach(l -> harness.answer(l, random.nextInt(9) == 0 ? "XX000" : null));
+          .forEach(
+              connection -> harness.answer(connection, random.nextInt(9) == 0 ? "XX000" : null));
       harness.advance(random.nextInt(40));
       if (random.nextInt(3) > 0) {
         harness.disconnect(client);
@@ -141,14 +142,16 @@
       harness.connections.entrySet().removeIf(e -> e.getKey() < 0 && e.getValue().dropped);
     }
     harness.advance(17_300);
-    String kept = harness.gateway.describe();
-    Matcher m =
+    String state = harness.gateway.describe();
+    Matcher sizes =
         Pattern.compile("(\\d+) clients, (\\d+) requests, (\\d+) servers, (\\d+) timers;.*")
-            .matcher(kept);
-    assertTrue(m.matches(), kept);
-    assertTrue(Integer.parseInt(m.group(1)) <= 384 && Integer.parseInt(m.group(2)) == 0, kept);
-    assertTrue(Integer.parseInt(m.group(3)) <= 4 && Integer.parseInt(m.group(4)) < 20, kept);
-    assertTrue(kept.split("s-\\d+ ").length < 12, kept);
+            .matcher(state);
+    assertTrue(sizes.matches(), state);
+    assertTrue(
+        Integer.parseInt(sizes.group(1)) <= 384 && Integer.parseInt(sizes.group(2)) == 0, state);
+    assertTrue(
+        Integer.parseInt(sizes.group(3)) <= 4 && Integer.parseInt(sizes.group(4)) < 20, state);
+    assertTrue(state.split("s-\\d+ ").length < 12, state);
   }
 
   @Test
--- a/gateway/src/test/java/weldcross/gateway/GracefulShutdownTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GracefulShutdownTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.api.Test;
 import weldcross.pgwire.MessageEncoder;
 
-/** A stop, from its request to the last answer. */
+/** Graceful shutdown, from its request to the last response. */
 class GracefulShutdownTest {
 
   @Test
-  void stopAnswersOpenAndLateRequests() {
+  void shutdownServesOpenAndLateRequests() {
     GatewayHarness harness = GatewayHarness.serving();
     long busy = harness.connect();
     long idle = harness.connect();
@@ -40,9 +40,9 @@
     assertTrue(lines.get(0).startsWith("stopped: 2 accepted, 2 ok, 0 rejected"), lines.toString());
   }
 
-  /** Rule 1: an answer that is on its way is waited for. */
+  /** Responses that clients are still reading must not be lost. */
   @Test
-  void stopWaitsWhileClientsReadTheirAnswers() {
+  void shutdownWaitsWhileClientsReadTheirResponses() {
     GatewayHarness harness = GatewayHarness.serving();
     List<Long> clients = List.of(harness.connect(), harness.connect(), harness.connect());
     harness.slowReaders.addAll(clients);
@@ -53,35 +53,35 @@
     for (long client : clients) {
       harness.advance(400);
       assertEquals(
-          Gateway.Phase.DRAINING, harness.gateway.phase(), "an answer is still on its way");
+          Gateway.Phase.DRAINING, harness.gateway.phase(), "a response is still being read");
       harness.slowReaders.remove(client);
       harness.completeWrites();
     }
     assertEquals(Gateway.Phase.STOPPED, harness.gateway.phase());
   }
 
-  /** Rule 1: started now, it might still be open when the process is killed. */
+  /** If the request were started, it might still be unanswered when the process is killed. */
   @Test
-  void requestThatCrossesACloseInAStopIsToldToGoElsewhere() {
+  void requestThatArrivesAfterTheGracePeriodIsRejected() {
     GatewayHarness harness = GatewayHarness.serving();
     final long client = harness.connect();
     harness.dispatch(Gateway::stop);
     harness.advance(440);
-    final String before = harness.request(harness.connect(), false, 2500);
+    final String early = harness.request(harness.connect(), false, 2500);
     harness.readsDelayed = true;
     harness.advance(20);
-    String crosses = harness.request(client, true, 2500);
+    String late = harness.request(client, true, 2500);
     harness.completePendingReads();
     harness.readsDelayed = false;
-    assertEquals("57P03", harness.history.answers.get(crosses));
-    harness.answer(harness.connectionOf(before), null);
-    assertEquals("ok", harness.history.answers.get(before));
+    assertEquals("57P03", harness.history.answers.get(late));
+    harness.answer(harness.connectionOf(early), null);
+    assertEquals("ok", harness.history.answers.get(early));
     assertEquals(Gateway.Phase.STOPPED, harness.gateway.phase());
   }
 
-  /** It is not reset at once, and not waited for long. */
+  /** Such a client has time to read its last response, but does not delay shutdown further. */
   @Test
-  void clientThatKeepsItsSideOpenIsDropped() {
+  void clientThatDoesNotCloseItsSideIsDisconnectedAfterTheLingerTime() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.clientsKeepOpen = true;
     final long idle = harness.connect();
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void clientThatNeverReadsDoesNotHoldUpAStop() {
+  void clientThatNeverReadsDoesNotPreventShutdown() {
     GatewayHarness harness = GatewayHarness.serving();
     long client = harness.connect();
     harness.dispatch(g -> g.pipeline().emptyQueryReceived(client));
--- a/gateway/src/test/java/weldcross/gateway/JitWarmUpTest.java
+++ b/gateway/src/test/java/weldcross/gateway/JitWarmUpTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.api.Test;
 import weldcross.config.GatewayConfig;
 
-/** The requests played before the start. */
+/** The warm-up requests before the start. */
 class JitWarmUpTest {
 
   @Test
-  void warmUpIsServedAndLogsNothing() {
+  void warmUpRequestsAreServedAndLogNothing() {
     GatewayConfig config = TestConfig.read();
-    List<String> lines = GatewayHarness.logged(() -> assertTrue(JitWarmUp.play(config, 300) > 270));
+    List<String> lines = GatewayHarness.logged(() -> assertTrue(JitWarmUp.run(config, 300) > 270));
     assertEquals(List.of(), lines);
   }
 }
--- a/gateway/src/test/java/weldcross/gateway/ProcessSignalsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ProcessSignalsTest.java
@@ -13,23 +13,20 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Signals to a gateway in a process of its own. */
+/** Signal handling of a gateway that runs in a separate process. */
 @Timeout(60)
 class ProcessSignalsTest {
 
-  /**
-   * A process of its own: a reload at SIGHUP of a faulty configuration, then of a valid one, and a
-   * stop at SIGTERM.
-   */
+  /** An invalid configuration is rejected, a valid one applied, and SIGTERM shuts down. */
   @Test
-  void processReloadsAtSighupAndExitsWithZeroAtSigterm(@TempDir Path folder) throws Exception {
-    Path config = folder.resolve("config.json");
-    Process process = process(config);
+  void processReloadsOnSighupAndExitsWithZeroOnSigterm(@TempDir Path directory) throws Exception {
+    Path config = directory.resolve("config.json");
+    Process process = startGateway(config);
     try (BufferedReader log = process.inputReader()) {
-      await(log, "STARTING to LISTENING");
+      awaitLogLine(log, "STARTING to LISTENING");
       Files.writeString(config, "{\"name\":");
-      hangUp(process);
-      await(
+      sendSighup(process);
+      awaitLogLine(
           log,
           "configuration reload failed, keeping the current configuration: reason=NODE_CONFIG");
       Files.writeString(
@@ -37,49 +34,56 @@
           Files.readString(Path.of("deploy/example.json"))
               .replace("127.0.0.1:8500", "127.0.0.1:2")
               .replace("192", "128"));
-      hangUp(process);
-      await(log, "configuration reloaded");
-      await(log, "discovery address changed: endpoint=127.0.0.1:2");
+      sendSighup(process);
+      awaitLogLine(log, "configuration reloaded");
+      awaitLogLine(log, "discovery address changed: endpoint=127.0.0.1:2");
       process.toHandle().destroy();
-      List<String> rest = log.lines().toList();
-      assertTrue(rest.stream().anyMatch(l -> l.contains("to DRAINING")), rest.toString());
-      assertTrue(rest.stream().anyMatch(l -> l.contains("stopped: 0 accepted")), rest.toString());
+      List<String> remaining = log.lines().toList();
+      assertTrue(
+          remaining.stream().anyMatch(line -> line.contains("to DRAINING")), remaining.toString());
+      assertTrue(
+          remaining.stream().anyMatch(line -> line.contains("stopped: 0 accepted")),
+          remaining.toString());
       assertEquals(0, process.waitFor());
     } finally {
       process.destroyForcibly();
     }
   }
 
-  /** Whoever reloads the configuration has to learn that nothing will happen. */
+  /** An operator who sends SIGHUP must be able to learn that reloads do not work. */
   @Test
-  void processWithSighupIgnoredLogsIt(@TempDir Path folder) throws Exception {
+  void processStartedWithSighupIgnoredLogsAWarning(@TempDir Path directory) throws Exception {
     Process process =
-        process(folder.resolve("config.json"), "sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
+        startGateway(
+            directory.resolve("config.json"), "sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
     try (BufferedReader log = process.inputReader()) {
-      List<String> said = new ArrayList<>();
+      List<String> lines = new ArrayList<>();
       for (String line = log.readLine();
           line != null && !line.contains("STARTING to LISTENING");
           line = log.readLine()) {
-        said.add(line);
+        lines.add(line);
       }
       assertTrue(
-          said.stream().anyMatch(l -> l.contains("SIGHUP is ignored from the start")),
-          said.toString());
+          lines.stream().anyMatch(line -> line.contains("process was started with SIGHUP ignored")),
+          lines.toString());
     } finally {
       process.destroyForcibly();
     }
   }
 
   /**
-   * Serves with the example's configuration, written there, and a discovery that does not exist.
+   * Starts a gateway with the example configuration and an unreachable discovery.
+   *
+   * @param config the file to which the configuration is written
+   * @param commandPrefix arguments before the gateway's command, such as a shell that runs it
    */
-  private static Process process(Path config, String... before) throws IOException {
+  private static Process startGateway(Path config, String... commandPrefix) throws IOException {
     Files.writeString(
         config,
         Files.readString(Path.of("deploy/example.json"))
             .replace("127.0.0.1:6543", "127.0.0.1:0")
             .replace("127.0.0.1:8500", "127.0.0.1:1"));
-    List<String> command = new ArrayList<>(List.of(before));
+    List<String> command = new ArrayList<>(List.of(commandPrefix));
     command.addAll(
         List.of(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -87,17 +91,17 @@
             System.getProperty("java.class.path"),
             "weldcross.Main",
             "serve"));
-    ProcessBuilder start = new ProcessBuilder(command);
-    start.environment().put("NODE_CONFIG", config.toString());
-    return start.redirectErrorStream(true).start();
+    ProcessBuilder builder = new ProcessBuilder(command);
+    builder.environment().put("NODE_CONFIG", config.toString());
+    return builder.redirectErrorStream(true).start();
   }
 
-  private static void hangUp(Process process) throws Exception {
+  private static void sendSighup(Process process) throws Exception {
     assertEquals(
         0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
   }
 
-  private static void await(BufferedReader log, String text) throws IOException {
+  private static void awaitLogLine(BufferedReader log, String text) throws IOException {
     String line = log.readLine();
     while (line != null && !line.contains(text)) {
       line = log.readLine();
--- a/gateway/src/test/java/weldcross/gateway/RateLimitedLoggerTest.java
+++ b/gateway/src/test/java/weldcross/gateway/RateLimitedLoggerTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 import weldcross.pgwire.MessageEncoder;
 
-/** Log lines that may come with every request. */
+/** Rate limiting of log messages that may occur with every request. */
 class RateLimitedLoggerTest {
 
   @Test
-  void warningOfEveryRequestIsLoggedOnceASecond() {
+  void repeatedWarningIsLoggedOncePerSecondWithTheSuppressedCount() {
     GatewayHarness harness = GatewayHarness.serving();
     long client = harness.connect();
     List<String> lines =
@@ -22,8 +22,9 @@
                 harness.advance(100);
               }
             });
-    List<String> turned = lines.stream().filter(l -> l.contains("request rejected")).toList();
-    assertEquals(3, turned.size(), lines.toString());
-    assertTrue(turned.get(1).endsWith(" suppressed=9"), turned.get(1));
+    List<String> warnings =
+        lines.stream().filter(line -> line.contains("request rejected")).toList();
+    assertEquals(3, warnings.size(), lines.toString());
+    assertTrue(warnings.get(1).endsWith(" suppressed=9"), warnings.get(1));
   }
 }
