--- a/gateway/src/main/java/weldcross/gateway/PipelinedRequest.java
+++ b/gateway/src/main/java/weldcross/gateway/PipelinedRequest.java
@@ -2,15 +2,15 @@
 
 import java.nio.ByteBuffer;
 
-/** One message of a client that expects a response, from its start until the response is sent. */
+/** A client message that requires a response, from its start until the response is written. */
 final class PipelinedRequest {
 
   final ClientConnection client;
 
-  /** The routed statement; null for a message that the gateway answers by itself. */
+  /** The routed statement; null for a message that the gateway answers itself. */
   RoutedRequest routed;
 
-  /** The response; null until there is one. */
+  /** The response; null until it is available. */
   ByteBuffer[] response;
 
   PipelinedRequest(ClientConnection client) {
--- a/gateway/src/main/java/weldcross/gateway/RequestPipeline.java
+++ b/gateway/src/main/java/weldcross/gateway/RequestPipeline.java
@@ -16,21 +16,21 @@
 import weldcross.routing.SessionId;
 
 /**
- * What clients send, from its receipt to its response: several requests of one connection run
- * concurrently, and their responses go out in the order of the requests.
+ * Processes client messages from receipt to response. Several requests of one connection run
+ * concurrently; their responses are written in the order of the requests.
  */
 final class RequestPipeline {
 
-  /** Requests of one connection that run at a time; with more waiting it is not read on. */
+  /** Maximum concurrent requests per connection; while more are waiting, reading is paused. */
   private static final int MAX_IN_FLIGHT = 16;
 
-  /** Of the requests that one read brings beyond these, more are rejected. */
+  /** Maximum waiting requests per connection; if one read brings more, these are rejected. */
   private static final int MAX_WAITING = 64;
 
-  /** A commit time in whole milliseconds may be up to one too early; reads must see the commit. */
+  /** A commit time in whole milliseconds may be up to 1 ms too early; reads must see the commit. */
   private static final Duration COMMIT_TIME_RESOLUTION = Duration.ofMillis(1);
 
-  /** The least time since a write: zero would say that there was none. */
+  /** Minimum time since a write, as zero means that there was none. */
   private static final Duration MIN_TIME_SINCE_WRITE = Duration.ofNanos(1);
 
   private static final Logger LOG = Logger.getLogger(RequestPipeline.class.getName());
@@ -58,26 +58,28 @@
     this.unixTime = unixTime;
   }
 
-  // ---- What clients send
+  // ---- Client messages
 
-  /** A client asked for an encrypted connection, which there is none of. */
-  void encryptionRequested(long number) {
-    enqueue(number, request -> respond(request, MessageEncoder.encryptionRefused()));
+  /** Handles an SSLRequest or GSSENCRequest; encryption is not supported. */
+  void encryptionRequested(long connectionId) {
+    enqueue(connectionId, request -> respond(request, MessageEncoder.encryptionRefused()));
   }
 
-  /** A client sent its startup message. */
-  void startupReceived(long number) {
+  /** Handles a client's startup message. */
+  void startupReceived(long connectionId) {
     enqueue(
-        number,
+        connectionId,
         request ->
-            respond(request, MessageEncoder.sessionReady((int) number, request.client.secretKey)));
+            respond(
+                request,
+                MessageEncoder.sessionReady((int) connectionId, request.client.secretKey)));
   }
 
-  /** A client sent an empty query, which asks whether requests can be routed. */
-  void emptyQueryReceived(long number) {
-    countStatement(number);
+  /** Handles an empty query, which serves as a readiness check. */
+  void emptyQueryReceived(long connectionId) {
+    countStatement(connectionId);
     enqueue(
-        number,
+        connectionId,
         request ->
             respond(
                 request,
@@ -86,25 +88,25 @@
                     : MessageEncoder.error("57P03", "not ready", null)));
   }
 
-  /** A client sent a statement that is not served here. */
-  void statementRejected(long number, String sqlState, String text) {
-    countStatement(number);
+  /** Handles a statement that the decoder rejected as unsupported. */
+  void statementRejected(long connectionId, String sqlState, String text) {
+    countStatement(connectionId);
     logRejected(text);
-    enqueue(number, request -> respond(request, MessageEncoder.error(sqlState, text, null)));
+    enqueue(connectionId, request -> respond(request, MessageEncoder.error(sqlState, text, null)));
   }
 
   /**
-   * A client sent a statement.
+   * Handles a statement.
    *
-   * @param arrived when its last byte was read, from which its time counts
+   * @param receivedAt when its last byte was read; its timeout counts from then
    */
-  void statementReceived(long number, Statement statement, Duration arrived) {
-    countStatement(number);
-    enqueue(number, request -> begin(request, statement, arrived));
+  void statementReceived(long connectionId, Statement statement, Duration receivedAt) {
+    countStatement(connectionId);
+    enqueue(connectionId, request -> startStatement(request, statement, receivedAt));
   }
 
-  private void countStatement(long number) {
-    ClientConnection client = clients.find(number);
+  private void countStatement(long connectionId) {
+    ClientConnection client = clients.find(connectionId);
     if (client != null) {
       client.statements++;
     }
@@ -116,8 +118,8 @@
 
   // ---- Order of requests and responses
 
-  private void enqueue(long number, Consumer<PipelinedRequest> start) {
-    ClientConnection client = clients.find(number);
+  private void enqueue(long connectionId, Consumer<PipelinedRequest> start) {
+    ClientConnection client = clients.find(connectionId);
     if (client == null) {
       return;
     }
@@ -126,7 +128,7 @@
     startNext(client);
     if (!client.waiting.isEmpty() && !client.readPaused && !client.closed) {
       client.readPaused = true;
-      transport.setReading(number, false);
+      transport.setReading(connectionId, false);
     }
   }
 
@@ -134,7 +136,7 @@
     respond(request, MessageEncoder.error("54000", "too many statements at once", null));
   }
 
-  /** Starts the requests that have room, writes what can be written, and reads on if paused. */
+  /** Starts waiting requests up to the limit, writes responses and resumes reading if possible. */
   void startNext(ClientConnection client) {
     while (client.inFlight.size() < MAX_IN_FLIGHT && !client.closed && !client.waiting.isEmpty()) {
       PipelinedRequest request = new PipelinedRequest(client);
@@ -149,15 +151,15 @@
     }
   }
 
-  /** Sets the response of a request; it is written when all before it are. */
+  /** Sets the response of a request; it is written after the responses of all earlier requests. */
   void respond(PipelinedRequest request, ByteBuffer... response) {
     request.response = response;
     writeResponses(request.client);
   }
 
   /**
-   * Writes all responses that are next in order as one; more only when these are written, so that
-   * they do not pile up for a slow reader.
+   * Writes all responses that are next in order in a single write. Further ones wait until it
+   * completes, so that responses to a slow reader do not accumulate in the transport.
    */
   private void writeResponses(ClientConnection client) {
     PipelinedRequest first = client.inFlight.peek();
@@ -165,10 +167,10 @@
       return;
     }
     List<ByteBuffer> parts = new ArrayList<>();
-    for (PipelinedRequest next = first;
-        next != null && next.response != null;
-        next = client.inFlight.peek()) {
-      parts.addAll(List.of(next.response));
+    for (PipelinedRequest request = first;
+        request != null && request.response != null;
+        request = client.inFlight.peek()) {
+      parts.addAll(List.of(request.response));
       client.inFlight.poll();
     }
     client.writing = true;
@@ -177,9 +179,9 @@
     }
   }
 
-  /** The responses last given to the transport for this connection are written. */
-  void responsesWritten(long number) {
-    ClientConnection client = clients.find(number);
+  /** Handles the completion of a connection's current write. */
+  void responsesWritten(long connectionId) {
+    ClientConnection client = clients.find(connectionId);
     if (client == null || !client.writing) {
       return;
     }
@@ -194,12 +196,11 @@
     }
   }
 
-  // ---- Start of a statement
+  // ---- Start of statements
 
-  private void begin(PipelinedRequest request, Statement statement, Duration arrived) {
-    if (gateway.shutdown().isClosing(arrived)) {
-      // Its connection should have been closed; a request begun now might still be open when the
-      // process is killed.
+  private void startStatement(PipelinedRequest request, Statement statement, Duration receivedAt) {
+    if (gateway.shutdown().isClosing(receivedAt)) {
+      // A request started after the grace period might be unanswered when the process is killed.
       respond(request, MessageEncoder.error("57P03", "stopping", null));
       return;
     }
@@ -214,13 +215,18 @@
       respond(request, MessageEncoder.error(result.sqlState, result.text, null));
       return;
     }
-    Duration timeLeft = arrived.plusMillis(statement.timeoutMillis()).minus(gateway.now());
-    Duration patience = timeLeft.isNegative() ? Duration.ZERO : timeLeft;
-    RoutedRequest routed = new RoutedRequest(id, request, statement, gateway.now().plus(patience));
-    route(routed, requestClass, group, patience);
+    Duration timeLeft = timeLeft(statement, receivedAt);
+    RoutedRequest routed = new RoutedRequest(id, request, statement, gateway.now().plus(timeLeft));
+    route(routed, requestClass, group, timeLeft);
+  }
+
+  /** Returns the time until a statement's deadline; zero if it has passed. */
+  private Duration timeLeft(Statement statement, Duration receivedAt) {
+    Duration timeLeft = receivedAt.plusMillis(statement.timeoutMillis()).minus(gateway.now());
+    return timeLeft.isNegative() ? Duration.ZERO : timeLeft;
   }
 
-  private void route(RoutedRequest request, int requestClass, GroupId group, Duration patience) {
+  private void route(RoutedRequest request, int requestClass, GroupId group, Duration timeLeft) {
     Statement statement = request.statement;
     attempts.add(request);
     LOG.fine(
@@ -232,7 +238,7 @@
                 + " group="
                 + group.number()
                 + " timeLeftMillis="
-                + patience.toMillis());
+                + timeLeft.toMillis());
     Consistency consistency = config.routing().requestClasses().get(requestClass).consistency();
     boolean inSession = consistency == Consistency.WRITE || consistency == Consistency.SESSION;
     gateway
@@ -245,18 +251,18 @@
                 group,
                 inSession ? new SessionId(statement.key()) : null,
                 timeSinceWrite(statement),
-                patience,
+                timeLeft,
                 statement.isRetry()));
   }
 
-  /** Returns the time since the write that a read has to see; zero if it names none. */
+  /** Returns the time since the last write that a read must see; zero if there was none. */
   private Duration timeSinceWrite(Statement statement) {
-    long after = statement.lastWriteMillis();
-    if (after == 0) {
+    long lastWriteMillis = statement.lastWriteMillis();
+    if (lastWriteMillis == 0) {
       return Duration.ZERO;
     }
     Duration sinceWrite =
-        gateway.now().minus(unixTime.sinceStart(after)).minus(COMMIT_TIME_RESOLUTION);
+        gateway.now().minus(unixTime.sinceStart(lastWriteMillis)).minus(COMMIT_TIME_RESOLUTION);
     return sinceWrite.compareTo(MIN_TIME_SINCE_WRITE) < 0 ? MIN_TIME_SINCE_WRITE : sinceWrite;
   }
 }
--- a/gateway/src/main/java/weldcross/gateway/RequestValidator.java
+++ b/gateway/src/main/java/weldcross/gateway/RequestValidator.java
@@ -6,10 +6,10 @@
 import weldcross.routing.RequestClass.Consistency;
 import weldcross.routing.RequestId;
 
-/** Checks that a statement names only what this gateway is configured for and serves. */
+/** Checks that a statement is valid for the gateway's configuration and current state. */
 final class RequestValidator {
 
-  /** What a check found; all but {@link #VALID} are answered with an error. */
+  /** The result of a check; all but {@link #VALID} are answered with an error. */
   enum Result {
     VALID(null, null),
     UNKNOWN_REQUEST_CLASS("22023", "unknown method"),
@@ -17,7 +17,7 @@
     UNKNOWN_TENANT("22023", "unknown tenant"),
     UNKNOWN_GROUP("22023", "unknown cluster"),
     DUPLICATE_ID("22023", "id is in use"),
-    /** The group may be one that a valid endpoint list would have. */
+    /** The group is unknown, but a valid endpoint list may contain it. */
     NOT_READY("57P03", "not ready");
 
     /** The SQLSTATE of the error; null if valid. */
@@ -51,7 +51,7 @@
   /**
    * Checks a statement.
    *
-   * @param requestClass the index of its request class; negative if that is unknown
+   * @param requestClass the index of the statement's request class; negative if it is unknown
    */
   Result check(Statement statement, int requestClass, RequestId id, GroupId group) {
     if (requestClass < 0) {
--- a/gateway/src/main/java/weldcross/gateway/RoutedRequest.java
+++ b/gateway/src/main/java/weldcross/gateway/RoutedRequest.java
@@ -6,23 +6,23 @@
 import weldcross.pgwire.Statement;
 import weldcross.routing.RequestId;
 
-/** A statement that the router decides on: unanswered, or with attempts that have not ended. */
+/** A statement that is routed to servers: it is unanswered or has attempts that have not ended. */
 final class RoutedRequest {
 
   final RequestId id;
   final PipelinedRequest pipelined;
   final Statement statement;
 
-  /** When its client gives up, as time since the gateway's start. */
+  /** When its client stops waiting, as time since the gateway's start. */
   final Duration deadline;
 
-  /** All attempts, by their number. */
+  /** All attempts, indexed by attempt number. */
   final List<AttemptTracker.Attempt> attempts = new ArrayList<>(1);
 
   /** Number of attempts that have not ended. */
   int openAttempts;
 
-  /** Whether it has its response, or its client has left. */
+  /** Whether the response is available or the client has disconnected. */
   boolean answered;
 
   RoutedRequest(RequestId id, PipelinedRequest pipelined, Statement statement, Duration deadline) {
--- a/gateway/src/main/java/weldcross/gateway/SelfTest.java
+++ b/gateway/src/main/java/weldcross/gateway/SelfTest.java
@@ -15,17 +15,17 @@
 import weldcross.pgwire.MessageEncoder;
 
 /**
- * Runs a gateway on loopback ports of its own, with a fake server and a fake discovery: starts it,
- * sends it some requests, has it reload its configuration and stops it. The build archives the
- * classes that it loads, as a restarted gateway serves nobody while they load; by hand it shows
- * that a configuration starts.
+ * Runs a gateway on loopback ports with a fake server and a fake discovery: starts it, sends some
+ * requests, reloads its configuration and stops it. The build archives the classes that this loads
+ * (class data sharing), as a restarted gateway serves no requests while it loads classes. Run
+ * manually, it checks that a gateway starts with a configuration.
  */
 public final class SelfTest {
 
-  private static final int ROUNDS = 8;
+  private static final int CLIENT_CONNECTIONS = 8;
   private static final int ACCEPT_BACKLOG = 50;
 
-  /** Serves one connection to a fake. */
+  /** Serves one connection of a fake. */
   private interface ConnectionHandler {
     void handle(DataInputStream in, OutputStream out) throws IOException;
   }
@@ -39,23 +39,25 @@
   /**
    * Runs the self-test.
    *
-   * @param config the configuration to start with; its addresses are replaced
+   * @param config the configuration to start with; its addresses are replaced by loopback addresses
    * @return the exit status of the gateway, see {@link GatewayProcess}
-   * @throws IOException if the fakes cannot listen on the loopback
+   * @throws IOException if the fakes cannot listen on the loopback interface
    */
   public static int run(GatewayConfig config) throws IOException {
-    try (ServerSocket server = startFake(SelfTest::serve);
+    try (ServerSocket server = startFake(SelfTest::serveQueries);
         ServerSocket discovery =
-            startFake((in, out) -> listEndpoints(in, out, server.getLocalPort()))) {
-      GatewayConfig isolated = config.onLoopback(discovery.getLocalPort(), server.getLocalPort());
+            startFake((in, out) -> serveEndpointList(in, out, server.getLocalPort()))) {
+      GatewayConfig loopbackConfig =
+          config.onLoopback(discovery.getLocalPort(), server.getLocalPort());
       return GatewayProcess.run(
-          () -> isolated, process -> new Thread(() -> exercise(process, isolated)).start());
+          () -> loopbackConfig,
+          process -> new Thread(() -> exercise(process, loopbackConfig)).start());
     }
   }
 
   private static void exercise(GatewayProcess process, GatewayConfig config) {
     InetSocketAddress address = process.listening().join();
-    for (int round = 0; round < ROUNDS; round++) {
+    for (int connection = 0; connection < CLIENT_CONNECTIONS; connection++) {
       try (Socket client = new Socket(address.getAddress(), address.getPort())) {
         sendRequests(client, config);
       } catch (IOException e) {
@@ -83,20 +85,20 @@
     }
   }
 
-  /** Sends a message and reads on to ReadyForQuery; returns the type of the first message. */
+  /** Sends a message, reads up to ReadyForQuery and returns the type of the first response. */
   private static int exchange(Socket client, DataInputStream in, ByteBuffer message)
       throws IOException {
     byte[] bytes = new byte[message.remaining()];
     message.get(bytes);
     client.getOutputStream().write(bytes);
-    int first = 0;
+    int firstType = 0;
     byte type;
     do {
       type = in.readByte();
-      first = first == 0 ? type : first;
+      firstType = firstType == 0 ? type : firstType;
       in.readFully(new byte[in.readInt() - Integer.BYTES]);
     } while (type != 'Z');
-    return first;
+    return firstType;
   }
 
   private static ServerSocket startFake(ConnectionHandler handler) throws IOException {
@@ -122,17 +124,17 @@
               try {
                 task.run();
               } catch (SocketException | EOFException e) {
-                // The other side is done.
+                // The peer has closed the connection.
               } catch (IOException e) {
-                throw new IllegalStateException("self-test: a fake failed", e);
+                throw new IllegalStateException("self-test: I/O error in a fake", e);
               }
             });
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Serves as a primary whose every value is one byte. */
-  private static void serve(DataInputStream in, OutputStream out) throws IOException {
+  /** Answers queries as a primary in which each value is a single byte. */
+  private static void serveQueries(DataInputStream in, OutputStream out) throws IOException {
     in.readFully(new byte[in.readInt() - Integer.BYTES]);
     out.write(MessageEncoder.sessionReady().array());
     while (true) {
@@ -140,31 +142,31 @@
       byte[] text = new byte[in.readInt() - Integer.BYTES];
       in.readFully(text);
       long now = System.currentTimeMillis();
-      String report = "x0=" + now / 1000 + "." + now % 1000 + ",x1=1";
+      String loadReport = "x0=" + now / 1000 + "." + now % 1000 + ",x1=1";
       out.write(
           text[1] == 'H'
-              ? MessageEncoder.row(report, "SHOW", now)
+              ? MessageEncoder.row(loadReport, "SHOW", now)
               : MessageEncoder.row("v", text[0] == 'I' ? "INSERT 0 1" : "SELECT 1", now));
     }
   }
 
-  /** Serves the complete endpoint list, then a watch in which nothing changes. */
-  private static void listEndpoints(DataInputStream in, OutputStream out, int server)
+  /** Serves the complete endpoint list and then a watch without changes. */
+  private static void serveEndpointList(DataInputStream in, OutputStream out, int serverPort)
       throws IOException {
-    StringBuilder head = new StringBuilder();
-    while (head.indexOf("\r\n\r\n") < 0) {
-      head.append((char) in.readByte());
+    StringBuilder requestHead = new StringBuilder();
+    while (requestHead.indexOf("\r\n\r\n") < 0) {
+      requestHead.append((char) in.readByte());
     }
-    if (head.indexOf("since") < 0) {
+    if (requestHead.indexOf("since") < 0) {
       String list =
           "{\"revision\":1,\"complete\":true,\"members\":[{\"id\":\"s-0\",\"cell\":0,"
               + "\"host_port\":\"127.0.0.1:"
-              + server
+              + serverPort
               + "\",\"phase\":\"active\",\"up_since_ms\":1}]}";
       out.write(
           ("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
               .getBytes(StandardCharsets.US_ASCII));
-      listEndpoints(in, out, server);
+      serveEndpointList(in, out, serverPort);
     }
     in.readByte();
   }
--- a/gateway/src/main/java/weldcross/gateway/WarmUpStream.java
+++ b/gateway/src/main/java/weldcross/gateway/WarmUpStream.java
@@ -4,44 +4,44 @@
 import weldcross.pgwire.MessageEncoder;
 
 /**
- * A client of the gateway itself: opens a session, sends some empty queries, each after the answer
- * to the one before it, and closes.
+ * A client connection to this gateway itself that warms up its socket I/O: opens a session, sends
+ * some empty queries, each after the response to the previous one, and closes.
  */
 final class WarmUpStream extends Stream {
 
-  private final long number;
+  private final long connectionId;
   private final Transport transport;
   private final Runnable onClosed;
 
-  /** Reads that are left until the end. */
-  private int remaining;
+  /** Number of reads until the connection is closed. */
+  private int remainingReads;
 
   /**
-   * Creates a client that has yet to be connected.
+   * Creates a client that is not yet connected.
    *
-   * @param number identifies the connection
-   * @param transport writes and closes
-   * @param reads number of reads after which it closes, the session's start included
-   * @param onClosed called when its connection is closed
+   * @param connectionId identifies the connection
+   * @param transport writes to the connection and closes it
+   * @param reads number of reads, including that of the startup response, before it closes
+   * @param onClosed called when the connection is closed
    */
-  WarmUpStream(long number, Transport transport, int reads, Runnable onClosed) {
-    this.number = number;
+  WarmUpStream(long connectionId, Transport transport, int reads, Runnable onClosed) {
+    this.connectionId = connectionId;
     this.transport = transport;
-    this.remaining = reads;
+    this.remainingReads = reads;
     this.onClosed = onClosed;
   }
 
   @Override
   void opened() {
-    transport.write(number, MessageEncoder.startup());
+    transport.write(connectionId, MessageEncoder.startup());
   }
 
   @Override
   void read(ByteBuffer in) {
-    if (--remaining > 0) {
-      transport.write(number, MessageEncoder.query(""));
+    if (--remainingReads > 0) {
+      transport.write(connectionId, MessageEncoder.query(""));
     } else {
-      transport.closeNow(number);
+      transport.closeNow(connectionId);
     }
   }
 
--- a/gateway/src/main/java/weldcross/gateway/package-info.java
+++ b/gateway/src/main/java/weldcross/gateway/package-info.java
@@ -1,9 +1,10 @@
 /**
- * The gateway: takes statements of PostgreSQL clients, has {@link weldcross.routing.Router} decide
- * on each, and exchanges messages with clients, servers, discovery and other gateways.
+ * The gateway: receives statements from PostgreSQL clients, routes each as {@link
+ * weldcross.routing.Router} decides, and communicates with clients, servers, discovery and other
+ * gateways.
  *
- * <p>{@link weldcross.gateway.Gateway} owns all state and is called on one thread, the event loop.
- * Input and output is behind {@code Transport}, which never waits; its results come back as events.
- * Times are durations since the gateway's start unless said otherwise.
+ * <p>{@link weldcross.gateway.Gateway} owns all state and is called only on the event loop's
+ * thread. All I/O goes through {@code Transport}, which never blocks and reports results as events.
+ * Times are durations since the gateway's start unless stated otherwise.
  */
 package weldcross.gateway;
--- a/gateway/src/test/java/weldcross/gateway/FakeTransport.java
+++ b/gateway/src/test/java/weldcross/gateway/FakeTransport.java
@@ -159,7 +159,7 @@
     RequestHistory.check(connection.statement == null, "a second statement on a busy connection");
     connection.statement = text;
     idleBefore.put(number, connection.answeredAt == null ? null : now.minus(connection.answeredAt));
-    history.sent(number, text, now);
+    history.attemptSent(number, text, now);
     if (RequestHistory.idOf(text) != null) {
       onSent.accept(connection.server);
     }
@@ -171,7 +171,7 @@
   private void answered(long client, String text) {
     for (String one : text.split("(?<=Z\0\0\0\5I)", -1)) {
       if (one.startsWith("T") || one.startsWith("E")) {
-        history.answered(client, one, now);
+        history.responseReceived(client, one, now);
       }
     }
   }
@@ -251,7 +251,7 @@
     }
     connection.dropped = true;
     connection.open = false;
-    history.cutOff(RequestHistory.idOf(connection.statement), number);
+    history.attemptInterrupted(RequestHistory.idOf(connection.statement), number);
   }
 
   @Override
--- a/gateway/src/test/java/weldcross/gateway/GatewayHarness.java
+++ b/gateway/src/test/java/weldcross/gateway/GatewayHarness.java
@@ -18,33 +18,33 @@
 import weldcross.pgwire.MessageEncoder;
 
 /**
- * A gateway under test on a clock moved by hand, with clients, discovery and three servers of one
- * group, of which s-0 is the primary. What the gateway does is checked at every step.
+ * Runs a gateway on a simulated clock with simulated clients, discovery and three servers of one
+ * group, of which s-0 is the primary. A {@link RequestHistory} checks each step.
  */
 final class GatewayHarness extends FakeTransport {
 
-  /** Unix time at the clock's zero. */
+  /** The Unix time at time zero of the simulated clock. */
   static final long START_UNIX_MILLIS = 1_800_000_000_000L;
 
-  /** Somewhat less than a watch of discovery waits. */
-  private static final Duration WATCH = Duration.ofMillis(1500);
+  /** Slightly less than the timeout of a discovery watch. */
+  private static final Duration WATCH_RESPONSE_INTERVAL = Duration.ofMillis(1500);
 
   private static final int SILENT_STEP_MILLIS = 10;
 
   /** The id of the connection that was accepted last. */
   long lastClientId;
 
-  /** The number in the next request's id. */
+  /** The sequence number for the id of the next request. */
   int nextRequest;
 
-  /** Whether discovery answers its watches in time, with nothing new. */
+  /** Whether discovery answers watches in time, without changes. */
   boolean discoveryAnswers;
 
   private Duration discoveryAnsweredAt = Duration.ZERO;
 
   /** Starts a gateway with the configuration of {@link TestConfig#json}. */
-  GatewayHarness(String... changes) {
-    this(TestConfig.json(changes));
+  GatewayHarness(String... replacements) {
+    this(TestConfig.json(replacements));
   }
 
   /** Starts a gateway. */
@@ -57,25 +57,25 @@
     dispatch(Gateway::start);
   }
 
-  /** Starts a gateway that serves: discovery has said that the list of the start is valid. */
-  static GatewayHarness withEndpointList(String... changes) {
-    GatewayHarness harness = new GatewayHarness(changes);
+  /** Starts a gateway that serves, as discovery has confirmed the initial endpoint list. */
+  static GatewayHarness withEndpointList(String... replacements) {
+    GatewayHarness harness = new GatewayHarness(replacements);
     harness.discoveryAnswers = true;
     harness.dispatch(g -> g.discovery().connected(harness.discovery));
     harness.answerNoChange();
     return harness;
   }
 
-  /** Starts a gateway that serves and knows the positions of all servers. */
-  static GatewayHarness serving(String... changes) {
-    GatewayHarness harness = withEndpointList(changes);
+  /** Starts a gateway that serves and knows the replication positions of all servers. */
+  static GatewayHarness serving(String... replacements) {
+    GatewayHarness harness = withEndpointList(replacements);
     harness.advance(5);
     harness.answerHealthChecks();
     harness.advance(5);
     return harness;
   }
 
-  /** Returns what the classes of the gateway's package log meanwhile. */
+  /** Returns the messages that the classes of the gateway's package log during a task. */
   static List<String> logged(Runnable task) {
     List<String> lines = new ArrayList<>();
     Handler handler =
@@ -97,27 +97,27 @@
 
   // ---- Time and events
 
-  /** Has the gateway handle an event and all that it posts. */
+  /** Makes the gateway handle an event and all events that it posts. */
   void dispatch(Gateway.Event event) {
     gateway.handle(now, event);
     loop.runPending(gateway);
   }
 
-  /** Moves the clock; timers run at their times. */
+  /** Advances the clock and runs timers at their due times. */
   void advance(int millis) {
     Duration end = now.plusMillis(millis);
-    for (Duration next = discoveryAnsweredAt.plus(WATCH);
+    for (Duration next = discoveryAnsweredAt.plus(WATCH_RESPONSE_INTERVAL);
         discoveryAnswers && next.compareTo(end) < 0;
-        next = discoveryAnsweredAt.plus(WATCH)) {
+        next = discoveryAnsweredAt.plus(WATCH_RESPONSE_INTERVAL)) {
       advanceTo(next);
       answerNoChange();
     }
     advanceTo(end);
   }
 
-  /** Moves the clock while discovery accepts every connection and says nothing on any. */
+  /** Advances the clock while discovery accepts connections but does not respond. */
   void advanceWithSilentDiscovery(int millis) {
-    for (int passed = 0; passed < millis; passed += SILENT_STEP_MILLIS) {
+    for (int elapsed = 0; elapsed < millis; elapsed += SILENT_STEP_MILLIS) {
       FakeConnection connection = connections.get(discovery);
       if (!connection.open && !connection.dropped) {
         connection.open = true;
@@ -139,9 +139,9 @@
     now = end;
   }
 
-  /** Completes all writes but those of slow readers. */
+  /** Completes all pending writes except those to slow readers. */
   void completeWrites() {
-    List<Long> stuck = pendingWrites.stream().filter(slowReaders::contains).toList();
+    List<Long> blocked = pendingWrites.stream().filter(slowReaders::contains).toList();
     pendingWrites.removeIf(slowReaders::contains);
     while (!pendingWrites.isEmpty()) {
       long number = pendingWrites.remove(0);
@@ -151,29 +151,29 @@
         dispatch(g -> g.serverConnections().written(number));
       }
     }
-    pendingWrites.addAll(stuck);
+    pendingWrites.addAll(blocked);
   }
 
-  /** Has the gateway reload its configuration, with discovery at another port. */
-  void reload(int port) {
+  /** Makes the gateway reload its configuration with another discovery port. */
+  void reload(int discoveryPort) {
     GatewayConfig next =
         TestConfig.read(
-            "\"discovery\":\"127.0.0.1:1\"", "\"discovery\":\"127.0.0.1:" + port + "\"");
+            "\"discovery\":\"127.0.0.1:1\"", "\"discovery\":\"127.0.0.1:" + discoveryPort + "\"");
     dispatch(g -> g.configReload().reload(next));
   }
 
   // ---- Discovery
 
-  /** Discovery answers, whatever it was asked, that nothing has changed. */
+  /** Discovery answers the pending request, whatever it was, that nothing has changed. */
   void answerNoChange() {
-    byte[] text =
+    byte[] body =
         "{\"revision\":1,\"complete\":false,\"members\":[]}".getBytes(StandardCharsets.UTF_8);
     connections.get(discovery).takeReceived();
     discoveryAnsweredAt = now;
-    dispatch(g -> g.discovery().responseReceived(discovery, 200, text));
+    dispatch(g -> g.discovery().responseReceived(discovery, 200, body));
   }
 
-  /** Discovery answers with two servers, s-0 active and s-1 in this phase. */
+  /** Discovery answers with two servers: s-0, which is active, and s-1 in the given phase. */
   void listEndpoints(int revision, boolean complete, String phase) {
     String text =
         "{\"revision\":"
@@ -192,48 +192,56 @@
 
   // ---- Clients
 
-  /** Connects a client that has sent its startup message; returns its connection's number. */
+  /** Connects a client and completes its startup; returns the connection's id. */
   long connect() {
-    long number = accept();
-    send(number, MessageEncoder.startup());
-    connections.get(number).takeReceived();
-    return number;
+    long client = accept();
+    send(client, MessageEncoder.startup());
+    connections.get(client).takeReceived();
+    return client;
   }
 
-  /** Connects a client that has sent nothing; returns its connection's number. */
+  /** Connects a client that sends nothing; returns the connection's id. */
   long accept() {
-    long number = ++lastClientId;
+    long client = ++lastClientId;
     FakeConnection connection = new FakeConnection();
     connection.open = true;
-    connections.put(number, connection);
-    connection.clientDecoder = Streams.client(loop::post, loop::post, () -> now, number);
-    dispatch(g -> g.clients().accepted(number));
-    return number;
+    connections.put(client, connection);
+    connection.clientDecoder = Streams.client(loop::post, loop::post, () -> now, client);
+    dispatch(g -> g.clients().accepted(client));
+    return client;
   }
 
-  /** A client sends bytes. */
+  /** Sends bytes from a client. */
   void send(long client, ByteBuffer bytes) {
     connections.get(client).clientDecoder.feed(bytes);
     loop.runPending(gateway);
     completeWrites();
   }
 
-  /** A client sends a statement; returns its id. */
-  String request(long client, boolean write, long waitMillis) {
-    return request(client, write, waitMillis, "");
+  /** Sends a statement from a client; returns its request id. */
+  String request(long client, boolean write, long timeoutMillis) {
+    return request(client, write, timeoutMillis, "");
   }
 
   /**
-   * A client sends a statement; returns its id.
+   * Sends a statement from a client; returns its request id.
    *
-   * @param fields what its comment names beyond what all do
+   * @param extraFields additional fields of the statement's comment, each after a comma
    */
-  String request(long client, boolean write, long waitMillis, String fields) {
+  String request(long client, boolean write, long timeoutMillis, String extraFields) {
     String id = "a" + nextRequest++;
-    history.asked(id, client, now.plusMillis(waitMillis));
+    history.requestSent(id, client, now.plusMillis(timeoutMillis));
     String requestClass = write ? "file" : "look";
     String comment =
-        " /* id=" + id + ",c=" + requestClass + ",d=" + waitMillis + ",cluster=0" + fields + " */";
+        " /* id="
+            + id
+            + ",c="
+            + requestClass
+            + ",d="
+            + timeoutMillis
+            + ",cluster=0"
+            + extraFields
+            + " */";
     String statement =
         write
             ? "INSERT INTO kv (name, content) VALUES ('k', '\\x00') RETURNING content"
@@ -242,7 +250,7 @@
     return id;
   }
 
-  /** A client closes its connection. */
+  /** Closes a client's connection from its side. */
   void disconnect(long client) {
     history.disconnected(client);
     connections.get(client).open = false;
@@ -252,7 +260,7 @@
 
   // ---- Servers
 
-  /** Returns the open connections to servers that carry a statement, in the order opened. */
+  /** Returns the open server connections with a statement in progress, in the order opened. */
   List<Long> busyConnections() {
     return new ArrayList<>(
         connections.entrySet().stream()
@@ -261,27 +269,28 @@
             .toList());
   }
 
-  /** Returns the connection that carries a request. */
+  /** Returns the server connection on which a request is in progress. */
   long connectionOf(String id) {
     return busyConnections().stream()
         .filter(number -> id.equals(RequestHistory.idOf(connections.get(number).statement)))
         .findFirst()
-        .orElseThrow(() -> new AssertionError(id + " is not sent; answers: " + history.answers));
+        .orElseThrow(
+            () -> new AssertionError(id + " is not in progress; responses: " + history.answers));
   }
 
-  /** Returns the number of the connection to a server that was opened last. */
+  /** Returns the id of the server connection that was opened last. */
   long newestServerConnection() {
     return connections.keySet().stream().min(Long::compare).orElseThrow();
   }
 
-  /** Servers answer all health checks. */
+  /** Answers all health checks in progress. */
   void answerHealthChecks() {
     busyConnections().stream()
         .filter(number -> RequestHistory.idOf(connections.get(number).statement) == null)
         .forEach(number -> answer(number, null));
   }
 
-  /** A server answers what its connection carries: with a row, or with an SQLSTATE if not null. */
+  /** Answers a connection's statement with a row or, if {@code sqlState} is not null, an error. */
   void answer(long number, String sqlState) {
     FakeConnection connection = connections.get(number);
     String statement = connection.statement;
@@ -297,7 +306,7 @@
     }
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     if (sqlState == null) {
-      String value = id == null ? report(primary) : "v-" + id;
+      String value = id == null ? loadReport(primary) : "v-" + id;
       boolean insert = id != null && RequestHistory.isInsert(statement);
       all.writeBytes(ServerMessages.row(value, insert ? "INSERT 0 1" : "SELECT 1"));
     } else {
@@ -308,11 +317,11 @@
     serverSends(connection, ByteBuffer.wrap(all.toByteArray()));
   }
 
-  private String report(boolean primary) {
+  private String loadReport(boolean primary) {
     return "x0=" + (START_UNIX_MILLIS + now.toMillis()) / 1000.0 + ",x1=" + (primary ? 1 : 0);
   }
 
-  /** A server answers with a row and nothing about itself. */
+  /** Answers a connection's statement with a row, without reporting the server's role. */
   void answerRow(long number, String value, String tag) {
     FakeConnection connection = connections.get(number);
     connection.statement = null;
@@ -322,30 +331,30 @@
     serverSends(connection, ByteBuffer.wrap(message('Z', "I")));
   }
 
-  /** A server sends bytes. */
+  /** Sends bytes from a server. */
   void serverSends(FakeConnection connection, ByteBuffer bytes) {
     connection.serverDecoder.feed(bytes);
     loop.runPending(gateway);
     completeWrites();
   }
 
-  /** A server closes its connection. */
+  /** Closes a server connection from the server's side. */
   void closeByServer(long number) {
     FakeConnection connection = connections.get(number);
-    history.cutOff(RequestHistory.idOf(connection.statement), number);
+    history.attemptInterrupted(RequestHistory.idOf(connection.statement), number);
     connection.open = false;
     dispatch(g -> g.serverConnections().closed(number, connection.serverDecoder.partialResponse()));
     completeWrites();
   }
 
-  /** A server closes all its connections. */
+  /** Closes all connections of a server from its side. */
   void closeAllOf(String server) {
     List.copyOf(connections.keySet()).stream()
         .filter(number -> number < 0 && server.equals(connections.get(number).server))
         .forEach(this::closeByServer);
   }
 
-  /** Decides all pending closes, and has the gateway handle what follows. */
+  /** Completes all pending reads, on which conditional closes and message timeouts depend. */
   void completePendingReads() {
     dispatch(g -> decideCloses());
     dispatch(g -> decideChecks());
--- a/gateway/src/test/java/weldcross/gateway/RequestHistory.java
+++ b/gateway/src/test/java/weldcross/gateway/RequestHistory.java
@@ -12,47 +12,47 @@
 import java.util.regex.Pattern;
 
 /**
- * What clients of a {@link GatewayHarness} asked, what was sent for it and how it was answered;
- * each step is checked against the rules that a gateway must keep.
+ * Records the requests of a {@link GatewayHarness}'s clients, the attempts sent for them and their
+ * responses, and checks the invariants of a gateway at each step.
  */
 final class RequestHistory {
 
-  private static final Duration GRACE = Duration.ofMillis(70);
+  private static final Duration DEADLINE_TOLERANCE = Duration.ofMillis(70);
 
   private static final Pattern STATEMENT =
       Pattern.compile("(SELECT|INSERT).* id=(\\w+),c=(\\w+),d=(\\d+),cluster=0.*");
 
   private static final Pattern VALUE = Pattern.compile("v-(a\\d+)");
 
-  /** When the client of each request gives up. */
+  /** When the client of each request stops waiting. */
   final Map<String, Duration> deadlines = new HashMap<>();
 
-  /** The connection that each request came on. */
+  /** The client connection of each request. */
   final Map<String, Long> clientOf = new HashMap<>();
 
-  /** The SQLSTATE of each answer, or "ok", in the order answered. */
+  /** The SQLSTATE of each response, or "ok", in the order received. */
   final Map<String, String> answers = new LinkedHashMap<>();
 
-  /** Connections to servers that carry each request. */
+  /** Server connections on which each request is in progress. */
   final Map<String, Set<Long>> openAttempts = new HashMap<>();
 
-  /** Requests that a server may have run. */
+  /** Requests that a server may have executed. */
   final Set<String> mayHaveRun = new HashSet<>();
 
-  /** Requests whose clients left before an answer. */
+  /** Requests whose clients disconnected before the response. */
   final Set<String> abandoned = new HashSet<>();
 
-  /** Requests that must not run twice. */
+  /** Requests that must not be executed twice. */
   final Set<String> writes = new HashSet<>();
 
-  /** Fails a test if a rule does not hold. */
-  static void check(boolean holds, String rule) {
-    if (!holds) {
-      throw new AssertionError(rule);
+  /** Fails the test with the message if the condition does not hold. */
+  static void check(boolean condition, String message) {
+    if (!condition) {
+      throw new AssertionError(message);
     }
   }
 
-  /** Returns the id that a statement names; null for a health check, or for null. */
+  /** Returns the request id in a statement; null for a health check and for null. */
   static String idOf(String statement) {
     Matcher matcher = STATEMENT.matcher(statement == null ? "" : statement);
     return matcher.matches() ? matcher.group(2) : null;
@@ -62,29 +62,29 @@
     return STATEMENT.matcher(statement).replaceAll("$1").equals("INSERT");
   }
 
-  void asked(String id, long client, Duration deadline) {
+  void requestSent(String id, long client, Duration deadline) {
     deadlines.put(id, deadline);
     clientOf.put(id, client);
   }
 
-  /** Whether a client has asked something that is not answered. */
+  /** Whether a client has an unanswered request. */
   boolean hasUnansweredRequest(long client) {
     return clientOf.entrySet().stream()
         .anyMatch(entry -> entry.getValue() == client && !answers.containsKey(entry.getKey()));
   }
 
-  /** A client left before it had all its answers. */
+  /** Marks the unanswered requests of a client that disconnected as abandoned. */
   void disconnected(long client) {
     clientOf.forEach(
-        (id, by) -> {
-          if (by == client && !answers.containsKey(id)) {
+        (id, sender) -> {
+          if (sender == client && !answers.containsKey(id)) {
             abandoned.add(id);
           }
         });
   }
 
-  /** A statement was sent to a server. */
-  void sent(long connection, String text, Duration now) {
+  /** Records and checks a statement that was sent to a server. */
+  void attemptSent(long connection, String text, Duration now) {
     Matcher matcher = STATEMENT.matcher(text);
     if (!matcher.matches()) {
       check(
@@ -92,28 +92,30 @@
       return;
     }
     String id = matcher.group(2);
-    check(!answers.containsKey(id) && !abandoned.contains(id), "rule 1: sent after its answer");
-    Set<Long> out = openAttempts.computeIfAbsent(id, i -> new HashSet<>());
     check(
-        matcher.group(1).equals("SELECT") || (out.isEmpty() && !mayHaveRun.contains(id)),
-        "rule 2: sent twice");
+        !answers.containsKey(id) && !abandoned.contains(id),
+        "attempt sent after the response or the client's disconnect");
+    Set<Long> attempts = openAttempts.computeIfAbsent(id, i -> new HashSet<>());
+    check(
+        matcher.group(1).equals("SELECT") || (attempts.isEmpty() && !mayHaveRun.contains(id)),
+        "write sent again though it may have run");
     Duration serverDeadline = now.plusMillis(Long.parseLong(matcher.group(4)));
     check(
-        serverDeadline.compareTo(deadlines.get(id).plus(GRACE)) <= 0,
-        "a server is told more time than there is");
-    out.add(connection);
+        serverDeadline.compareTo(deadlines.get(id).plus(DEADLINE_TOLERANCE)) <= 0,
+        "server given more time than is left");
+    attempts.add(connection);
   }
 
-  /** A connection ended with a request that may have run; the id is null for a health check. */
-  void cutOff(String id, long connection) {
+  /** Records that a connection closed during a request; the id is null for a health check. */
+  void attemptInterrupted(String id, long connection) {
     if (id != null) {
       mayHaveRun.add(id);
       openAttempts.get(id).remove(connection);
     }
   }
 
-  /** A client received one answer. */
-  void answered(long client, String text, Duration now) {
+  /** Records and checks a response that a client received. */
+  void responseReceived(long client, String text, Duration now) {
     Matcher row = VALUE.matcher(text);
     List<String> unanswered =
         clientOf.entrySet().stream()
@@ -126,15 +128,17 @@
     }
     String id = unanswered.get(0);
     boolean served = row.find();
-    check(!served || id.equals(row.group(1)), "rule 1: not the value made for it");
-    check(now.compareTo(deadlines.get(id).plus(GRACE)) <= 0, "rule 1: answered late");
+    check(!served || id.equals(row.group(1)), "response has the value of another request");
+    check(
+        now.compareTo(deadlines.get(id).plus(DEADLINE_TOLERANCE)) <= 0,
+        "response after the deadline");
     String answer = served ? "ok" : text.replaceAll("(?s).*?\0C(\\w{5})\0.*", "$1");
-    boolean sentWrite = openAttempts.containsKey(id) && writes.contains(id);
+    boolean isSentWrite = openAttempts.containsKey(id) && writes.contains(id);
     check(
         !answer.equals("53300")
-            || !sentWrite
+            || !isSentWrite
             || (openAttempts.get(id).isEmpty() && !mayHaveRun.contains(id)),
-        "rule 2: rejected though it may have run");
+        "write rejected as not run though it may have run");
     answers.put(id, answer);
   }
 }
--- a/gateway/src/test/java/weldcross/gateway/TestConfig.java
+++ b/gateway/src/test/java/weldcross/gateway/TestConfig.java
@@ -4,17 +4,17 @@
 import weldcross.config.ConfigValues;
 import weldcross.config.GatewayConfig;
 
-/** The configuration of a gateway under test: three servers of one group. */
+/** The configuration of a gateway under test, with three servers of one group. */
 final class TestConfig {
 
   private TestConfig() {}
 
-  /** Returns one member of discovery's list, server {@code s-k} at port 7000 + k. */
-  static String member(int k, String phase) {
+  /** Returns the endpoint list entry of server {@code s-<index>} at port 7000 + index. */
+  static String member(int index, String phase) {
     return "{\"id\":\"s-"
-        + k
+        + index
         + "\",\"host_port\":\"127.0.0.1:"
-        + (7000 + k)
+        + (7000 + index)
         + "\",\"locality\":\"a\",\"cell\":0,\"phase\":\""
         + phase
         + "\",\"up_since_ms\":0}";
@@ -23,9 +23,9 @@
   /**
    * Returns the configuration as JSON.
    *
-   * @param changes pairs of a text that has to occur in it and what replaces it
+   * @param replacements pairs of a text, which must occur in the configuration, and its replacement
    */
-  static byte[] json(String... changes) {
+  static byte[] json(String... replacements) {
     String text =
         "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\","
             + "\"seed\":\"8c1f\","
@@ -53,17 +53,17 @@
             + "\"fallMultiple\":2.0,\"mustAskIn\":10000000},\"nInstances\":2,"
             + "\"report\":{\"source\":\"probe\"},"
             + "\"tenants\":[{\"name\":\"acme\"}],\"zones\":[\"a\"]}}";
-    for (int k = 0; k < changes.length; k += 2) {
-      if (!text.contains(changes[k])) {
-        throw new IllegalArgumentException("not in the configuration: " + changes[k]);
+    for (int k = 0; k < replacements.length; k += 2) {
+      if (!text.contains(replacements[k])) {
+        throw new IllegalArgumentException("not in the configuration: " + replacements[k]);
       }
-      text = text.replace(changes[k], changes[k + 1]);
+      text = text.replace(replacements[k], replacements[k + 1]);
     }
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Returns the configuration that {@link #json} has. */
-  static GatewayConfig read(String... changes) {
-    return GatewayConfig.of(ConfigValues.ofJson(json(changes)));
+  /** Returns the configuration that results from the JSON text of {@link #json}. */
+  static GatewayConfig read(String... replacements) {
+    return GatewayConfig.of(ConfigValues.ofJson(json(replacements)));
   }
 }
--- a/gateway/src/test/java/weldcross/gateway/WarmUpStreamTest.java
+++ b/gateway/src/test/java/weldcross/gateway/WarmUpStreamTest.java
@@ -10,15 +10,16 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.junit.jupiter.api.Test;
 
+/** The queries that the warm-up client sends, and its close. */
 class WarmUpStreamTest {
 
-  private static final long NUMBER = Long.MIN_VALUE;
+  private static final long CONNECTION_ID = Long.MIN_VALUE;
   private static final ByteBuffer RESPONSE = ByteBuffer.allocate(0);
 
   private final List<String> calls = new ArrayList<>();
   private final AtomicBoolean closed = new AtomicBoolean();
   private final WarmUpStream stream =
-      new WarmUpStream(NUMBER, recordingTransport(), 3, () -> closed.set(true));
+      new WarmUpStream(CONNECTION_ID, recordingTransport(), 3, () -> closed.set(true));
 
   /** A transport that records the names of the methods called. */
   private Transport recordingTransport() {
@@ -33,7 +34,7 @@
   }
 
   @Test
-  void eachReadIsFollowedByOneQueryAndTheLastByClose() {
+  void eachReadIsFollowedByAQueryAndTheLastOneByAClose() {
     stream.opened();
     for (int read = 0; read < 3; read++) {
       stream.read(RESPONSE);
@@ -42,7 +43,7 @@
   }
 
   @Test
-  void closeIsReported() {
+  void closedCallbackIsCalled() {
     stream.closed();
     assertTrue(closed.get());
   }
