--- a/gateway/src/test/java/weldcross/gateway/MultipleDeploymentsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/MultipleDeploymentsTest.java
@@ -13,16 +13,16 @@
 import weldcross.pgwire.MessageEncoder;
 
 /**
- * Two gateways with different configurations in one process, of which the first reloads the other's
- * while it serves: neither affects the other.
+ * Two gateways with different configurations in one process, of which the first reloads the
+ * configuration of the second while it serves, must not affect each other.
  */
 class MultipleDeploymentsTest {
 
   /**
-   * Other methods, effects, bounds, tenants, times to come back and dial times than {@link
-   * GatewayTest#config}.
+   * Changes to the request classes, effects, staleness bounds, tenants, Retry-After limit and
+   * connect timeout of {@link TestConfig#json}.
    */
-  private static final String[] OTHER = {
+  private static final String[] SECOND_CONFIG = {
     "\"name\":\"look\"",
     "\"name\":\"browse\"",
     "\"name\":\"file\"",
@@ -39,23 +39,23 @@
     "\"connectTimeout\":400000"
   };
 
-  private final GatewayHarness one = GatewayHarness.serving();
-  private final GatewayHarness other = GatewayHarness.serving(OTHER);
+  private final GatewayHarness first = GatewayHarness.serving();
+  private final GatewayHarness second = GatewayHarness.serving(SECOND_CONFIG);
   private int nextRequest;
 
   @BeforeEach
-  void firstReadsTheOthersConfiguration() {
-    byte[] text = TestConfig.json(OTHER);
-    one.dispatch(g -> g.configReload().reload(GatewayConfig.of(ConfigValues.ofJson(text))));
+  void reloadFirstGatewayWithConfigOfSecond() {
+    byte[] config = TestConfig.json(SECOND_CONFIG);
+    first.dispatch(g -> g.configReload().reload(GatewayConfig.of(ConfigValues.ofJson(config))));
   }
 
-  /** Asks, and returns the client's connection. */
-  private long ask(GatewayHarness harness, boolean write, String method, String tenant) {
+  /** Sends a request from a new client; returns the client's connection. */
+  private long sendRequest(
+      GatewayHarness harness, boolean write, String requestClass, String tenant) {
     String id = "a" + (900 + nextRequest++);
     long client = harness.connect();
-    harness.history.deadlines.put(id, harness.now.plusMillis(900));
-    harness.history.clientOf.put(id, client);
-    String comment = " /* id=" + id + ",c=" + method + ",d=900,cluster=0,t=" + tenant + " */";
+    harness.history.requestSent(id, client, harness.now.plusMillis(900));
+    String comment = " /* id=" + id + ",c=" + requestClass + ",d=900,cluster=0,t=" + tenant + " */";
     harness.send(
         client,
         MessageEncoder.query(
@@ -65,7 +65,8 @@
     return client;
   }
 
-  private static String answer(GatewayHarness harness, long client) {
+  /** Returns the SQLSTATE and message of the error that a client received. */
+  private static String takeError(GatewayHarness harness, long client) {
     return harness
         .connections
         .get(client)
@@ -73,91 +74,116 @@
         .replaceAll("(?s).*\0C(\\w{5})\0M([\\w, ]+)\0.*", "$1 $2");
   }
 
-  private static List<Long> statements(GatewayHarness harness) {
+  /** Returns the server connections with a client's statement in progress. */
+  private static List<Long> connectionsWithStatements(GatewayHarness harness) {
     return harness.busyConnections().stream()
-        .filter(l -> !harness.connections.get(l).statement.startsWith("SHOW"))
+        .filter(connection -> !harness.connections.get(connection).statement.startsWith("SHOW"))
         .toList();
   }
 
   @Test
   void requestClassesAndTenantsAreUnknownToOtherDeployments() {
-    assertEquals("22023 unknown method", answer(one, ask(one, false, "browse", "acme")));
-    assertEquals("22023 unknown tenant", answer(one, ask(one, false, "look", "zeta")));
-    assertEquals("22023 unknown method", answer(other, ask(other, false, "look", "zeta")));
-    assertEquals("22023 unknown tenant", answer(other, ask(other, false, "browse", "acme")));
-    ask(one, false, "look", "acme");
-    ask(other, false, "browse", "zeta");
-    for (GatewayHarness harness : List.of(one, other)) {
-      assertEquals(1, statements(harness).size());
+    assertEquals(
+        "22023 unknown method", takeError(first, sendRequest(first, false, "browse", "acme")));
+    assertEquals(
+        "22023 unknown tenant", takeError(first, sendRequest(first, false, "look", "zeta")));
+    assertEquals(
+        "22023 unknown method", takeError(second, sendRequest(second, false, "look", "zeta")));
+    assertEquals(
+        "22023 unknown tenant", takeError(second, sendRequest(second, false, "browse", "acme")));
+    sendRequest(first, false, "look", "acme");
+    sendRequest(second, false, "browse", "zeta");
+    for (GatewayHarness harness : List.of(first, second)) {
+      assertEquals(1, connectionsWithStatements(harness).size());
     }
-    assertTrue(one.connections.get(statements(one).get(0)).statement.contains("t=acme"));
-    assertTrue(other.connections.get(statements(other).get(0)).statement.contains("t=zeta"));
+    assertTrue(
+        first
+            .connections
+            .get(connectionsWithStatements(first).get(0))
+            .statement
+            .contains("t=acme"));
+    assertTrue(
+        second
+            .connections
+            .get(connectionsWithStatements(second).get(0))
+            .statement
+            .contains("t=zeta"));
   }
 
-  /** What may be sent again at the one may never run twice at the other. */
+  /** A write that may be retried in one deployment may have to run at most once in the other. */
   @Test
-  void effectsStayWithTheirDeployment() {
-    one.history.writes.add("a900");
-    long mine = ask(one, true, "file", "acme");
-    one.closeByServer(statements(one).get(0));
-    assertEquals("58000 failed", answer(one, mine).substring(0, 12));
-    assertTrue(statements(one).isEmpty());
-    final long theirs = ask(other, true, "order", "zeta");
-    FakeConnection carrying = other.connections.get(statements(other).get(0));
-    assertTrue(carrying.statement.startsWith("INSERT"));
-    // The model of the first customer's rules would take a second send for a broken rule.
-    other.history.mayHaveRun.clear();
-    other.history.openAttempts.clear();
-    long connection = statements(other).get(0);
-    carrying.statement = null;
-    carrying.open = false;
-    other.dispatch(
-        g -> g.serverConnections().closed(connection, carrying.serverDecoder.partialResponse()));
-    other.completeWrites();
-    other.advance(150);
-    assertFalse(statements(other).isEmpty(), "an idempotent write goes out again");
-    assertEquals("", other.connections.get(theirs).takeReceived(), "and is not given up");
+  void retrySafetyOfWritesIsSpecificToItsDeployment() {
+    first.history.writes.add("a900");
+    long firstClient = sendRequest(first, true, "file", "acme");
+    first.closeByServer(connectionsWithStatements(first).get(0));
+    assertEquals("58000 failed", takeError(first, firstClient).substring(0, 12));
+    assertTrue(connectionsWithStatements(first).isEmpty());
+    final long secondClient = sendRequest(second, true, "order", "zeta");
+    FakeConnection interrupted = second.connections.get(connectionsWithStatements(second).get(0));
+    assertTrue(interrupted.statement.startsWith("INSERT"));
+    // The history would report the second attempt as a violation, as it treats all writes as
+    // non-idempotent.
+    second.history.mayHaveRun.clear();
+    second.history.openAttempts.clear();
+    long connection = connectionsWithStatements(second).get(0);
+    interrupted.statement = null;
+    interrupted.open = false;
+    second.dispatch(
+        g -> g.serverConnections().closed(connection, interrupted.serverDecoder.partialResponse()));
+    second.completeWrites();
+    second.advance(150);
+    assertFalse(connectionsWithStatements(second).isEmpty(), "an idempotent write is retried");
+    assertEquals("", second.connections.get(secondClient).takeReceived(), "and not failed");
   }
 
   @Test
-  void stalenessBoundsStayWithTheirDeployment() {
-    for (GatewayHarness harness : List.of(one, other)) {
+  void stalenessBoundsAreSpecificToTheirDeployment() {
+    for (GatewayHarness harness : List.of(first, second)) {
       harness.advance(400);
     }
-    ask(one, false, "look", "acme");
-    assertFalse(one.connections.get(statements(one).get(0)).server.equals("s-0"), "within 800 ms");
-    ask(other, false, "browse", "zeta");
-    other.advance(60);
-    assertEquals("s-0", other.connections.get(statements(other).get(0)).server, "past 150 ms");
+    sendRequest(first, false, "look", "acme");
+    assertFalse(
+        first.connections.get(connectionsWithStatements(first).get(0)).server.equals("s-0"),
+        "within the bound of 800 ms");
+    sendRequest(second, false, "browse", "zeta");
+    second.advance(60);
+    assertEquals(
+        "s-0",
+        second.connections.get(connectionsWithStatements(second).get(0)).server,
+        "past the bound of 150 ms");
   }
 
-  /** What the one has learnt of servers of the same names the other has to learn by itself. */
+  /** Deployments do not share observations about servers with equal names. */
   @Test
-  void learnedStateStaysWithItsDeployment() {
-    GatewayHarness fresh = GatewayHarness.withEndpointList(OTHER);
-    ask(fresh, false, "browse", "zeta");
-    assertTrue(statements(fresh).isEmpty(), "it knows no position yet");
+  void observationsOfServersAreSpecificToTheirDeployment() {
+    GatewayHarness fresh = GatewayHarness.withEndpointList(SECOND_CONFIG);
+    sendRequest(fresh, false, "browse", "zeta");
+    assertTrue(connectionsWithStatements(fresh).isEmpty(), "no replication position is known yet");
     assertEquals(Duration.ZERO, fresh.now);
     assertTrue(fresh.gateway.describe().contains("s-0 0/6 ?"), fresh.gateway.describe());
-    assertFalse(one.gateway.describe().contains("s-0 0/6 ?"), one.gateway.describe());
+    assertFalse(first.gateway.describe().contains("s-0 0/6 ?"), first.gateway.describe());
   }
 
-  /** What a reload cannot change is said to wait for a restart, and none of it holds before. */
+  /** Settings that need a restart are reported and keep their old values until then. */
   @Test
   void reloadChangesOnlyTheDiscoveryAddress() {
     assertEquals(
         List.of("settings"),
         GatewayConfig.of(ConfigValues.ofJson(TestConfig.json()))
-            .keysThatNeedRestart(GatewayConfig.of(ConfigValues.ofJson(TestConfig.json(OTHER)))));
-    one.unreachable.addAll(List.of("s-0", "s-1", "s-2"));
-    List.copyOf(one.connections.keySet()).stream()
+            .keysThatNeedRestart(
+                GatewayConfig.of(ConfigValues.ofJson(TestConfig.json(SECOND_CONFIG)))));
+    first.unreachable.addAll(List.of("s-0", "s-1", "s-2"));
+    List.copyOf(first.connections.keySet()).stream()
         .filter(
-            n -> n < 0 && one.connections.get(n).discoveryPort == 0 && one.connections.get(n).open)
-        .forEach(one::closeByServer);
-    long client = ask(one, false, "look", "acme");
-    one.advance(900);
+            id ->
+                id < 0
+                    && first.connections.get(id).discoveryPort == 0
+                    && first.connections.get(id).open)
+        .forEach(first::closeByServer);
+    long client = sendRequest(first, false, "look", "acme");
+    first.advance(900);
     assertTrue(
-        one.connections.get(client).takeReceived().contains("D500\0"),
-        "come back after the first customer's time");
+        first.connections.get(client).takeReceived().contains("D500\0"),
+        "Retry-After limit of the first configuration");
   }
 }
--- a/gateway/src/test/java/weldcross/gateway/PlainStartTest.java
+++ b/gateway/src/test/java/weldcross/gateway/PlainStartTest.java
@@ -12,44 +12,46 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Which classes a start without extensions loads. */
+/** The classes that a start without extensions loads. */
 @Timeout(60)
 class PlainStartTest {
 
-  /** What {@code run} starts loads no class of an extension, nor of what only extensions need. */
+  /** Neither the classes of extensions nor those of libraries that only extensions use. */
   @Test
-  void plainStartLoadsNoClassOfAnExtension(@TempDir Path folder) throws Exception {
-    List<String> plain = loaded(folder, "serve");
+  void plainStartLoadsNoExtensionClasses(@TempDir Path directory) throws Exception {
+    List<String> plainStart = loadedClasses(directory, "serve");
     assertTrue(
-        plain.stream().anyMatch(l -> l.contains("weldcross.gateway.Gateway ")),
+        plainStart.stream().anyMatch(line -> line.contains("weldcross.gateway.Gateway ")),
         "classes are logged");
     List<String> extensionClasses =
-        plain.stream()
+        plainStart.stream()
             .filter(
-                l ->
-                    l.matches(
+                line ->
+                    line.matches(
                         ".*\\b(weldcross\\.(mesh|membership|consensus|control|storage|chaos)\\."
                             + "|com\\.google\\.protobuf|org\\.tomlj|org\\.antlr"
                             + "|weldcross\\.cli\\.ExtensionLoader"
                             + "|weldcross\\.config\\.(ExtensionsConfig|TomlConfigParser)).*"))
             .toList();
     assertEquals(List.of(), extensionClasses);
-    Path with = folder.resolve("parts.toml");
+    Path extensionsConfig = directory.resolve("parts.toml");
     Files.writeString(
-        with,
+        extensionsConfig,
         "directory = \""
-            + folder.resolve("kept")
+            + directory.resolve("kept")
             + "\"\n[link]\ncluster = \"c\"\n"
             + "listen = \"127.0.0.1:0\"\n");
     assertTrue(
-        loaded(folder, "serve", "--with", with.toString()).stream()
-            .anyMatch(l -> l.contains("weldcross.mesh.PeerConnectionManager ")),
-        "with one they are");
+        loadedClasses(directory, "serve", "--with", extensionsConfig.toString()).stream()
+            .anyMatch(line -> line.contains("weldcross.mesh.PeerConnectionManager ")),
+        "loaded with an extension");
   }
 
-  /** Class names that a process of its own loads until its port is open. */
-  private List<String> loaded(Path folder, String... arguments) throws Exception {
-    Path config = folder.resolve("config.json");
+  /**
+   * Returns the class loading log of a separate gateway process up to its first discovery failure.
+   */
+  private List<String> loadedClasses(Path directory, String... arguments) throws Exception {
+    Path config = directory.resolve("config.json");
     Files.writeString(
         config,
         Files.readString(Path.of("deploy/example.json")).replace("127.0.0.1:6543", "127.0.0.1:0"));
@@ -57,7 +59,7 @@
         new ArrayList<>(
             List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-Xlog:class+load:file=" + folder.resolve("classes"),
+                "-Xlog:class+load:file=" + directory.resolve("classes"),
                 "-cp",
                 System.getProperty("java.class.path"),
                 "weldcross.Main"));
@@ -66,16 +68,16 @@
     builder.environment().put("NODE_CONFIG", config.toString());
     Process process = builder.start();
     try (BufferedReader log = process.inputReader()) {
-      List<String> said = new ArrayList<>();
+      List<String> output = new ArrayList<>();
       for (String line = log.readLine();
           line != null && !line.contains("discovery failed");
           line = log.readLine()) {
-        said.add(line);
+        output.add(line);
       }
-      assertTrue(process.isAlive(), said.toString());
+      assertTrue(process.isAlive(), output.toString());
     } finally {
       process.destroyForcibly().waitFor();
     }
-    return Files.readAllLines(folder.resolve("classes"));
+    return Files.readAllLines(directory.resolve("classes"));
   }
 }
--- a/gateway/src/test/java/weldcross/gateway/RequestPipelineTest.java
+++ b/gateway/src/test/java/weldcross/gateway/RequestPipelineTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import weldcross.pgwire.MessageEncoder;
 
-/** Order, limits and checks of what clients send. */
+/** Order, limits and validation of client requests. */
 class RequestPipelineTest {
 
   @Test
-  void rowIsPassedOnUnchanged() {
+  void rowIsForwardedUnchanged() {
     GatewayHarness harness = GatewayHarness.serving();
     long client = harness.connect();
     String id = harness.request(client, false, 500);
@@ -35,7 +35,7 @@
         harness.connections.get(client).takeReceived());
   }
 
-  /** What waits behind another loses no time by it, and no answer overtakes one. */
+  /** A slow request does not delay the start of later ones; only their responses wait. */
   @Test
   void pipelinedRequestsRunConcurrentlyAndAreAnsweredInOrder() {
     GatewayHarness harness = GatewayHarness.serving();
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void clientWithTooManyRequestsIsNotReadOn() {
+  void readingPausesWhileAClientHasTooManyRequests() {
     GatewayHarness harness = GatewayHarness.serving();
     long client = harness.connect();
     List<String> ids = new ArrayList<>();
@@ -61,8 +61,10 @@
     assertTrue(harness.calls.contains("hold " + client));
     for (int k = 0; k < 12; k++) {
       harness.busyConnections().stream()
-          .filter(l -> RequestHistory.idOf(harness.connections.get(l).statement) != null)
-          .forEach(l -> harness.answer(l, null));
+          .filter(
+              connection ->
+                  RequestHistory.idOf(harness.connections.get(connection).statement) != null)
+          .forEach(connection -> harness.answer(connection, null));
       harness.advance(40);
       harness.answerHealthChecks();
     }
@@ -71,13 +73,12 @@
   }
 
   @Test
-  void burstOfStatementsStartsFewAndAnswersAll() {
+  void burstOfStatementsIsLimitedAndFullyAnswered() {
     GatewayHarness harness = GatewayHarness.serving();
     long client = harness.connect();
     ByteBuffer burst = ByteBuffer.allocate(60_000);
     for (int k = 0; k < 300; k++) {
-      harness.history.deadlines.put("a" + k, harness.now.plusMillis(900));
-      harness.history.clientOf.put("a" + k, client);
+      harness.history.requestSent("a" + k, client, harness.now.plusMillis(900));
       burst.put(
           MessageEncoder.query(
               "SELECT content FROM kv WHERE name = 'k' /* id=a"
@@ -96,20 +97,23 @@
 
   @ParameterizedTest
   @CsvSource({"c=look,c=read", "c=look,c=file", "cluster=0,cluster=7", "d=900,'d=900,t=nobody'"})
-  void statementThatNamesTheUnknownIsRejected(String part, String instead) {
+  void invalidStatementIsRejected(String original, String replacement) {
     GatewayHarness harness = GatewayHarness.serving();
     long client = harness.connect();
     harness.history.deadlines.put("z", harness.now.plusMillis(900));
     String text = "SELECT content FROM kv WHERE name = 'k' /* id=z,c=look,d=900,cluster=0 */";
-    harness.send(client, MessageEncoder.query(text.replace(part, instead)));
+    harness.send(client, MessageEncoder.query(text.replace(original, replacement)));
     assertTrue(harness.connections.get(client).takeReceived().contains("C22023"));
     assertTrue(
         harness.busyConnections().stream()
-            .allMatch(l -> RequestHistory.idOf(harness.connections.get(l).statement) == null));
+            .allMatch(
+                connection ->
+                    RequestHistory.idOf(harness.connections.get(connection).statement) == null));
     harness.send(client, MessageEncoder.query(text));
     harness.connectionOf("z");
     long other = harness.connect();
     harness.send(other, MessageEncoder.query(text));
-    assertTrue(harness.connections.get(other).takeReceived().contains("C22023"), "an id in use");
+    assertTrue(
+        harness.connections.get(other).takeReceived().contains("C22023"), "the id is in use");
   }
 }
--- a/gateway/src/test/java/weldcross/gateway/SocketLimitsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/SocketLimitsTest.java
@@ -27,13 +27,13 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * The threads of MINA must complete each of their rounds, as one that does not stops the gateway.
- * Each test checks this by round trips on another connection.
+ * MINA's threads must complete each iteration of their loops, as a blocked or busy one stops the
+ * gateway. Each test checks this by round trips on another connection.
  */
 @Timeout(60)
 class SocketLimitsTest {
 
-  /** Round trips of another client; each takes at least one round of the processor. */
+  /** Round trips of another client; each takes at least one iteration of the processor. */
   private static final int ROUND_TRIPS = 300;
 
   private final ExecutorService threads = Executors.newCachedThreadPool();
@@ -87,8 +87,8 @@
     return socket;
   }
 
-  private static void assertServed(Socket client, int times) throws IOException {
-    for (int k = 0; k < times; k++) {
+  private static void assertServed(Socket client, int roundTrips) throws IOException {
+    for (int k = 0; k < roundTrips; k++) {
       client.getOutputStream().write(k);
       assertEquals(k & 0xff, client.getInputStream().read());
     }
@@ -112,13 +112,13 @@
           };
       processor.afterPendingReads(task);
       assertServed(client, ROUND_TRIPS);
-      assertTrue(runs.get() > 1, "it resubmitted itself: " + runs);
+      assertTrue(runs.get() > 1, "the task resubmitted itself: " + runs);
     } finally {
       stopped.set(true);
     }
   }
 
-  /** Without descriptors each accept fails at once; MINA tries again after a second. */
+  /** Without descriptors each accept fails immediately; MINA retries after one second. */
   @Test
   void acceptingWithoutDescriptorsPausesAndResumes() throws Exception {
     try (Socket client = connect()) {
@@ -133,15 +133,15 @@
           served++;
         }
         long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
-        assertTrue(millis >= 500, "tried again after " + millis + " ms");
-        assertTrue(served > ROUND_TRIPS, "others were served meanwhile: " + served);
+        assertTrue(millis >= 500, "accept retried after " + millis + " ms");
+        assertTrue(served > ROUND_TRIPS, "other connections were served: " + served);
         outOfDescriptors.set(false);
         assertServed(waiting, 1);
       }
     }
   }
 
-  /** Counts the attempts to write it. */
+  /** Counts the attempts to write the buffer. */
   private static final class CountingBuffer extends CompositeBuffer {
     final AtomicInteger attempts = new AtomicInteger();
 
@@ -157,7 +157,8 @@
   }
 
   /**
-   * A client that does not read costs no attempt in each round, and gets everything once it does.
+   * A client that does not read must not cause a write attempt in each iteration of the processor,
+   * and receives everything once it reads.
    */
   @Test
   void blockedWriteIsRetriedOnlyWhenWritable() throws Exception {
@@ -184,7 +185,9 @@
       assertServed(other, ROUND_TRIPS);
       assertTrue(
           message.attempts.get() - attempts < ROUND_TRIPS / 10,
-          "attempted " + (message.attempts.get() - attempts) + " times while nothing was taken");
+          "attempted "
+              + (message.attempts.get() - attempts)
+              + " writes while the client did not read");
       byte[] received = new byte[content.length];
       new DataInputStream(blocked.getInputStream()).readFully(received);
       assertArrayEquals(content, received);
