--- a/gateway/src/test/java/weldcross/gateway/FakeTransport.java
+++ b/gateway/src/test/java/weldcross/gateway/FakeTransport.java
@@ -96,7 +96,7 @@
 
   @Override
   public void warmUp() {
-    gateway.soon(gateway::warmUpCompleted);
+    gateway.defer(gateway::warmUpCompleted);
   }
 
   @Override
@@ -116,7 +116,7 @@
     connections.put(number, connection);
     connection.serverDecoder = MessageDecoders.forServer(loop::post, number);
     if (!unreachable.contains(connection.server)) {
-      gateway.soon(
+      gateway.defer(
           () -> {
             connection.open = true;
             gateway.serverConnections().connected(number);
@@ -163,7 +163,7 @@
     connection.statement = text;
     idleTimeBeforeStatement.put(
         number, connection.answeredAt == null ? null : now.minus(connection.answeredAt));
-    history.sent(number, text, now);
+    history.attemptSent(number, text, now);
     if (RequestHistory.idOf(text) != null) {
       onSent.accept(connection.server);
     }
@@ -176,7 +176,7 @@
   private void recordResponses(long client, String text) {
     for (String response : text.split("(?<=Z\0\0\0\5I)", -1)) {
       if (response.startsWith("T") || response.startsWith("E")) {
-        history.answered(client, response, now);
+        history.responseReceived(client, response, now);
       }
     }
   }
@@ -189,7 +189,7 @@
   @Override
   public void afterPendingReads(long number) {
     if (!readsDelayed) {
-      gateway.soon(() -> gateway.pendingReadsDone(number));
+      gateway.defer(() -> gateway.pendingReadsDone(number));
     }
   }
 
@@ -197,7 +197,7 @@
   public void closeIfQuiet(long number, int messages) {
     pendingCloses.put(number, messages);
     if (!readsDelayed) {
-      gateway.soon(this::decideCloses);
+      gateway.defer(this::decideCloses);
     }
   }
 
@@ -216,7 +216,7 @@
                 && !connection.clientDecoder.isInMessage());
     connection.open &= !quiet;
     connection.dropped |= quiet;
-    gateway.soon(
+    gateway.defer(
         () -> {
           gateway.clients().closeDecided(number, quiet);
           // A well-behaved client closes its own side in response.
@@ -230,7 +230,7 @@
   public void checkMessageIncomplete(long number, int messages) {
     pendingChecks.put(number, messages);
     if (!readsDelayed) {
-      gateway.soon(this::decideChecks);
+      gateway.defer(this::decideChecks);
     }
   }
 
@@ -256,7 +256,7 @@
     }
     connection.dropped = true;
     connection.open = false;
-    history.cutOff(RequestHistory.idOf(connection.statement), number);
+    history.attemptInterrupted(RequestHistory.idOf(connection.statement), number);
   }
 
   @Override
