--- a/gateway/src/main/java/weldcross/gateway/EndpointDirectory.java
+++ b/gateway/src/main/java/weldcross/gateway/EndpointDirectory.java
@@ -12,14 +12,17 @@
 import weldcross.routing.ServerId;
 import weldcross.routing.ZoneId;
 
-/** The listed endpoints and their groups; passes each endpoint list on to the router. */
+/** Stores the listed endpoints with their groups, and forwards each endpoint list to the router. */
 final class EndpointDirectory {
 
   private final Gateway gateway;
   private final UnixTime unixTime;
   private final Map<ServerId, GroupId> groups = new LinkedHashMap<>();
 
-  /** All groups ever listed: one whose members are all gone for a moment is not unknown. */
+  /**
+   * All groups ever listed. A group that temporarily has no endpoints must not be reported to
+   * clients as unknown.
+   */
   private final Set<GroupId> knownGroups = new HashSet<>();
 
   EndpointDirectory(Gateway gateway, UnixTime unixTime) {
@@ -28,19 +31,19 @@
   }
 
   /**
-   * Takes a list of endpoints.
+   * Applies an endpoint list.
    *
    * @param complete whether endpoints that are not in the list are removed
    */
-  void listed(boolean complete, List<DiscoveredEndpoint> endpoints) {
+  void apply(boolean complete, List<DiscoveredEndpoint> endpoints) {
     gateway.router().beginEndpointList(gateway.now(), complete);
     for (DiscoveredEndpoint endpoint : endpoints) {
-      listed(endpoint);
+      apply(endpoint);
     }
     gateway.router().endEndpointList(gateway.now());
   }
 
-  private void listed(DiscoveredEndpoint endpoint) {
+  private void apply(DiscoveredEndpoint endpoint) {
     ServerId server = new ServerId(endpoint.id());
     if (endpoint.address() != null) {
       gateway.serverConnections().setAddress(server, endpoint.address());
@@ -65,7 +68,7 @@
                 endpoint.primary()));
   }
 
-  /** Forgets an endpoint that left the list; its group stays known. */
+  /** Removes an endpoint that is no longer listed; its group stays known. */
   void remove(ServerId server) {
     groups.remove(server);
   }
@@ -75,7 +78,7 @@
     return groups.get(server);
   }
 
-  /** Whether any server of the group was ever listed. */
+  /** Returns whether any server of the group was ever listed. */
   boolean isKnown(GroupId group) {
     return knownGroups.contains(group);
   }
--- a/gateway/src/main/java/weldcross/gateway/Gateway.java
+++ b/gateway/src/main/java/weldcross/gateway/Gateway.java
@@ -339,7 +339,7 @@
    * @param complete whether endpoints that are not in the list are removed
    */
   void listed(boolean complete, List<DiscoveredEndpoint> listed) {
-    endpoints.listed(complete, listed);
+    endpoints.apply(complete, listed);
     serveIfReady();
   }
 
--- a/gateway/src/main/java/weldcross/gateway/GossipSocket.java
+++ b/gateway/src/main/java/weldcross/gateway/GossipSocket.java
@@ -12,7 +12,7 @@
 import weldcross.gossip.GossipMessage;
 import weldcross.routing.ServerId;
 
-/** The datagram socket on which gateways exchange {@link GossipMessage}s. */
+/** The UDP socket over which gateways exchange {@link GossipMessage}s. */
 final class GossipSocket implements AutoCloseable {
 
   private static final Logger LOG = Logger.getLogger(GossipSocket.class.getName());
@@ -23,8 +23,8 @@
   /**
    * Opens the socket.
    *
-   * @param address where messages are received and from where they are sent
-   * @param onMessage called, on the socket's thread, with the server that a message names
+   * @param address local address for receiving and sending messages
+   * @param onMessage receives, on the socket's thread, the server named in each valid message
    * @throws IOException if the address cannot be bound
    */
   GossipSocket(InetSocketAddress address, Consumer<ServerId> onMessage) throws IOException {
@@ -41,7 +41,7 @@
 
           @Override
           public void exceptionCaught(IoSession session, Throwable cause) {
-            LOG.log(Level.FINE, "gossip failed", cause);
+            LOG.log(Level.FINE, "gossip socket error", cause);
           }
         });
     acceptor.bind(address);
@@ -53,7 +53,7 @@
     return GossipMessage.decode(bytes);
   }
 
-  /** Sends a message, which may be lost. */
+  /** Sends a message; delivery is not guaranteed. */
   void send(InetSocketAddress target, byte[] message) {
     acceptor.newSession(target, address).write(IoBuffer.wrap(message));
   }
--- a/gateway/src/test/java/weldcross/gateway/GossipSocketTest.java
+++ b/gateway/src/test/java/weldcross/gateway/GossipSocketTest.java
@@ -48,7 +48,7 @@
     }
   }
 
-  /** A datagram may be lost, so it is sent until one arrives. */
+  /** Datagrams may be lost, so this sends until one is received. */
   private ServerId sendUntilReceived() throws InterruptedException {
     ServerId server = null;
     for (int attempt = 0; server == null && attempt < 100; attempt++) {
@@ -59,20 +59,20 @@
   }
 
   @Test
-  void messageReachesTheOtherSocket() throws Exception {
+  void messageIsReceivedByOtherSocket() throws Exception {
     assertEquals(SERVER, sendUntilReceived());
   }
 
   @Test
-  void messageThatIsTooLongIsIgnored() throws Exception {
-    byte[] tooLong = "s".repeat(GossipMessage.MAX_BYTES + 1).getBytes(StandardCharsets.US_ASCII);
-    sender.send(receiverAddress, tooLong);
+  void oversizedMessageIsIgnored() throws Exception {
+    byte[] oversized = "s".repeat(GossipMessage.MAX_BYTES + 1).getBytes(StandardCharsets.US_ASCII);
+    sender.send(receiverAddress, oversized);
     assertEquals(SERVER, sendUntilReceived());
     assertTrue(received.stream().allMatch(SERVER::equals), received.toString());
   }
 
   @Test
-  void addressInUseIsReported() throws Exception {
+  void bindingAddressInUseFails() throws Exception {
     try (DatagramSocket taken = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
       InetSocketAddress address =
           new InetSocketAddress(taken.getLocalAddress(), taken.getLocalPort());
