--- a/gateway/src/main/java/weldcross/discovery/EndpointListLease.java
+++ b/gateway/src/main/java/weldcross/discovery/EndpointListLease.java
@@ -3,68 +3,70 @@
 import java.time.Duration;
 
 /**
- * Decides for how long an endpoint list may be acted on after the last answer of discovery, and how
- * discovery is asked. Decides only; {@code weldcross.gateway.DiscoveryWatcher} does the I/O.
+ * Decides how long an endpoint list may be used after the last response of discovery, and how often
+ * discovery is requested. Makes decisions only; {@code weldcross.gateway.DiscoveryWatcher} does the
+ * I/O.
  *
- * <p>A drain binds a gateway even if its notice never arrived. What discovery knows counts as
- * notified at the latest {@link #NOTICE_DEADLINE} after the request that should have brought it;
- * without an open request, and with an agent beside the gateway that knows it, it counts at once.
- * Until then, and for the grace period in which requests to a draining server end, the list is
- * certain to have all that binds. After that no server is known to accept requests.
+ * <p>A drain takes effect on a gateway even if its notice was never received. Every change that
+ * discovery knows is considered delivered at the latest {@link #NOTICE_DEADLINE} after the request
+ * that should have returned it. If no request is open, a change known to a local agent is
+ * considered delivered immediately. Until then, and during the grace period in which requests to a
+ * draining server end, the list is certain to have every drain that is in effect. After that, no
+ * server is known to accept requests.
  *
- * <p>Discovery has two forms. It is an agent beside the gateway that answers at once, or it is
- * polled: one service that all gateways share, at which requests queue and are rejected if the
- * queue is long. A request to the latter that is abandoned early, or repeated at once, costs the
- * service work that serves nobody.
+ * <p>Discovery has one of two forms. Either it is an agent on the gateway's host, which responds
+ * immediately, or it is polled: one service shared by all gateways, which queues requests and
+ * rejects them if its queue is long. Abandoning a request to the shared service early, or repeating
+ * it immediately, adds to the load of the service without a benefit.
  *
  * <p>Times are durations since the start of the process. Not thread-safe.
  */
 public final class EndpointListLease {
 
   /**
-   * What discovery knows, and could be asked for, counts as notified after this time, whatever
-   * became of the requests. From the protocol, which allows more to a watch that waits longer, but
-   * not once it was abandoned.
+   * A change that discovery knows, and could be requested, is considered delivered after this time,
+   * whatever the outcome of the requests. Set by the protocol, which allows more to a watch with a
+   * longer wait, unless that watch was abandoned.
    */
   private static final Duration NOTICE_DEADLINE = Duration.ofSeconds(6);
 
   /**
-   * A watch waits for this fraction of that time: each one is a request, but the shorter it is, the
-   * longer is the list certain to have all that binds once discovery goes down.
+   * A watch waits for this fraction of {@link #NOTICE_DEADLINE}. Shorter watches mean more requests
+   * but keep the list valid for longer once discovery is down.
    */
   private static final int WATCH_DIVISOR = 4;
 
-  /** Longest time that a request may spend in the queue of a polled service. From the protocol. */
+  /** Longest time of a request in the queue of the shared service. Set by the protocol. */
   private static final Duration MAX_QUEUE_TIME = Duration.ofSeconds(2);
 
-  /** Longest backoff between failed requests to a polled service, in connect timeouts. */
+  /** Longest backoff between failed requests to the shared service, in connect timeouts. */
   private static final int MAX_BACKOFF_FACTOR = 8;
 
   /**
-   * What a new address of discovery knows counts as notified so long after the move to it. From the
-   * protocol.
+   * A change known at a new address of discovery is considered delivered this long after the
+   * address change. Set by the protocol.
    */
-  private static final Duration NOTICE_DEADLINE_AFTER_MOVE = Duration.ofSeconds(4);
+  private static final Duration NOTICE_DEADLINE_AFTER_ADDRESS_CHANGE = Duration.ofSeconds(4);
 
-  /** A request later than this after the last answer starts a new watch. From the protocol. */
-  private static final Duration WATCH_GAP = Duration.ofMillis(200);
+  /** A request later than this after the last response starts a new watch. Set by the protocol. */
+  private static final Duration MAX_WATCH_GAP = Duration.ofMillis(200);
 
   private final Duration drainGracePeriod;
   private final boolean polled;
 
-  /** When the lease expires, a move apart; null before the first answer. */
+  /** When the lease expires, not counting an address change; null before the first response. */
   private Duration expiry;
 
-  private Duration lastAnswer;
+  private Duration lastResponseAt;
 
-  /** When the lease would expire counted from the last answer alone. */
-  private Duration expiryByAnswer;
+  /** When the lease would expire if only the last response counted. */
+  private Duration expiryByResponse;
 
-  /** Whether the lease runs from the last answer, as discovery was found to be down. */
+  /** Whether the lease runs from the last response because discovery is down. */
   private boolean discoveryDown;
 
-  /** When the lease expires unless the new address answers; null if discovery does not move. */
-  private Duration moveExpiry;
+  /** When the lease expires unless the new address responds; null without an address change. */
+  private Duration addressChangeExpiry;
 
   /**
    * Creates a lease without a list.
@@ -79,10 +81,10 @@
   }
 
   /**
-   * Returns for how long a watch may wait for changes. With an agent, so short that a silent one is
-   * noticed, and the list requested anew, well before what the watch missed counts as notified.
-   * With a polled service, no longer than the interval between two polls: what a silent watch
-   * missed counts only after its wait.
+   * Returns how long a watch may wait for changes. With an agent, the wait is short enough that a
+   * watch without a response is noticed, and the list requested again, well before the changes it
+   * missed are considered delivered. With the shared service, it is the interval between two polls,
+   * as the changes that a watch misses are considered delivered only after its wait.
    *
    * @param maxPollInterval longest time that a gateway without a watch may go without a request
    * @param polled whether discovery is one service that all gateways poll
@@ -97,85 +99,88 @@
   }
 
   /**
-   * Returns how long an answer may take, beyond the wait of its request, before that is abandoned.
+   * Returns how long a response may take, beyond the wait of its request, before the request is
+   * abandoned.
    *
-   * @param grace how long an answer may take without a queue
+   * @param roundTrip how long a response may take without a queue
    * @param polled whether discovery is one service that all gateways poll
    */
-  public static Duration answerTimeout(Duration grace, boolean polled) {
-    return polled ? MAX_QUEUE_TIME.plus(grace) : grace;
+  public static Duration responseTimeout(Duration roundTrip, boolean polled) {
+    return polled ? MAX_QUEUE_TIME.plus(roundTrip) : roundTrip;
   }
 
   /**
-   * Returns the backoff after failed requests. With a polled service it grows with each failure and
-   * has jitter, so that gateways that were rejected together do not return together.
+   * Returns the backoff after failed requests. With the shared service, it grows with each failure
+   * and has jitter, so that gateways rejected at the same time do not retry at the same time.
    *
-   * @param failures how many requests failed in a row, at least one
-   * @param timedOut whether the last one timed out, and so has waited already
-   * @param connectTimeout limit for a connection to come up
+   * @param failures number of consecutive failures, at least one
+   * @param responseTimedOut whether the last failure was a response that timed out, so that the
+   *     gateway has already waited
+   * @param connectTimeout limit for a connection to be established
    * @param random a number in [0, 1), different for each gateway
    */
-  public Duration backoff(int failures, boolean timedOut, Duration connectTimeout, double random) {
+  public Duration backoff(
+      int failures, boolean responseTimedOut, Duration connectTimeout, double random) {
     if (!polled) {
-      return timedOut ? Duration.ZERO : connectTimeout;
+      return responseTimedOut ? Duration.ZERO : connectTimeout;
     }
     long factor = Math.min(MAX_BACKOFF_FACTOR, 1L << Math.min(failures, Integer.SIZE));
     return Duration.ofNanos((long) (connectTimeout.toNanos() * factor * (1 + random) / 2));
   }
 
   /**
-   * Renews the lease: discovery answered, and the next request is sent in the same moment.
+   * Renews the lease: discovery responded, and the next request is sent at the same time.
    *
    * @param now the current time
-   * @param requestTimeout for how long that request may wait for changes
+   * @param requestTimeout how long the next request may wait for changes
    */
-  public void answered(Duration now, Duration requestTimeout) {
-    Duration silence = requestTimeout.plus(MAX_QUEUE_TIME);
-    Duration deadline = silence.compareTo(NOTICE_DEADLINE) > 0 ? silence : NOTICE_DEADLINE;
-    lastAnswer = now;
-    expiryByAnswer = now.plus(deadline).plus(drainGracePeriod);
-    expiry = expiryByAnswer;
+  public void renew(Duration now, Duration requestTimeout) {
+    Duration noticeAfterWait = requestTimeout.plus(MAX_QUEUE_TIME);
+    Duration deadline =
+        noticeAfterWait.compareTo(NOTICE_DEADLINE) > 0 ? noticeAfterWait : NOTICE_DEADLINE;
+    lastResponseAt = now;
+    expiryByResponse = now.plus(deadline).plus(drainGracePeriod);
+    expiry = expiryByResponse;
     discoveryDown = false;
   }
 
   /**
-   * Notes that an answer began to arrive: there is a change, which binds from now on even if the
-   * rest of the answer never comes.
+   * Records that a part of a response was received. It shows that there is a change, which is
+   * considered delivered now even if the rest of the response is never received.
    */
-  public void answerStarted(Duration now) {
+  public void responseStarted(Duration now) {
     Duration limit = now.plus(drainGracePeriod);
-    if (expiryByAnswer != null && limit.compareTo(expiryByAnswer) < 0) {
-      expiryByAnswer = limit;
+    if (expiryByResponse != null && limit.compareTo(expiryByResponse) < 0) {
+      expiryByResponse = limit;
       expiry = discoveryDown ? limit : expiry;
     }
   }
 
   /**
-   * Notes that discovery is down: a request that an agent answers at once, if it has any list, was
-   * sent some time ago, everything that arrived since was read, and there was no answer. An agent
-   * that is down learns nothing, so it has nothing to notify. Only a watch that had become silent
-   * before may have missed something, so the lease runs as long as what such a watch missed cannot
-   * count: from the last answer. A lease that has expired is not revived, as the agent may have had
-   * changes while no request could be sent.
+   * Records that discovery is down: it did not respond to a request to which an agent with a list
+   * responds immediately, although everything that had arrived was read. An agent that is down
+   * receives no changes, so only the changes missed by an earlier watch without a response can be
+   * outstanding, and the lease runs as if counted from the last response. A lease that has expired
+   * is not revived, as the agent may have received changes while no request could be sent.
    */
-  public void discoveryFoundDown(Duration now) {
+  public void discoveryDown(Duration now) {
     if (!polled && isValid(now)) {
-      expiry = expiryByAnswer;
+      expiry = expiryByResponse;
       discoveryDown = true;
     }
   }
 
   /**
-   * Notes that no request was open on which discovery could answer. With a polled service, earlier
-   * changes may have been missed as well, by a request that was silent before it ended: then the
-   * time of the last answer counts, and what is allowed to a watch that no longer waits.
+   * Records that no request was open to which discovery could respond. With the shared service, a
+   * request that received no response before it ended may have missed earlier changes as well, so
+   * the lease then runs from the last response, without the extra time of an open watch.
    *
-   * @param since since when; until the next answer
+   * @param since the start of the time without an open request, which lasts until the next response
    */
   public void disconnected(Duration since) {
     Duration limit =
-        polled && lastAnswer != null
-            ? lastAnswer.plus(NOTICE_DEADLINE).plus(drainGracePeriod)
+        polled && lastResponseAt != null
+            ? lastResponseAt.plus(NOTICE_DEADLINE).plus(drainGracePeriod)
             : since.plus(drainGracePeriod);
     if (expiry != null && limit.compareTo(expiry) < 0) {
       expiry = limit;
@@ -184,35 +189,37 @@
   }
 
   /**
-   * Notes that discovery has moved to another address, which has not answered yet; the old one may
-   * go on to answer.
+   * Records that the address of discovery was changed and the new one has not responded yet. The
+   * old one may continue to respond.
    */
-  public void moved(Duration now) {
-    moveExpiry = now.plus(NOTICE_DEADLINE_AFTER_MOVE).plus(drainGracePeriod);
+  public void addressChanged(Duration now) {
+    addressChangeExpiry = now.plus(NOTICE_DEADLINE_AFTER_ADDRESS_CHANGE).plus(drainGracePeriod);
   }
 
-  /** Notes that the new address has answered, or that discovery is at the old one after all. */
-  public void moveCompleted() {
-    moveExpiry = null;
+  /** Records that the new address has responded, or that the change was reverted. */
+  public void addressChangeCompleted() {
+    addressChangeExpiry = null;
   }
 
   /**
-   * Returns whether a request so long after the last answer starts a new watch, before which
+   * Returns whether a request this long after the last response starts a new watch, before which
    * changes may have been missed.
    */
-  public static boolean isNewWatch(Duration sinceAnswer) {
-    return sinceAnswer.compareTo(WATCH_GAP) > 0;
+  public static boolean isNewWatch(Duration sinceResponse) {
+    return sinceResponse.compareTo(MAX_WATCH_GAP) > 0;
   }
 
-  /** Returns whether the list is certain to have all that binds now. */
+  /** Returns whether the list is certain to have every drain that is in effect. */
   public boolean isValid(Duration now) {
     return expiry != null && now.compareTo(expiresAt()) < 0;
   }
 
-  /** Returns when the lease expires unless discovery answers; null before the first answer. */
+  /** Returns when the lease expires without another response; null before the first response. */
   public Duration expiresAt() {
-    return expiry == null || moveExpiry == null || expiry.compareTo(moveExpiry) < 0
+    return expiry == null
+            || addressChangeExpiry == null
+            || expiry.compareTo(addressChangeExpiry) < 0
         ? expiry
-        : moveExpiry;
+        : addressChangeExpiry;
   }
 }
--- a/gateway/src/main/java/weldcross/gateway/ConfigReload.java
+++ b/gateway/src/main/java/weldcross/gateway/ConfigReload.java
@@ -36,7 +36,7 @@
                 + (needRestart.isEmpty()
                     ? ""
                     : ": restart needed for keys=" + String.join(",", needRestart)));
-    discovery.moveTo(next.discoveryAddress());
+    discovery.changeAddress(next.discoveryAddress());
     extensions.reloaded();
   }
 
--- a/gateway/src/main/java/weldcross/gateway/DiscoverySession.java
+++ b/gateway/src/main/java/weldcross/gateway/DiscoverySession.java
@@ -7,48 +7,48 @@
 import weldcross.discovery.EndpointListLease;
 
 /**
- * The requests to one address of discovery, over one connection at a time: the complete list first,
- * then one watch after the other. {@link DiscoveryWatcher} decides what the answers and failures
- * mean.
+ * The HTTP requests to one discovery address, over one connection at a time: first the complete
+ * list, then one watch after another. {@link DiscoveryWatcher} decides how responses and failures
+ * are handled.
  */
 final class DiscoverySession {
 
-  /** Stands for no revision: the complete list is requested. */
+  /** Revision of a session that has no list; the complete list is requested. */
   static final long NO_REVISION = -1;
 
-  /** Number of no connection. */
   private static final long NO_CONNECTION = 0;
 
-  /** Shortest time for which a watch may wait; zero would stand for a watch without a limit. */
+  /** Shortest timeout of a watch; zero would request a watch without a timeout. */
   private static final Duration MIN_WATCH_TIMEOUT = Duration.ofMillis(1);
 
-  /** A connection to discovery, and an answer that does not wait, may take this many timeouts. */
-  private static final int CONNECT_TIMEOUTS_OF_GRACE = 4;
+  /** Limit for a round trip to discovery, in connect timeouts. */
+  private static final int ROUND_TRIP_CONNECT_TIMEOUTS = 4;
 
   /**
-   * Time limits of the requests.
+   * Time limits of a session.
    *
-   * @param connect limit for a connection to a server to come up
-   * @param grace limit for a connection to discovery, and for an answer that does not wait
-   * @param watch for how long a watch may wait for changes
-   * @param answer how long an answer may take beyond the wait of its request
+   * @param connect limit for a connection to a server to be established
+   * @param roundTrip limit for connecting to discovery, and for a response that is neither queued
+   *     nor waits for changes
+   * @param watch how long a watch may wait for changes
+   * @param response how long a response may take beyond the wait of its request
    */
-  record Timeouts(Duration connect, Duration grace, Duration watch, Duration answer) {
+  record Timeouts(Duration connect, Duration roundTrip, Duration watch, Duration response) {
 
     /**
      * Derives the limits from the configuration.
      *
-     * @param connect limit for a connection to a server to come up
+     * @param connect limit for a connection to a server to be established
      * @param maxPollInterval longest time that a gateway without a watch may go without a request
      * @param polled whether discovery is one service that all gateways poll
      */
     static Timeouts of(Duration connect, Duration maxPollInterval, boolean polled) {
-      Duration grace = connect.multipliedBy(CONNECT_TIMEOUTS_OF_GRACE);
+      Duration roundTrip = connect.multipliedBy(ROUND_TRIP_CONNECT_TIMEOUTS);
       return new Timeouts(
           connect,
-          grace,
+          roundTrip,
           EndpointListLease.watchTimeout(maxPollInterval, polled),
-          EndpointListLease.answerTimeout(grace, polled));
+          EndpointListLease.responseTimeout(roundTrip, polled));
     }
   }
 
@@ -57,13 +57,13 @@
   interface FailureListener {
 
     /**
-     * Something that was expected of the session did not come.
+     * A connection was not established, or a response not received, within its time limit.
      *
      * @param session the session
-     * @param reason what did not come, for the log
-     * @param timedOut whether an answer timed out, rather than a connection
+     * @param reason the failure, for the log
+     * @param responseTimedOut whether a response timed out, rather than a connection
      */
-    void failed(DiscoverySession session, String reason, boolean timedOut);
+    void failed(DiscoverySession session, String reason, boolean responseTimedOut);
   }
 
   private final Gateway gateway;
@@ -73,49 +73,49 @@
   private final FailureListener listener;
   private final InetSocketAddress address;
 
-  /** Revision from which the next watch goes on, or {@link #NO_REVISION}. */
+  /** Revision after which the next watch requests changes, or {@link #NO_REVISION}. */
   private long revision = NO_REVISION;
 
   private long connection = NO_CONNECTION;
   private boolean connected;
 
-  /** Whether the current connection has had an answer. */
-  private boolean answered;
+  /** Whether a list was received on the current connection. */
+  private boolean listReceived;
 
-  /** Counts what is expected of discovery; a timeout that was set for an earlier number is void. */
-  private long expectation;
+  /** Identifies the pending deadline; the timer of an earlier deadline has no effect. */
+  private long deadlineId;
 
-  /** The request that an agent would have answered by now; zero if there is none. */
-  private long overdueExpectation;
+  /** Deadline of the last request to which an agent should have responded by now. */
+  private long overdueDeadlineId;
 
-  /** The last request of which some of the answer has arrived. */
-  private long startedExpectation;
+  /** Deadline of the last request of whose response a part was received. */
+  private long startedDeadlineId;
 
-  /** Whether the complete list is to be requested in spite of a known revision. */
+  /** Whether the complete list is to be requested although a revision is known. */
   private boolean completeListRequested;
 
-  /** Whether the next watch must not wait, as the one before it may have missed changes. */
+  /** Whether the next watch must not wait, as the previous one may have missed changes. */
   private boolean immediateWatch;
 
   private int failures;
 
-  /** When the connection ended between two watches; null if it is open. */
+  /** When the connection was closed between two watches; null if it was not. */
   private Duration disconnectedAt;
 
   /**
-   * Since when, without interruption, all answers have been older than the current list; null if
-   * the last one was not.
+   * Since when all responses have been older than the current list; null if the last response was
+   * not older.
    */
-  Duration behindSince;
+  Duration staleSince;
 
   /**
    * Creates a session that is not connected.
    *
-   * @param gateway provides time, timers and numbers of connections
+   * @param gateway provides time, timers and connection numbers
    * @param transport connects and writes
-   * @param timeouts limits of the requests
+   * @param timeouts time limits of the session
    * @param polled whether discovery is one service that all gateways poll
-   * @param address where discovery is
+   * @param address the address of discovery
    * @param listener receives failures
    */
   DiscoverySession(
@@ -133,12 +133,12 @@
     this.listener = listener;
   }
 
-  /** Returns the address, for the log and the Host header. */
+  /** Returns the address as host and port, for the log and the Host header. */
   String endpoint() {
     return address.getHostString() + ":" + address.getPort();
   }
 
-  boolean isAt(InetSocketAddress other) {
+  boolean hasAddress(InetSocketAddress other) {
     return address.equals(other);
   }
 
@@ -146,64 +146,65 @@
     return connection == number;
   }
 
-  boolean isAnswered() {
-    return answered;
+  /** Returns whether a list was received on the current connection. */
+  boolean hasReceivedList() {
+    return listReceived;
   }
 
   // ---- Connecting
 
-  /** Connects; the first request follows with {@link #connected}. */
+  /** Starts connecting; the watcher sends the first request after {@link #connected}. */
   void connect() {
     connected = false;
-    answered = false;
+    listReceived = false;
     connection = gateway.nextNumber();
     transport.connectToDiscovery(connection, address);
-    expectWithin(timeouts.grace());
+    setDeadline(timeouts.roundTrip());
   }
 
-  /** Connects again after {@link #close}, unless something else happens in the meantime. */
+  /** Reconnects after {@link #close}, unless the session is used or closed again meanwhile. */
   void connectAfter(Duration backoff) {
-    long closed = expectation;
+    long deadlineWhenClosed = deadlineId;
     gateway.at(
         gateway.now().plus(backoff),
         () -> {
-          if (expectation == closed) {
+          if (deadlineId == deadlineWhenClosed) {
             connect();
           }
         });
   }
 
-  /** The connection came up. */
+  /** The connection was established. */
   void connected() {
     connected = true;
   }
 
-  /** Notes that the connection ended between two watches. */
+  /** Records that the connection was closed between two watches. */
   void disconnectedBetweenWatches() {
     disconnectedAt = gateway.now();
   }
 
-  /** Returns when the connection ended between two watches, and forgets it; null if it did not. */
+  /** Returns and clears the time of a close between two watches; null if there was none. */
   Duration takeDisconnectedAt() {
     Duration since = disconnectedAt;
     disconnectedAt = null;
     return since;
   }
 
-  /** Closes the connection, if there is one; nothing is expected of it any more. */
+  /** Closes the connection, if there is one, and cancels the pending deadline. */
   void close() {
-    expectation++;
-    // An address that is down learns nothing: only while it answers does being behind show that it
-    // counts anew.
-    behindSince = null;
+    deadlineId++;
+    // Discovery that is down receives no updates. Only lists that stay old while it responds show
+    // that its revision numbers were reset.
+    staleSince = null;
     transport.closeNow(connection);
     connection = NO_CONNECTION;
   }
 
   // ---- Requests
 
-  /** Sends the next request; returns for how long it may wait for changes. */
-  Duration request() {
+  /** Sends the next request; returns how long it may wait for changes. */
+  Duration sendRequest() {
     boolean complete = revision < 0 || completeListRequested;
     Duration wait = Duration.ZERO;
     if (!complete) {
@@ -213,9 +214,9 @@
     immediateWatch = false;
     String query = complete ? "" : "?since=" + revision + "&timeout_ms=" + wait.toMillis();
     transport.write(connection, get("/catalog/members" + query));
-    expectWithin(wait.plus(timeouts.answer()));
+    setDeadline(wait.plus(timeouts.response()));
     if (complete) {
-      checkForAnswerAfterConnectTimeout();
+      checkForResponseAfterConnectTimeout();
     }
     return wait;
   }
@@ -226,37 +227,42 @@
     return ByteBuffer.wrap(request.getBytes(StandardCharsets.US_ASCII));
   }
 
-  /** An agent that has a list answers at once, so no answer in this time is worth a look. */
-  private void checkForAnswerAfterConnectTimeout() {
-    long expected = expectation;
+  /**
+   * Checks for a response to a request for the complete list once the connect timeout has passed,
+   * as an agent that has a list responds immediately.
+   */
+  private void checkForResponseAfterConnectTimeout() {
+    long requestDeadline = deadlineId;
     gateway.at(
         gateway.now().plus(timeouts.connect()),
         () -> {
-          if (expectation == expected) {
-            overdueExpectation = expectation;
+          if (deadlineId == requestDeadline) {
+            overdueDeadlineId = requestDeadline;
             transport.afterPendingReads(connection);
           }
         });
   }
 
-  private void expectWithin(Duration time) {
-    long expected = ++expectation;
+  /** Replaces the pending deadline; the listener is called if nothing replaces this one in time. */
+  private void setDeadline(Duration time) {
+    long id = ++deadlineId;
     gateway.at(
         gateway.now().plus(time),
         () -> {
-          if (expectation == expected) {
-            listener.failed(this, connected ? "no answer in time" : "cannot connect", connected);
+          if (deadlineId == id) {
+            String reason = connected ? "response timed out" : "connect timed out";
+            listener.failed(this, reason, connected);
           }
         });
   }
 
-  /** Requests the complete list the next time. */
+  /** Makes the next request one for the complete list. */
   void requestCompleteList() {
     completeListRequested = true;
   }
 
-  /** Notes that changes may have been missed: the next request asks what answers them at once. */
-  void changesMissed() {
+  /** Makes the next request one that returns without waiting, as changes may have been missed. */
+  void requestMissedChanges() {
     if (polled) {
       immediateWatch = true;
     } else {
@@ -264,43 +270,43 @@
     }
   }
 
-  // ---- Answers
+  // ---- Responses
 
   /**
-   * Returns whether the request for the complete list is unanswered though everything that has
-   * arrived was read.
+   * Returns whether no part of the response to the request for the complete list was received. To
+   * be called once everything that had arrived was read.
    */
-  boolean isAnswerOverdue() {
-    return overdueExpectation == expectation && startedExpectation != expectation;
+  boolean isResponseOverdue() {
+    return overdueDeadlineId == deadlineId && startedDeadlineId != deadlineId;
   }
 
-  /** Waits for the answer as long as a watch does. */
-  void waitOn() {
-    expectWithin(timeouts.watch());
+  /** Extends the deadline of the response by the time that a watch may wait. */
+  void extendDeadline() {
+    setDeadline(timeouts.watch());
   }
 
-  /** Notes that some of the answer has arrived; returns false if that was known. */
-  boolean answerStarted() {
-    if (startedExpectation == expectation) {
+  /** Records that a part of the response was received; returns whether it was the first part. */
+  boolean responseStarted() {
+    if (startedDeadlineId == deadlineId) {
       return false;
     }
-    startedExpectation = expectation;
+    startedDeadlineId = deadlineId;
     return true;
   }
 
-  /** Notes a list with its revision. */
-  void answered(long newRevision) {
+  /** Records that a list was received. */
+  void listReceived(long newRevision) {
     revision = newRevision;
-    answered = true;
+    listReceived = true;
     failures = 0;
   }
 
-  /** Notes an answer that is no list. */
-  void answerInvalid() {
+  /** Records a response that contains no valid list; the complete list is requested next. */
+  void invalidListReceived() {
     revision = NO_REVISION;
   }
 
-  /** Counts a failure; returns how many there were since the last answer. */
+  /** Counts a failure; returns the number of failures since the last list. */
   int countFailure() {
     return ++failures;
   }
--- a/gateway/src/main/java/weldcross/gateway/DiscoveryStream.java
+++ b/gateway/src/main/java/weldcross/gateway/DiscoveryStream.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import weldcross.discovery.HttpResponseDecoder;
 
-/** Decodes the stream of discovery and posts its events to {@link DiscoveryWatcher}. */
+/** Decodes the HTTP responses of discovery and posts their events to {@link DiscoveryWatcher}. */
 final class DiscoveryStream extends Stream {
 
   private final long number;
@@ -14,7 +14,7 @@
    * Creates the stream of one connection.
    *
    * @param number identifies the connection
-   * @param loop takes the events
+   * @param loop receives the events
    */
   DiscoveryStream(long number, EventLoop loop) {
     this.number = number;
--- a/gateway/src/main/java/weldcross/gateway/DiscoveryWatcher.java
+++ b/gateway/src/main/java/weldcross/gateway/DiscoveryWatcher.java
@@ -10,10 +10,11 @@
 import weldcross.discovery.EndpointListLease;
 
 /**
- * Keeps the endpoint list up to date: starts with the list of the previous run, then requests the
- * complete list and one watch after the other. If discovery moves, the complete list is requested
- * at the new address while the old one is still watched; the old session ends with the first list
- * of the new one, or by itself. Called by the event loop alone.
+ * Keeps the endpoint list up to date. Starts with the list of the previous run, then requests the
+ * complete list, then one watch after another. When the address of discovery changes, the complete
+ * list is requested at the new address while the old one is still watched; the old session is
+ * closed when it fails or when the new one has received its first list. Used only by the event
+ * loop's thread.
  */
 final class DiscoveryWatcher {
 
@@ -29,13 +30,13 @@
   private final EndpointListUpdater updater;
   private final SplittableRandom random;
 
-  /** The session that the list comes from; null if it failed after discovery moved. */
+  /** The session that the list comes from; null if it failed after an address change. */
   private DiscoverySession current;
 
-  /** The session that is to take over; null if discovery does not move. */
+  /** The session that replaces the current one; null unless the address is being changed. */
   private DiscoverySession next;
 
-  /** Whether the last failure was logged and no answer has come since. */
+  /** Whether a failure was logged and no list was received since. */
   private boolean failing;
 
   /** Creates a watcher that has not started. */
@@ -53,8 +54,8 @@
   }
 
   /**
-   * Returns whether the list is certain to have all that binds: not before the first answer of
-   * discovery, nor after it was silent for long.
+   * Returns whether the list is certain to have every drain that is in effect: false before the
+   * first response of discovery, and when the lease has expired since the last one.
    */
   boolean isListValid() {
     return leaseMonitor.isValid();
@@ -66,11 +67,11 @@
     if (config.lastKnownEndpoints().has("members.count")) {
       updater.apply(config.lastKnownEndpoints());
     }
-    current = session(config.discoveryAddress());
+    current = newSession(config.discoveryAddress());
     current.connect();
   }
 
-  private DiscoverySession session(InetSocketAddress address) {
+  private DiscoverySession newSession(InetSocketAddress address) {
     return new DiscoverySession(
         gateway,
         transport,
@@ -80,9 +81,9 @@
         this::sessionFailed);
   }
 
-  /** Sets the address of discovery; does nothing if it is in use already. */
-  void moveTo(InetSocketAddress address) {
-    if ((next != null ? next : current).isAt(address)) {
+  /** Changes the address of discovery; does nothing if the address is already in use. */
+  void changeAddress(InetSocketAddress address) {
+    if ((next != null ? next : current).hasAddress(address)) {
       return;
     }
     LOG.info(
@@ -94,22 +95,22 @@
     if (next != null) {
       next.close();
     }
-    boolean movesBack = current != null && current.isAt(address);
-    next = movesBack ? null : session(address);
+    boolean returnsToCurrent = current != null && current.hasAddress(address);
+    next = returnsToCurrent ? null : newSession(address);
     if (next != null) {
-      lease.moved(gateway.now());
+      lease.addressChanged(gateway.now());
       next.connect();
     } else {
-      lease.moveCompleted();
+      lease.addressChangeCompleted();
     }
     leaseMonitor.check();
   }
 
-  // ---- Events of connections
+  // ---- Connection events
 
-  /** A connection came up. */
+  /** A connection was established. */
   void connected(long number) {
-    DiscoverySession session = sessionOf(number);
+    DiscoverySession session = findSession(number);
     if (session == null) {
       transport.closeNow(number);
       return;
@@ -119,85 +120,86 @@
     if (disconnectedAt != null
         && EndpointListLease.isNewWatch(gateway.now().minus(disconnectedAt))) {
       disconnectedSince(disconnectedAt);
-      // The next request is answered at once, so this is over soon.
-      session.changesMissed();
+      // The response to the next request arrives without a wait and renews the lease.
+      session.requestMissedChanges();
     }
-    session.request();
+    session.sendRequest();
   }
 
   /**
-   * Everything that had arrived at {@link Transport#afterPendingReads} was read and posted.
+   * Everything that had arrived when {@link Transport#afterPendingReads} was called was read and
+   * posted.
    *
    * @return whether the connection belongs to discovery
    */
   boolean pendingReadsDone(long number) {
-    DiscoverySession session = sessionOf(number);
+    DiscoverySession session = findSession(number);
     if (session == null) {
       return false;
     }
-    if (session.isAnswerOverdue() && isLast(session) && session == current) {
-      lease.discoveryFoundDown(gateway.now());
-      session.waitOn();
+    if (session.isResponseOverdue() && isNewest(session) && session == current) {
+      lease.discoveryDown(gateway.now());
+      session.extendDeadline();
       leaseMonitor.check();
     }
     return true;
   }
 
-  /** Some of an answer has arrived, and its rest is still to come. */
+  /** A part of a response was received. */
   void responseStarted(long number) {
-    DiscoverySession session = sessionOf(number);
-    if (session != null && session.answerStarted()) {
-      lease.answerStarted(gateway.now());
+    DiscoverySession session = findSession(number);
+    if (session != null && session.responseStarted()) {
+      lease.responseStarted(gateway.now());
       leaseMonitor.check();
     }
   }
 
-  /** An answer is complete. */
+  /** A complete response was received. */
   void responseReceived(long number, int status, byte[] body) {
-    DiscoverySession session = sessionOf(number);
+    DiscoverySession session = findSession(number);
     if (session == null) {
       return;
     }
     if (status != HTTP_OK) {
-      sessionFailed(session, "status " + status, false);
+      sessionFailed(session, "HTTP status " + status, false);
       return;
     }
     try {
-      session.answered(updater.apply(session, ConfigValues.ofJson(body)));
+      session.listReceived(updater.apply(session, ConfigValues.ofJson(body)));
     } catch (InvalidConfigException e) {
-      session.answerInvalid();
+      session.invalidListReceived();
       sessionFailed(session, e.getMessage(), false);
       return;
     }
     if (session == next) {
-      takeOver();
+      completeAddressChange();
     }
     if (failing) {
       failing = false;
       LOG.info(() -> "endpoint list watch resumed: endpoint=" + session.endpoint());
     }
-    lease.answered(gateway.now(), session.request());
+    lease.renew(gateway.now(), session.sendRequest());
     leaseMonitor.check();
   }
 
-  private void takeOver() {
+  private void completeAddressChange() {
     if (current != null) {
       current.close();
     }
     current = next;
     next = null;
-    lease.moveCompleted();
-    LOG.info("endpoint list received from new discovery: endpoint=" + current.endpoint());
+    lease.addressChangeCompleted();
+    LOG.info("discovery address change completed: endpoint=" + current.endpoint());
   }
 
-  /** A connection ended, or did not come up. */
+  /** A connection was closed, or could not be established. */
   void closed(long number) {
-    DiscoverySession session = sessionOf(number);
+    DiscoverySession session = findSession(number);
     if (session == null) {
       return;
     }
-    if (session.isAnswered() && isLast(session)) {
-      // Discovery may close after an answer. Nothing is missed if the next request follows soon.
+    if (session.hasReceivedList() && isNewest(session)) {
+      // Discovery may close after a response. No change is missed if the next request follows soon.
       session.disconnectedBetweenWatches();
       session.connect();
     } else {
@@ -207,12 +209,12 @@
 
   // ---- Failures
 
-  /** The current list stays in force; discovery is asked again soon, as changes may be missed. */
-  private void sessionFailed(DiscoverySession session, String reason, boolean timedOut) {
+  /** Keeps the current list and schedules a reconnect, as changes may have been missed. */
+  private void sessionFailed(DiscoverySession session, String reason, boolean responseTimedOut) {
     if (!failing) {
       failing = true;
       LOG.warning(
-          "discovery failed, current endpoint list stays in force: endpoint="
+          "discovery failed, keeping the current endpoint list: endpoint="
               + session.endpoint()
               + " reason="
               + reason);
@@ -221,11 +223,12 @@
     if (session == current || current == null) {
       disconnectedSince(disconnectedAt != null ? disconnectedAt : gateway.now());
     }
-    session.changesMissed();
+    session.requestMissedChanges();
     session.close();
-    if (isLast(session)) {
+    if (isNewest(session)) {
       session.connectAfter(
-          lease.backoff(session.countFailure(), timedOut, timeouts.connect(), random.nextDouble()));
+          lease.backoff(
+              session.countFailure(), responseTimedOut, timeouts.connect(), random.nextDouble()));
     } else {
       current = null;
     }
@@ -236,13 +239,13 @@
     leaseMonitor.check();
   }
 
-  /** Returns whether no other session is to take over from this one. */
-  private boolean isLast(DiscoverySession session) {
+  /** Returns whether no other session replaces this one. */
+  private boolean isNewest(DiscoverySession session) {
     return session == next || next == null;
   }
 
-  /** Returns the session that a connection belongs to; null if it belongs to none. */
-  private DiscoverySession sessionOf(long number) {
+  /** Returns the session to which a connection belongs; null if it belongs to none. */
+  private DiscoverySession findSession(long number) {
     if (current != null && current.hasConnection(number)) {
       return current;
     }
--- a/gateway/src/main/java/weldcross/gateway/EndpointListLeaseMonitor.java
+++ b/gateway/src/main/java/weldcross/gateway/EndpointListLeaseMonitor.java
@@ -5,8 +5,8 @@
 import weldcross.discovery.EndpointListLease;
 
 /**
- * Tells the gateway whenever the validity of its endpoint list changes: compares the lease with the
- * time at each {@link #check}, and sets a timer for the lease's end.
+ * Notifies the gateway whenever the validity of its endpoint list changes. Compares the lease with
+ * the current time at each {@link #check}, and sets a timer for the expiry of the lease.
  */
 final class EndpointListLeaseMonitor {
 
@@ -16,7 +16,7 @@
   private final EndpointListLease lease;
   private boolean valid;
 
-  /** When the one timer is due; null if none is set. */
+  /** When the timer is due; null if none is set. */
   private Duration nextCheck;
 
   /** Creates a monitor of a lease that is not valid yet. */
@@ -25,20 +25,20 @@
     this.lease = lease;
   }
 
-  /** Returns whether the list was certain to have all that binds, at the last check. */
+  /** Returns whether the lease was valid at the last check. */
   boolean isValid() {
     return valid;
   }
 
-  /** Compares the lease with the time; to be called after each change of the lease. */
+  /** Compares the lease with the current time; to be called after each change of the lease. */
   void check() {
-    boolean before = valid;
+    boolean wasValid = valid;
     valid = lease.isValid(gateway.now());
-    if (before && !valid) {
+    if (wasValid && !valid) {
       LOG.warning(
           "endpoint list expired, no requests are sent to any server: reason=discovery silent");
     }
-    if (before != valid) {
+    if (wasValid != valid) {
       gateway.setEndpointListValid(valid);
     }
     Duration expiry = lease.expiresAt();
@@ -52,7 +52,7 @@
     gateway.at(
         expiry,
         () -> {
-          // A timer that an earlier one replaced is void.
+          // A timer that was replaced by an earlier one has no effect.
           if (expiry.equals(nextCheck)) {
             nextCheck = null;
             check();
--- a/gateway/src/main/java/weldcross/gateway/EndpointListUpdater.java
+++ b/gateway/src/main/java/weldcross/gateway/EndpointListUpdater.java
@@ -8,8 +8,8 @@
 import weldcross.routing.EndpointStatus;
 
 /**
- * Applies the endpoint lists that discovery sends to the gateway, and keeps an address of discovery
- * that is behind the one before it from taking the gateway back to an older list.
+ * Applies the endpoint lists of discovery to the gateway, and prevents a discovery address whose
+ * list is stale from replacing a newer one.
  */
 final class EndpointListUpdater {
 
@@ -21,12 +21,12 @@
   private long revision = DiscoverySession.NO_REVISION;
 
   /**
-   * Creates an updater of a gateway without a list.
+   * Creates an updater for a gateway without a list.
    *
    * @param gateway the gateway
-   * @param zones names of the configured zones, in the order of their numbers
-   * @param maxPollInterval time within which a gateway must have a list; what is still behind after
-   *     that is a newer count of revisions
+   * @param zones names of the configured zones, in the order of their indexes
+   * @param maxPollInterval longest time that a gateway may go without a list; lists that are older
+   *     for that long show that discovery has reset its revision numbers
    */
   EndpointListUpdater(Gateway gateway, List<String> zones, Duration maxPollInterval) {
     this.gateway = gateway;
@@ -35,23 +35,23 @@
   }
 
   /**
-   * Applies an answer of discovery.
+   * Applies a response of discovery.
    *
-   * @return its revision, from which the next watch goes on
-   * @throws weldcross.config.InvalidConfigException if the answer is no list
+   * @return its revision, after which the next watch requests changes
+   * @throws weldcross.config.InvalidConfigException if the response is not a valid list
    */
   long apply(DiscoverySession session, ConfigValues list) {
-    return isBehind(session, list) ? applyDrains(list) : apply(list);
+    return isStale(session, list) ? applyDrains(list) : apply(list);
   }
 
   /**
-   * Applies a list of the last known address, or the one of the previous run.
+   * Applies a list that is not stale, or the list of the previous run.
    *
    * @return its revision
-   * @throws weldcross.config.InvalidConfigException if it is no list
+   * @throws weldcross.config.InvalidConfigException if it is not a valid list
    */
   long apply(ConfigValues list) {
-    // Without these it is no list; taken for an empty one, it would end all service.
+    // An object without these fields must not be read as an empty list, which removes all servers.
     list.text("revision");
     list.text("complete");
     list.text("members.count");
@@ -75,24 +75,24 @@
 
   /**
    * Returns whether the list is older than the current one. An older list would undo drains, so
-   * that requests would go to draining servers again; what such an address sends is known already,
-   * until it has caught up. Discovery may also count revisions anew: what is still behind when the
-   * longest time without a list is over counts as newer, once it was requested as a whole.
+   * that requests would be sent to draining servers again. Its changes are already known until its
+   * address has caught up. Discovery may also reset its revision numbers: lists that are still
+   * older after the maximum poll interval are accepted as newer, starting with a complete list.
    */
-  private boolean isBehind(DiscoverySession session, ConfigValues list) {
+  private boolean isStale(DiscoverySession session, ConfigValues list) {
     boolean older = list.integer("revision", Long.MAX_VALUE, 0) < revision;
     if (!older) {
-      session.behindSince = null;
+      session.staleSince = null;
       return false;
     }
-    if (session.behindSince == null) {
-      session.behindSince = gateway.now();
+    if (session.staleSince == null) {
+      session.staleSince = gateway.now();
       LOG.info(
           () ->
-              "endpoint list is older than the current one, which stays in force: endpoint="
+              "endpoint list is older than the current one, applying only its drains: endpoint="
                   + session.endpoint());
     }
-    if (gateway.now().minus(session.behindSince).compareTo(maxPollInterval) < 0) {
+    if (gateway.now().minus(session.staleSince).compareTo(maxPollInterval) < 0) {
       return true;
     }
     if (list.flag("complete", false)) {
@@ -103,8 +103,8 @@
   }
 
   /**
-   * Applies only the drains of an older list: if discovery counts anew they are new; else they are
-   * known, or over.
+   * Applies only the drains and removals of a stale list. They are new if discovery has reset its
+   * revision numbers, and already known or outdated otherwise.
    */
   private long applyDrains(ConfigValues list) {
     gateway.listed(
--- a/gateway/src/test/java/weldcross/discovery/EndpointListLeaseTest.java
+++ b/gateway/src/test/java/weldcross/discovery/EndpointListLeaseTest.java
@@ -9,112 +9,119 @@
 
 class EndpointListLeaseTest {
 
-  private static Duration ms(long n) {
-    return Duration.ofMillis(n);
+  private static Duration ms(long millis) {
+    return Duration.ofMillis(millis);
   }
 
-  /**
-   * Rule 3: what came right behind the last word counts as told 6 s later, whoever notices what.
-   */
+  /** A change right after the last response is considered delivered at the latest 6 s later. */
   @Test
-  void leaseExpiresSixSecondsAndGracePeriodAfterLastAnswer() {
+  void leaseExpiresSixSecondsAndGracePeriodAfterLastResponse() {
     EndpointListLease lease = new EndpointListLease(ms(500), false);
-    assertFalse(lease.isValid(Duration.ZERO), "no answer yet");
-    lease.answered(ms(1_000), ms(4_000));
+    assertFalse(lease.isValid(Duration.ZERO), "no response yet");
+    lease.renew(ms(1_000), ms(4_000));
     assertTrue(lease.isValid(ms(7_499)));
     assertFalse(lease.isValid(ms(7_500)));
   }
 
-  /** Without a call open on which it could be told, what discovery has counts at once. */
+  /** Without an open request, changes that discovery knows are considered delivered at once. */
   @Test
   void leaseExpiresGracePeriodAfterDisconnect() {
     EndpointListLease lease = new EndpointListLease(ms(2_000), false);
-    lease.answered(ms(1_000), ms(4_000));
+    lease.renew(ms(1_000), ms(4_000));
     lease.disconnected(ms(3_000));
     assertTrue(lease.isValid(ms(4_999)));
     assertFalse(lease.isValid(ms(5_000)));
     lease.disconnected(ms(4_000));
-    assertEquals(ms(5_000), lease.expiresAt(), "an earlier disconnect counts");
+    assertEquals(ms(5_000), lease.expiresAt(), "the earlier disconnect counts");
   }
 
   /**
-   * One that fell silent is found, and the list asked for anew, well before what it missed counts.
+   * A watch without a response is noticed, and the list requested again, well before the changes it
+   * missed are considered delivered.
    */
   @Test
-  void watchTimeoutLeavesTimeToAskAgain() {
+  void watchTimeoutLeavesTimeToRequestListAgain() {
     assertEquals(ms(1_500), EndpointListLease.watchTimeout(ms(10_000), false));
     assertEquals(
         ms(1_000),
         EndpointListLease.watchTimeout(ms(2_000), false),
-        "no longer than the service allows");
+        "at most half of the poll interval");
     assertEquals(
         ms(10_000),
         EndpointListLease.watchTimeout(ms(10_000), true),
-        "each is a call on what all share");
+        "the shared service is requested only once per poll interval");
   }
 
   /**
-   * Rule 3: discovery that is down has nothing to tell, but a watch may have missed what it had
-   * before.
+   * Discovery that is down receives no changes, but the last watch may have missed earlier ones.
    */
   @Test
-  void discoveryFoundDownExtendsLeaseUntilMissedChangesCount() {
+  void discoveryDownExtendsLeaseUntilMissedChangesCount() {
     EndpointListLease lease = new EndpointListLease(ms(500), false);
-    lease.answered(ms(1_000), ms(1_500));
+    lease.renew(ms(1_000), ms(1_500));
     lease.disconnected(ms(3_500));
     assertEquals(ms(4_000), lease.expiresAt());
-    lease.discoveryFoundDown(ms(3_800));
+    lease.discoveryDown(ms(3_800));
     assertEquals(ms(7_500), lease.expiresAt());
     lease.disconnected(ms(5_000));
-    lease.discoveryFoundDown(ms(5_500));
+    lease.discoveryDown(ms(5_500));
     assertEquals(
         ms(5_500),
         lease.expiresAt(),
-        "lapsed: it could not be asked for a while, and may have had news then");
+        "an expired lease is not revived, as changes may have arrived without an open request");
   }
 
-  /** Rule 3: what has begun to come is had by discovery, and binds though the rest never comes. */
+  /**
+   * A partial response shows that discovery has a change, which takes effect even if the rest of
+   * the response is never received.
+   */
   @Test
-  void startedAnswerShortensLease() {
+  void startedResponseShortensLease() {
     EndpointListLease lease = new EndpointListLease(ms(500), false);
-    lease.answered(ms(1_000), ms(1_500));
-    lease.answerStarted(ms(2_000));
-    assertEquals(ms(7_500), lease.expiresAt(), "the call is open, and the rest may come");
+    lease.renew(ms(1_000), ms(1_500));
+    lease.responseStarted(ms(2_000));
+    assertEquals(ms(7_500), lease.expiresAt(), "the request is open, and the rest may be received");
     lease.disconnected(ms(2_400));
-    lease.discoveryFoundDown(ms(2_700));
-    assertEquals(ms(2_500), lease.expiresAt(), "nor does later silence take it back");
-    lease.answered(ms(3_000), ms(1_500));
+    lease.discoveryDown(ms(2_700));
+    assertEquals(
+        ms(2_500),
+        lease.expiresAt(),
+        "discovery that is down later does not extend the lease again");
+    lease.renew(ms(3_000), ms(1_500));
     lease.disconnected(ms(5_500));
-    lease.discoveryFoundDown(ms(5_800));
-    lease.answerStarted(ms(6_000));
+    lease.discoveryDown(ms(5_800));
+    lease.responseStarted(ms(6_000));
     assertEquals(ms(6_500), lease.expiresAt());
   }
 
-  /** Rule 3: the old address may go on to speak, and knows nothing of what the new one has. */
+  /** The old address may continue to respond without the changes known at the new one. */
   @Test
-  void moveLimitsLeaseUntilNewAddressAnswers() {
+  void addressChangeLimitsLeaseUntilNewAddressResponds() {
     EndpointListLease lease = new EndpointListLease(ms(2_000), false);
-    lease.answered(ms(1_000), ms(4_000));
-    lease.moved(ms(2_000));
-    lease.answered(ms(5_000), ms(4_000));
+    lease.renew(ms(1_000), ms(4_000));
+    lease.addressChanged(ms(2_000));
+    lease.renew(ms(5_000), ms(4_000));
     assertTrue(lease.isValid(ms(7_999)));
     assertFalse(lease.isValid(ms(8_000)));
-    lease.moveCompleted();
+    lease.addressChangeCompleted();
     assertEquals(ms(13_000), lease.expiresAt());
   }
 
-  /** Rule 3: what a call missed that was silent before it failed counts from the last word on. */
+  /**
+   * A request without a response may have missed changes before it failed, so the lease runs from
+   * the last response.
+   */
   @Test
-  void polledLeaseExpiresSixSecondsAndGracePeriodAfterLastAnswer() {
+  void polledLeaseExpiresSixSecondsAndGracePeriodAfterLastResponse() {
     EndpointListLease lease = new EndpointListLease(ms(2_000), true);
-    lease.answered(ms(1_000), ms(10_000));
+    lease.renew(ms(1_000), ms(10_000));
     assertEquals(
         ms(15_000),
         lease.expiresAt(),
-        "while a watch is waited for what it misses counts 2 s after its wait");
+        "changes that an open watch misses are considered delivered 2 s after its wait");
     lease.disconnected(ms(9_500));
     assertFalse(lease.isValid(ms(9_500)));
-    lease.answered(ms(10_000), ms(1));
+    lease.renew(ms(10_000), ms(1));
     assertEquals(ms(18_000), lease.expiresAt());
     lease.disconnected(ms(12_000));
     assertEquals(ms(18_000), lease.expiresAt());
--- a/gateway/src/test/java/weldcross/gateway/DiscoveryModel.java
+++ b/gateway/src/test/java/weldcross/gateway/DiscoveryModel.java
@@ -15,36 +15,36 @@
 import java.util.stream.IntStream;
 
 /**
- * A model of discovery with two addresses, and one gateway that is restarted and moved from one
- * address to the other. Random steps drain servers and make addresses silent, busy, late or mute.
- * At every request that the gateway sends, the model checks rule 3: no server gets one whose drain
- * was notified longer ago than the grace period.
+ * A model of discovery with two addresses, and one gateway that is restarted and switched between
+ * the addresses. Random steps drain servers and make addresses unresponsive, overloaded or late, or
+ * stall their connections. For every request that the gateway sends, the model checks that the
+ * server's drain was not delivered longer ago than the grace period.
  */
 final class DiscoveryModel {
 
-  /** A change of the configuration that has discovery polled; the first text is the unchanged. */
+  /** Text of the default configuration, and its replacement with which discovery is polled. */
   static final String[] POLLED = {
     "\"nInstances\":2", "\"nInstances\":2,\"discovery\":\"on_request\""
   };
 
   private static final int SERVERS = 3;
 
-  /** The grace period, and 50 ms for a request on its way. */
+  /** The drain grace period of 2 s, and 50 ms for a request in transit. */
   private static final Duration GRACE_PERIOD = Duration.ofMillis(2050);
 
-  /** What a new address knows counts as notified this long after the move. */
-  private static final Duration NOTICE_AFTER_MOVE = Duration.ofSeconds(4);
+  /** A change known at a new address is considered delivered this long after the switch to it. */
+  private static final Duration NOTICE_AFTER_SWITCH = Duration.ofSeconds(4);
 
-  /** An address that was moved away from closes its connections after this, and accepts none. */
-  private static final Duration CLOSE_AFTER_MOVE = Duration.ofMillis(1500);
+  /** The previous address closes its connections this long after a switch and accepts no more. */
+  private static final Duration CLOSE_AFTER_SWITCH = Duration.ofMillis(1500);
 
-  /** What a mute watch missed counts as notified this long after the address knew it. */
-  private static final Duration NOTICE_AFTER_MUTE_WATCH = Duration.ofSeconds(6);
+  /** A change missed by a stalled watch is considered delivered this long after it was known. */
+  private static final Duration NOTICE_AFTER_STALLED_WATCH = Duration.ofSeconds(6);
 
-  /** If polled: or this long after the end of its wait, if that is later. */
+  /** If polled: or this long after the end of the wait of the watch, if that is later. */
   private static final Duration NOTICE_AFTER_WAIT = Duration.ofSeconds(2);
 
-  /** If polled: longest time in the queue; beyond that requests are rejected. */
+  /** If polled: longest time of a request in the queue; longer ones are rejected. */
   private static final int MAX_QUEUE_MILLIS = 2000;
 
   private static final Pattern REQUEST =
@@ -54,7 +54,7 @@
    * A request to discovery.
    *
    * @param since revision after which changes are requested; -1 for the complete list
-   * @param waitMillis how long it may wait for changes
+   * @param waitMillis how long the request may wait for changes
    */
   private record Request(int since, int waitMillis) {
 
@@ -78,14 +78,14 @@
   /** One address of discovery. */
   private static final class Address {
 
-    /** The revisions that it knows beyond the first, with the time since when. */
+    /** When the address learned each revision after the first. */
     final TreeMap<Integer, Duration> knownSince = new TreeMap<>();
 
-    /** The revisions that it learned while all connections to it were mute. */
+    /** The revisions that it learned while all connections to it were stalled. */
     final Set<Integer> missed = new HashSet<>();
 
-    boolean silent;
-    boolean busy;
+    boolean unresponsive;
+    boolean overloaded;
 
     int revision() {
       return knownSince.isEmpty() ? 1 : knownSince.lastKey();
@@ -95,41 +95,41 @@
   private final SplittableRandom random;
   private final boolean polled;
 
-  /** The server that each revision changes; the first two stand for the list of the start. */
+  /** The server that each revision changes; the first two are placeholders for the initial list. */
   private final List<Integer> changedServers = new ArrayList<>(List.of(0, 0));
 
-  /** Whether the server drains from that revision on; else it is active again. */
+  /** Whether each revision drains its server, rather than making it active again. */
   private final List<Boolean> drains = new ArrayList<>(List.of(false, false));
 
-  /** By port, from 1 on. */
+  /** The addresses, with ports 1 and 2. */
   private final List<Address> addresses = List.of(new Address(), new Address());
 
-  /** When each revision counts as notified to the gateway. */
-  private final TreeMap<Integer, Duration> notified = new TreeMap<>();
+  /** When each revision is considered delivered to the gateway. */
+  private final TreeMap<Integer, Duration> delivered = new TreeMap<>();
 
-  /** Connections that stay open and on which nothing more arrives. */
-  private final Set<Long> mute = new HashSet<>();
+  /** Connections that stay open without receiving anything more. */
+  private final Set<Long> stalled = new HashSet<>();
 
   private GatewayHarness harness;
 
-  /** The time at which the current process of the gateway started. */
+  /** When the current process of the gateway started. */
   private Duration startedAt = Duration.ZERO;
 
-  private Duration movedAt = Duration.ofDays(-1);
+  private Duration switchedAt = Duration.ofDays(-1);
 
-  /** The port of the address that the gateway is configured with. */
+  /** The port of the address with which the gateway is configured. */
   private int currentPort = 1;
 
-  /** The newest revision that was sent to the current process. */
+  /** The newest revision sent to the current process. */
   private int sentRevision;
 
-  /** Requests that the gateway has sent to servers. */
+  /** Number of requests that the gateway has sent to servers. */
   int requestsSent;
 
-  /** Requests of the gateway to discovery that were rejected. */
+  /** Number of requests of the gateway that discovery has rejected. */
   int requestsRejected;
 
-  /** Steps at whose end the gateway had no valid list. */
+  /** Number of steps at whose end the gateway had no valid list. */
   int stepsWithoutValidList;
 
   DiscoveryModel(long seed, boolean polled) {
@@ -152,7 +152,7 @@
 
   // ---- The gateway
 
-  /** Starts a process of the gateway, which the one before has left a list of this revision. */
+  /** Starts a process of the gateway with a list of this revision stored by the previous one. */
   private void start(int revision) {
     startedAt = now();
     String members = members(0, revision, true);
@@ -170,33 +170,33 @@
         config.replaceAll(
             "(\"known\".*?\"members\":\\[).*?(\\]\\},\"settings\")", "$1" + members + "$2");
     harness = new GatewayHarness(withList.getBytes(StandardCharsets.UTF_8));
-    mute.clear();
+    stalled.clear();
     addresses.forEach(address -> address.missed.clear());
     sentRevision = 0;
-    forgetUnknowable();
+    removeUnreachableRevisions();
     harness.onSent = this::checkRequest;
   }
 
   private void restart() {
-    noteNotified();
+    updateDelivered();
     start(1 + random.nextInt(address(currentPort).revision()));
   }
 
-  private void move() {
-    noteNotified();
+  private void switchAddress() {
+    updateDelivered();
     currentPort = 3 - currentPort;
-    movedAt = now();
-    forgetUnknowable();
+    switchedAt = now();
+    removeUnreachableRevisions();
     harness.reload(currentPort);
   }
 
-  /** Checks rule 3 for a request that the gateway sends. */
+  /** Checks that the drain of the request's server is not in effect for longer than allowed. */
   private void checkRequest(String serverName) {
     requestsSent++;
-    noteNotified();
+    updateDelivered();
     int server = serverName.charAt(2) - '0';
     Duration limit = now().minus(GRACE_PERIOD);
-    notified.entrySet().stream()
+    delivered.entrySet().stream()
         .filter(entry -> entry.getValue().compareTo(limit) < 0)
         .mapToInt(entry -> entry.getKey())
         .max()
@@ -205,51 +205,54 @@
 
   private void checkRequest(String serverName, int server, int revision) {
     boolean activeAgain =
-        notified.tailMap(revision, false).keySet().stream()
+        delivered.tailMap(revision, false).keySet().stream()
             .anyMatch(later -> changedServers.get(later) == server && !drains.get(later));
     RequestHistory.check(
         !isDraining(server, revision) || activeAgain,
-        "rule 3: sent at "
+        "request sent at "
             + now()
             + " to "
             + serverName
-            + ", whose drain was notified by revision "
+            + ", whose drain was delivered with revision "
             + revision
             + " at "
-            + notified.get(revision));
+            + delivered.get(revision));
   }
 
-  // ---- What counts as notified
+  // ---- Delivery of revisions
 
-  /** Forgets what only an address knows that was left and never answered the current process. */
-  private void forgetUnknowable() {
+  /**
+   * Removes the revisions known only to the previous address, if it never sent them to the current
+   * process.
+   */
+  private void removeUnreachableRevisions() {
     int newest = Math.max(sentRevision, address(currentPort).revision());
-    notified.keySet().removeIf(revision -> revision > newest);
+    delivered.keySet().removeIf(revision -> revision > newest);
   }
 
-  /** Notes what the configured address knows and counts by now. */
-  private void noteNotified() {
+  /** Adds the revisions of the configured address that are considered delivered by now. */
+  private void updateDelivered() {
     Address current = address(currentPort);
     current.knownSince.forEach(
         (revision, since) -> {
-          Duration notice =
-              later(movedAt.plus(NOTICE_AFTER_MOVE), notice(current, revision, since));
-          if (notice.compareTo(now()) <= 0) {
-            notified.merge(revision, notice, DiscoveryModel::earlier);
+          Duration time =
+              later(switchedAt.plus(NOTICE_AFTER_SWITCH), deliveredAt(current, revision, since));
+          if (time.compareTo(now()) <= 0) {
+            delivered.merge(revision, time, DiscoveryModel::earlier);
           }
         });
   }
 
-  private Duration notice(Address address, int revision, Duration since) {
+  private Duration deliveredAt(Address address, int revision, Duration since) {
     if (polled) {
-      return noticeIfPolled(since);
+      return deliveredAtIfPolled(since);
     }
-    return address.missed.contains(revision) ? since.plus(NOTICE_AFTER_MUTE_WATCH) : since;
+    return address.missed.contains(revision) ? since.plus(NOTICE_AFTER_STALLED_WATCH) : since;
   }
 
-  /** Returns when a revision counts that no answer has brought; a watch may delay it. */
-  private Duration noticeIfPolled(Duration since) {
-    Duration latest = since.plus(NOTICE_AFTER_MUTE_WATCH);
+  /** Returns when a revision is considered delivered without a response; a watch may delay it. */
+  private Duration deliveredAtIfPolled(Duration since) {
+    Duration latest = since.plus(NOTICE_AFTER_STALLED_WATCH);
     for (long number : openConnections()) {
       FakeConnection connection = harness.connections.get(number);
       Optional<Request> request = Request.parse(connection.received);
@@ -274,35 +277,35 @@
 
   // ---- Steps
 
-  /** Plays one random step, in which some time passes. */
+  /** Runs one random step, in which time advances. */
   void step() {
-    disturb(random.nextInt(100));
+    injectEvent(random.nextInt(100));
     addresses.forEach(this::learn);
-    answerAll();
+    respondToAll();
     if (random.nextInt(3) > 0) {
       harness.busyConnections().forEach(number -> harness.answer(number, null));
     }
-    for (int left = random.nextInt(30) == 0 ? random.nextInt(150) : 1; left > 0; left--) {
+    for (int rounds = random.nextInt(30) == 0 ? random.nextInt(150) : 1; rounds > 0; rounds--) {
       harness.advance(1 + random.nextInt(100));
-      answerAll();
+      respondToAll();
     }
     stepsWithoutValidList += harness.gateway.discovery().isListValid() ? 0 : 1;
   }
 
-  private void disturb(int kind) {
+  private void injectEvent(int kind) {
     if (kind < 22) {
       changedServers.add(1 + random.nextInt(2));
       drains.add(random.nextInt(3) > 0);
     } else if (kind < 25) {
-      randomAddress().silent ^= true;
+      randomAddress().unresponsive ^= true;
     } else if (kind < 26) {
-      randomAddress().busy = polled && random.nextInt(3) > 0;
+      randomAddress().overloaded = polled && random.nextInt(3) > 0;
     } else if (kind < 30) {
-      move();
+      switchAddress();
     } else if (kind < 36) {
       openConnections().stream().findFirst().ifPresent(this::close);
     } else if (kind < 39) {
-      mute.addAll(openConnections());
+      stalled.addAll(openConnections());
     } else if (kind < 41) {
       restart();
     } else if (kind < 80) {
@@ -310,18 +313,18 @@
     }
   }
 
-  /** An address learns of some changes, unless it is silent. */
+  /** An address learns some of the new revisions, unless it is unresponsive. */
   private void learn(Address address) {
     List<Long> connections =
         openConnections().stream()
             .filter(number -> address(harness.connections.get(number).discoveryPort) == address)
             .toList();
-    boolean allMute = !connections.isEmpty() && mute.containsAll(connections);
+    boolean allStalled = !connections.isEmpty() && stalled.containsAll(connections);
     for (int revision = address.revision() + 1;
-        !address.silent && random.nextInt(3) > 0 && revision < changedServers.size();
+        !address.unresponsive && random.nextInt(3) > 0 && revision < changedServers.size();
         revision++) {
       address.knownSince.put(revision, now());
-      if (allMute) {
+      if (allStalled) {
         address.missed.add(revision);
       }
     }
@@ -341,20 +344,20 @@
     harness.dispatch(gateway -> gateway.discovery().closed(number));
   }
 
-  /** Each address that is not silent answers all requests for which it has an answer. */
-  private void answerAll() {
+  /** Each responsive address responds to all requests for which it has a response. */
+  private void respondToAll() {
     for (long number : openConnections()) {
       FakeConnection connection = harness.connections.get(number);
-      Duration closesAfter = connection.open ? CLOSE_AFTER_MOVE : Duration.ZERO;
+      Duration closesAfter = connection.open ? CLOSE_AFTER_SWITCH : Duration.ZERO;
       if (connection.discoveryPort != currentPort
-          && now().minus(movedAt).compareTo(closesAfter) >= 0) {
+          && now().minus(switchedAt).compareTo(closesAfter) >= 0) {
         close(number);
-      } else if (!mute.contains(number)) {
+      } else if (!stalled.contains(number)) {
         open(number, connection);
         Address address = address(connection.discoveryPort);
-        boolean answered = true;
-        while (answered && !address.silent && !connection.dropped) {
-          answered = answer(number, connection, address);
+        boolean responded = true;
+        while (responded && !address.unresponsive && !connection.dropped) {
+          responded = respond(number, connection, address);
         }
       }
     }
@@ -367,19 +370,19 @@
     }
   }
 
-  /** Returns false if there is no request, or no answer for now. */
-  private boolean answer(long number, FakeConnection connection, Address address) {
+  /** Returns false if there is no request, or no response to it yet. */
+  private boolean respond(long number, FakeConnection connection, Address address) {
     Optional<Request> received = Request.parse(connection.received);
     if (received.isEmpty()) {
       return false;
     }
-    if (connection.answeredAt == null && address.busy && random.nextInt(4) > 0) {
+    if (connection.answeredAt == null && address.overloaded && random.nextInt(4) > 0) {
       reject(number, connection);
       return false;
     }
     connection.answeredAt = connection.answeredAt == null ? harness.now : connection.answeredAt;
     Duration waited = harness.now.minus(connection.answeredAt);
-    if (address.busy
+    if (address.overloaded
         && random.nextInt(MAX_QUEUE_MILLIS) > 100
         && waited.toMillis() < MAX_QUEUE_MILLIS) {
       return false;
@@ -405,7 +408,7 @@
     connection.answeredAt = harness.now;
     sentRevision = Math.max(sentRevision, revision);
     for (int sent = 2; sent <= revision; sent++) {
-      notified.merge(sent, now(), DiscoveryModel::earlier);
+      delivered.merge(sent, now(), DiscoveryModel::earlier);
     }
     byte[] body = body(request, revision).getBytes(StandardCharsets.UTF_8);
     harness.dispatch(gateway -> gateway.discovery().responseReceived(number, 200, body));
@@ -426,9 +429,9 @@
         + "]}";
   }
 
-  // ---- The list
+  // ---- Endpoint lists
 
-  /** Returns the entries of a list: all, or those that changed after a revision. */
+  /** Returns the entries of a complete list, or those that changed after a revision. */
   private String members(int since, int until, boolean complete) {
     return IntStream.range(0, SERVERS)
         .filter(server -> complete || changedServers.subList(since + 1, until + 1).contains(server))
--- a/gateway/src/test/java/weldcross/gateway/EndpointListLeaseMonitorTest.java
+++ b/gateway/src/test/java/weldcross/gateway/EndpointListLeaseMonitorTest.java
@@ -11,7 +11,7 @@
 class EndpointListLeaseMonitorTest {
 
   private static final Duration GRACE_PERIOD = Duration.ofMillis(500);
-  private static final Duration WATCH = Duration.ofSeconds(1);
+  private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(1);
 
   private final GatewayHarness harness = new GatewayHarness();
   private final EndpointListLease lease = new EndpointListLease(GRACE_PERIOD, false);
@@ -19,22 +19,22 @@
       new EndpointListLeaseMonitor(harness.gateway, lease);
 
   @Test
-  void listIsInvalidBeforeTheFirstAnswer() {
+  void listIsInvalidBeforeFirstResponse() {
     monitor.check();
     assertFalse(monitor.isValid());
   }
 
   @Test
-  void listIsValidFromTheCheckAfterAnAnswer() {
-    lease.answered(harness.gateway.now(), WATCH);
+  void listIsValidFromCheckAfterResponse() {
+    lease.renew(harness.gateway.now(), WATCH_TIMEOUT);
     assertFalse(monitor.isValid());
     monitor.check();
     assertTrue(monitor.isValid());
   }
 
   @Test
-  void listBecomesInvalidByTimerAtTheEndOfTheLease() {
-    lease.answered(harness.gateway.now(), WATCH);
+  void timerInvalidatesListWhenLeaseExpires() {
+    lease.renew(harness.gateway.now(), WATCH_TIMEOUT);
     monitor.check();
     assertEquals(Duration.ofMillis(6_500), lease.expiresAt());
     harness.advance(6_499);
@@ -44,11 +44,11 @@
   }
 
   @Test
-  void laterAnswerKeepsTheListValidBeyondTheFirstTimer() {
-    lease.answered(harness.gateway.now(), WATCH);
+  void laterResponseKeepsListValidBeyondFirstTimer() {
+    lease.renew(harness.gateway.now(), WATCH_TIMEOUT);
     monitor.check();
     harness.advance(5_000);
-    lease.answered(harness.gateway.now(), WATCH);
+    lease.renew(harness.gateway.now(), WATCH_TIMEOUT);
     monitor.check();
     harness.advance(6_499);
     assertTrue(monitor.isValid());
@@ -57,8 +57,8 @@
   }
 
   @Test
-  void earlierEndReplacesTheTimer() {
-    lease.answered(harness.gateway.now(), WATCH);
+  void earlierExpiryReplacesTimer() {
+    lease.renew(harness.gateway.now(), WATCH_TIMEOUT);
     monitor.check();
     lease.disconnected(harness.gateway.now());
     monitor.check();
--- a/gateway/src/test/java/weldcross/gateway/EndpointListUpdaterTest.java
+++ b/gateway/src/test/java/weldcross/gateway/EndpointListUpdaterTest.java
@@ -34,7 +34,7 @@
           DiscoverySession.Timeouts.of(CONNECT_TIMEOUT, MAX_POLL_INTERVAL, false),
           false,
           new InetSocketAddress(InetAddress.getLoopbackAddress(), 1),
-          (failed, reason, timedOut) -> {});
+          (failed, reason, responseTimedOut) -> {});
 
   @BeforeEach
   void applyRevisionFive() {
@@ -53,12 +53,12 @@
     return ConfigValues.ofJson(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Applies a list in an event, so that the gateway's time is that of the clock. */
+  /** Applies a list within an event, so that the gateway uses the time of the harness's clock. */
   private List<String> loggedWhileApplying(ConfigValues list) {
     return GatewayHarness.logged(() -> harness.dispatch(gateway -> updater.apply(session, list)));
   }
 
-  private static boolean isNewListLogged(List<String> lines, int revision) {
+  private static boolean isUpdateLogged(List<String> lines, int revision) {
     return lines.stream()
         .anyMatch(line -> line.startsWith("endpoint list updated: revision=" + revision + " "));
   }
@@ -68,8 +68,8 @@
     List<String> lines =
         GatewayHarness.logged(
             () -> assertEquals(6, updater.apply(session, list(6, false, "leaving"))));
-    assertTrue(isNewListLogged(lines, 6), lines.toString());
-    assertNull(session.behindSince);
+    assertTrue(isUpdateLogged(lines, 6), lines.toString());
+    assertNull(session.staleSince);
   }
 
   @Test
@@ -77,25 +77,25 @@
     List<String> lines =
         GatewayHarness.logged(
             () -> assertEquals(4, updater.apply(session, list(4, true, "active"))));
-    assertFalse(isNewListLogged(lines, 4), lines.toString());
-    assertEquals(harness.gateway.now(), session.behindSince);
+    assertFalse(isUpdateLogged(lines, 4), lines.toString());
+    assertEquals(harness.gateway.now(), session.staleSince);
   }
 
   @Test
-  void completeOlderListIsAppliedAfterTheLongestTimeWithoutOne() {
+  void completeOlderListIsAppliedAfterMaxPollInterval() {
     updater.apply(session, list(4, true, "active"));
     harness.advance((int) MAX_POLL_INTERVAL.toMillis());
     List<String> lines = loggedWhileApplying(list(4, true, "active"));
-    assertTrue(isNewListLogged(lines, 4), lines.toString());
+    assertTrue(isUpdateLogged(lines, 4), lines.toString());
   }
 
   @Test
-  void changesOfAnOlderListAreNeverAppliedAlone() {
+  void incrementalOlderListIsNotAppliedAfterMaxPollInterval() {
     updater.apply(session, list(4, false, "active"));
     harness.advance((int) MAX_POLL_INTERVAL.toMillis());
     List<String> lines = loggedWhileApplying(list(4, false, "active"));
-    assertFalse(isNewListLogged(lines, 4), lines.toString());
-    assertNotNull(session.behindSince);
+    assertFalse(isUpdateLogged(lines, 4), lines.toString());
+    assertNotNull(session.staleSince);
   }
 
   @ParameterizedTest
@@ -107,7 +107,7 @@
         "{\"complete\":true,\"members\":[]}",
         "{\"revision\":6,\"members\":[]}"
       })
-  void answerThatIsNoListIsRejected(String text) {
+  void responseWithoutListIsRejected(String text) {
     ConfigValues values = ConfigValues.ofJson(text.getBytes(StandardCharsets.UTF_8));
     assertThrows(InvalidConfigException.class, () -> updater.apply(session, values));
   }
--- a/gateway/src/test/java/weldcross/gateway/EndpointListValidityTest.java
+++ b/gateway/src/test/java/weldcross/gateway/EndpointListValidityTest.java
@@ -10,30 +10,30 @@
 import org.junit.jupiter.api.Test;
 import weldcross.pgwire.MessageEncoder;
 
-/** How long the gateway sends by an endpoint list, as discovery answers or fails. */
+/** Tests how long the gateway uses an endpoint list while discovery responds or fails. */
 class EndpointListValidityTest {
 
   @Test
-  void listStaysValidWhileDiscoveryIsSilentOrMalformed() {
+  void listStaysValidWhileDiscoveryIsUnresponsiveOrInvalid() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.discoveryAnswers = false;
     long first = harness.discovery;
     harness.advanceWithSilentDiscovery(5_500);
-    assertFalse(first == harness.discovery, "dialled again after silence");
+    assertFalse(first == harness.discovery, "reconnected after the response timed out");
     long second = harness.discovery;
-    byte[] nonsense = "{\"revision\":".getBytes(StandardCharsets.UTF_8);
-    harness.dispatch(g -> g.discovery().responseReceived(second, 200, nonsense));
+    byte[] invalid = "{\"revision\":".getBytes(StandardCharsets.UTF_8);
+    harness.dispatch(g -> g.discovery().responseReceived(second, 200, invalid));
     assertTrue(harness.connections.get(second).dropped);
     harness.advance(300);
     long third = harness.discovery;
     harness.dispatch(g -> g.discovery().connected(third));
-    harness.dispatch(g -> g.discovery().responseReceived(third, 503, nonsense));
+    harness.dispatch(g -> g.discovery().responseReceived(third, 503, invalid));
     harness.advance(300);
     long fourth = harness.discovery;
     harness.dispatch(g -> g.discovery().connected(fourth));
     harness.dispatch(
         g -> g.discovery().responseReceived(fourth, 200, "{}".getBytes(StandardCharsets.UTF_8)));
-    assertTrue(harness.connections.get(fourth).dropped, "an object without a list in it");
+    assertTrue(harness.connections.get(fourth).dropped, "closed after an object without a list");
     String id = harness.request(harness.connect(), true, 500);
     harness.answer(harness.connectionOf(id), null);
     assertEquals("ok", harness.history.answers.get(id));
@@ -46,50 +46,52 @@
     harness.listEndpoints(41, true, "active");
     long before = harness.discovery;
     harness.dispatch(g -> g.discovery().closed(before));
-    assertFalse(before == harness.discovery, "dialled again in the same moment");
+    assertFalse(before == harness.discovery, "reconnected immediately");
     harness.dispatch(g -> g.discovery().connected(harness.discovery));
     assertTrue(harness.connections.get(harness.discovery).takeReceived().contains("?since=41&"));
   }
 
-  /** Rule 3: the initial list may lack a drain. */
+  /** The list of the previous run may lack a drain. */
   @Test
-  void initialListSendsNothingUntilDiscoveryAnswers() {
+  void nothingIsSentByInitialListUntilDiscoveryResponds() {
     GatewayHarness harness = new GatewayHarness();
-    harness.onSent = server -> RequestHistory.check(!server.equals("s-1"), "rule 3: it drains");
+    harness.onSent =
+        server -> RequestHistory.check(!server.equals("s-1"), "request sent to a draining server");
     harness.advance(5);
     harness.answerHealthChecks();
     List<String> ids = new ArrayList<>();
-    for (int k = 0; k < 20; k++) {
-      ids.add(harness.request(harness.connect(), k % 5 == 0, 500));
+    for (int i = 0; i < 20; i++) {
+      ids.add(harness.request(harness.connect(), i % 5 == 0, 500));
     }
-    assertTrue(harness.history.openAttempts.isEmpty(), "sent by a list that may be old");
+    assertTrue(
+        harness.history.openAttempts.isEmpty(), "request sent by a list that may be outdated");
     long client = harness.connect();
     harness.send(client, MessageEncoder.query(""));
     assertTrue(
-        harness.connections.get(client).takeReceived().contains("C57P03"), "it is not ready");
+        harness.connections.get(client).takeReceived().contains("C57P03"), "reported as not ready");
     harness.advance(100);
     harness.dispatch(g -> g.discovery().connected(harness.discovery));
     harness.listEndpoints(2, false, "leaving");
-    for (int k = 0; k < 20; k++) {
-      harness.busyConnections().forEach(l -> harness.answer(l, null));
+    for (int i = 0; i < 20; i++) {
+      harness.busyConnections().forEach(number -> harness.answer(number, null));
       harness.advance(20);
     }
     assertTrue(
         ids.stream().allMatch(id -> "ok".equals(harness.history.answers.get(id))),
-        "held until then: " + harness.history.answers);
+        "requests wait for the response: " + harness.history.answers);
     assertEquals(Gateway.Phase.SERVING, harness.gateway.phase());
   }
 
-  /** Rule 3: a drain that should be listed by now counts as listed. */
+  /** A drain that discovery should have sent by now is considered delivered. */
   @Test
-  void silentDiscoveryEndsTheListOnceADrainMayBeMissed() {
+  void unresponsiveDiscoveryInvalidatesListOnceDrainMayBeMissed() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.discoveryAnswers = false;
     harness.advanceWithSilentDiscovery(6_500);
     String id = harness.request(harness.connect(), false, 500);
     harness.answerHealthChecks();
-    harness.busyConnections().forEach(l -> harness.answer(l, null));
-    assertEquals("ok", harness.history.answers.get(id), "nothing can be owed yet");
+    harness.busyConnections().forEach(number -> harness.answer(number, null));
+    assertEquals("ok", harness.history.answers.get(id), "no drain can have been missed yet");
     harness.advanceWithSilentDiscovery(1_500);
     id = harness.request(harness.connect(), false, 500);
     assertFalse(harness.history.openAttempts.containsKey(id));
@@ -101,13 +103,13 @@
     harness.answerHealthChecks();
     id = harness.request(harness.connect(), false, 500);
     harness.answerHealthChecks();
-    harness.busyConnections().forEach(l -> harness.answer(l, null));
+    harness.busyConnections().forEach(number -> harness.answer(number, null));
     assertEquals("ok", harness.history.answers.get(id));
   }
 
-  /** Rule 3: where it cannot be asked either it may have what nobody could tell. */
+  /** Discovery may have changes that it cannot send while the gateway cannot connect to it. */
   @Test
-  void unreachableDiscoveryEndsTheList() {
+  void unreachableDiscoveryInvalidatesList() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.discoveryAnswers = false;
     harness.advance(4_000);
@@ -116,40 +118,43 @@
     assertFalse(harness.gateway.discovery().isListValid());
   }
 
-  /** Rule 3: a discovery that begins to answer has something to list. */
+  /** A partial response shows that discovery has a change. */
   @Test
-  void partialDiscoveryAnswerIsNotSilence() {
+  void partialResponseInvalidatesListAfterGracePeriod() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.discoveryAnswers = false;
     harness.advanceWithSilentDiscovery(2_600);
-    long asked = harness.discovery;
-    harness.dispatch(g -> g.discovery().responseStarted(asked));
+    long connection = harness.discovery;
+    harness.dispatch(g -> g.discovery().responseStarted(connection));
     harness.advanceWithSilentDiscovery(3_500);
-    assertFalse(harness.gateway.discovery().isListValid(), "a drain may have been listed by now");
+    assertFalse(
+        harness.gateway.discovery().isListValid(), "a drain may have been delivered by now");
   }
 
-  /** Rule 3: the same after it was taken for down. */
+  /** A partial response shows that discovery has a change, also after it was considered down. */
   @Test
-  void partialDiscoveryAnswerAfterSilenceEndsTheList() {
+  void partialResponseAfterDiscoveryWasDownInvalidatesList() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.discoveryAnswers = false;
     harness.advanceWithSilentDiscovery(4_600);
-    assertTrue(harness.gateway.discovery().isListValid(), "it is down");
-    long asked = harness.discovery;
-    harness.dispatch(g -> g.discovery().responseStarted(asked));
+    assertTrue(harness.gateway.discovery().isListValid(), "discovery is considered down");
+    long connection = harness.discovery;
+    harness.dispatch(g -> g.discovery().responseStarted(connection));
     harness.advance(2_100);
-    assertFalse(harness.gateway.discovery().isListValid(), "a drain may have been listed by now");
+    assertFalse(
+        harness.gateway.discovery().isListValid(), "a drain may have been delivered by now");
   }
 
-  /** Rule 3: an answer may be received and not read yet. */
+  /** A response may have arrived without having been read yet. */
   @Test
-  void delayedReadsAreNotTakenForDiscoveryDown() {
+  void delayedReadsDoNotCountAsDiscoveryDown() {
     GatewayHarness harness = GatewayHarness.serving();
     harness.discoveryAnswers = false;
     harness.advanceWithSilentDiscovery(2_600);
     harness.readsDelayed = true;
     harness.advanceWithSilentDiscovery(2_500);
-    assertFalse(harness.gateway.discovery().isListValid(), "a drain may have been listed by now");
+    assertFalse(
+        harness.gateway.discovery().isListValid(), "a drain may have been delivered by now");
   }
 
   @Test
@@ -157,7 +162,7 @@
     GatewayHarness harness = GatewayHarness.serving();
     harness.dispatch(g -> g.discovery().connected(harness.discovery));
     harness.listEndpoints(42, false, "leaving");
-    for (int k = 0; k < 20; k++) {
+    for (int i = 0; i < 20; i++) {
       String id = harness.request(harness.connect(), false, 500);
       assertFalse(harness.connections.get(harness.connectionOf(id)).server.equals("s-1"));
       harness.answer(harness.connectionOf(id), null);
