--- a/gateway/src/main/java/weldcross/discovery/DiscoveredEndpoint.java
+++ b/gateway/src/main/java/weldcross/discovery/DiscoveredEndpoint.java
@@ -7,15 +7,15 @@
 import weldcross.routing.EndpointStatus;
 
 /**
- * One server as an endpoint list has it.
+ * One entry of an endpoint list.
  *
- * @param id the server's name
- * @param address where it listens; null if it was removed
- * @param zone index of its zone among the configured ones; -1 if it has none of these
- * @param group number of its group
+ * @param id name of the server
+ * @param address address on which the server listens; null if it was removed
+ * @param zone index of its zone among the configured zones; -1 if it is in none of them
+ * @param group number of its replica group
  * @param status whether it is active, draining or removed
- * @param startedAtMillis Unix time in milliseconds of its last start; 0 if that was long ago
- * @param primary whether the list takes it for the primary of its group
+ * @param startedAtMillis Unix time of its last start, in milliseconds; 0 if that was long ago
+ * @param primary whether it is listed as the primary of its group
  */
 public record DiscoveredEndpoint(
     String id,
@@ -27,11 +27,12 @@
     boolean primary) {
 
   /**
-   * Reads all entries of a list, or none: a list with a hole is worse than the one before it.
+   * Reads the entries of a list. One invalid entry rejects the whole list, as an incomplete list is
+   * worse than the previous one.
    *
-   * @param list the list as discovery sent it
-   * @param zones names of the configured zones, in the order of their numbers
-   * @throws weldcross.config.InvalidConfigException if an entry cannot be used; names its key
+   * @param list the list as sent by discovery
+   * @param zones names of the configured zones, in the order of their indexes
+   * @throws weldcross.config.InvalidConfigException if an entry is invalid; names the key
    */
   public static List<DiscoveredEndpoint> read(ConfigValues list, List<String> zones) {
     List<DiscoveredEndpoint> endpoints = new ArrayList<>();
--- a/gateway/src/main/java/weldcross/discovery/HttpResponseDecoder.java
+++ b/gateway/src/main/java/weldcross/discovery/HttpResponseDecoder.java
@@ -6,8 +6,9 @@
 import java.util.Locale;
 
 /**
- * Decodes HTTP/1.1 responses from a stream in pieces of any size. A body ends by its length, by its
- * last chunk, or with the connection. Interim responses (1xx) are skipped.
+ * Decodes HTTP/1.1 responses from a stream that arrives in fragments of any size. A body is
+ * delimited by its Content-Length, by its last chunk or by the close of the connection. Interim
+ * responses (1xx) are skipped.
  */
 public final class HttpResponseDecoder {
 
@@ -20,19 +21,19 @@
   private static final int DECIMAL = 10;
   private static final int HEX = 16;
 
-  /** Receives responses. */
+  /** Receives decoded responses. */
   public interface Sink {
 
     /**
      * Receives a complete response.
      *
      * @param status the status code
-     * @param body the body, without any transfer coding
+     * @param body the body, with the transfer coding removed
      */
     void response(int status, byte[] body);
   }
 
-  /** Thrown for bytes that are no response; the connection is of no further use. */
+  /** Thrown for invalid responses; the connection cannot be used any further. */
   public static final class ProtocolException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -45,7 +46,7 @@
     STATUS,
     HEADERS,
     BODY,
-    BODY_TO_END,
+    BODY_UNTIL_CLOSE,
     CHUNK_SIZE,
     CHUNK,
     CHUNK_END,
@@ -58,7 +59,7 @@
   private State state = State.STATUS;
   private int status;
 
-  /** Bytes that are still to come of the body, or of its current chunk. */
+  /** Bytes of the body, or of its current chunk, that were not received yet. */
   private int remaining;
 
   private boolean chunked;
@@ -72,29 +73,29 @@
   /**
    * Decodes the next bytes of the stream.
    *
-   * @throws ProtocolException if they are no response, or one that is too long
+   * @throws ProtocolException if the response is invalid or too long
    */
   public void feed(ByteBuffer in) throws ProtocolException {
     while (in.hasRemaining()) {
       switch (state) {
         case BODY, CHUNK -> readSizedBody(in);
-        case BODY_TO_END -> readBodyToEnd(in);
+        case BODY_UNTIL_CLOSE -> readBodyUntilClose(in);
         default -> readLineByte(in.get());
       }
     }
   }
 
   /**
-   * Ends the stream after an orderly close, which also ends a body without a length. Not to be
-   * called after a reset, as the body may lack its end then.
+   * Ends the stream after an orderly close, which also completes a body without a length. Must not
+   * be called after a reset, as the body may then be truncated.
    */
   public void endOfStream() {
-    if (state == State.BODY_TO_END) {
+    if (state == State.BODY_UNTIL_CLOSE) {
       completeResponse();
     }
   }
 
-  /** Returns whether a response has begun and is not complete. */
+  /** Returns whether a part of a response was received, but not all of it. */
   public boolean isInResponse() {
     return state != State.STATUS || line.size() > 0;
   }
@@ -114,9 +115,9 @@
     }
   }
 
-  private void readBodyToEnd(ByteBuffer in) throws ProtocolException {
+  private void readBodyUntilClose(ByteBuffer in) throws ProtocolException {
     if (in.remaining() > MAX_BODY_LENGTH - body.size()) {
-      throw new ProtocolException("a body without an end");
+      throw new ProtocolException("response body too long");
     }
     byte[] bytes = new byte[in.remaining()];
     in.get(bytes);
@@ -127,7 +128,7 @@
     if (next != '\n') {
       line.write(next);
       if (line.size() > MAX_LINE_LENGTH) {
-        throw new ProtocolException("a line without an end");
+        throw new ProtocolException("response line too long");
       }
       return;
     }
@@ -154,9 +155,9 @@
   private void readStatusLine(String text) throws ProtocolException {
     String[] fields = text.split(" ", 3);
     if (fields.length < 2 || !fields[0].startsWith("HTTP/1.")) {
-      throw new ProtocolException("no status line: " + text);
+      throw new ProtocolException("invalid status line: " + text);
     }
-    status = number(fields[1], DECIMAL, MAX_STATUS);
+    status = parseNumber(fields[1], DECIMAL, MAX_STATUS);
     remaining = 0;
     chunked = false;
     hasLength = false;
@@ -172,7 +173,7 @@
     String name = text.substring(0, Math.max(0, colon)).toLowerCase(Locale.ROOT);
     String value = text.substring(colon + 1).strip();
     if (name.equals("content-length")) {
-      remaining = number(value, DECIMAL, MAX_BODY_LENGTH);
+      remaining = parseNumber(value, DECIMAL, MAX_BODY_LENGTH);
       hasLength = true;
     } else if (name.equals("transfer-encoding")) {
       chunked = value.equalsIgnoreCase("chunked");
@@ -187,7 +188,7 @@
     } else if (hasLength || hasNoBody) {
       state = State.BODY;
     } else {
-      state = State.BODY_TO_END;
+      state = State.BODY_UNTIL_CLOSE;
     }
     if (state == State.BODY && remaining == 0) {
       completeResponse();
@@ -195,9 +196,9 @@
   }
 
   private void readChunkSize(String text) throws ProtocolException {
-    int extension = text.indexOf(';');
-    String size = extension < 0 ? text : text.substring(0, extension);
-    remaining = number(size.strip(), HEX, MAX_BODY_LENGTH - body.size());
+    int extensionStart = text.indexOf(';');
+    String size = extensionStart < 0 ? text : text.substring(0, extensionStart);
+    remaining = parseNumber(size.strip(), HEX, MAX_BODY_LENGTH - body.size());
     state = remaining == 0 ? State.TRAILERS : State.CHUNK;
   }
 
@@ -205,21 +206,21 @@
     byte[] bytes = body.toByteArray();
     body = new ByteArrayOutputStream();
     state = State.STATUS;
-    // Interim responses, such as 100 Continue, precede the one that counts.
+    // Interim responses, such as 100 Continue, precede the final one.
     if (status >= FIRST_FINAL_STATUS) {
       sink.response(status, bytes);
     }
   }
 
-  private static int number(String text, int radix, int max) throws ProtocolException {
+  private static int parseNumber(String text, int radix, int max) throws ProtocolException {
     try {
       int value = Integer.parseInt(text, radix);
       if (value >= 0 && value <= max) {
         return value;
       }
     } catch (NumberFormatException e) {
-      // Reported below, like a number out of range.
+      // Rejected below, like a number that is out of range.
     }
-    throw new ProtocolException("no usable number: " + text);
+    throw new ProtocolException("invalid number: " + text);
   }
 }
--- a/gateway/src/main/java/weldcross/discovery/package-info.java
+++ b/gateway/src/main/java/weldcross/discovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a gateway needs to read its endpoint list from discovery: HTTP responses, the entries of a
- * list, and the lease during which a list may be acted on. Nothing here does I/O.
+ * Support for reading the endpoint list from discovery: a decoder for HTTP responses, the entries
+ * of a list, and the lease during which a list may be used. No class of this package does I/O.
  */
 package weldcross.discovery;
--- a/gateway/src/main/java/weldcross/gossip/GossipMessage.java
+++ b/gateway/src/main/java/weldcross/gossip/GossipMessage.java
@@ -5,20 +5,23 @@
 import java.nio.charset.StandardCharsets;
 import weldcross.routing.ServerId;
 
-/** The codec of the one message between gateways: the name of a server that was not reachable. */
+/** Codec of the gossip message, which contains the name of a server that could not be reached. */
 public final class GossipMessage {
 
-  /** The longest message that is carried, in bytes. */
+  /** Maximum length of a message in bytes. */
   public static final int MAX_BYTES = 256;
 
   private GossipMessage() {}
 
-  /** Returns the message, in UTF-8; it may be longer than {@link #MAX_BYTES}. */
+  /**
+   * Encodes a message as UTF-8. The result may be longer than {@link #MAX_BYTES}; such a message
+   * must not be sent.
+   */
   public static byte[] encode(ServerId unreachable) {
     return unreachable.name().getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Returns the server that the message names, or null if it is no such message. */
+  /** Returns the server named in a message, or null if the message is invalid. */
   public static ServerId decode(byte[] message) {
     if (message.length == 0 || message.length > MAX_BYTES) {
       return null;
--- a/gateway/src/main/java/weldcross/gossip/package-info.java
+++ b/gateway/src/main/java/weldcross/gossip/package-info.java
@@ -1,2 +1,2 @@
-/** The message that gateways send each other, where they may. */
+/** The gossip message that gateways send each other in configurations that permit it. */
 package weldcross.gossip;
--- a/gateway/src/test/java/weldcross/discovery/DiscoveredEndpointTest.java
+++ b/gateway/src/test/java/weldcross/discovery/DiscoveredEndpointTest.java
@@ -20,7 +20,7 @@
           + "\"flavor\":\"m2\",\"cell\":3,\"phase\":\"leaving\",\"size\":1.0,\"up_since_ms\":17}";
 
   @Test
-  void entryIsReadWithZoneIndex() {
+  void validEntryIsReadWithZoneIndex() {
     DiscoveredEndpoint endpoint = read(ENTRY).get(0);
     assertEquals(
         List.of("s-1", 1, 3, EndpointStatus.DRAINING, 17L),
@@ -46,10 +46,10 @@
         "17|-1|members.1.up_since_ms"
       })
   void invalidEntryRejectsWholeList(String part, String replacement, String key) {
-    String faulty = ENTRY.replace(part, replacement == null ? "" : replacement);
-    InvalidConfigException fault =
-        assertThrows(InvalidConfigException.class, () -> read(ENTRY, faulty));
-    assertTrue(fault.getMessage().startsWith(key + ": found "), fault.getMessage());
+    String invalidEntry = ENTRY.replace(part, replacement == null ? "" : replacement);
+    InvalidConfigException exception =
+        assertThrows(InvalidConfigException.class, () -> read(ENTRY, invalidEntry));
+    assertTrue(exception.getMessage().startsWith(key + ": found "), exception.getMessage());
   }
 
   private static List<DiscoveredEndpoint> read(String... entries) {
--- a/gateway/src/test/java/weldcross/discovery/HttpResponseDecoderTest.java
+++ b/gateway/src/test/java/weldcross/discovery/HttpResponseDecoderTest.java
@@ -16,7 +16,7 @@
 class HttpResponseDecoderTest {
 
   @Test
-  void responsesDecodeTheSameInPiecesOfAnySize() throws HttpResponseDecoder.ProtocolException {
+  void decodingDoesNotDependOnFragmentation() throws HttpResponseDecoder.ProtocolException {
     String stream =
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nServer: x\r\n\r\nhello"
             + "HTTP/1.1 100 Continue\r\n\r\n"
@@ -39,43 +39,41 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
       })
-  void bytesThatAreNoResponseAreRejected(String stream) {
+  void invalidResponseIsRejected(String stream) {
     assertThrows(HttpResponseDecoder.ProtocolException.class, () -> read(stream, null));
   }
 
   @Test
-  void lineWithoutEndIsRejected() {
+  void unterminatedLineIsRejected() {
     assertThrows(HttpResponseDecoder.ProtocolException.class, () -> read("H".repeat(10_000), null));
   }
 
-  /**
-   * An answer without a length is whole when its connection ends in order, and never after a reset.
-   */
+  /** A response without a length is complete after an orderly close, and never after a reset. */
   @Test
-  void bodyWithoutLengthEndsWithConnection() throws HttpResponseDecoder.ProtocolException {
+  void bodyWithoutLengthIsCompletedByClose() throws HttpResponseDecoder.ProtocolException {
     List<String> responses = new ArrayList<>();
     HttpResponseDecoder decoder =
         new HttpResponseDecoder(
             (status, body) ->
                 responses.add(status + " " + new String(body, StandardCharsets.UTF_8)));
-    for (String part :
+    for (String fragment :
         List.of("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n{\"rev", "ision\":4}")) {
-      decoder.feed(ByteBuffer.wrap(part.getBytes(StandardCharsets.ISO_8859_1)));
-      assertTrue(responses.isEmpty(), "the connection is open");
+      decoder.feed(ByteBuffer.wrap(fragment.getBytes(StandardCharsets.ISO_8859_1)));
+      assertTrue(responses.isEmpty(), "the connection is still open");
     }
     decoder.endOfStream();
     assertEquals(List.of("200 {\"revision\":4}"), responses);
     decoder.endOfStream();
     assertEquals(1, responses.size());
-    HttpResponseDecoder withoutEnd =
-        new HttpResponseDecoder((status, body) -> responses.add("endless"));
-    withoutEnd.feed(
+    HttpResponseDecoder unterminated =
+        new HttpResponseDecoder((status, body) -> responses.add("too long"));
+    unterminated.feed(
         ByteBuffer.wrap("HTTP/1.1 200 OK\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1)));
     assertThrows(
         HttpResponseDecoder.ProtocolException.class,
         () -> {
-          for (int k = 0; k < 5; k++) {
-            withoutEnd.feed(ByteBuffer.allocate(1 << 20));
+          for (int mebibyte = 0; mebibyte < 5; mebibyte++) {
+            unterminated.feed(ByteBuffer.allocate(1 << 20));
           }
         });
   }
--- a/gateway/src/test/java/weldcross/gateway/DiscoveryWatcherTest.java
+++ b/gateway/src/test/java/weldcross/gateway/DiscoveryWatcherTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Tests with {@link DiscoveryModel} that no request is sent to a server whose drain was
- * delivered longer ago than the grace period, and tests the backoff and the time limits of polling.
+ * Tests with {@link DiscoveryModel} that no request is sent to a server whose drain was delivered
+ * longer ago than the grace period, and tests the backoff and the time limits of polling.
  */
 class DiscoveryWatcherTest {
 
