--- a/gateway/src/main/java/weldcross/gateway/JitWarmUp.java
+++ b/gateway/src/main/java/weldcross/gateway/JitWarmUp.java
@@ -112,9 +112,10 @@
     long unixMillis = now.toMillis();
     if (query.get(1) == 'H') {
       String report = "x0=" + unixMillis / 1000 + "." + unixMillis % 1000 + ",x1=1";
-      return MessageEncoder.row(report, "SHOW", unixMillis);
+      return MessageEncoder.rowResponse(report, "SHOW", unixMillis);
     }
-    return MessageEncoder.row("v", query.get(0) == 'I' ? "INSERT 0 1" : "SELECT 1", unixMillis);
+    return MessageEncoder.rowResponse(
+        "v", query.get(0) == 'I' ? "INSERT 0 1" : "SELECT 1", unixMillis);
   }
 
   @Override
--- a/gateway/src/main/java/weldcross/gateway/RequestPipeline.java
+++ b/gateway/src/main/java/weldcross/gateway/RequestPipeline.java
@@ -83,7 +83,7 @@
             respond(
                 request,
                 gateway.phase() == Gateway.Phase.SERVING
-                    ? MessageEncoder.emptyQuery()
+                    ? MessageEncoder.emptyQueryResponse()
                     : MessageEncoder.error("57P03", "not ready", null)));
   }
 
--- a/gateway/src/main/java/weldcross/gateway/SelfTest.java
+++ b/gateway/src/main/java/weldcross/gateway/SelfTest.java
@@ -143,8 +143,8 @@
       String report = "x0=" + now / 1000 + "." + now % 1000 + ",x1=1";
       out.write(
           text[1] == 'H'
-              ? MessageEncoder.row(report, "SHOW", now)
-              : MessageEncoder.row("v", text[0] == 'I' ? "INSERT 0 1" : "SELECT 1", now));
+              ? MessageEncoder.rowResponse(report, "SHOW", now)
+              : MessageEncoder.rowResponse("v", text[0] == 'I' ? "INSERT 0 1" : "SELECT 1", now));
     }
   }
 
--- a/gateway/src/main/java/weldcross/pgwire/ClientMessageDecoder.java
+++ b/gateway/src/main/java/weldcross/pgwire/ClientMessageDecoder.java
@@ -3,54 +3,54 @@
 import java.nio.ByteBuffer;
 
 /**
- * Decodes the stream of a client: the start of the session, then queries. The sink is called in the
- * order of the messages, on the thread that feeds.
+ * Decodes the stream of a client: session startup, then queries. The sink is called in the order of
+ * the messages, on the thread that calls {@link #feed}.
  */
 public final class ClientMessageDecoder {
 
-  /** Receives what a client sends. */
+  /** Receives the messages of a client. */
   public interface Sink {
 
-    /** The client asked for encryption, and waits for one byte. */
+    /** The client requested encryption and waits for a one-byte response. */
     void encryptionRequested();
 
-    /** The client opened the session. */
+    /** The client sent its startup message. */
     void startupReceived();
 
-    /** A statement arrived that is of a form served here. */
+    /** The client sent a supported statement. */
     void statementReceived(Statement statement);
 
-    /** A query without a statement arrived. */
+    /** The client sent a query without a statement. */
     void emptyQueryReceived();
 
     /**
-     * A query arrived that is not served; the connection stays open.
+     * The client sent an unsupported query; the connection stays open.
      *
-     * @param sqlState the error to answer with
-     * @param message the reason, for the client
+     * @param sqlState SQLSTATE of the error response
+     * @param message message of the error response
      */
     void statementRejected(String sqlState, String message);
 
-    /** A message began, and its rest is still to come; called once a message. */
+    /** A part of a message was received; called at most once per message. */
     void messageStarted();
 
     /**
-     * The stream cannot be decoded any further; nothing else is called after this.
+     * The stream cannot be decoded any further; no other method is called afterwards.
      *
-     * @param sqlState the error to answer with
-     * @param message the reason, for the client
+     * @param sqlState SQLSTATE of the error response
+     * @param message message of the error response
      */
     void protocolError(String sqlState, String message);
 
-    /** The client ended the session; nothing else is called after this. */
+    /** The client ended the session; no other method is called afterwards. */
     void terminated();
 
     /**
-     * The client asked to cancel the statement of another connection; nothing else is called after
-     * this.
+     * The client requested that the statement of another connection be cancelled; no other method
+     * is called afterwards.
      *
-     * @param processId identifies the other connection
-     * @param secretKey the key that connection was given
+     * @param processId process ID that identifies the other connection
+     * @param secretKey secret key that the request contains
      */
     void cancelRequested(int processId, int secretKey);
   }
@@ -58,6 +58,12 @@
   private static final int SSL_REQUEST = 80877103;
   private static final int GSS_ENCRYPTION_REQUEST = 80877104;
   private static final int CANCEL_REQUEST = 80877102;
+
+  /** Offset of the protocol version or request code in an untyped message. */
+  private static final int REQUEST_CODE_OFFSET = 4;
+
+  private static final int PROCESS_ID_OFFSET = 8;
+  private static final int SECRET_KEY_OFFSET = 12;
   private static final int CANCEL_REQUEST_LENGTH = 16;
 
   private final FrameDecoder frames = new FrameDecoder(true);
@@ -71,7 +77,7 @@
     this.sink = sink;
   }
 
-  /** Decodes the next bytes of the stream; the buffer is read to its end or to an error. */
+  /** Decodes the next bytes of the stream; the buffer is consumed up to its end or an error. */
   public void feed(ByteBuffer in) {
     try {
       if (!ended) {
@@ -82,7 +88,7 @@
         sink.messageStarted();
       }
     } catch (ProtocolException e) {
-      // Bytes after the last message are ignored, also those that are no message.
+      // Bytes after the last message are ignored, even if they are invalid.
       if (!ended) {
         ended = true;
         sink.protocolError(e.sqlState(), e.getMessage());
@@ -90,12 +96,12 @@
     }
   }
 
-  /** Returns the number of complete messages that were decoded so far. */
+  /** Returns the number of complete messages decoded so far. */
   public int messageCount() {
     return messageCount;
   }
 
-  /** Returns whether a message began, and its rest is still to come. */
+  /** Returns whether a part of a message was received, but not all of it. */
   public boolean isInMessage() {
     return !ended && frames.isInMessage();
   }
@@ -107,7 +113,7 @@
     }
     messageCount++;
     switch (type) {
-      case FrameDecoder.UNTYPED -> decodeOpening(message);
+      case FrameDecoder.UNTYPED -> decodeUntypedMessage(message);
       case 'Q' -> decodeQuery(message);
       case 'X' -> terminate();
       case 'P', 'B', 'D', 'E', 'C', 'H', 'S', 'F', 'd', 'c', 'f' ->
@@ -119,8 +125,8 @@
     }
   }
 
-  private void decodeOpening(ByteBuffer message) throws ProtocolException {
-    switch (message.getInt(4)) {
+  private void decodeUntypedMessage(ByteBuffer message) throws ProtocolException {
+    switch (message.getInt(REQUEST_CODE_OFFSET)) {
       case FrameDecoder.VERSION_3 -> sink.startupReceived();
       case SSL_REQUEST, GSS_ENCRYPTION_REQUEST -> sink.encryptionRequested();
       case CANCEL_REQUEST -> decodeCancelRequest(message);
@@ -133,7 +139,7 @@
   private void decodeCancelRequest(ByteBuffer message) {
     if (message.limit() == CANCEL_REQUEST_LENGTH) {
       ended = true;
-      sink.cancelRequested(message.getInt(8), message.getInt(12));
+      sink.cancelRequested(message.getInt(PROCESS_ID_OFFSET), message.getInt(SECRET_KEY_OFFSET));
     } else {
       terminate();
     }
@@ -145,7 +151,7 @@
       return;
     }
     try {
-      sink.statementReceived(Statement.read(message));
+      sink.statementReceived(Statement.parse(message));
     } catch (ProtocolException e) {
       sink.statementRejected(e.sqlState(), e.getMessage());
     }
--- a/gateway/src/main/java/weldcross/pgwire/FrameDecoder.java
+++ b/gateway/src/main/java/weldcross/pgwire/FrameDecoder.java
@@ -3,76 +3,79 @@
 import java.nio.ByteBuffer;
 
 /**
- * Cuts a stream into messages. A message that lies completely in what was read is passed on as a
- * slice of it, without a copy; only a message that is split is copied, once, to a buffer of its
- * size.
+ * Splits a stream into messages. A message that lies completely in one read buffer is delivered as
+ * a slice of that buffer, without a copy. Only a fragmented message is copied, once, to a buffer of
+ * its size.
  */
 public final class FrameDecoder {
 
-  /** Largest length that a message may have, in bytes: a value of 64 KiB in hex and a header. */
+  /** Maximum length of a message in bytes: a value of 64 KiB in hex and 8 KiB for the rest. */
   public static final int MAX_LENGTH = 2 * 65_536 + 8_192;
 
-  /** Type of messages before the start of a session, which have no type byte. */
+  /** Type of the messages of session startup, which have no type byte. */
   public static final byte UNTYPED = 0;
 
-  /** Version 3.0 of the protocol, as a startup message has it. */
+  /** Code of protocol version 3.0 in a startup message. */
   static final int VERSION_3 = 3 << 16;
 
   private static final int MAX_STARTUP_LENGTH = 10_000;
   private static final int LENGTH_SIZE = Integer.BYTES;
   private static final int TYPED_HEADER_SIZE = 1 + LENGTH_SIZE;
 
-  /** A length counts itself, and before the session a code as well. */
+  /** Minimum length of a message; the length field counts itself. */
   private static final int MIN_LENGTH = LENGTH_SIZE;
 
+  /** Minimum length of an untyped message, which also contains a request code. */
   private static final int MIN_STARTUP_LENGTH = 2 * LENGTH_SIZE;
 
-  /** Receives messages. An exception from it ends the decoding. */
+  /** Receives messages. An exception of a sink ends the decoding. */
   public interface Sink {
 
     /**
      * Receives a complete message.
      *
      * @param type the type byte, or {@link #UNTYPED}
-     * @param message the message with its header; the body starts at {@link #bodyOffset}
-     * @throws ProtocolException if the message is not allowed here
+     * @param message the message including its header; the body starts at {@link #bodyOffset}
+     * @throws ProtocolException if the message is not allowed
      */
     void message(byte type, ByteBuffer message) throws ProtocolException;
 
     /**
-     * Receives the header of a message, before anything else of it.
+     * Receives the header of a message, before its body.
      *
      * @param type the type byte, or {@link #UNTYPED}
-     * @param length length in bytes, without the type
-     * @throws ProtocolException if such a message is not allowed here
+     * @param length length in bytes, without the type byte
+     * @throws ProtocolException if such a message is not allowed
      */
     default void header(byte type, int length) throws ProtocolException {}
 
     /**
-     * Receives what has arrived of a message that is split.
+     * Receives the part of a fragmented message that has arrived.
      *
-     * @param soFar the message up to the buffer's position
-     * @throws ProtocolException if the message is not allowed here
+     * @param partial the message up to the buffer's position
+     * @throws ProtocolException if the message is not allowed
      */
-    default void partialMessage(ByteBuffer soFar) throws ProtocolException {}
+    default void partialMessage(ByteBuffer partial) throws ProtocolException {}
   }
 
+  /** Whether the next message has no type byte. */
   private boolean untyped;
+
   private final ByteBuffer header = ByteBuffer.allocate(TYPED_HEADER_SIZE);
 
-  /** The message that is being put together; null if none is. */
+  /** The fragmented message that is being assembled; null if there is none. */
   private ByteBuffer partial;
 
   /**
    * Creates a decoder for one stream.
    *
-   * @param untyped whether the stream begins with messages without a type, as that of a client does
+   * @param untyped whether the stream starts with untyped messages, as that of a client does
    */
   public FrameDecoder(boolean untyped) {
     this.untyped = untyped;
   }
 
-  /** Returns the offset, in bytes, of the body in a message of a type. */
+  /** Returns the offset of the body, in bytes, in a message of the given type. */
   public static int bodyOffset(byte type) {
     return type == UNTYPED ? LENGTH_SIZE : TYPED_HEADER_SIZE;
   }
@@ -80,24 +83,24 @@
   /**
    * Decodes the next bytes of the stream.
    *
-   * @throws ProtocolException if a length is not allowed, or from the sink; the stream is of no
-   *     further use then
+   * @throws ProtocolException if a length is not allowed, or if thrown by the sink; the stream
+   *     cannot be used afterwards
    */
   public void feed(ByteBuffer in, Sink sink) throws ProtocolException {
     while (in.hasRemaining()) {
-      if (!passOnInPlace(in, sink)) {
-        collect(in, sink);
+      if (!deliverInPlace(in, sink)) {
+        accumulate(in, sink);
       }
     }
   }
 
-  /** Returns whether a message began, and its rest is still to come. */
+  /** Returns whether a part of a message was received, but not all of it. */
   public boolean isInMessage() {
     return partial != null || header.position() > 0;
   }
 
-  /** Passes the next message on without a copy; returns false if its end has not arrived. */
-  private boolean passOnInPlace(ByteBuffer in, Sink sink) throws ProtocolException {
+  /** Delivers the next message without a copy; returns false if it is not complete. */
+  private boolean deliverInPlace(ByteBuffer in, Sink sink) throws ProtocolException {
     if (isInMessage() || in.remaining() < headerSize()) {
       return false;
     }
@@ -107,12 +110,12 @@
     }
     ByteBuffer message = in.slice(in.position(), size);
     in.position(in.position() + size);
-    passOn(message, sink);
+    deliver(message, sink);
     return true;
   }
 
-  /** Copies what there is of a message that is split, and passes it on once it is complete. */
-  private void collect(ByteBuffer in, Sink sink) throws ProtocolException {
+  /** Copies the next part of a fragmented message, and delivers it once it is complete. */
+  private void accumulate(ByteBuffer in, Sink sink) throws ProtocolException {
     if (partial == null) {
       copy(in, header, headerSize() - header.position());
       if (header.position() < headerSize()) {
@@ -128,13 +131,13 @@
     } else {
       ByteBuffer message = partial.flip();
       partial = null;
-      passOn(message, sink);
+      deliver(message, sink);
     }
   }
 
-  private void passOn(ByteBuffer message, Sink sink) throws ProtocolException {
+  private void deliver(ByteBuffer message, Sink sink) throws ProtocolException {
     byte type = untyped ? UNTYPED : message.get(0);
-    // After a request for encryption, which is refused, the session starts like any other.
+    // A request for encryption is refused, and another untyped message follows.
     untyped = untyped && message.getInt(LENGTH_SIZE) != VERSION_3;
     sink.message(type, message);
   }
@@ -143,15 +146,15 @@
     return untyped ? LENGTH_SIZE : TYPED_HEADER_SIZE;
   }
 
-  /** Returns the size of a message in bytes, header included, from its header. */
-  private int messageSize(ByteBuffer from, int offset, Sink sink) throws ProtocolException {
-    int length = from.getInt(offset + headerSize() - LENGTH_SIZE);
+  /** Returns the size of a message in bytes, including its header. */
+  private int messageSize(ByteBuffer buffer, int offset, Sink sink) throws ProtocolException {
+    int length = buffer.getInt(offset + headerSize() - LENGTH_SIZE);
     int min = untyped ? MIN_STARTUP_LENGTH : MIN_LENGTH;
     int max = untyped ? MAX_STARTUP_LENGTH : MAX_LENGTH;
     if (length < min || length > max) {
       throw new ProtocolException(SqlState.PROTOCOL_VIOLATION, "message of length " + length);
     }
-    sink.header(untyped ? UNTYPED : from.get(offset), length);
+    sink.header(untyped ? UNTYPED : buffer.get(offset), length);
     return length + headerSize() - LENGTH_SIZE;
   }
 
--- a/gateway/src/main/java/weldcross/pgwire/MessageEncoder.java
+++ b/gateway/src/main/java/weldcross/pgwire/MessageEncoder.java
@@ -4,28 +4,28 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Encodes the messages that a gateway writes itself, to clients and to servers. */
+/** Encodes the messages that a gateway creates for clients and servers. */
 public final class MessageEncoder {
 
   private static final int HEADER_SIZE = 1 + Integer.BYTES;
   private static final byte[] READY_FOR_QUERY = message('Z', "I");
 
-  /** One text column of any length, without a table. */
+  /** Body of the description of one text column of any length that belongs to no table. */
   private static final String ROW_DESCRIPTION = "\0\1content" + "\0".repeat(19);
 
   private MessageEncoder() {}
 
-  /** Returns the answer to a startup message, with a key that cancels nothing. */
+  /** Returns the response to a startup message, with a key that matches no cancel request. */
   public static ByteBuffer sessionReady() {
     return sessionReady(0, 0);
   }
 
   /**
-   * Returns the answer to a startup message: authentication passed, the parameters that drivers
-   * need, and ready for queries.
+   * Returns the response to a startup message: AuthenticationOk, the parameters that drivers need,
+   * BackendKeyData and ReadyForQuery.
    *
-   * @param processId identifies the session in a request to cancel its statement
-   * @param secretKey the key that such a request must have
+   * @param processId process ID that identifies the session in a cancel request
+   * @param secretKey secret key that a cancel request must contain
    */
   public static ByteBuffer sessionReady(int processId, int secretKey) {
     byte[] backendKeyData =
@@ -44,26 +44,26 @@
         READY_FOR_QUERY);
   }
 
-  /** Returns the refusal of a request for encryption. */
+  /** Returns the response that refuses a request for encryption. */
   public static ByteBuffer encryptionRefused() {
     return ByteBuffer.wrap(new byte[] {'N'});
   }
 
-  /** Returns the answer to a query without a statement. */
-  public static ByteBuffer emptyQuery() {
+  /** Returns the response to a query without a statement. */
+  public static ByteBuffer emptyQueryResponse() {
     return join(message('I', ""), READY_FOR_QUERY);
   }
 
-  /** Returns ReadyForQuery alone, which ends every answer. */
-  public static ByteBuffer ready() {
+  /** Returns ReadyForQuery, which ends every response. */
+  public static ByteBuffer readyForQuery() {
     return ByteBuffer.wrap(READY_FOR_QUERY);
   }
 
   /**
-   * Returns an error after which the session goes on.
+   * Returns an error after which the session continues.
    *
-   * @param sqlState the SQLSTATE, of five characters
-   * @param message the reason
+   * @param sqlState SQLSTATE of five characters
+   * @param message the message field
    * @param detail the detail field; null for none
    */
   public static ByteBuffer error(String sqlState, String message, String detail) {
@@ -71,23 +71,23 @@
   }
 
   /**
-   * Returns an error after which the connection ends.
+   * Returns an error after which the connection is closed.
    *
-   * @param sqlState the SQLSTATE, of five characters
-   * @param message the reason
+   * @param sqlState SQLSTATE of five characters
+   * @param message the message field
    */
   public static ByteBuffer fatal(String sqlState, String message) {
     return join(errorResponse("FATAL", sqlState, message, null));
   }
 
   /**
-   * Returns the answer of a primary with one row; a fake server in tests and warm-up sends it.
+   * Returns the response of a primary with one row, for the fake servers of tests and warm-up.
    *
-   * @param value the row's value
-   * @param commandTag how the command is completed
-   * @param positionMillis the server's position, as Unix time in milliseconds
+   * @param value value of the row
+   * @param commandTag tag of CommandComplete
+   * @param positionMillis replication position of the server, as Unix time in milliseconds
    */
-  public static byte[] row(String value, String commandTag, long positionMillis) {
+  public static byte[] rowResponse(String value, String commandTag, long positionMillis) {
     byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
     byte[] dataRow =
         ByteBuffer.allocate(ServerResponse.ROW_HEADER_SIZE + bytes.length)
@@ -107,7 +107,7 @@
         .array();
   }
 
-  /** Returns the startup message with which a session at a server begins. */
+  /** Returns the startup message that opens a session with a server. */
   public static ByteBuffer startup() {
     byte[] parameters = "user\0backend\0database\0store\0\0".getBytes(StandardCharsets.US_ASCII);
     int length = 2 * Integer.BYTES + parameters.length;
--- a/gateway/src/main/java/weldcross/pgwire/ProtocolException.java
+++ b/gateway/src/main/java/weldcross/pgwire/ProtocolException.java
@@ -1,18 +1,18 @@
 package weldcross.pgwire;
 
-/** Thrown for bytes that violate the protocol, and for statements that are not served. */
+/** Thrown for protocol violations and for unsupported statements. */
 public final class ProtocolException extends Exception {
   private static final long serialVersionUID = 1;
 
   private final String sqlState;
 
-  /** Has no stack trace: any client can cause it, as often as it likes. */
+  /** Creates an exception without a stack trace, as any client can cause it at any rate. */
   ProtocolException(String sqlState, String message) {
     super(message, null, false, false);
     this.sqlState = sqlState;
   }
 
-  /** Returns the SQLSTATE, of five characters, that a client is to be told. */
+  /** Returns the five-character SQLSTATE to report to the client. */
   public String sqlState() {
     return sqlState;
   }
--- a/gateway/src/main/java/weldcross/pgwire/ServerMessageDecoder.java
+++ b/gateway/src/main/java/weldcross/pgwire/ServerMessageDecoder.java
@@ -3,35 +3,35 @@
 import java.nio.ByteBuffer;
 
 /**
- * Decodes the stream of a server: the start of the session, then one response to each request.
- * Bytes that belong to no response make the stream unusable for good, as the request that later
- * bytes answer is then unknown.
+ * Decodes the stream of a server: session startup, then one response to each request. Bytes that
+ * belong to no expected response make the stream permanently unusable, as later responses could no
+ * longer be matched to their requests.
  *
- * <p>One thread feeds; {@link #expectResponse} may be called by another one.
+ * <p>One thread calls {@link #feed}; {@link #expectResponse} may be called by another one.
  */
 public final class ServerMessageDecoder implements FrameDecoder.Sink {
 
-  /** Receives what a server sends. */
+  /** Receives the responses of a server. */
   public interface Sink {
 
-    /** The server opened the session and takes queries. */
+    /** The session is open, and the server is ready for queries. */
     void ready();
 
     /**
-     * A response is complete.
+     * A complete response was received.
      *
      * @param response the response
-     * @param hasTrailingBytes whether bytes follow it, so that the stream is of no further use
+     * @param hasTrailingBytes whether unexpected bytes follow, so that the stream cannot be used
      */
     void responseReceived(ServerResponse response, boolean hasTrailingBytes);
 
-    /** A response began, and its rest is still to come. */
+    /** A part of a response was received. */
     void responseStarted();
 
     /**
-     * The stream is of no further use; nothing of the current response counts.
+     * The stream cannot be used any further, and the current response must be discarded.
      *
-     * @param reason what is wrong with the stream
+     * @param reason the protocol violation, for the log
      */
     void protocolError(String reason);
   }
@@ -42,12 +42,12 @@
   private boolean sessionStarted;
   private boolean readyPending;
   private boolean responseStarted;
-  private boolean broken;
+  private boolean unusable;
 
-  /** The response that became complete in this call; null if none did. */
-  private ServerResponse complete;
+  /** The response that was completed by the current call; null if there is none. */
+  private ServerResponse completeResponse;
 
-  /** Set by the thread that writes requests, cleared by the one that feeds. */
+  /** Set by the thread that writes requests, cleared by the thread that calls {@link #feed}. */
   private volatile boolean responseExpected;
 
   /** Creates a decoder for one connection. */
@@ -55,67 +55,68 @@
     this.sink = sink;
   }
 
-  /** Allows one response; to be called before a request, or the startup message, is written. */
+  /** Allows one response. Must be called before a request or the startup message is written. */
   public void expectResponse() {
     responseExpected = true;
   }
 
-  /** Decodes the next bytes of the stream; they are ignored once the stream is unusable. */
+  /** Decodes the next bytes of the stream; does nothing once the stream is unusable. */
   public void feed(ByteBuffer in) {
-    if (broken || !in.hasRemaining()) {
+    if (unusable || !in.hasRemaining()) {
       return;
     }
     try {
       if (!responseExpected) {
-        throw new ProtocolException(SqlState.PROTOCOL_VIOLATION, "bytes that nobody asked for");
+        throw new ProtocolException(SqlState.PROTOCOL_VIOLATION, "unsolicited bytes from a server");
       }
       frames.feed(in, this);
     } catch (ProtocolException e) {
-      broken = true;
-      // A complete response stays good, whatever follows it.
-      if (complete == null) {
+      unusable = true;
+      // A complete response stays valid, whatever follows it.
+      if (completeResponse == null) {
         sink.protocolError(e.getMessage());
       }
     }
-    broken |= !responseExpected && frames.isInMessage();
+    unusable |= !responseExpected && frames.isInMessage();
     notifySink();
   }
 
-  /** Comes last, as the sink may write the next request from within the call. */
+  /** Must be called last in {@link #feed}, as the sink may write the next request in its call. */
   private void notifySink() {
-    if (complete != null) {
-      ServerResponse received = complete;
-      complete = null;
+    if (completeResponse != null) {
+      ServerResponse received = completeResponse;
+      completeResponse = null;
       responseStarted = false;
-      sink.responseReceived(received, broken);
+      sink.responseReceived(received, unusable);
     } else if (readyPending) {
       readyPending = false;
-      if (!broken) {
+      if (!unusable) {
         sink.ready();
       }
-    } else if (sessionStarted && !responseStarted && !broken) {
+    } else if (sessionStarted && !responseStarted && !unusable) {
       responseStarted = true;
       sink.responseStarted();
     }
   }
 
-  /** Returns what arrived of a response when the stream ends; empty if it cannot be used. */
+  /** Returns the part of a response received when the stream ended; empty if it is unusable. */
   public ServerResponse partialResponse() {
-    return broken || frames.isInMessage() ? new ServerResponse() : response;
+    return unusable || frames.isInMessage() ? new ServerResponse() : response;
   }
 
   @Override
   public void header(byte type, int length) throws ProtocolException {
     if (!responseExpected) {
-      throw new ProtocolException(SqlState.PROTOCOL_VIOLATION, "bytes behind an answer");
+      throw new ProtocolException(
+          SqlState.PROTOCOL_VIOLATION, "bytes after a response of a server");
     }
     ServerResponse.checkHeader(type, length);
   }
 
   @Override
-  public void partialMessage(ByteBuffer soFar) throws ProtocolException {
-    if (soFar.get(0) == 'D' && soFar.position() >= ServerResponse.ROW_HEADER_SIZE) {
-      ServerResponse.checkRow(soFar, soFar.limit());
+  public void partialMessage(ByteBuffer partial) throws ProtocolException {
+    if (partial.get(0) == 'D' && partial.position() >= ServerResponse.ROW_HEADER_SIZE) {
+      ServerResponse.checkRow(partial, partial.limit());
     }
   }
 
@@ -130,7 +131,7 @@
       responseExpected = false;
     } else if (response.add(type, message)) {
       responseExpected = false;
-      complete = response;
+      completeResponse = response;
       response = new ServerResponse();
     }
   }
--- a/gateway/src/main/java/weldcross/pgwire/ServerResponse.java
+++ b/gateway/src/main/java/weldcross/pgwire/ServerResponse.java
@@ -4,12 +4,12 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The response of a server to one query, as far as it has arrived. The messages of its row stay as
- * they were read, and go to the client in that form.
+ * The part of a server's response to one query that has arrived. The messages of its row are kept
+ * unchanged and forwarded to the client in that form.
  */
 public final class ServerResponse {
 
-  /** Size in bytes of what precedes a row's value: type, length, column count, value length. */
+  /** Bytes before the value of a row: type, length, column count and value length. */
   static final int ROW_HEADER_SIZE = 11;
 
   private static final int HEADER_SIZE = FrameDecoder.bodyOffset((byte) 'T');
@@ -17,10 +17,10 @@
   private static final int COLUMN_NAME_OFFSET = COLUMN_COUNT_OFFSET + Short.BYTES;
   private static final int VALUE_LENGTH_OFFSET = COLUMN_COUNT_OFFSET + Short.BYTES;
 
-  /** Size in bytes of what follows a column's name in a row description. */
+  /** Bytes of the column attributes after the name in a row description. */
   private static final int COLUMN_ATTRIBUTES_SIZE = 18;
 
-  /** Largest length, in bytes, of messages other than rows. */
+  /** Maximum length, in bytes, of messages other than rows. */
   private static final int MAX_TEXT_LENGTH = 4_096;
 
   private static final int READY_LENGTH = 5;
@@ -35,11 +35,12 @@
   private long positionMillis;
   private String loadReport;
 
-  /** Creates a response of which nothing has arrived. */
+  /** Creates an empty response. */
   ServerResponse() {}
 
   /**
-   * Rejects a header that no response has, as a wrong length would swallow all bytes that follow.
+   * Rejects a header that is invalid in a response, as a wrong length would consume bytes of the
+   * messages that follow.
    */
   static void checkHeader(byte type, int length) throws ProtocolException {
     boolean valid =
@@ -54,7 +55,7 @@
     }
   }
 
-  /** Rejects a row that is not of one column whose value fills the message. */
+  /** Rejects a row that does not have exactly one column whose value fills the message. */
   static void checkRow(ByteBuffer message, int size) throws ProtocolException {
     short columns = message.getShort(COLUMN_COUNT_OFFSET);
     int valueLength = message.getInt(VALUE_LENGTH_OFFSET);
@@ -64,7 +65,7 @@
     }
   }
 
-  /** Adds one message; returns true if the response is complete, that is with ReadyForQuery. */
+  /** Adds a message; returns true if it is ReadyForQuery, which completes the response. */
   boolean add(byte type, ByteBuffer message) throws ProtocolException {
     switch (type) {
       case 'T' -> {
@@ -87,7 +88,7 @@
       }
       case 'S' -> readParameter(message);
       case 'N' -> {
-        // A notice has nothing that is read here.
+        // Notices are ignored.
       }
       case 'Z' -> {
         boolean ended = sqlState != null || commandComplete != null;
@@ -101,7 +102,7 @@
 
   private static void requireOrder(boolean inOrder) throws ProtocolException {
     if (!inOrder) {
-      throw violation("message out of its order from a server");
+      throw violation("message in unexpected order from a server");
     }
   }
 
@@ -110,14 +111,14 @@
         || message.getShort(COLUMN_COUNT_OFFSET) != 1
         || indexOfZero(message, COLUMN_NAME_OFFSET) + 1 + COLUMN_ATTRIBUTES_SIZE
             != message.limit()) {
-      throw violation("no description of one column from a server");
+      throw violation("row description without exactly one column from a server");
     }
   }
 
   /**
-   * Returns whether the statement was carried out.
+   * Returns whether the statement was executed successfully.
    *
-   * @param commandTag the tag with which it must be completed; null for any
+   * @param commandTag the required tag of CommandComplete; null for any
    */
   public boolean isComplete(String commandTag) {
     if (sqlState != null || commandComplete == null) {
@@ -130,11 +131,11 @@
   }
 
   /**
-   * Returns the messages for the client: the row as it was read, then ReadyForQuery. To be called
-   * only if {@link #isComplete}.
+   * Returns the messages for the client: the row unchanged, then ReadyForQuery. Must be called only
+   * if {@link #isComplete}.
    */
   public ByteBuffer[] toClientMessages() {
-    return new ByteBuffer[] {rowDescription, row, commandComplete, MessageEncoder.ready()};
+    return new ByteBuffer[] {rowDescription, row, commandComplete, MessageEncoder.readyForQuery()};
   }
 
   /** Returns the SQLSTATE of an error; null if there was none. */
@@ -142,17 +143,17 @@
     return sqlState;
   }
 
-  /** Returns whether the server is the primary; null if it did not say. */
+  /** Returns whether the server is the primary; null if it did not report its role. */
   public Boolean primary() {
     return primary;
   }
 
-  /** Returns the server's position as Unix time in milliseconds; 0 if it sent none. */
+  /** Returns the replication position as Unix time in milliseconds; 0 if none was reported. */
   public long positionMillis() {
     return positionMillis;
   }
 
-  /** Returns the load report that came beside the row; null if there was none. */
+  /** Returns the load report that was sent with the row; null if there was none. */
   public String loadReport() {
     return loadReport;
   }
@@ -166,7 +167,7 @@
         : text(row, ROW_HEADER_SIZE, ROW_HEADER_SIZE + length);
   }
 
-  /** Ignores a parameter that cannot be read: the row beside it may be good. */
+  /** Reads a parameter. An invalid one is ignored, as the row may still be valid. */
   private void readParameter(ByteBuffer message) {
     String[] fields = text(message, HEADER_SIZE, message.limit()).split("\0", -1);
     if (fields.length != 3 || !fields[2].isEmpty()) {
@@ -178,7 +179,7 @@
       case "wal_time" -> positionMillis = isNumber(value) ? Long.parseLong(value) : positionMillis;
       case "stats" -> loadReport = value;
       default -> {
-        // Parameters of the session itself; nothing here depends on them.
+        // Session parameters, such as server_version, are not used.
       }
     }
   }
@@ -197,28 +198,28 @@
         && text.chars().allMatch(c -> c >= '0' && c <= '9');
   }
 
-  /** Returns the code field of an error; throws if there is none. */
+  /** Returns the SQLSTATE field of an error response. */
   private static String readSqlState(ByteBuffer error) throws ProtocolException {
-    int at = HEADER_SIZE;
+    int offset = HEADER_SIZE;
     String code = "";
-    while (at < error.limit() && error.get(at) != 0) {
-      int end = indexOfZero(error, at + 1);
-      code = error.get(at) == 'C' ? text(error, at + 1, end) : code;
-      at = end + 1;
+    while (offset < error.limit() && error.get(offset) != 0) {
+      int end = indexOfZero(error, offset + 1);
+      code = error.get(offset) == 'C' ? text(error, offset + 1, end) : code;
+      offset = end + 1;
     }
-    if (code.length() != SQL_STATE_LENGTH || at != error.limit() - 1) {
-      throw violation("no error with a code from a server");
+    if (code.length() != SQL_STATE_LENGTH || offset != error.limit() - 1) {
+      throw violation("error without an SQLSTATE from a server");
     }
     return code;
   }
 
   private static int indexOfZero(ByteBuffer message, int from) throws ProtocolException {
-    for (int at = from; at < message.limit(); at++) {
-      if (message.get(at) == 0) {
-        return at;
+    for (int offset = from; offset < message.limit(); offset++) {
+      if (message.get(offset) == 0) {
+        return offset;
       }
     }
-    throw violation("text without an end from a server");
+    throw violation("unterminated string from a server");
   }
 
   private static String text(ByteBuffer message, int from, int to) {
--- a/gateway/src/main/java/weldcross/pgwire/SqlState.java
+++ b/gateway/src/main/java/weldcross/pgwire/SqlState.java
@@ -1,6 +1,6 @@
 package weldcross.pgwire;
 
-/** SQLSTATE codes with which statements and messages are rejected here. */
+/** SQLSTATE codes with which decoders reject statements and messages. */
 final class SqlState {
 
   static final String FEATURE_NOT_SUPPORTED = "0A000";
--- a/gateway/src/main/java/weldcross/pgwire/Statement.java
+++ b/gateway/src/main/java/weldcross/pgwire/Statement.java
@@ -4,28 +4,32 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A statement as its client wrote it: a read or write of one key, with a comment that has the
- * request's metadata. Only the key and the comment's fields become text; the value stays in the
- * buffer in which it was read and is sent on from there.
+ * A statement of a client: a read or write of one key, with a comment that contains the metadata of
+ * the request. Only the key and the fields of the comment are decoded to text; the value stays in
+ * the buffer in which it was read and is forwarded from there.
  */
 public final class Statement {
 
-  private static final byte[] READ = ascii("SELECT content FROM kv WHERE name = '");
-  private static final byte[] READ_END = ascii("' /* ");
-  private static final byte[] WRITE = ascii("INSERT INTO kv (name, content) VALUES ('");
-  private static final byte[] VALUE = ascii("', '\\x");
-  private static final byte[] WRITE_END = ascii("') RETURNING content /* ");
-  private static final byte[] END = ascii(" */\0");
+  private static final byte[] READ_PREFIX = ascii("SELECT content FROM kv WHERE name = '");
+  private static final byte[] READ_SUFFIX = ascii("' /* ");
+  private static final byte[] WRITE_PREFIX = ascii("INSERT INTO kv (name, content) VALUES ('");
+  private static final byte[] VALUE_PREFIX = ascii("', '\\x");
+  private static final byte[] WRITE_SUFFIX = ascii("') RETURNING content /* ");
+  private static final byte[] COMMENT_END = ascii(" */\0");
   private static final int HEADER_SIZE = FrameDecoder.bodyOffset((byte) 'Q');
   private static final int HEX = 16;
 
   private final ByteBuffer message;
 
-  /** Index of the next byte to parse. */
-  private int at;
+  /** Offset of the next byte to parse. */
+  private int offset;
 
+  /** Offset of the first digit of the timeout. */
   private int timeoutStart;
+
+  /** Offset after the last digit of the timeout. */
   private int timeoutEnd;
+
   private boolean write;
   private String key;
   private String id;
@@ -38,11 +42,12 @@
 
   private Statement(ByteBuffer message) {
     this.message = message;
-    this.at = HEADER_SIZE;
+    this.offset = HEADER_SIZE;
   }
 
   /**
-   * Returns whether a query has no statement; clients send such to ask whether a gateway serves.
+   * Returns whether a query has no statement; clients send such queries to check whether a gateway
+   * is ready.
    */
   public static boolean isEmpty(ByteBuffer query) {
     return query.limit() == HEADER_SIZE + 1;
@@ -53,21 +58,21 @@
    *
    * @param query the message, whose body starts at {@link FrameDecoder#bodyOffset}; must not change
    *     afterwards
-   * @throws ProtocolException if the query is not of one of the two forms served, or its comment
-   *     lacks a field
+   * @throws ProtocolException if the query has neither of the two supported forms, or its comment
+   *     lacks a field or contains an invalid one
    */
-  public static Statement read(ByteBuffer query) throws ProtocolException {
+  public static Statement parse(ByteBuffer query) throws ProtocolException {
     Statement statement = new Statement(query);
-    statement.parse();
+    statement.parseStatement();
     return statement;
   }
 
-  /** Returns whether this writes its key; else it reads it. */
+  /** Returns whether the statement writes its key, rather than reading it. */
   public boolean isWrite() {
     return write;
   }
 
-  /** Returns the tag with which a server completes this. */
+  /** Returns the tag of CommandComplete in the response of a server. */
   public String commandTag() {
     return write ? "INSERT 0 1" : "SELECT 1";
   }
@@ -77,7 +82,7 @@
     return key;
   }
 
-  /** Returns the client's identifier of the request; a retry has that of the first attempt. */
+  /** Returns the ID that the client gave the request; a retry has the ID of the first attempt. */
   public String id() {
     return id;
   }
@@ -92,27 +97,27 @@
     return tenant;
   }
 
-  /** Returns the number of the group of servers that has the key. */
+  /** Returns the number of the replica group that stores the key. */
   public int group() {
     return group;
   }
 
-  /** Returns how long the client waits for an answer, in milliseconds from its send. */
+  /** Returns how long the client waits for a response after sending the request. */
   public long timeoutMillis() {
     return timeoutMillis;
   }
 
-  /** Returns the Unix time in milliseconds of the session's last write; 0 if it names none. */
+  /** Returns the Unix time in milliseconds of the session's last write; 0 if not specified. */
   public long lastWriteMillis() {
     return lastWriteMillis;
   }
 
-  /** Returns whether the client sent this before. */
+  /** Returns whether the client sent the request before. */
   public boolean isRetry() {
     return "1".equals(retry);
   }
 
-  /** Returns the message with another timeout: a new header and number, the rest in place. */
+  /** Returns the message with another timeout; only the header and the timeout are new buffers. */
   public ByteBuffer[] withTimeout(long millis) {
     byte[] digits = ascii(Long.toString(millis));
     int length = message.limit() - 1 - (timeoutEnd - timeoutStart) + digits.length;
@@ -125,22 +130,22 @@
     };
   }
 
-  private void parse() throws ProtocolException {
-    write = !skip(READ);
-    if (write && !skip(WRITE)) {
+  private void parseStatement() throws ProtocolException {
+    write = !skip(READ_PREFIX);
+    if (write && !skip(WRITE_PREFIX)) {
       throw syntaxError("neither of the two statements served here");
     }
-    key = plainTextUntil('\'');
+    key = readPlainTextUntil('\'');
     if (write) {
-      expect(VALUE);
+      expect(VALUE_PREFIX);
       skipHexValue();
-      expect(WRITE_END);
+      expect(WRITE_SUFFIX);
     } else {
-      expect(READ_END);
+      expect(READ_SUFFIX);
     }
     parseComment();
-    expect(END);
-    if (at != message.limit()) {
+    expect(COMMENT_END);
+    if (offset != message.limit()) {
       throw syntaxError("text after the statement");
     }
   }
@@ -150,91 +155,93 @@
     String timeoutDigits = null;
     String lastWriteDigits = null;
     do {
-      String name = plainTextUntil('=');
-      at++;
-      int start = at;
-      while (at < message.limit() && isPlain(message.get(at))) {
-        at++;
+      String name = readPlainTextUntil('=');
+      offset++;
+      int start = offset;
+      while (offset < message.limit() && isPlain(message.get(offset))) {
+        offset++;
       }
-      String value = text(start, at);
+      String value = text(start, offset);
       switch (name) {
-        case "id" -> id = once(name, id, value);
-        case "c" -> requestClass = once(name, requestClass, value);
-        case "t" -> tenant = once(name, tenant, value);
-        case "cluster" -> groupDigits = once(name, groupDigits, value);
-        case "after" -> lastWriteDigits = once(name, lastWriteDigits, value);
-        case "r" -> retry = once(name, retry, value);
+        case "id" -> id = requireUnset(name, id, value);
+        case "c" -> requestClass = requireUnset(name, requestClass, value);
+        case "t" -> tenant = requireUnset(name, tenant, value);
+        case "cluster" -> groupDigits = requireUnset(name, groupDigits, value);
+        case "after" -> lastWriteDigits = requireUnset(name, lastWriteDigits, value);
+        case "r" -> retry = requireUnset(name, retry, value);
         case "d" -> {
-          timeoutDigits = once(name, timeoutDigits, value);
+          timeoutDigits = requireUnset(name, timeoutDigits, value);
           timeoutStart = start;
-          timeoutEnd = at;
+          timeoutEnd = offset;
         }
         default -> {
-          // Sent on to the server unread, like the rest of the comment.
+          // Forwarded to the server unread, like the rest of the comment.
         }
       }
     } while (skipComma());
     if (id == null || id.isEmpty() || requestClass == null) {
       throw invalidParameter("the comment must name id and c");
     }
-    group = (int) number("cluster", groupDigits, Integer.MAX_VALUE);
-    timeoutMillis = number("d", timeoutDigits, Integer.MAX_VALUE);
+    group = (int) parseNumber("cluster", groupDigits, Integer.MAX_VALUE);
+    timeoutMillis = parseNumber("d", timeoutDigits, Integer.MAX_VALUE);
     lastWriteMillis =
         lastWriteDigits == null || lastWriteDigits.isEmpty()
             ? 0
-            : number("after", lastWriteDigits, Long.MAX_VALUE);
+            : parseNumber("after", lastWriteDigits, Long.MAX_VALUE);
   }
 
   private boolean skipComma() {
-    if (at >= message.limit() || message.get(at) != ',') {
+    if (offset >= message.limit() || message.get(offset) != ',') {
       return false;
     }
-    at++;
+    offset++;
     return true;
   }
 
-  private static String once(String name, String before, String value) throws ProtocolException {
-    if (before != null) {
+  /** Returns the value of a field; throws if the field already has a value. */
+  private static String requireUnset(String name, String current, String value)
+      throws ProtocolException {
+    if (current != null) {
       throw invalidParameter(name + " stands twice in the comment");
     }
     return value;
   }
 
-  private static long number(String name, String digits, long max) throws ProtocolException {
+  private static long parseNumber(String name, String digits, long max) throws ProtocolException {
     try {
       long value = digits == null ? -1 : Long.parseLong(digits);
       if (value >= 0 && value <= max) {
         return value;
       }
     } catch (NumberFormatException e) {
-      // Reported below, like a number out of range.
+      // Rejected below, like a number that is out of range.
     }
     throw invalidParameter(name + " must be a whole number");
   }
 
   private void skipHexValue() throws ProtocolException {
-    int start = at;
-    while (at < message.limit() && Character.digit(message.get(at), HEX) >= 0) {
-      at++;
+    int start = offset;
+    while (offset < message.limit() && Character.digit(message.get(offset), HEX) >= 0) {
+      offset++;
     }
-    if ((at - start) % 2 != 0) {
+    if ((offset - start) % 2 != 0) {
       throw invalidParameter("the value must be whole bytes in hex");
     }
   }
 
-  /** Returns the text before the next {@code end}, at which parsing goes on. */
-  private String plainTextUntil(char end) throws ProtocolException {
-    int start = at;
-    while (at < message.limit() && isPlain(message.get(at)) && message.get(at) != end) {
-      at++;
+  /** Returns the text before the next {@code end} and advances to that character. */
+  private String readPlainTextUntil(char end) throws ProtocolException {
+    int start = offset;
+    while (offset < message.limit() && isPlain(message.get(offset)) && message.get(offset) != end) {
+      offset++;
     }
-    if (at == start || at >= message.limit() || message.get(at) != end) {
+    if (offset == start || offset >= message.limit() || message.get(offset) != end) {
       throw syntaxError("a name ended by " + end + " was expected");
     }
-    return text(start, at);
+    return text(start, offset);
   }
 
-  /** Returns whether a name or value may have this byte: nothing that ends, escapes or splits. */
+  /** Returns whether a byte is allowed in a name or value: no delimiter or escape character. */
   private static boolean isPlain(byte value) {
     return value > ' '
         && value < 127
@@ -257,11 +264,11 @@
   }
 
   private boolean skip(byte[] literal) {
-    if (message.limit() - at < literal.length
-        || !message.slice(at, literal.length).equals(ByteBuffer.wrap(literal))) {
+    if (message.limit() - offset < literal.length
+        || !message.slice(offset, literal.length).equals(ByteBuffer.wrap(literal))) {
       return false;
     }
-    at += literal.length;
+    offset += literal.length;
     return true;
   }
 
--- a/gateway/src/test/java/weldcross/pgwire/ClientMessageDecoderTest.java
+++ b/gateway/src/test/java/weldcross/pgwire/ClientMessageDecoderTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static weldcross.pgwire.WireMessages.READ;
 import static weldcross.pgwire.WireMessages.bytes;
+import static weldcross.pgwire.WireMessages.fragments;
 import static weldcross.pgwire.WireMessages.message;
-import static weldcross.pgwire.WireMessages.pieces;
 import static weldcross.pgwire.WireMessages.query;
-import static weldcross.pgwire.WireMessages.start;
+import static weldcross.pgwire.WireMessages.startup;
 import static weldcross.pgwire.WireMessages.text;
 import static weldcross.pgwire.WireMessages.untyped;
 import static weldcross.pgwire.WireMessages.write;
@@ -23,7 +23,7 @@
 
 class ClientMessageDecoderTest {
 
-  /** Records what a client sent, as text. */
+  /** Records the decoded messages as text. */
   private static final class RecordingSink implements ClientMessageDecoder.Sink {
     final List<String> events = new ArrayList<>();
     int startedMessages;
@@ -35,7 +35,7 @@
 
     @Override
     public void startupReceived() {
-      events.add("started");
+      events.add("startup");
     }
 
     @Override
@@ -84,34 +84,35 @@
 
   /** A cancel request is the only message of its connection. */
   @Test
-  void cancelRequestIsDecodedOnlyIfWhole() {
+  void cancelRequestIsDecodedOnlyIfComplete() {
     byte[] cancel =
         ByteBuffer.allocate(16).putInt(16).putInt(80877102).putInt(7).putInt(-9).array();
     assertEquals(List.of("cancel 7 -9"), decode(bytes(cancel, query("")), null));
     assertEquals(List.of("cancel 7 -9"), decode(cancel, new SplittableRandom(1)));
-    assertEquals(List.of("terminated"), decode(untyped(80877102), null), "without a key");
+    assertEquals(
+        List.of("terminated"), decode(untyped(80877102), null), "no process ID and secret key");
   }
 
   @Test
-  void streamDecodesTheSameInPiecesOfAnySize() {
+  void decodingDoesNotDependOnFragmentation() {
     byte[] stream =
         bytes(
             untyped(80877103),
             untyped(80877104),
-            start(),
+            startup(),
             query(READ),
             query(""),
             query(READ),
             query("SELECT 1"),
             query(write("00ff".repeat(30_000))),
             message('X', ""));
-    List<String> whole = decode(stream, null);
-    assertEquals(List.of("encryption", "encryption", "started"), whole.subList(0, 3));
+    List<String> unfragmented = decode(stream, null);
+    assertEquals(List.of("encryption", "encryption", "startup"), unfragmented.subList(0, 3));
     assertEquals(
         List.of("empty", "rejected 42601", "terminated"),
-        List.of(whole.get(4), whole.get(6), whole.get(8)));
+        List.of(unfragmented.get(4), unfragmented.get(6), unfragmented.get(8)));
     for (long seed = 0; seed < 200; seed++) {
-      assertEquals(whole, decode(stream, new SplittableRandom(seed)), "seed " + seed);
+      assertEquals(unfragmented, decode(stream, new SplittableRandom(seed)), "seed " + seed);
     }
   }
 
@@ -119,10 +120,10 @@
   void startedMessageIsReportedOnce() {
     RecordingSink sink = new RecordingSink();
     ClientMessageDecoder decoder = new ClientMessageDecoder(sink);
-    decoder.feed(ByteBuffer.wrap(start()));
+    decoder.feed(ByteBuffer.wrap(startup()));
     assertEquals(0, sink.startedMessages);
-    for (int k = 0; k < 9; k++) {
-      decoder.feed(ByteBuffer.wrap(query(READ), k, 1));
+    for (int offset = 0; offset < 9; offset++) {
+      decoder.feed(ByteBuffer.wrap(query(READ), offset, 1));
     }
     assertEquals(1, sink.startedMessages);
     decoder.feed(ByteBuffer.wrap(query(READ), 9, query(READ).length - 9));
@@ -130,31 +131,31 @@
     assertEquals(2, sink.startedMessages);
   }
 
-  /** Whatever a client sends, each statement is decoded as it is, or rejected with an error. */
+  /** Corrupted input never causes anything but decoded messages and errors. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void noiseIsNeverTakenForStatement(long seed) {
+  void corruptedStreamCausesOnlyMessagesAndErrors(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    byte[] good = bytes(start(), query(READ), query(write("00ff")), query(READ));
+    byte[] valid = bytes(startup(), query(READ), query(write("00ff")), query(READ));
     for (int round = 0; round < 3000; round++) {
-      byte[] stream = good.clone();
-      for (int n = random.nextInt(3); n >= 0; n--) {
-        int at = random.nextInt(stream.length);
+      byte[] stream = valid.clone();
+      for (int changes = random.nextInt(3); changes >= 0; changes--) {
+        int offset = random.nextInt(stream.length);
         if (random.nextInt(3) == 0) {
-          ByteBuffer.wrap(stream).putInt(Math.min(at, stream.length - 4), random.nextInt());
+          ByteBuffer.wrap(stream).putInt(Math.min(offset, stream.length - 4), random.nextInt());
         } else if (random.nextBoolean()) {
-          stream[at] = (byte) random.nextInt(256);
+          stream[offset] = (byte) random.nextInt(256);
         } else {
           stream =
               bytes(
-                  Arrays.copyOf(stream, at),
-                  Arrays.copyOfRange(good, random.nextInt(good.length), good.length));
+                  Arrays.copyOf(stream, offset),
+                  Arrays.copyOfRange(valid, random.nextInt(valid.length), valid.length));
         }
       }
       for (String event : decode(stream, random)) {
         assertTrue(
             event.matches(
-                "started|encryption|empty|terminated|(rejected|error) \\w{5}|statement .*"),
+                "startup|encryption|empty|terminated|(rejected|error) \\w{5}|statement .*"),
             event);
       }
     }
@@ -165,13 +166,14 @@
     byte[] tooLong =
         ByteBuffer.allocate(5).put((byte) 'Q').putInt(FrameDecoder.MAX_LENGTH + 1).array();
     byte[] tooShort = ByteBuffer.allocate(5).put((byte) 'Q').putInt(3).array();
-    for (byte[] bad : List.of(tooLong, tooShort, message('?', ""))) {
+    for (byte[] invalid : List.of(tooLong, tooShort, message('?', ""))) {
       assertEquals(
-          List.of("started", "error 08P01"), decode(bytes(start(), bad, query(READ)), null));
+          List.of("startup", "error 08P01"), decode(bytes(startup(), invalid, query(READ)), null));
     }
     for (char extended : "PBDECHSF".toCharArray()) {
       assertEquals(
-          List.of("started", "error 0A000"), decode(bytes(start(), message(extended, "\0")), null));
+          List.of("startup", "error 0A000"),
+          decode(bytes(startup(), message(extended, "\0")), null));
     }
     assertEquals(List.of("error 0A000"), decode(untyped(2 << 16), null));
     assertEquals(List.of("terminated"), decode(untyped(80877102), null));
@@ -181,8 +183,8 @@
   private static List<String> decode(byte[] stream, SplittableRandom random) {
     RecordingSink sink = new RecordingSink();
     ClientMessageDecoder decoder = new ClientMessageDecoder(sink);
-    for (ByteBuffer piece : pieces(stream, random)) {
-      decoder.feed(piece);
+    for (ByteBuffer fragment : fragments(stream, random)) {
+      decoder.feed(fragment);
     }
     return sink.events;
   }
--- a/gateway/src/test/java/weldcross/pgwire/ServerMessageDecoderTest.java
+++ b/gateway/src/test/java/weldcross/pgwire/ServerMessageDecoderTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static weldcross.pgwire.WireMessages.COLUMNS;
 import static weldcross.pgwire.WireMessages.bytes;
+import static weldcross.pgwire.WireMessages.fragments;
 import static weldcross.pgwire.WireMessages.message;
-import static weldcross.pgwire.WireMessages.pieces;
+import static weldcross.pgwire.WireMessages.readResponse;
 import static weldcross.pgwire.WireMessages.row;
-import static weldcross.pgwire.WireMessages.served;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -21,35 +21,35 @@
 
 class ServerMessageDecoderTest {
 
-  /** Records what a server sent, as text. */
-  private static final class Server implements ServerMessageDecoder.Sink {
+  /** Records the decoded responses as text. */
+  private static final class RecordingSink implements ServerMessageDecoder.Sink {
     final List<String> events = new ArrayList<>();
     final List<ServerResponse> responses = new ArrayList<>();
     final ServerMessageDecoder decoder = new ServerMessageDecoder(this);
 
-    /** A server whose session is open and that answers a request by these bytes, in pieces. */
-    static Server answering(byte[] stream, SplittableRandom random) {
-      Server server = new Server();
-      server.decoder.expectResponse();
-      server.decoder.feed(
+    /** Returns a sink whose decoder has opened a session and received a response in fragments. */
+    static RecordingSink receiving(byte[] stream, SplittableRandom random) {
+      RecordingSink sink = new RecordingSink();
+      sink.decoder.expectResponse();
+      sink.decoder.feed(
           ByteBuffer.wrap(
               bytes(
                   message('R', "\0\0\0\0"),
                   message('S', "server_version\0" + "14\0"),
                   message('Z', "I"))));
-      server.receive(stream, random);
-      return server;
+      sink.receive(stream, random);
+      return sink;
     }
 
     void receive(byte[] stream, SplittableRandom random) {
       decoder.expectResponse();
-      pieces(stream, random).forEach(decoder::feed);
+      fragments(stream, random).forEach(decoder::feed);
     }
 
-    /** The values that a client would get. */
-    List<String> servedValues() {
+    /** Returns the values that would be forwarded to clients. */
+    List<String> forwardedValues() {
       return responses.stream()
-          .filter(a -> a.isComplete("SELECT 1"))
+          .filter(response -> response.isComplete("SELECT 1"))
           .map(ServerResponse::rowText)
           .toList();
     }
@@ -72,7 +72,7 @@
               + response.primary()
               + " "
               + response.positionMillis()
-              + (hasTrailingBytes ? " more" : ""));
+              + (hasTrailingBytes ? " trailing" : ""));
     }
 
     @Override
@@ -87,89 +87,88 @@
   }
 
   @Test
-  void streamDecodesTheSameInPiecesOfAnySize() {
-    byte[] refused =
+  void decodingDoesNotDependOnFragmentation() {
+    byte[] errorResponse =
         bytes(
             message('E', "SERROR\0C25006\0Mno\0\0"),
             message('S', "mode\0read-only\0"),
             message('Z', "I"));
     for (long seed = -1; seed < 200; seed++) {
       SplittableRandom random = seed < 0 ? null : new SplittableRandom(seed);
-      Server server = Server.answering(served("value"), random);
-      server.receive(refused, random);
-      server.receive(served("x0=12.5,x1=1"), random);
-      server.events.removeIf("started"::equals);
+      RecordingSink sink = RecordingSink.receiving(readResponse("value"), random);
+      sink.receive(errorResponse, random);
+      sink.receive(readResponse("x0=12.5,x1=1"), random);
+      sink.events.removeIf("started"::equals);
       assertEquals(
           List.of(
               "ready",
               "true null value true 1767225600123",
               "false 25006  false 0",
               "true null x0=12.5,x1=1 true 1767225600123"),
-          server.events,
+          sink.events,
           "seed " + seed);
     }
   }
 
   @Test
-  void rowIsPassedOnUnchangedWithoutParameters() {
-    Server server = Server.answering(served("v\0w"), null);
+  void rowIsForwardedUnchangedWithoutParameters() {
+    RecordingSink sink = RecordingSink.receiving(readResponse("v\0w"), null);
     assertArrayEquals(
         bytes(message('T', COLUMNS), row("v\0w"), message('C', "SELECT 1\0"), message('Z', "I")),
-        bytes(server.responses.get(0).toClientMessages()));
+        bytes(sink.responses.get(0).toClientMessages()));
   }
 
-  /**
-   * Whatever a stream is changed to, in pieces of any size, no value but the one sent is served.
-   */
+  /** No corruption of a stream leads to a value other than the one sent. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void brokenStreamServesNoOtherValue(long seed) {
+  void corruptedStreamYieldsNoOtherValue(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     for (int round = 0; round < 3000; round++) {
-      byte[] stream = served("value");
-      byte[] noise = new byte[1 + random.nextInt(40)];
-      random.nextBytes(noise);
-      int at = random.nextInt(stream.length);
+      byte[] stream = readResponse("value");
+      byte[] garbage = new byte[1 + random.nextInt(40)];
+      random.nextBytes(garbage);
+      int offset = random.nextInt(stream.length);
       switch (random.nextInt(4)) {
         case 0 -> {
-          // The length of some message, or of the row's value, is another.
+          // Changes the length field of a message or of the value of the row.
           int[] lengths = {1, 34, 40, 50, 64};
           ByteBuffer.wrap(stream)
               .putInt(
                   lengths[random.nextInt(5)],
                   random.nextInt(3) == 0 ? random.nextInt() : random.nextInt(70) - 3);
         }
-        case 1 -> stream = bytes(Arrays.copyOf(stream, at), noise);
-        case 2 -> stream = bytes(stream, noise);
-        default -> stream = bytes(stream, served("other"));
+        case 1 -> stream = bytes(Arrays.copyOf(stream, offset), garbage);
+        case 2 -> stream = bytes(stream, garbage);
+        default -> stream = bytes(stream, readResponse("other"));
       }
-      Server server = Server.answering(stream, random);
+      RecordingSink sink = RecordingSink.receiving(stream, random);
       assertTrue(
-          server.servedValues().isEmpty() || server.servedValues().equals(List.of("value")),
-          server.events.toString());
-      boolean broken =
-          server.events.stream().anyMatch(w -> w.equals("error") || w.endsWith("more"));
-      if (broken || !server.servedValues().isEmpty()) {
-        server.receive(served("next"), random);
-        assertEquals(!broken, server.servedValues().contains("next"), server.events.toString());
+          sink.forwardedValues().isEmpty() || sink.forwardedValues().equals(List.of("value")),
+          sink.events.toString());
+      boolean unusable =
+          sink.events.stream()
+              .anyMatch(event -> event.equals("error") || event.endsWith("trailing"));
+      if (unusable || !sink.forwardedValues().isEmpty()) {
+        sink.receive(readResponse("next"), random);
+        assertEquals(!unusable, sink.forwardedValues().contains("next"), sink.events.toString());
       }
     }
   }
 
   @Test
-  void trailingBytesEndStreamAndKeepResponse() {
-    for (byte[] behind :
-        List.of(served("value"), new byte[] {'T'}, message('Z', "I"), new byte[9])) {
-      Server server = Server.answering(bytes(served("value"), behind), null);
-      assertEquals(List.of("ready", "true null value true 1767225600123 more"), server.events);
-      Server later = Server.answering(served("value"), null);
-      later.decoder.feed(ByteBuffer.wrap(behind));
-      assertEquals("error", later.events.get(2), "bytes that nobody asked for");
+  void trailingBytesEndStreamButKeepResponse() {
+    for (byte[] trailing :
+        List.of(readResponse("value"), new byte[] {'T'}, message('Z', "I"), new byte[9])) {
+      RecordingSink sink = RecordingSink.receiving(bytes(readResponse("value"), trailing), null);
+      assertEquals(List.of("ready", "true null value true 1767225600123 trailing"), sink.events);
+      RecordingSink laterSink = RecordingSink.receiving(readResponse("value"), null);
+      laterSink.decoder.feed(ByteBuffer.wrap(trailing));
+      assertEquals("error", laterSink.events.get(2), "unsolicited bytes");
     }
   }
 
   @Test
-  void invalidResponseIsRejectedBeforeItIsWhole() {
+  void invalidResponseIsRejectedBeforeItIsComplete() {
     byte[] columns = message('T', COLUMNS);
     byte[] wrongValueLength =
         ByteBuffer.allocate(11)
@@ -178,21 +177,26 @@
             .putShort((short) 1)
             .putInt(Integer.MAX_VALUE)
             .array();
-    byte[] text = ByteBuffer.allocate(5).put((byte) 'C').putInt(100_000).array();
-    byte[] row = ByteBuffer.allocate(5).put((byte) 'D').putInt(9).array();
-    for (byte[] head :
-        List.of(wrongValueLength, text, row, new byte[5], bytes(row("v"), row("v")))) {
-      assertEquals("error", Server.answering(bytes(columns, head), null).events.get(1));
+    byte[] commandTooLong = ByteBuffer.allocate(5).put((byte) 'C').putInt(100_000).array();
+    byte[] rowTooShort = ByteBuffer.allocate(5).put((byte) 'D').putInt(9).array();
+    for (byte[] invalid :
+        List.of(
+            wrongValueLength,
+            commandTooLong,
+            rowTooShort,
+            new byte[5],
+            bytes(row("v"), row("v")))) {
+      assertEquals("error", RecordingSink.receiving(bytes(columns, invalid), null).events.get(1));
     }
     assertEquals(
         List.of("ready", "started"),
-        Server.answering(columns, null).events,
-        "the rest is still to come");
+        RecordingSink.receiving(columns, null).events,
+        "the rest of the response is pending");
   }
 
   @Test
-  void unreadableParameterIsIgnored() {
-    for (String text :
+  void invalidParameterIsIgnored() {
+    for (String parameter :
         List.of(
             "wal_time\0soon\0",
             "wal_time\0" + "99999999999999999999\0",
@@ -200,17 +204,17 @@
             "mode\0",
             "mode\0neither\0",
             "\0\0\0\0")) {
-      Server server =
-          Server.answering(
+      RecordingSink sink =
+          RecordingSink.receiving(
               bytes(
                   message('T', COLUMNS),
                   row("v"),
                   message('C', "SELECT 1\0"),
                   message('S', "mode\0read-only\0"),
-                  message('S', text),
+                  message('S', parameter),
                   message('Z', "I")),
               null);
-      assertEquals(List.of("ready", "true null v false 0"), server.events, text);
+      assertEquals(List.of("ready", "true null v false 0"), sink.events, parameter);
     }
   }
 }
--- a/gateway/src/test/java/weldcross/pgwire/StatementTest.java
+++ b/gateway/src/test/java/weldcross/pgwire/StatementTest.java
@@ -20,9 +20,9 @@
 class StatementTest {
 
   @Test
-  void withTimeoutChangesNothingElse() throws ProtocolException {
+  void withTimeoutReplacesOnlyTimeout() throws ProtocolException {
     for (String text : List.of(READ, write("9f03"))) {
-      Statement statement = Statement.read(ByteBuffer.wrap(query(text)));
+      Statement statement = Statement.parse(ByteBuffer.wrap(query(text)));
       for (long timeout : new long[] {1, 480, 123_456}) {
         assertEquals(
             new String(query(text.replace("d=480", "d=" + timeout)), StandardCharsets.ISO_8859_1),
@@ -32,8 +32,8 @@
   }
 
   @Test
-  void commentFieldsAreRead() throws ProtocolException {
-    Statement statement = Statement.read(ByteBuffer.wrap(query(READ)));
+  void commentFieldsAreParsed() throws ProtocolException {
+    Statement statement = Statement.parse(ByteBuffer.wrap(query(READ)));
     assertEquals(
         List.of("9b1f", "basket", "acme", "7f3a"),
         List.of(statement.id(), statement.requestClass(), statement.tenant(), statement.key()));
@@ -42,7 +42,7 @@
         List.of((long) statement.group(), statement.timeoutMillis(), statement.lastWriteMillis()));
     assertFalse(statement.isWrite() || statement.isRetry());
     assertTrue(
-        Statement.read(ByteBuffer.wrap(query(READ.replace("d=480", "r=1,d=480")))).isRetry());
+        Statement.parse(ByteBuffer.wrap(query(READ.replace("d=480", "r=1,d=480")))).isRetry());
   }
 
   @ParameterizedTest
@@ -74,14 +74,15 @@
       })
   void malformedStatementIsRejected(String part, String replacement, String sqlState) {
     String text = READ.replace(part, replacement == null ? "" : replacement);
-    ProtocolException fault =
-        assertThrows(ProtocolException.class, () -> Statement.read(ByteBuffer.wrap(query(text))));
-    assertEquals(sqlState, fault.sqlState(), text);
+    ProtocolException exception =
+        assertThrows(ProtocolException.class, () -> Statement.parse(ByteBuffer.wrap(query(text))));
+    assertEquals(sqlState, exception.sqlState(), text);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"9f0", "9g", "9f03 "})
-  void valueThatIsNotHexIsRejected(String hex) {
-    assertThrows(ProtocolException.class, () -> Statement.read(ByteBuffer.wrap(query(write(hex)))));
+  void invalidHexValueIsRejected(String hex) {
+    assertThrows(
+        ProtocolException.class, () -> Statement.parse(ByteBuffer.wrap(query(write(hex)))));
   }
 }
--- a/gateway/src/test/java/weldcross/pgwire/WireMessages.java
+++ b/gateway/src/test/java/weldcross/pgwire/WireMessages.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Messages of clients and servers for tests, as bytes. */
+/** Encoded messages of clients and servers for tests. */
 final class WireMessages {
 
-  /** A read with all fields of the comment. */
+  /** A read whose comment has all fields. */
   static final String READ =
       "SELECT content FROM kv WHERE name = '7f3a' "
           + "/* id=9b1f,c=basket,t=acme,d=480,cluster=2,after=1767225600123 */";
@@ -20,7 +20,7 @@
 
   private WireMessages() {}
 
-  /** A write of a value, in hex. */
+  /** Returns a write of a hex value. */
   static String write(String hex) {
     return "INSERT INTO kv (name, content) VALUES ('7f3a', '\\x"
         + hex
@@ -28,34 +28,38 @@
         + "/* id=9b1f,c=order,d=480,cluster=2 */";
   }
 
-  /** A simple query. */
+  /** Returns a simple query message. */
   static byte[] query(String text) {
     return message('Q', text + "\0");
   }
 
-  /** The startup message of a client. */
-  static byte[] start() {
+  /** Returns the startup message of a client. */
+  static byte[] startup() {
     return bytes(MessageEncoder.startup());
   }
 
-  /** A message without a type that has only a code. */
+  /** Returns an untyped message that consists of a request code. */
   static byte[] untyped(int code) {
     return ByteBuffer.allocate(8).putInt(8).putInt(code).array();
   }
 
-  /** A message of a type; each character of the body is one byte. */
+  /** Returns a message of a type; each character of the body is encoded as one byte. */
   static byte[] message(char type, String body) {
-    byte[] b = body.getBytes(StandardCharsets.ISO_8859_1);
-    return ByteBuffer.allocate(5 + b.length).put((byte) type).putInt(4 + b.length).put(b).array();
+    byte[] bytes = body.getBytes(StandardCharsets.ISO_8859_1);
+    return ByteBuffer.allocate(5 + bytes.length)
+        .put((byte) type)
+        .putInt(4 + bytes.length)
+        .put(bytes)
+        .array();
   }
 
-  /** A row of one column. */
+  /** Returns a row of one column. */
   static byte[] row(String value) {
     return message('D', "\0\1\0\0\0" + (char) value.length() + value);
   }
 
-  /** The whole answer of a primary with one row. */
-  static byte[] served(String value) {
+  /** Returns the complete response of a primary to a read. */
+  static byte[] readResponse(String value) {
     return bytes(
         message('T', COLUMNS),
         row(value),
@@ -65,25 +69,27 @@
         message('Z', "I"));
   }
 
-  /** A stream in pieces of random sizes, or whole without a random generator. */
-  static List<ByteBuffer> pieces(byte[] stream, SplittableRandom random) {
-    List<ByteBuffer> pieces = new ArrayList<>();
+  /**
+   * Splits a stream into fragments of random sizes; into one fragment if {@code random} is null.
+   */
+  static List<ByteBuffer> fragments(byte[] stream, SplittableRandom random) {
+    List<ByteBuffer> fragments = new ArrayList<>();
     for (int from = 0; from < stream.length; ) {
-      int most = stream.length - from;
+      int remaining = stream.length - from;
       int size =
           random == null
-              ? most
-              : Math.min(most, 1 + random.nextInt(random.nextBoolean() ? 9 : 40_000));
-      // Read buffers begin anywhere, so each piece lies inside a larger one.
-      ByteBuffer piece =
+              ? remaining
+              : Math.min(remaining, 1 + random.nextInt(random.nextBoolean() ? 9 : 40_000));
+      // Data does not always start at index 0 of a read buffer, so each fragment has an offset.
+      ByteBuffer fragment =
           ByteBuffer.allocate(size + 3).position(3).put(stream, from, size).position(3);
-      pieces.add(piece);
+      fragments.add(fragment);
       from += size;
     }
-    return pieces;
+    return fragments;
   }
 
-  /** The messages one after the other. */
+  /** Concatenates messages. */
   static byte[] bytes(byte[]... parts) {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     for (byte[] part : parts) {
@@ -92,18 +98,18 @@
     return all.toByteArray();
   }
 
-  /** The bytes of the buffers, whose positions stay. */
+  /** Concatenates the remaining bytes of buffers without changing their positions. */
   static byte[] bytes(ByteBuffer... parts) {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     for (ByteBuffer part : parts) {
-      byte[] b = new byte[part.remaining()];
-      part.duplicate().get(b);
-      all.writeBytes(b);
+      byte[] bytes = new byte[part.remaining()];
+      part.duplicate().get(bytes);
+      all.writeBytes(bytes);
     }
     return all.toByteArray();
   }
 
-  /** The buffers as text, one character for each byte. */
+  /** Decodes the remaining bytes of buffers to text, one character per byte. */
   static String text(ByteBuffer... parts) {
     return new String(bytes(parts), StandardCharsets.ISO_8859_1);
   }
