--- a/gateway/src/test/java/weldcross/gateway/DiscoveryModel.java
+++ b/gateway/src/test/java/weldcross/gateway/DiscoveryModel.java
@@ -9,8 +9,6 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import java.util.regex.Matcher;
-import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
@@ -47,34 +45,6 @@
   /** If polled: longest time of a request in the queue; longer ones are rejected. */
   private static final int MAX_QUEUE_MILLIS = 2000;
 
-  private static final Pattern REQUEST =
-      Pattern.compile("GET /catalog/members(\\?since=(\\d+)&timeout_ms=(\\d+))? HTTP[\\s\\S]*");
-
-  /**
-   * A request to discovery.
-   *
-   * @param since revision after which changes are requested; -1 for the complete list
-   * @param waitMillis how long the request may wait for changes
-   */
-  private record Request(int since, int waitMillis) {
-
-    static Optional<Request> parse(CharSequence received) {
-      Matcher matcher = REQUEST.matcher(received);
-      if (!matcher.matches()) {
-        return Optional.empty();
-      }
-      return Optional.of(
-          matcher.group(1) == null
-              ? new Request(-1, 0)
-              : new Request(
-                  Integer.parseInt(matcher.group(2)), Integer.parseInt(matcher.group(3))));
-    }
-
-    boolean isWatch() {
-      return since >= 0;
-    }
-  }
-
   /** One address of discovery. */
   private static final class Address {
 
@@ -190,7 +160,7 @@
     harness.reload(currentPort);
   }
 
-  /** Checks that the drain of the request's server is not in effect for longer than allowed. */
+  /** Checks a request that the gateway sends to a server. */
   private void checkRequest(String serverName) {
     requestsSent++;
     updateDelivered();
@@ -200,10 +170,10 @@
         .filter(entry -> entry.getValue().compareTo(limit) < 0)
         .mapToInt(entry -> entry.getKey())
         .max()
-        .ifPresent(revision -> checkRequest(serverName, server, revision));
+        .ifPresent(revision -> checkNotDrained(serverName, server, revision));
   }
 
-  private void checkRequest(String serverName, int server, int revision) {
+  private void checkNotDrained(String serverName, int server, int revision) {
     boolean activeAgain =
         delivered.tailMap(revision, false).keySet().stream()
             .anyMatch(later -> changedServers.get(later) == server && !drains.get(later));
@@ -255,7 +225,7 @@
     Duration latest = since.plus(NOTICE_AFTER_STALLED_WATCH);
     for (long number : openConnections()) {
       FakeConnection connection = harness.connections.get(number);
-      Optional<Request> request = Request.parse(connection.received);
+      Optional<DiscoveryRequest> request = DiscoveryRequest.parse(connection.received);
       if (connection.discoveryPort == currentPort
           && connection.answeredAt != null
           && request.isPresent()
@@ -292,23 +262,28 @@
     stepsWithoutValidList += harness.gateway.discovery().isListValid() ? 0 : 1;
   }
 
-  private void injectEvent(int kind) {
-    if (kind < 22) {
+  /**
+   * Injects an event, or none.
+   *
+   * @param percentile a number below 100; its range selects the kind of event
+   */
+  private void injectEvent(int percentile) {
+    if (percentile < 22) {
       changedServers.add(1 + random.nextInt(2));
       drains.add(random.nextInt(3) > 0);
-    } else if (kind < 25) {
+    } else if (percentile < 25) {
       randomAddress().unresponsive ^= true;
-    } else if (kind < 26) {
+    } else if (percentile < 26) {
       randomAddress().overloaded = polled && random.nextInt(3) > 0;
-    } else if (kind < 30) {
+    } else if (percentile < 30) {
       switchAddress();
-    } else if (kind < 36) {
+    } else if (percentile < 36) {
       openConnections().stream().findFirst().ifPresent(this::close);
-    } else if (kind < 39) {
+    } else if (percentile < 39) {
       stalled.addAll(openConnections());
-    } else if (kind < 41) {
+    } else if (percentile < 41) {
       restart();
-    } else if (kind < 80) {
+    } else if (percentile < 80) {
       harness.request(harness.connect(), random.nextInt(4) == 0, 900);
     }
   }
@@ -372,7 +347,7 @@
 
   /** Returns false if there is no request, or no response to it yet. */
   private boolean respond(long number, FakeConnection connection, Address address) {
-    Optional<Request> received = Request.parse(connection.received);
+    Optional<DiscoveryRequest> received = DiscoveryRequest.parse(connection.received);
     if (received.isEmpty()) {
       return false;
     }
@@ -387,7 +362,7 @@
         && waited.toMillis() < MAX_QUEUE_MILLIS) {
       return false;
     }
-    Request request = received.get();
+    DiscoveryRequest request = received.get();
     boolean changed = request.since() < address.revision();
     if (!changed && waited.toMillis() < request.waitMillis()) {
       return false;
@@ -402,7 +377,8 @@
     harness.dispatch(gateway -> gateway.discovery().responseReceived(number, 503, new byte[0]));
   }
 
-  private void sendList(long number, FakeConnection connection, Address address, Request request) {
+  private void sendList(
+      long number, FakeConnection connection, Address address, DiscoveryRequest request) {
     int revision = address.revision();
     connection.takeReceived();
     connection.answeredAt = harness.now;
@@ -414,7 +390,7 @@
     harness.dispatch(gateway -> gateway.discovery().responseReceived(number, 200, body));
   }
 
-  private String body(Request request, int revision) {
+  private String body(DiscoveryRequest request, int revision) {
     boolean complete = !request.isWatch();
     String members =
         request.since() >= revision
