--- a/gateway/src/main/java/weldcross/gateway/DiscoveryWatcher.java
+++ b/gateway/src/main/java/weldcross/gateway/DiscoveryWatcher.java
@@ -30,7 +30,7 @@
   private final EndpointListUpdater updater;
   private final SplittableRandom random;
 
-  /** The session that the list comes from; null if it failed after an address change. */
+  /** The session that provides the list; null if it failed during an address change. */
   private DiscoverySession current;
 
   /** The session that replaces the current one; null unless the address is being changed. */
--- a/gateway/src/main/java/weldcross/gateway/EndpointListLeaseMonitor.java
+++ b/gateway/src/main/java/weldcross/gateway/EndpointListLeaseMonitor.java
@@ -36,7 +36,8 @@
     valid = lease.isValid(gateway.now());
     if (wasValid && !valid) {
       LOG.warning(
-          "endpoint list expired, no requests are sent to any server: reason=no response from discovery");
+          "endpoint list expired, no requests are sent to any server: "
+              + "reason=no response from discovery");
     }
     if (wasValid != valid) {
       gateway.setEndpointListValid(valid);
--- a/gateway/src/main/java/weldcross/gateway/EndpointListUpdater.java
+++ b/gateway/src/main/java/weldcross/gateway/EndpointListUpdater.java
@@ -75,9 +75,10 @@
 
   /**
    * Returns whether the list is older than the current one. An older list would undo drains, so
-   * that requests would be sent to draining servers again. Its changes are already known until its
-   * address has caught up. Discovery may also reset its revision numbers: lists that are still
-   * older after the maximum poll interval are accepted as newer, starting with a complete list.
+   * that requests would be sent to draining servers again. Until the address has caught up, the
+   * changes that it sends are already known. Discovery may also reset its revision numbers: lists
+   * that are still older after the maximum poll interval are accepted as newer, starting with a
+   * complete list.
    */
   private boolean isStale(DiscoverySession session, ConfigValues list) {
     boolean older = list.integer("revision", Long.MAX_VALUE, 0) < revision;
--- a/gateway/src/test/java/weldcross/pgwire/ClientMessageDecoderTest.java
+++ b/gateway/src/test/java/weldcross/pgwire/ClientMessageDecoderTest.java
@@ -131,7 +131,7 @@
     assertEquals(2, sink.startedMessages);
   }
 
-  /** Corrupted input never causes anything but decoded messages and errors. */
+  /** Each message of a corrupted stream is either decoded or rejected with an error. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void corruptedStreamCausesOnlyMessagesAndErrors(long seed) {
