--- a/gateway/src/main/java/weldcross/mesh/HandshakeRejection.java
+++ b/gateway/src/main/java/weldcross/mesh/HandshakeRejection.java
@@ -2,14 +2,17 @@
 
 /** Why a gateway rejects the handshake of an inbound connection. */
 public enum HandshakeRejection {
-  /** The caller belongs to another cluster. */
+  /** The sender belongs to another cluster. */
   DIFFERENT_CLUSTER,
-  /** The caller's name is not among the configured peers. */
+  /** The sender's name is not among the configured peers. */
   UNKNOWN_PEER,
-  /** The caller wanted another gateway. */
+  /** The request is addressed to another gateway. */
   WRONG_RECEIVER,
-  /** The caller speaks a protocol version that is not supported here. */
+  /** The sender's protocol version is not supported. */
   UNSUPPORTED_VERSION,
-  /** A later incarnation of the caller is known, or another process under the same one. */
+  /**
+   * A later incarnation of the sender is known, or another process with the same incarnation
+   * number.
+   */
   STALE_INCARNATION
 }
--- a/gateway/src/main/java/weldcross/mesh/HandshakeRequest.java
+++ b/gateway/src/main/java/weldcross/mesh/HandshakeRequest.java
@@ -1,13 +1,13 @@
 package weldcross.mesh;
 
 /**
- * What a caller says first on a connection that it opened.
+ * The first frame that a gateway sends on a connection that it opened.
  *
- * @param cluster the caller's cluster
- * @param from the caller
- * @param to whom the caller wants
- * @param incarnation the caller's
- * @param version the protocol version that the caller speaks
+ * @param cluster the sender's cluster
+ * @param from the sender's name
+ * @param to the intended receiver
+ * @param incarnation the sender's incarnation
+ * @param version the sender's protocol version
  */
 public record HandshakeRequest(
     String cluster, PeerName from, PeerName to, Incarnation incarnation, int version) {}
--- a/gateway/src/main/java/weldcross/mesh/HandshakeValidator.java
+++ b/gateway/src/main/java/weldcross/mesh/HandshakeValidator.java
@@ -12,16 +12,16 @@
   }
 
   /**
-   * Checks a handshake.
+   * Validates a handshake request.
    *
-   * @param caller the configured peer of the name that the caller gives; empty where there is none
-   * @return why it is rejected; empty where it is accepted
+   * @param sender the configured peer with the name stated in the request; empty if there is none
+   * @return the reason for the rejection; empty if the handshake is accepted
    */
-  Optional<HandshakeRejection> validate(HandshakeRequest request, Optional<Peer> caller) {
+  Optional<HandshakeRejection> validate(HandshakeRequest request, Optional<Peer> sender) {
     if (!request.cluster().equals(config.cluster())) {
       return Optional.of(HandshakeRejection.DIFFERENT_CLUSTER);
     }
-    if (caller.isEmpty()) {
+    if (sender.isEmpty()) {
       return Optional.of(HandshakeRejection.UNKNOWN_PEER);
     }
     if (!request.to().equals(config.self())) {
@@ -30,7 +30,7 @@
     if (!MeshConfig.supportsVersion(request.version())) {
       return Optional.of(HandshakeRejection.UNSUPPORTED_VERSION);
     }
-    if (caller.get().isStale(request.incarnation())) {
+    if (sender.get().isStale(request.incarnation())) {
       return Optional.of(HandshakeRejection.STALE_INCARNATION);
     }
     return Optional.empty();
--- a/gateway/src/main/java/weldcross/mesh/InboundConnections.java
+++ b/gateway/src/main/java/weldcross/mesh/InboundConnections.java
@@ -6,43 +6,43 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** The connections that peers opened to this gateway; at most one that is established a peer. */
+/** Connections opened by peers, with at most one established connection per peer. */
 final class InboundConnections {
 
   /**
-   * Connections accepted for each peer: one that was cut may not have ended when the next one
-   * comes.
+   * Accepted connections per configured peer: after a network cut, the old connection may still be
+   * open when the peer connects again.
    */
   private static final int MAX_PER_PEER = 2;
 
-  /** A connection that somebody opened to this gateway. */
+  /** A connection accepted by this gateway. */
   static final class InboundConnection {
     private final long id;
     private Optional<Peer> peer = Optional.empty();
     private Optional<Incarnation> incarnation = Optional.empty();
-    private Duration lastHeardAt;
+    private Duration lastReceivedAt;
 
     private InboundConnection(long id, Duration now) {
       this.id = id;
-      this.lastHeardAt = now;
+      this.lastReceivedAt = now;
     }
 
-    /** Who opened it; empty before its handshake. */
+    /** The peer that opened the connection; empty before the handshake. */
     Optional<Peer> peer() {
       return peer;
     }
 
-    /** The peer's incarnation; empty before its handshake. */
+    /** The peer's incarnation; empty before the handshake. */
     Optional<Incarnation> incarnation() {
       return incarnation;
     }
 
-    Duration lastHeardAt() {
-      return lastHeardAt;
+    Duration lastReceivedAt() {
+      return lastReceivedAt;
     }
 
-    void heard(Duration now) {
-      lastHeardAt = now;
+    void markReceived(Duration now) {
+      lastReceivedAt = now;
     }
   }
 
@@ -62,15 +62,15 @@
     return Optional.ofNullable(byId.get(id));
   }
 
-  /** The connection on which the peer is heard. */
+  /** The established connection of the peer, on which its messages are received. */
   Optional<InboundConnection> findEstablished(PeerName peer) {
     return Optional.ofNullable(established.get(peer));
   }
 
   /**
-   * Takes a new connection.
+   * Registers a new connection.
    *
-   * @return false where there are too many, and it was closed
+   * @return false if it was closed because there are too many connections
    */
   boolean accept(Duration now, long id) {
     if (byId.size() >= MAX_PER_PEER * config.peers().size()) {
@@ -81,18 +81,21 @@
     return true;
   }
 
-  /** The handshake was accepted: the connection takes the place of an earlier one of the peer. */
+  /**
+   * Establishes the connection after its handshake was accepted; it replaces an earlier connection
+   * of the peer.
+   */
   void establish(Duration now, InboundConnection connection, Peer peer, Incarnation incarnation) {
     findEstablished(peer.name()).ifPresent(earlier -> close(earlier, DisconnectReason.REPLACED));
     connection.peer = Optional.of(peer);
     connection.incarnation = Optional.of(incarnation);
-    connection.heard(now);
+    connection.markReceived(now);
     established.put(peer.name(), connection);
     listener.inboundConnectionUp(peer.name(), incarnation);
   }
 
-  /** Closes the connection of an earlier incarnation of the peer. */
-  void closeOfEarlierIncarnation(Peer peer, Incarnation latest) {
+  /** Closes the peer's connection if it belongs to an earlier incarnation. */
+  void closeIfStale(Peer peer, Incarnation latest) {
     findEstablished(peer.name())
         .filter(connection -> !connection.incarnation.equals(Optional.of(latest)))
         .ifPresent(connection -> close(connection, DisconnectReason.PEER_RESTARTED));
@@ -103,7 +106,7 @@
     transport.close(connection.id);
   }
 
-  /** Forgets the connection, and returns it if it was known. */
+  /** Removes the connection and returns it if it was registered. */
   Optional<InboundConnection> remove(long id, DisconnectReason reason) {
     InboundConnection connection = byId.remove(id);
     if (connection == null) {
@@ -117,7 +120,7 @@
     return Optional.of(connection);
   }
 
-  /** Closes the connections of which nothing was heard for too long. */
+  /** Closes the connections on which nothing was received within their timeout. */
   void onTimer(Duration now) {
     for (InboundConnection connection : byId.values().toArray(InboundConnection[]::new)) {
       if (expiresAt(connection).compareTo(now) <= 0) {
@@ -127,16 +130,16 @@
   }
 
   /**
-   * A caller has the connect timeout for its handshake, so that silent callers do not hold the
-   * places of peers.
+   * The handshake must complete within the connect timeout, so that clients that send none do not
+   * exhaust the connection limit.
    */
   private Duration expiresAt(InboundConnection connection) {
-    return connection.lastHeardAt.plus(
+    return connection.lastReceivedAt.plus(
         connection.peer.isEmpty() ? config.connectTimeout() : config.heartbeatTimeout());
   }
 
-  /** When the next connection expires; empty where there is none. */
-  Optional<Duration> nextTimer() {
+  /** When the next connection expires; empty if there is none. */
+  Optional<Duration> nextDeadline() {
     return byId.values().stream().map(this::expiresAt).min(Duration::compareTo);
   }
 }
--- a/gateway/src/main/java/weldcross/mesh/Incarnation.java
+++ b/gateway/src/main/java/weldcross/mesh/Incarnation.java
@@ -1,10 +1,11 @@
 package weldcross.mesh;
 
 /**
- * Identifies one process of a gateway among all that the gateway ever had.
+ * Identifies one process among all successive processes of a gateway.
  *
- * @param number from 1; higher than that of any earlier process whose records were kept
- * @param nonce drawn at random by each process, so that two under one number are told apart: the
- *     records of the later one were lost
+ * @param number starts at 1; higher than that of any earlier process whose stored incarnation was
+ *     not lost
+ * @param nonce random per process; distinguishes two processes with the same number, which occur
+ *     when the stored incarnation was lost
  */
 public record Incarnation(long number, long nonce) {}
--- a/gateway/src/main/java/weldcross/mesh/MeshConfig.java
+++ b/gateway/src/main/java/weldcross/mesh/MeshConfig.java
@@ -4,19 +4,20 @@
 import java.util.List;
 
 /**
- * Configuration of the mesh, fixed at the gateway's start.
+ * Configuration of the mesh, fixed when the gateway starts.
  *
- * @param cluster gateways of another cluster are rejected
- * @param self this gateway
- * @param peers all others that this gateway connects to and accepts
- * @param heartbeatInterval how often a heartbeat is sent on each connection
- * @param heartbeatTimeout without an acknowledged heartbeat for so long a connection is closed
- * @param connectTimeout a connect, or a handshake, that takes longer has failed
- * @param minBackoff before connecting again after the first failure
- * @param maxBackoff after many failures
- * @param maxQueuedMessages messages that may be queued for one peer
- * @param maxQueuedBytes bytes that may be queued for one peer, and bytes that may be written and
- *     not yet taken by the network
+ * @param cluster the cluster name; gateways of other clusters are rejected
+ * @param self the name of this gateway
+ * @param peers all other gateways of the cluster, which this gateway connects to and accepts
+ *     connections from
+ * @param heartbeatInterval interval between the heartbeats on each connection
+ * @param heartbeatTimeout a connection without an acknowledged heartbeat for this long is closed
+ * @param connectTimeout maximum duration of a connect and of a handshake
+ * @param minBackoff delay before the next connect after the first failure
+ * @param maxBackoff upper bound of the delay after repeated failures, before jitter
+ * @param maxQueuedMessages maximum number of messages queued for one peer
+ * @param maxQueuedBytes maximum number of bytes queued for one peer, and, as a separate limit, of
+ *     bytes passed to its connection and not yet written to the network
  */
 public record MeshConfig(
     String cluster,
@@ -30,13 +31,13 @@
     int maxQueuedMessages,
     int maxQueuedBytes) {
 
-  /** The longest content of a message, in bytes. */
+  /** The maximum content size of a message, in bytes. */
   public static final int MAX_MESSAGE_BYTES = 1 << 20;
 
-  /** The protocol version that this gateway speaks, and the newest that it understands. */
+  /** The protocol version that this gateway sends, and the newest that it supports. */
   public static final int PROTOCOL_VERSION = 1;
 
-  /** The oldest protocol version that this gateway understands. */
+  /** The oldest protocol version that this gateway supports. */
   public static final int MIN_PROTOCOL_VERSION = 1;
 
   static boolean supportsVersion(int version) {
--- a/gateway/src/main/java/weldcross/mesh/OutboundConnection.java
+++ b/gateway/src/main/java/weldcross/mesh/OutboundConnection.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** The connection that this gateway opens to one peer, through its phases. */
+/** The connection that this gateway opens to one peer, and its current phase. */
 final class OutboundConnection {
 
   enum Phase {
-    /** Waiting to connect, or to connect again. */
+    /** Waiting to connect or to reconnect. */
     BACKOFF,
     CONNECTING,
-    /** Connected, and waiting for the answer to the handshake. */
+    /** Connected and waiting for the handshake response. */
     HANDSHAKE,
     UP
   }
@@ -21,15 +21,15 @@
 
   private Phase phase = Phase.BACKOFF;
 
-  /** The number of the connection; valid in all phases but {@link Phase#BACKOFF}. */
+  /** The connection number; valid in all phases except {@link Phase#BACKOFF}. */
   private long id;
 
   /** When the current phase ends; unused in {@link Phase#UP}. */
   private Duration phaseDeadline = Duration.ZERO;
 
-  private Optional<Incarnation> connectedTo = Optional.empty();
-  private Optional<Incarnation> knownAtConnect = Optional.empty();
-  private Duration lastHeardAt = Duration.ZERO;
+  private Optional<Incarnation> remoteIncarnation = Optional.empty();
+  private Optional<Incarnation> incarnationAtConnect = Optional.empty();
+  private Duration lastAckAt = Duration.ZERO;
   private Duration nextHeartbeatAt = Duration.ZERO;
   private long heartbeatsSent;
 
@@ -51,54 +51,54 @@
     return id;
   }
 
-  /** The incarnation of the peer that was known when the connect was begun. */
-  Optional<Incarnation> knownAtConnect() {
-    return knownAtConnect;
+  /** The latest known incarnation of the peer when the connect started. */
+  Optional<Incarnation> incarnationAtConnect() {
+    return incarnationAtConnect;
   }
 
   boolean isConnectedTo(Incarnation incarnation) {
-    return isUp() && connectedTo.isPresent() && connectedTo.get().equals(incarnation);
+    return isUp() && remoteIncarnation.isPresent() && remoteIncarnation.get().equals(incarnation);
   }
 
-  boolean isPhaseOver(Duration now) {
+  boolean isPhaseExpired(Duration now) {
     return phase != Phase.UP && phaseDeadline.compareTo(now) <= 0;
   }
 
-  /** Waits in {@link Phase#BACKOFF} until then. */
-  void waitUntil(Duration deadline) {
+  /** Enters {@link Phase#BACKOFF} until the deadline. */
+  void enterBackoff(Duration deadline) {
     phase = Phase.BACKOFF;
     phaseDeadline = deadline;
   }
 
-  void connecting(long newId, Duration deadline) {
+  void markConnecting(long newId, Duration deadline) {
     id = newId;
     phase = Phase.CONNECTING;
     phaseDeadline = deadline;
-    knownAtConnect = peer.incarnation();
+    incarnationAtConnect = peer.incarnation();
   }
 
-  void handshakeSent(Duration deadline) {
+  void markHandshakeSent(Duration deadline) {
     phase = Phase.HANDSHAKE;
     phaseDeadline = deadline;
   }
 
-  void up(Duration now, Incarnation incarnation, Duration firstHeartbeatAt) {
+  void markUp(Duration now, Incarnation incarnation, Duration firstHeartbeatAt) {
     phase = Phase.UP;
-    connectedTo = Optional.of(incarnation);
-    lastHeardAt = now;
+    remoteIncarnation = Optional.of(incarnation);
+    lastAckAt = now;
     nextHeartbeatAt = firstHeartbeatAt;
     backoff.reset();
-    queue.forgetUnwritten();
+    queue.resetUnwritten();
   }
 
-  /** When a heartbeat was last acknowledged, or the connection came up. */
-  Duration lastHeardAt() {
-    return lastHeardAt;
+  /** When the last heartbeat was acknowledged, or when the connection came up if none was. */
+  Duration lastAckAt() {
+    return lastAckAt;
   }
 
-  void heartbeatAcked(Duration now, long sequence) {
+  void onHeartbeatAck(Duration now, long sequence) {
     if (isUp() && sequence <= heartbeatsSent) {
-      lastHeardAt = now;
+      lastAckAt = now;
     }
   }
 
@@ -106,18 +106,18 @@
     return nextHeartbeatAt.compareTo(now) <= 0;
   }
 
-  /** Counts a heartbeat and returns its sequence number. */
-  long nextHeartbeat(Duration nextAt) {
+  /** Schedules the following heartbeat and returns the sequence number of the one to send now. */
+  long startHeartbeat(Duration nextAt) {
     nextHeartbeatAt = nextAt;
     return ++heartbeatsSent;
   }
 
-  /** When the connection has to be looked at next. */
-  Duration nextTimer(Duration heartbeatTimeout) {
+  /** The next time at which a timeout or heartbeat is due. */
+  Duration nextDeadline(Duration heartbeatTimeout) {
     if (!isUp()) {
       return phaseDeadline;
     }
-    Duration timeout = lastHeardAt.plus(heartbeatTimeout);
+    Duration timeout = lastAckAt.plus(heartbeatTimeout);
     return timeout.compareTo(nextHeartbeatAt) < 0 ? timeout : nextHeartbeatAt;
   }
 }
--- a/gateway/src/main/java/weldcross/mesh/OutboundConnections.java
+++ b/gateway/src/main/java/weldcross/mesh/OutboundConnections.java
@@ -10,8 +10,8 @@
 import java.util.TreeMap;
 
 /**
- * The connections that this gateway opens, one to each peer: connect, handshake, heartbeats,
- * sending, and backoff after a failure.
+ * The connections that this gateway opens, one to each peer: connecting, handshake, heartbeats,
+ * sending, and backoff after failures.
  */
 final class OutboundConnections {
 
@@ -47,25 +47,29 @@
     return Optional.ofNullable(byId.get(id));
   }
 
-  // ---- Start and end
+  // ---- Startup and shutdown
 
-  /** Has all peers connected at the next timer, without a backoff. */
+  /** Schedules an immediate connect to all peers, which the next {@link #onTimer} starts. */
   void start(Duration now) {
-    byPeer.values().forEach(connection -> connectAtOnce(now, connection));
+    byPeer.values().forEach(connection -> scheduleConnect(now, connection));
   }
 
-  private static void connectAtOnce(Duration now, OutboundConnection connection) {
+  /** Resets the backoff and schedules a connect for the next {@link #onTimer}. */
+  private static void scheduleConnect(Duration now, OutboundConnection connection) {
     connection.backoff.reset();
-    connection.waitUntil(now);
+    connection.enterBackoff(now);
   }
 
-  /** Closes all connections, as this gateway's incarnation has changed. */
+  /** Closes all connections, for example after this gateway changed its incarnation. */
   void closeAll(Duration now, DisconnectReason reason) {
     byPeer.values().forEach(connection -> close(now, connection, reason));
   }
 
-  /** Says goodbye to all peers, so that none has to detect that this gateway ended. */
-  void leave(Duration now) {
+  /**
+   * Sends a goodbye to all connected peers, so that they need not detect the shutdown by timeout,
+   * and closes all connections.
+   */
+  void shutdown(Duration now) {
     for (OutboundConnection connection : byPeer.values()) {
       if (connection.isUp()) {
         transport.sendGoodbye(connection.id());
@@ -74,27 +78,27 @@
         transport.close(connection.id());
       }
       byId.remove(connection.id());
-      connection.waitUntil(now);
+      connection.enterBackoff(now);
     }
   }
 
   // ---- Sending
 
   /** As {@link PeerConnectionManager#send}. */
-  boolean send(Duration now, PeerName to, int subject, ByteBuffer content, boolean mayBeLost) {
-    OutboundConnection connection = byPeer.get(to);
+  boolean send(Duration now, PeerName peer, int subject, ByteBuffer content, boolean droppable) {
+    OutboundConnection connection = byPeer.get(peer);
     int size = content.remaining();
     if (connection == null || size > MeshConfig.MAX_MESSAGE_BYTES) {
       return false;
     }
     SendQueue queue = connection.queue;
     if (connection.isUp() && queue.canWriteNow(size)) {
-      queue.writing(size);
+      queue.onWriteStarted(size);
       transport.sendMessage(connection.id(), subject, content);
       return true;
     }
-    boolean queued = queue.offer(new SendQueue.QueuedMessage(subject, content), mayBeLost);
-    if (!queued && connection.isUp() && !mayBeLost) {
+    boolean queued = queue.offer(new SendQueue.QueuedMessage(subject, content), droppable);
+    if (!queued && connection.isUp() && !droppable) {
       closeAndBackOff(now, connection, DisconnectReason.QUEUE_FULL);
     }
     return queued;
@@ -104,7 +108,7 @@
     find(id)
         .ifPresent(
             connection -> {
-              connection.queue.written(bytes);
+              connection.queue.onWriteCompleted(bytes);
               flush(connection);
             });
   }
@@ -119,17 +123,17 @@
     }
   }
 
-  // ---- Events of the network
+  // ---- Network events
 
-  void onConnected(Duration now, long id, Incarnation self) {
+  void onConnected(Duration now, long id, Incarnation localIncarnation) {
     Optional<OutboundConnection> found = find(id);
     if (found.isEmpty()) {
       transport.close(id);
       return;
     }
     OutboundConnection connection = found.get();
-    connection.handshakeSent(now.plus(config.connectTimeout()));
-    transport.sendHandshakeRequest(id, connection.peer.name(), self);
+    connection.markHandshakeSent(now.plus(config.connectTimeout()));
+    transport.sendHandshakeRequest(id, connection.peer.name(), localIncarnation);
   }
 
   void onConnectFailed(Duration now, long id, boolean refused) {
@@ -140,60 +144,61 @@
     OutboundConnection connection = found.get();
     closeAndBackOff(now, connection, DisconnectReason.CONNECT_FAILED);
     if (refused) {
-      listener.connectionRefused(connection.peer.name(), connection.knownAtConnect());
+      listener.connectionRefused(connection.peer.name(), connection.incarnationAtConnect());
     }
   }
 
-  /** The connection that waits for an answer to its handshake under this number. */
-  Optional<OutboundConnection> findInHandshake(long id) {
+  /** Returns the connection with this number if it is waiting for the handshake response. */
+  Optional<OutboundConnection> findAwaitingHandshake(long id) {
     return find(id).filter(connection -> connection.phase() == OutboundConnection.Phase.HANDSHAKE);
   }
 
-  /** The peer accepted the handshake. */
-  void up(Duration now, OutboundConnection connection, Incarnation incarnation) {
-    connection.up(now, incarnation, now.plus(config.heartbeatInterval()));
+  /** Marks the connection as up and sends the queued messages. */
+  void onHandshakeAccepted(Duration now, OutboundConnection connection, Incarnation incarnation) {
+    connection.markUp(now, incarnation, now.plus(config.heartbeatInterval()));
     listener.connectionUp(connection.peer.name(), incarnation);
     flush(connection);
   }
 
-  /** Whether a connection of this number is open or being opened. */
+  /** Whether a connection with this number is open or being opened. */
   boolean isOpen(long id) {
     return byId.containsKey(id);
   }
 
   void onHeartbeatAck(Duration now, long id, long sequence) {
-    find(id).ifPresent(connection -> connection.heartbeatAcked(now, sequence));
+    find(id).ifPresent(connection -> connection.onHeartbeatAck(now, sequence));
   }
 
-  /** Closes the connection of this number, if there is one, and connects again after a backoff. */
+  /** Closes the connection with this number, if there is one, and reconnects after a backoff. */
   void fail(Duration now, long id, DisconnectReason reason) {
     find(id).ifPresent(connection -> closeAndBackOff(now, connection, reason));
   }
 
   void closeAndBackOff(Duration now, OutboundConnection connection, DisconnectReason reason) {
     close(now, connection, reason);
-    connection.waitUntil(now.plus(connection.backoff.nextDelay()));
+    connection.enterBackoff(now.plus(connection.backoff.nextDelay()));
   }
 
   /**
-   * Closes the connection to an earlier incarnation of the peer and connects again at once.
+   * Closes the connection if it leads to an earlier incarnation of the peer, and schedules an
+   * immediate reconnect.
    *
-   * @return whether there was one
+   * @return whether such a connection was closed
    */
-  boolean closeToEarlierIncarnation(Duration now, Peer peer, Incarnation latest) {
+  boolean closeIfStale(Duration now, Peer peer, Incarnation latest) {
     OutboundConnection connection = byPeer.get(peer.name());
     if (!connection.isUp() || connection.isConnectedTo(latest)) {
       return false;
     }
     close(now, connection, DisconnectReason.PEER_RESTARTED);
-    connectAtOnce(now, connection);
+    scheduleConnect(now, connection);
     return true;
   }
 
   /**
-   * Ends the backoff of a peer that can be reached, as it has just connected to this gateway.
+   * Ends the backoff for a peer that has just connected to this gateway and is therefore reachable.
    *
-   * @return whether it was waiting after a failure
+   * @return whether a backoff after a failure was ended
    */
   boolean endBackoff(Duration now, Peer peer) {
     OutboundConnection connection = byPeer.get(peer.name());
@@ -201,14 +206,14 @@
         || !connection.backoff.hasFailures()) {
       return false;
     }
-    connectAtOnce(now, connection);
+    scheduleConnect(now, connection);
     return true;
   }
 
   /**
-   * Closes the connection. Messages that were queued while it was connecting stay for the next one;
-   * those queued behind an open connection were meant for the incarnation that it led to, and are
-   * dropped.
+   * Closes the connection. Messages queued while it was connecting are kept for the next
+   * connection; messages queued while it was up were meant for the incarnation at its other end and
+   * are dropped.
    */
   private void close(Duration now, OutboundConnection connection, DisconnectReason reason) {
     if (connection.phase() == OutboundConnection.Phase.BACKOFF) {
@@ -217,8 +222,8 @@
     byId.remove(connection.id());
     transport.close(connection.id());
     final boolean wasUp = connection.isUp();
-    connection.waitUntil(now);
-    connection.queue.forgetUnwritten();
+    connection.enterBackoff(now);
+    connection.queue.resetUnwritten();
     if (wasUp) {
       connection.queue.dropAll();
       listener.connectionDown(connection.peer.name(), reason);
@@ -231,23 +236,23 @@
     for (OutboundConnection connection : byPeer.values()) {
       if (connection.isUp()) {
         checkHeartbeat(now, connection);
-      } else if (connection.isPhaseOver(now)) {
-        endPhase(now, connection);
+      } else if (connection.isPhaseExpired(now)) {
+        onPhaseExpired(now, connection);
       }
     }
   }
 
   private void checkHeartbeat(Duration now, OutboundConnection connection) {
-    Duration silence = now.minus(connection.lastHeardAt());
-    if (silence.compareTo(config.heartbeatTimeout()) >= 0) {
+    Duration sinceLastAck = now.minus(connection.lastAckAt());
+    if (sinceLastAck.compareTo(config.heartbeatTimeout()) >= 0) {
       closeAndBackOff(now, connection, DisconnectReason.HEARTBEAT_TIMEOUT);
     } else if (connection.isHeartbeatDue(now)) {
-      long sequence = connection.nextHeartbeat(now.plus(config.heartbeatInterval()));
+      long sequence = connection.startHeartbeat(now.plus(config.heartbeatInterval()));
       transport.sendHeartbeat(connection.id(), sequence);
     }
   }
 
-  private void endPhase(Duration now, OutboundConnection connection) {
+  private void onPhaseExpired(Duration now, OutboundConnection connection) {
     switch (connection.phase()) {
       case BACKOFF -> connect(now, connection);
       case CONNECTING -> closeAndBackOff(now, connection, DisconnectReason.CONNECT_FAILED);
@@ -257,15 +262,15 @@
 
   private void connect(Duration now, OutboundConnection connection) {
     long id = --lastId;
-    connection.connecting(id, now.plus(config.connectTimeout()));
+    connection.markConnecting(id, now.plus(config.connectTimeout()));
     byId.put(id, connection);
     transport.connect(id, connection.peer.name());
   }
 
-  /** When the next timer is due; empty where there is no peer. */
-  Optional<Duration> nextTimer() {
+  /** When {@link #onTimer} is due next; empty if there is no peer. */
+  Optional<Duration> nextDeadline() {
     return byPeer.values().stream()
-        .map(connection -> connection.nextTimer(config.heartbeatTimeout()))
+        .map(connection -> connection.nextDeadline(config.heartbeatTimeout()))
         .min(Duration::compareTo);
   }
 }
--- a/gateway/src/main/java/weldcross/mesh/Peer.java
+++ b/gateway/src/main/java/weldcross/mesh/Peer.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** A configured peer and the latest incarnation heard of it. */
+/** A configured peer and its latest known incarnation. */
 final class Peer {
 
   private final PeerName name;
@@ -28,7 +28,10 @@
     return incarnation.isPresent() && incarnation.get().equals(other);
   }
 
-  /** Whether a later incarnation of the peer is known, or another process under the same number. */
+  /**
+   * Whether a later incarnation of the peer is known, or another process with the same incarnation
+   * number.
+   */
   boolean isStale(Incarnation other) {
     if (incarnation.isEmpty()) {
       return false;
--- a/gateway/src/main/java/weldcross/mesh/PeerAddresses.java
+++ b/gateway/src/main/java/weldcross/mesh/PeerAddresses.java
@@ -5,13 +5,14 @@
 import java.util.Optional;
 
 /**
- * The addresses of the mesh as configured for one gateway.
+ * The mesh addresses configured for one gateway.
  *
- * @param listenAddress where this gateway accepts connections
- * @param datagramListenAddress where datagrams reach this gateway; empty where none are sent or
- *     received
- * @param connectAddresses where each peer accepts connections
- * @param datagramAddresses where datagrams reach each peer; without those that receive none
+ * @param listenAddress address on which this gateway accepts connections
+ * @param datagramListenAddress address on which this gateway receives datagrams; empty if it
+ *     neither sends nor receives them
+ * @param connectAddresses address on which each peer accepts connections
+ * @param datagramAddresses address on which each peer receives datagrams; peers that receive none
+ *     are absent
  */
 public record PeerAddresses(
     InetSocketAddress listenAddress,
--- a/gateway/src/main/java/weldcross/mesh/PeerConnectionManager.java
+++ b/gateway/src/main/java/weldcross/mesh/PeerConnectionManager.java
@@ -11,42 +11,44 @@
 import java.util.stream.Stream;
 
 /**
- * Decides all about the connections between gateways: when to connect and how long to back off,
- * whose handshake to accept, when an open connection counts as broken, how much may be queued for a
- * slow peer, and which incarnation of a peer is listened to.
+ * Manages the connections between gateways: when to connect and how long to back off, which
+ * handshakes to accept, when an open connection counts as broken, how much may be queued for a slow
+ * peer, and from which incarnation of a peer messages are accepted.
  *
  * <p>A gateway sends to each peer on a connection that it opened itself, and receives on one that
- * the peer opened, so that the two directions work and fail independently, as networks do. Order is
- * kept within one connection; nothing is repeated on the next. Safety rests on none of the timeouts
- * here: they only say when to give up and try again.
+ * the peer opened, because network faults can affect one direction only; the two directions then
+ * work and fail independently. Messages are ordered within one connection; none is resent on the
+ * next. Safety depends on none of the timeouts here: they only determine when to close a connection
+ * and retry.
  *
- * <p>Pure: no I/O, no clock, random choices from a seed. Not thread-safe: called by the one thread
- * that owns the gateway's state. Times are durations since any fixed origin.
+ * <p>Deterministic: performs no I/O, reads no clock and draws random numbers from a seed. Not
+ * thread-safe: called only on the gateway's event loop thread. Times are durations since an
+ * arbitrary fixed origin.
  */
 public final class PeerConnectionManager {
 
   private final PeerTransport transport;
   private final PeerConnectionListener listener;
   private final MeshConfig config;
-  private final HandshakeValidator handshakes;
+  private final HandshakeValidator handshakeValidator;
   private final Map<PeerName, Peer> peers = new TreeMap<>();
   private final OutboundConnections outbound;
   private final InboundConnections inbound;
-  private Optional<Incarnation> self = Optional.empty();
-  private boolean leaving;
+  private Optional<Incarnation> localIncarnation = Optional.empty();
+  private boolean shuttingDown;
   private Optional<Duration> wakeAt = Optional.empty();
 
   /**
-   * Creates a manager that connects to nobody before {@link #start}.
+   * Creates a manager that opens no connection before {@link #start}.
    *
-   * @param seed of the jitter of backoffs
+   * @param seed seed of the backoff jitter
    */
   public PeerConnectionManager(
       MeshConfig config, PeerTransport transport, PeerConnectionListener listener, long seed) {
     this.config = config;
     this.transport = transport;
     this.listener = listener;
-    this.handshakes = new HandshakeValidator(config);
+    this.handshakeValidator = new HandshakeValidator(config);
     for (PeerName name : config.peers()) {
       peers.put(name, new Peer(name));
     }
@@ -58,88 +60,92 @@
 
   /**
    * Connects to all peers. Called once this process's incarnation is stored, and again whenever it
-   * had to take a higher one.
+   * changes to a higher one.
    */
   public void start(Duration now, Incarnation incarnation) {
-    boolean again = self.isPresent();
-    self = Optional.of(incarnation);
-    if (again) {
+    boolean restart = localIncarnation.isPresent();
+    localIncarnation = Optional.of(incarnation);
+    if (restart) {
       outbound.closeAll(now, DisconnectReason.LOCAL_INCARNATION_CHANGED);
     }
     outbound.start(now);
     onTimer(now);
   }
 
-  /** Says goodbye to all peers; nothing is sent and no timer is set afterwards. */
-  public void leave(Duration now) {
-    leaving = true;
-    outbound.leave(now);
+  /**
+   * Sends a goodbye to all peers and closes the outbound connections; nothing is sent and no timer
+   * is set afterwards.
+   */
+  public void shutdown(Duration now) {
+    shuttingDown = true;
+    outbound.shutdown(now);
   }
 
   // ---- Sending
 
   /**
-   * Sends a message to a peer, in order behind those sent before, or queues it until the peer is
-   * up.
+   * Sends a message to a peer, in order after earlier ones, or queues it until the connection is up
+   * and can take it.
    *
-   * @param mayBeLost whether the message makes room for later ones: where the queue is full, the
-   *     oldest of it are dropped first. If false, a full queue closes the connection, so that the
-   *     loss is reported by {@link PeerConnectionListener#connectionDown}
-   * @return false where it was not taken: the peer is not configured, the content is longer than
-   *     {@link MeshConfig#MAX_MESSAGE_BYTES}, or the queue is full
+   * @param droppable if true and the queue is full, the oldest queued messages are dropped to make
+   *     room. If false, a full queue closes the connection, so that the loss is reported by {@link
+   *     PeerConnectionListener#connectionDown}
+   * @return false if the message was not accepted: the peer is not configured, the content is
+   *     longer than {@link MeshConfig#MAX_MESSAGE_BYTES}, the queue is full, or this gateway is
+   *     shutting down
    */
   public boolean send(
-      Duration now, PeerName to, int subject, ByteBuffer content, boolean mayBeLost) {
-    if (leaving) {
+      Duration now, PeerName peer, int subject, ByteBuffer content, boolean droppable) {
+    if (shuttingDown) {
       return false;
     }
-    boolean taken = outbound.send(now, to, subject, content, mayBeLost);
-    if (!taken) {
-      scheduleWake(now);
+    boolean accepted = outbound.send(now, peer, subject, content, droppable);
+    if (!accepted) {
+      scheduleNextTimer(now);
     }
-    return taken;
+    return accepted;
   }
 
   /**
    * Sends a datagram, which may be lost.
    *
-   * @return false where it was not sent: the peer is not configured, or this gateway has not
-   *     started or is leaving
+   * @return false if it was not sent: the peer is not configured, or this gateway has not started
+   *     or is shutting down
    */
-  public boolean sendDatagram(PeerName to, int subject, ByteBuffer content) {
-    if (!peers.containsKey(to) || leaving || self.isEmpty()) {
+  public boolean sendDatagram(PeerName peer, int subject, ByteBuffer content) {
+    if (!peers.containsKey(peer) || shuttingDown || localIncarnation.isEmpty()) {
       return false;
     }
-    transport.sendDatagram(to, self.get(), subject, content);
+    transport.sendDatagram(peer, localIncarnation.get(), subject, content);
     return true;
   }
 
-  /** The network took so many bytes of messages of this connection. */
+  /** Reports that message bytes of this connection were written to the network. */
   public void onWritten(long connection, int bytes) {
     outbound.onWritten(connection, bytes);
   }
 
-  // ---- Connections that this gateway opens
+  // ---- Outbound connections
 
   /** A connect succeeded. */
   public void onConnected(Duration now, long connection) {
-    self.ifPresent(incarnation -> outbound.onConnected(now, connection, incarnation));
-    scheduleWake(now);
+    localIncarnation.ifPresent(incarnation -> outbound.onConnected(now, connection, incarnation));
+    scheduleNextTimer(now);
   }
 
   /**
    * A connect failed.
    *
-   * @param refused whether the address answered that nobody listens there
+   * @param refused whether the connect was refused, so that no process listens on the address
    */
   public void onConnectFailed(Duration now, long connection, boolean refused) {
     outbound.onConnectFailed(now, connection, refused);
-    scheduleWake(now);
+    scheduleNextTimer(now);
   }
 
   /** The peer accepted the handshake. */
   public void onHandshakeResponse(Duration now, long connection, Incarnation incarnation) {
-    Optional<OutboundConnection> found = outbound.findInHandshake(connection);
+    Optional<OutboundConnection> found = outbound.findAwaitingHandshake(connection);
     if (found.isEmpty()) {
       onProtocolError(now, connection, DisconnectReason.UNEXPECTED_HANDSHAKE_RESPONSE);
       return;
@@ -148,21 +154,22 @@
     if (peer.isStale(incarnation)) {
       outbound.closeAndBackOff(now, found.get(), DisconnectReason.STALE_INCARNATION);
     } else {
-      learnIncarnation(now, peer, incarnation);
-      outbound.up(now, found.get(), incarnation);
+      updateIncarnation(now, peer, incarnation);
+      outbound.onHandshakeAccepted(now, found.get(), incarnation);
     }
-    scheduleWake(now);
+    scheduleNextTimer(now);
   }
 
-  /** The peer rejected the handshake; this gateway tries again with growing backoff. */
+  /** The peer rejected the handshake; this gateway retries with increasing backoff. */
   public void onHandshakeRejection(
       Duration now, long connection, HandshakeRejection reason, long knownIncarnation) {
     if (!outbound.isOpen(connection)) {
       return;
     }
     outbound.fail(now, connection, DisconnectReason.HANDSHAKE_REJECTED);
-    scheduleWake(now);
-    boolean outdated = self.isPresent() && knownIncarnation >= self.get().number();
+    scheduleNextTimer(now);
+    boolean outdated =
+        localIncarnation.isPresent() && knownIncarnation >= localIncarnation.get().number();
     if (reason == HandshakeRejection.STALE_INCARNATION && outdated) {
       listener.localIncarnationOutdated(knownIncarnation);
     }
@@ -173,73 +180,75 @@
     outbound.onHeartbeatAck(now, connection, sequence);
   }
 
-  // ---- Connections that peers open
+  // ---- Inbound connections
 
   /**
-   * Somebody opened a connection to this gateway.
+   * A connection to this gateway was accepted.
    *
-   * @param fromPeerHost whether it comes from a host on which a peer listens; others are closed
+   * @param fromPeerHost whether the remote address is a host on which a peer listens; other
+   *     connections are closed
    */
   public void onAccepted(Duration now, long connection, boolean fromPeerHost) {
     if (!fromPeerHost) {
       transport.close(connection);
     } else if (inbound.accept(now, connection)) {
-      scheduleWake(now);
+      scheduleNextTimer(now);
     }
   }
 
-  /** The caller says who it is, and whom it wants. */
+  /** A handshake request was received on an inbound connection. */
   public void onHandshakeRequest(Duration now, long connection, HandshakeRequest request) {
-    Optional<InboundConnections.InboundConnection> caller =
-        inbound.find(connection).filter(each -> each.peer().isEmpty());
-    if (caller.isEmpty()) {
+    Optional<InboundConnections.InboundConnection> inboundConnection =
+        inbound.find(connection).filter(candidate -> candidate.peer().isEmpty());
+    if (inboundConnection.isEmpty()) {
       onProtocolError(now, connection, DisconnectReason.UNEXPECTED_HANDSHAKE_REQUEST);
       return;
     }
     Optional<Peer> peer = findPeer(request.from());
-    Optional<HandshakeRejection> rejection = handshakes.validate(request, peer);
+    Optional<HandshakeRejection> rejection = handshakeValidator.validate(request, peer);
     if (rejection.isPresent()) {
-      reject(connection, rejection.get(), peer);
-    } else if (self.isEmpty() || leaving) {
+      rejectHandshake(connection, rejection.get(), peer);
+    } else if (localIncarnation.isEmpty() || shuttingDown) {
       inbound.remove(connection, DisconnectReason.HANDSHAKE_REJECTED);
       transport.close(connection);
     } else {
-      accept(now, caller.get(), connection, peer.orElseThrow(), request.incarnation());
+      acceptHandshake(
+          now, inboundConnection.get(), connection, peer.orElseThrow(), request.incarnation());
     }
   }
 
-  private void reject(long connection, HandshakeRejection reason, Optional<Peer> peer) {
+  private void rejectHandshake(long connection, HandshakeRejection reason, Optional<Peer> peer) {
     inbound.remove(connection, DisconnectReason.HANDSHAKE_REJECTED);
-    long known = 0;
+    long knownIncarnation = 0;
     if (reason == HandshakeRejection.STALE_INCARNATION) {
-      known = peer.flatMap(Peer::incarnation).map(Incarnation::number).orElse(0L);
+      knownIncarnation = peer.flatMap(Peer::incarnation).map(Incarnation::number).orElse(0L);
     }
-    transport.sendHandshakeRejection(connection, reason, known);
+    transport.sendHandshakeRejection(connection, reason, knownIncarnation);
     transport.closeAfterFlush(connection);
   }
 
-  private void accept(
+  private void acceptHandshake(
       Duration now,
-      InboundConnections.InboundConnection caller,
+      InboundConnections.InboundConnection inboundConnection,
       long connection,
       Peer peer,
       Incarnation incarnation) {
-    learnIncarnation(now, peer, incarnation);
-    inbound.establish(now, caller, peer, incarnation);
-    self.ifPresent(own -> transport.sendHandshakeResponse(connection, own));
+    updateIncarnation(now, peer, incarnation);
+    inbound.establish(now, inboundConnection, peer, incarnation);
+    localIncarnation.ifPresent(local -> transport.sendHandshakeResponse(connection, local));
     if (outbound.endBackoff(now, peer)) {
       onTimer(now);
     }
   }
 
-  /** A peer sent a heartbeat, which is acknowledged. */
+  /** A peer sent a heartbeat; acknowledges it. */
   public void onHeartbeat(Duration now, long connection, long sequence) {
     inbound
         .find(connection)
-        .filter(caller -> caller.peer().isPresent())
+        .filter(inboundConnection -> inboundConnection.peer().isPresent())
         .ifPresent(
-            caller -> {
-              caller.heard(now);
+            inboundConnection -> {
+              inboundConnection.markReceived(now);
               transport.sendHeartbeatAck(connection, sequence);
             });
   }
@@ -250,18 +259,22 @@
     if (found.isEmpty()) {
       return;
     }
-    InboundConnections.InboundConnection caller = found.get();
-    if (caller.peer().isEmpty()) {
+    InboundConnections.InboundConnection inboundConnection = found.get();
+    if (inboundConnection.peer().isEmpty()) {
       onProtocolError(now, connection, DisconnectReason.MESSAGE_BEFORE_HANDSHAKE);
       return;
     }
-    caller.heard(now);
+    inboundConnection.markReceived(now);
     listener.messageReceived(
-        caller.peer().get().name(), caller.incarnation().orElseThrow(), subject, content);
+        inboundConnection.peer().get().name(),
+        inboundConnection.incarnation().orElseThrow(),
+        subject,
+        content);
   }
 
   /**
-   * A datagram came; those of another cluster, an unknown peer or an old incarnation are ignored.
+   * A datagram was received. Datagrams of another cluster, an unknown peer, an unsupported protocol
+   * version or a stale incarnation are ignored.
    */
   public void onDatagram(Duration now, DatagramHeader header, int subject, ByteBuffer content) {
     Optional<Peer> sender =
@@ -270,12 +283,12 @@
             .filter(peer -> MeshConfig.supportsVersion(header.version()))
             .filter(peer -> !peer.isStale(header.incarnation()));
     if (sender.isPresent()) {
-      learnIncarnation(now, sender.get(), header.incarnation());
+      updateIncarnation(now, sender.get(), header.incarnation());
       listener.messageReceived(header.from(), header.incarnation(), subject, content);
     }
   }
 
-  /** A peer is about to end. */
+  /** A peer announced its shutdown. */
   public void onGoodbye(Duration now, long connection) {
     Optional<Peer> peer =
         inbound
@@ -289,60 +302,64 @@
         .find(peer.get().name())
         .filter(OutboundConnection::isUp)
         .ifPresent(
-            own -> {
-              outbound.closeAndBackOff(now, own, DisconnectReason.GOODBYE);
-              scheduleWake(now);
+            outboundConnection -> {
+              outbound.closeAndBackOff(now, outboundConnection, DisconnectReason.GOODBYE);
+              scheduleNextTimer(now);
             });
   }
 
-  // ---- Ends of connections
+  // ---- Closed connections
 
-  /** A connection, whoever opened it, has ended. */
+  /** An inbound or outbound connection has ended. */
   public void onClosed(Duration now, long connection) {
     inbound.remove(connection, DisconnectReason.CONNECTION_CLOSED);
     outbound.fail(now, connection, DisconnectReason.CONNECTION_CLOSED);
-    scheduleWake(now);
+    scheduleNextTimer(now);
   }
 
-  /** What came violates the protocol: the connection it came on is closed, and no other. */
+  /**
+   * Received data violates the protocol: closes the connection on which it arrived, and no other.
+   */
   public void onProtocolError(Duration now, long connection, DisconnectReason reason) {
     transport.close(connection);
     inbound.remove(connection, reason);
     outbound.fail(now, connection, reason);
-    scheduleWake(now);
+    scheduleNextTimer(now);
   }
 
-  /** A later incarnation of a peer closes the connections to and from earlier ones. */
-  private void learnIncarnation(Duration now, Peer peer, Incarnation incarnation) {
+  /**
+   * Records the incarnation of a peer; a later one closes the connections to and from earlier ones.
+   */
+  private void updateIncarnation(Duration now, Peer peer, Incarnation incarnation) {
     if (peer.isCurrent(incarnation)) {
       return;
     }
     peer.setIncarnation(incarnation);
-    inbound.closeOfEarlierIncarnation(peer, incarnation);
-    if (outbound.closeToEarlierIncarnation(now, peer, incarnation)) {
-      scheduleWake(now);
+    inbound.closeIfStale(peer, incarnation);
+    if (outbound.closeIfStale(now, peer, incarnation)) {
+      scheduleNextTimer(now);
     }
   }
 
   // ---- Timers
 
-  /** Does all that is due by now, and asks to be called again. */
+  /** Performs all actions due by now and requests the next timer. */
   public void onTimer(Duration now) {
-    if (leaving || self.isEmpty()) {
+    if (shuttingDown || localIncarnation.isEmpty()) {
       return;
     }
     outbound.onTimer(now);
     inbound.onTimer(now);
     wakeAt = Optional.empty();
-    scheduleWake(now);
+    scheduleNextTimer(now);
   }
 
-  private void scheduleWake(Duration now) {
+  private void scheduleNextTimer(Duration now) {
     Optional<Duration> next =
-        Stream.of(outbound.nextTimer(), inbound.nextTimer())
+        Stream.of(outbound.nextDeadline(), inbound.nextDeadline())
             .flatMap(Optional::stream)
             .min(Duration::compareTo);
-    if (leaving || next.isEmpty()) {
+    if (shuttingDown || next.isEmpty()) {
       return;
     }
     if (wakeAt.isEmpty() || next.get().compareTo(wakeAt.get()) < 0) {
@@ -358,7 +375,7 @@
     return Optional.ofNullable(peers.get(name));
   }
 
-  /** Whether messages to the peer go out at once. */
+  /** Whether the outbound connection to the peer is up. */
   public boolean isUp(PeerName name) {
     return outbound.find(name).map(OutboundConnection::isUp).orElse(false);
   }
@@ -368,35 +385,44 @@
     return Collections.unmodifiableSet(peers.keySet());
   }
 
-  /** When the peer was last heard on an open connection; empty where none is open. */
+  /**
+   * When something was last received from the peer on a connection that is still open; empty if
+   * none is open.
+   */
   public Optional<Duration> lastHeardAt(PeerName name) {
     Optional<Duration> received =
-        inbound.findEstablished(name).map(InboundConnections.InboundConnection::lastHeardAt);
+        inbound.findEstablished(name).map(InboundConnections.InboundConnection::lastReceivedAt);
     Optional<Duration> acknowledged =
-        outbound.find(name).filter(OutboundConnection::isUp).map(OutboundConnection::lastHeardAt);
+        outbound.find(name).filter(OutboundConnection::isUp).map(OutboundConnection::lastAckAt);
     return Stream.of(received, acknowledged).flatMap(Optional::stream).max(Duration::compareTo);
   }
 
-  /** The latest incarnation of the peer that was heard of; empty where none was. */
+  /** The latest known incarnation of the peer; empty if none is known. */
   public Optional<Incarnation> incarnationOf(PeerName name) {
     return findPeer(name).flatMap(Peer::incarnation);
   }
 
   /** Messages queued for the peer; zero for a name that is not configured. */
   public int queuedMessages(PeerName name) {
-    return outbound.find(name).map(connection -> connection.queue.messages()).orElse(0);
+    return outbound.find(name).map(connection -> connection.queue.messageCount()).orElse(0);
   }
 
-  /** Bytes queued for the peer, and bytes written and not yet taken by the network. */
+  /**
+   * Bytes queued for the peer plus bytes passed to its connection and not yet written to the
+   * network; zero for a name that is not configured.
+   */
   public int queuedBytes(PeerName name) {
-    return outbound.find(name).map(connection -> connection.queue.bytes()).orElse(0);
+    return outbound.find(name).map(connection -> connection.queue.totalBytes()).orElse(0);
   }
 
-  /** The state in one line, without a line end: this gateway's incarnation and each peer. */
+  /**
+   * One line describing the state, without a line terminator: this gateway's incarnation and each
+   * peer.
+   */
   public String describe() {
     StringBuilder line =
         new StringBuilder("mesh: incarnation=")
-            .append(self.map(own -> String.valueOf(own.number())).orElse("none"));
+            .append(localIncarnation.map(local -> String.valueOf(local.number())).orElse("none"));
     for (Peer peer : peers.values()) {
       outbound.find(peer.name()).ifPresent(connection -> describe(line, connection));
     }
@@ -409,11 +435,11 @@
     peer.incarnation().ifPresent(known -> line.append(" incarnation=").append(known.number()));
     line.append(
         inbound.findEstablished(peer.name()).isPresent() ? " inbound=open" : " inbound=none");
-    if (connection.queue.messages() > 0) {
-      line.append(" queued=").append(connection.queue.messages());
+    if (connection.queue.messageCount() > 0) {
+      line.append(" queued=").append(connection.queue.messageCount());
     }
-    if (connection.queue.dropped() > 0) {
-      line.append(" dropped=").append(connection.queue.dropped());
+    if (connection.queue.droppedCount() > 0) {
+      line.append(" dropped=").append(connection.queue.droppedCount());
     }
   }
 }
--- a/gateway/src/main/java/weldcross/mesh/PeerName.java
+++ b/gateway/src/main/java/weldcross/mesh/PeerName.java
@@ -5,7 +5,7 @@
 /**
  * The configured name of a gateway.
  *
- * @param name never null
+ * @param name the name as configured; never null
  */
 public record PeerName(String name) implements Comparable<PeerName> {
 
--- a/gateway/src/main/java/weldcross/mesh/ReconnectBackoff.java
+++ b/gateway/src/main/java/weldcross/mesh/ReconnectBackoff.java
@@ -4,8 +4,8 @@
 import java.util.SplittableRandom;
 
 /**
- * How long to wait before connecting again: exponential backoff, extended at random by up to a
- * half, so that gateways that lost one peer at the same time do not all come back at once.
+ * Exponential backoff between connects, with random jitter of up to half the delay, so that
+ * gateways that lost the same peer at the same time do not all reconnect to it at once.
  */
 final class ReconnectBackoff {
 
@@ -20,10 +20,12 @@
     this.random = random;
   }
 
-  /** Counts a failure and returns the wait until the next attempt. */
+  /** Records a failure and returns the delay before the next attempt. */
   Duration nextDelay() {
     Duration delay = config.minBackoff();
-    for (int k = 0; k < failures && delay.compareTo(config.maxBackoff()) < 0; k++) {
+    for (int doublings = 0;
+        doublings < failures && delay.compareTo(config.maxBackoff()) < 0;
+        doublings++) {
       delay = delay.multipliedBy(2);
     }
     if (delay.compareTo(config.maxBackoff()) > 0) {
--- a/gateway/src/main/java/weldcross/mesh/SendQueue.java
+++ b/gateway/src/main/java/weldcross/mesh/SendQueue.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * Messages that are queued for one peer, and the bytes written to its connection and not yet taken
- * by the network. Both are bounded.
+ * Bounded queue of messages for one peer. Also limits the bytes passed to the peer's connection and
+ * not yet written to the network.
  */
 final class SendQueue {
 
@@ -21,40 +21,43 @@
   private final ArrayDeque<QueuedMessage> queue = new ArrayDeque<>();
   private int queuedBytes;
   private int unwrittenBytes;
-  private long dropped;
+  private long droppedCount;
 
   SendQueue(MeshConfig config) {
     this.config = config;
   }
 
-  /** Whether a message may go out at once: nothing is queued before it and the network keeps up. */
+  /**
+   * Whether a message of this size may be passed to the connection without queueing: no message is
+   * queued before it, and the unwritten bytes stay within the limit.
+   */
   boolean canWriteNow(int size) {
     return queue.isEmpty() && unwrittenBytes + size <= config.maxQueuedBytes();
   }
 
-  /** Counts bytes written and not yet taken by the network. */
-  void writing(int bytes) {
+  /** Records that bytes were passed to the connection and are not yet written to the network. */
+  void onWriteStarted(int bytes) {
     unwrittenBytes += bytes;
   }
 
-  /** Counts bytes as taken by the network. */
-  void written(int bytes) {
+  /** Records that bytes were written to the network. */
+  void onWriteCompleted(int bytes) {
     unwrittenBytes = Math.max(0, unwrittenBytes - bytes);
   }
 
   /**
    * Queues a message.
    *
-   * @param mayBeLost whether the oldest messages are dropped where there is no room for it
-   * @return false where it was dropped, as there is no room
+   * @param droppable whether the oldest queued messages are dropped to make room for this one
+   * @return false if the message was dropped because the queue is full
    */
-  boolean offer(QueuedMessage message, boolean mayBeLost) {
-    while (mayBeLost && !queue.isEmpty() && isFull(message.size())) {
+  boolean offer(QueuedMessage message, boolean droppable) {
+    while (droppable && !queue.isEmpty() && isFull(message.size())) {
       queuedBytes -= queue.poll().size();
-      dropped++;
+      droppedCount++;
     }
     if (isFull(message.size())) {
-      dropped++;
+      droppedCount++;
       return false;
     }
     queue.add(message);
@@ -62,14 +65,14 @@
     return true;
   }
 
-  private boolean isFull(int moreBytes) {
+  private boolean isFull(int additionalBytes) {
     return queue.size() + 1 > config.maxQueuedMessages()
-        || queuedBytes + moreBytes > config.maxQueuedBytes();
+        || queuedBytes + additionalBytes > config.maxQueuedBytes();
   }
 
   /**
-   * Takes the next message that may be written now; empty where there is none. A message longer
-   * than the bound may be written when nothing else is on its way.
+   * Removes and returns the next message that may be passed to the connection now; empty if there
+   * is none. A message larger than the limit is returned only when no unwritten bytes are pending.
    */
   Optional<QueuedMessage> pollWritable() {
     QueuedMessage next = queue.peek();
@@ -83,29 +86,29 @@
     return Optional.of(next);
   }
 
-  /** The connection ended: what was written to it is not waited for any more. */
-  void forgetUnwritten() {
+  /** Resets the count of unwritten bytes after the connection ended. */
+  void resetUnwritten() {
     unwrittenBytes = 0;
   }
 
   /** Drops all queued messages. */
   void dropAll() {
-    dropped += queue.size();
+    droppedCount += queue.size();
     queue.clear();
     queuedBytes = 0;
   }
 
-  int messages() {
+  int messageCount() {
     return queue.size();
   }
 
-  /** Bytes queued, and bytes written and not yet taken by the network. */
-  int bytes() {
+  /** Bytes queued plus bytes passed to the connection and not yet written to the network. */
+  int totalBytes() {
     return queuedBytes + unwrittenBytes;
   }
 
-  /** How many messages were dropped since the start. */
-  long dropped() {
-    return dropped;
+  /** Messages dropped since the gateway started. */
+  long droppedCount() {
+    return droppedCount;
   }
 }
--- a/gateway/src/main/java/weldcross/mesh/net/MeshExtension.java
+++ b/gateway/src/main/java/weldcross/mesh/net/MeshExtension.java
@@ -122,7 +122,7 @@
 
   @Override
   public void stop() {
-    connections.leave(context.now());
+    connections.shutdown(context.now());
     transport.stop();
     incarnations.close();
   }
--- a/gateway/src/main/java/weldcross/mesh/package-info.java
+++ b/gateway/src/main/java/weldcross/mesh/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Decides all about the connections between gateways: when to connect, whom to talk to, which
- * incarnation of a peer is listened to. Pure: no I/O and no clock; {@link weldcross.mesh.net} has
- * the sockets.
+ * Connection management between gateways: when to connect, which handshakes to accept, and from
+ * which incarnation of a peer messages are accepted. Deterministic, without I/O or a clock; {@link
+ * weldcross.mesh.net} implements the sockets.
  */
 package weldcross.mesh;
--- a/gateway/src/test/java/weldcross/mesh/InboundConnectionsTest.java
+++ b/gateway/src/test/java/weldcross/mesh/InboundConnectionsTest.java
@@ -53,9 +53,9 @@
   @Test
   void connectionOfAnEarlierIncarnationIsClosed() {
     establish(millis(0), 1, FIRST);
-    connections.closeOfEarlierIncarnation(peer, FIRST);
+    connections.closeIfStale(peer, FIRST);
     assertEquals(List.of(), transport.takeCalls());
-    connections.closeOfEarlierIncarnation(peer, SECOND);
+    connections.closeIfStale(peer, SECOND);
     assertEquals(List.of("close 1"), transport.takeCalls());
     assertEquals(Optional.empty(), connections.findEstablished(PEER_NAME));
   }
@@ -80,19 +80,19 @@
   @Test
   void callerWithoutAHandshakeExpiresAfterTheConnectTimeout() {
     connections.accept(millis(0), 1);
-    assertEquals(Optional.of(millis(200)), connections.nextTimer());
+    assertEquals(Optional.of(millis(200)), connections.nextDeadline());
     connections.onTimer(millis(199));
     assertEquals(List.of(), transport.takeCalls());
     connections.onTimer(millis(200));
     assertEquals(List.of("close 1"), transport.takeCalls());
-    assertEquals(Optional.empty(), connections.nextTimer());
+    assertEquals(Optional.empty(), connections.nextDeadline());
   }
 
   @Test
   void establishedConnectionExpiresAfterTheHeartbeatTimeoutOfSilence() {
     establish(millis(0), 1, FIRST);
-    connections.find(1).orElseThrow().heard(millis(300));
-    assertEquals(Optional.of(millis(700)), connections.nextTimer());
+    connections.find(1).orElseThrow().markReceived(millis(300));
+    assertEquals(Optional.of(millis(700)), connections.nextDeadline());
     connections.onTimer(millis(699));
     assertEquals(List.of(), transport.takeCalls());
     connections.onTimer(millis(700));
--- a/gateway/src/test/java/weldcross/mesh/OutboundConnectionsTest.java
+++ b/gateway/src/test/java/weldcross/mesh/OutboundConnectionsTest.java
@@ -43,13 +43,14 @@
     connect();
     connections.onConnected(millis(0), -1, SELF);
     peer.setIncarnation(FIRST);
-    connections.up(millis(0), connections.findInHandshake(-1).orElseThrow(), FIRST);
+    connections.onHandshakeAccepted(
+        millis(0), connections.findAwaitingHandshake(-1).orElseThrow(), FIRST);
     transport.takeCalls();
     listener.events.clear();
   }
 
-  private boolean send(int size, boolean mayBeLost) {
-    return connections.send(millis(1), PEER_NAME, 1, ByteBuffer.allocate(size), mayBeLost);
+  private boolean send(int size, boolean droppable) {
+    return connections.send(millis(1), PEER_NAME, 1, ByteBuffer.allocate(size), droppable);
   }
 
   @Test
@@ -58,7 +59,8 @@
     assertTrue(send(10, false));
     connections.onConnected(millis(0), -1, SELF);
     assertEquals(List.of("handshake -1 peer"), transport.takeCalls());
-    connections.up(millis(0), connections.findInHandshake(-1).orElseThrow(), FIRST);
+    connections.onHandshakeAccepted(
+        millis(0), connections.findAwaitingHandshake(-1).orElseThrow(), FIRST);
     assertEquals(List.of("message -1 1 10"), transport.takeCalls());
     assertEquals(List.of("up 3"), listener.events);
   }
@@ -70,7 +72,7 @@
     peer.setIncarnation(SECOND);
     connections.onConnectFailed(millis(1), -1, true);
     assertEquals(List.of("refused 3"), listener.events);
-    Duration next = connections.nextTimer().orElseThrow();
+    Duration next = connections.nextDeadline().orElseThrow();
     assertTrue(next.compareTo(millis(51)) >= 0 && next.compareTo(millis(76)) < 0, next.toString());
   }
 
@@ -139,8 +141,8 @@
   @Test
   void connectionToAnEarlierIncarnationIsOpenedAnewWithoutBackoff() {
     connectAndShakeHands();
-    assertFalse(connections.closeToEarlierIncarnation(millis(5), peer, FIRST));
-    assertTrue(connections.closeToEarlierIncarnation(millis(5), peer, SECOND));
+    assertFalse(connections.closeIfStale(millis(5), peer, FIRST));
+    assertTrue(connections.closeIfStale(millis(5), peer, SECOND));
     assertEquals(List.of("down PEER_RESTARTED"), listener.events);
     connections.onTimer(millis(5));
     assertEquals(List.of("close -1", "connect -2 peer"), transport.takeCalls());
@@ -149,7 +151,7 @@
   @Test
   void leaveSaysGoodbyeWhereTheConnectionIsUpAndElseCloses() {
     connectAndShakeHands();
-    connections.leave(millis(1));
+    connections.shutdown(millis(1));
     assertEquals(List.of("goodbye -1", "flush -1"), transport.takeCalls());
   }
 }
--- a/gateway/src/test/java/weldcross/mesh/SendQueueTest.java
+++ b/gateway/src/test/java/weldcross/mesh/SendQueueTest.java
@@ -36,8 +36,8 @@
       assertTrue(queue.offer(message(k, 1), false));
     }
     assertFalse(queue.offer(message(8, 1), false));
-    assertEquals(8, queue.messages());
-    assertEquals(1, queue.dropped());
+    assertEquals(8, queue.messageCount());
+    assertEquals(1, queue.droppedCount());
   }
 
   @Test
@@ -46,20 +46,20 @@
       assertTrue(queue.offer(message(k, 100), false));
     }
     assertTrue(queue.offer(message(4, 150), true));
-    assertEquals(2, queue.dropped());
-    assertEquals(350, queue.bytes());
+    assertEquals(2, queue.droppedCount());
+    assertEquals(350, queue.totalBytes());
     assertEquals(2, nextSubject());
   }
 
   @Test
   void messageWaitsUntilTheNetworkTookEnough() {
-    queue.writing(390);
+    queue.onWriteStarted(390);
     assertFalse(queue.canWriteNow(20));
     assertTrue(queue.offer(message(1, 20), false));
     assertEquals(Optional.empty(), queue.pollWritable());
-    queue.written(10);
+    queue.onWriteCompleted(10);
     assertEquals(1, nextSubject());
-    assertEquals(400, queue.bytes());
+    assertEquals(400, queue.totalBytes());
   }
 
   @Test
@@ -71,12 +71,12 @@
 
   @Test
   void endOfTheConnectionDropsWhatIsQueuedAndUnwritten() {
-    queue.writing(100);
+    queue.onWriteStarted(100);
     assertTrue(queue.offer(message(1, 10), false));
-    queue.forgetUnwritten();
+    queue.resetUnwritten();
     queue.dropAll();
-    assertEquals(0, queue.bytes());
-    assertEquals(0, queue.messages());
-    assertEquals(1, queue.dropped());
+    assertEquals(0, queue.totalBytes());
+    assertEquals(0, queue.messageCount());
+    assertEquals(1, queue.droppedCount());
   }
 }
