--- a/gateway/src/main/java/weldcross/mesh/net/DatagramTransport.java
+++ b/gateway/src/main/java/weldcross/mesh/net/DatagramTransport.java
@@ -12,10 +12,10 @@
 import org.apache.mina.transport.socket.nio.NioDatagramAcceptor;
 import weldcross.mesh.wire.Datagram;
 
-/** Sends and receives the datagrams of the mesh on one bound socket. */
+/** Sends and receives mesh datagrams on one bound UDP socket. */
 final class DatagramTransport implements AutoCloseable {
 
-  /** Longer datagrams are not sent, as networks would fragment or drop them. */
+  /** Longer datagrams are not sent, because networks may fragment or drop them. */
   private static final int MAX_DATAGRAM_BYTES = 1200;
 
   private static final Logger LOG = Logger.getLogger(DatagramTransport.class.getName());
@@ -26,10 +26,10 @@
   /**
    * Binds the socket.
    *
-   * @param received is called on threads of MINA's
+   * @param listener receives each decoded datagram on a MINA thread
    */
   DatagramTransport(
-      InetSocketAddress listenAddress, ExecutorService threads, Consumer<Datagram> received)
+      InetSocketAddress listenAddress, ExecutorService threads, Consumer<Datagram> listener)
       throws IOException {
     this.listenAddress = listenAddress;
     acceptor = new NioDatagramAcceptor(threads);
@@ -37,17 +37,17 @@
         new IoHandlerAdapter() {
           @Override
           public void messageReceived(IoSession session, Object message) {
-            decode((IoBuffer) message, received);
+            decode((IoBuffer) message, listener);
           }
         });
     acceptor.bind(listenAddress);
   }
 
-  private static void decode(IoBuffer in, Consumer<Datagram> received) {
+  private static void decode(IoBuffer in, Consumer<Datagram> listener) {
     byte[] bytes = new byte[in.remaining()];
     in.get(bytes);
     try {
-      received.accept(Datagram.parseFrom(bytes));
+      listener.accept(Datagram.parseFrom(bytes));
     } catch (InvalidProtocolBufferException e) {
       LOG.fine(() -> "mesh: datagram ignored: reason=" + e.getMessage());
     }
--- a/gateway/src/main/java/weldcross/mesh/net/FrameCodec.java
+++ b/gateway/src/main/java/weldcross/mesh/net/FrameCodec.java
@@ -14,12 +14,13 @@
 import weldcross.mesh.wire.Frame;
 
 /**
- * Frames on a stream: the length in four bytes, most significant first, then a Protocol Buffers
- * message. A frame that announces more than the maximum is rejected before it is buffered.
+ * Encodes and decodes frames on a stream: a four-byte big-endian length, followed by a Protocol
+ * Buffers message. A frame whose length exceeds the maximum is rejected before its body is
+ * buffered.
  */
 final class FrameCodec {
 
-  /** What a frame may take beyond the content of a message. */
+  /** Maximum size of a frame beyond the content of its message. */
   private static final int MAX_OVERHEAD_BYTES = 1 << 10;
 
   static final int MAX_FRAME_BYTES = MeshConfig.MAX_MESSAGE_BYTES + MAX_OVERHEAD_BYTES;
@@ -53,9 +54,9 @@
   }
 
   /**
-   * Reads one frame; empty where it is not complete yet.
+   * Reads one frame; empty if it is not complete yet.
    *
-   * @throws ProtocolDecoderException where the length is out of range or the body is no frame
+   * @throws ProtocolDecoderException if the length is out of range or the body is not a valid frame
    */
   static Optional<Frame> decode(IoBuffer in) throws ProtocolDecoderException {
     if (in.remaining() < Integer.BYTES) {
@@ -64,7 +65,7 @@
     int length = in.getInt(in.position());
     if (length < 0 || length > MAX_FRAME_BYTES) {
       throw new ProtocolDecoderException(
-          "frame length " + length + " is not within 0 to " + MAX_FRAME_BYTES);
+          "frame length " + length + " is outside the range 0 to " + MAX_FRAME_BYTES);
     }
     if (in.remaining() < Integer.BYTES + length) {
       return Optional.empty();
@@ -75,7 +76,7 @@
     try {
       return Optional.of(Frame.parseFrom(body));
     } catch (InvalidProtocolBufferException e) {
-      throw new ProtocolDecoderException("body of " + length + " bytes is no frame", e);
+      throw new ProtocolDecoderException("body of " + length + " bytes is not a valid frame", e);
     }
   }
 }
--- a/gateway/src/main/java/weldcross/mesh/net/FrameDispatcher.java
+++ b/gateway/src/main/java/weldcross/mesh/net/FrameDispatcher.java
@@ -4,7 +4,7 @@
 import weldcross.mesh.PeerConnectionManager;
 import weldcross.mesh.wire.Frame;
 
-/** Hands received frames to the connection manager, on the gateway's thread. */
+/** Passes received frames to the connection manager, on the gateway's event loop thread. */
 final class FrameDispatcher {
 
   private final PeerConnectionManager connections;
@@ -37,7 +37,7 @@
               frame.getMessage().getContent().asReadOnlyByteBuffer());
       case GOODBYE -> connections.onGoodbye(now, connection);
       default -> {
-        // A kind of a later version.
+        // Ignore frame kinds of later protocol versions.
       }
     }
   }
--- a/gateway/src/main/java/weldcross/mesh/net/HandshakeRejectionNames.java
+++ b/gateway/src/main/java/weldcross/mesh/net/HandshakeRejectionNames.java
@@ -5,8 +5,8 @@
 import weldcross.mesh.HandshakeRejection;
 
 /**
- * The names of handshake rejections on the wire. They are part of the protocol and stay as they are
- * whatever the constants of {@link HandshakeRejection} are called.
+ * The wire names of handshake rejections. They are part of the protocol and independent of the
+ * names of the {@link HandshakeRejection} constants.
  */
 final class HandshakeRejectionNames {
 
@@ -28,7 +28,10 @@
     return NAMES.get(rejection);
   }
 
-  /** The rejection of that name; a name of a later version counts as an unknown peer. */
+  /**
+   * The rejection with the given wire name; an unknown name, as sent by a later version, maps to
+   * {@link HandshakeRejection#UNKNOWN_PEER}.
+   */
   static HandshakeRejection rejectionOf(String name) {
     return REJECTIONS.getOrDefault(name, HandshakeRejection.UNKNOWN_PEER);
   }
--- a/gateway/src/main/java/weldcross/mesh/net/IncarnationStore.java
+++ b/gateway/src/main/java/weldcross/mesh/net/IncarnationStore.java
@@ -13,15 +13,15 @@
 import weldcross.storage.RecordLog;
 
 /**
- * Keeps this gateway's incarnation number on disk: one more at each start, and a higher one on
- * demand. A number is reported only once it is durable.
+ * Stores this gateway's incarnation number on disk. Each start increments the number, and {@link
+ * #storeAbove} raises it on demand. A number is reported only once it is durable.
  *
- * <p>While the disk fails no number is reported and the store tries again; a damaged log needs an
- * operator and is not tried again.
+ * <p>After a disk failure the store retries, and reports no number until a write succeeds. A
+ * corrupt log is not retried, as it needs an operator.
  */
 final class IncarnationStore implements AutoCloseable {
 
-  /** The name of the log's directory, which is part of the stored data. */
+  /** The name of the log directory; part of the storage format, so it must not change. */
   private static final String LOG_DIRECTORY = "link";
 
   private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
@@ -36,9 +36,9 @@
   private Optional<String> failure = Optional.empty();
 
   /**
-   * Creates a store that reads nothing before {@link #open}.
+   * Creates a store; performs no I/O before {@link #open}.
    *
-   * @param onStored is given each number once it is durable, on the gateway's thread
+   * @param onStored receives each number once it is durable, on the gateway's event loop thread
    */
   IncarnationStore(Path directory, ExtensionContext context, LongConsumer onStored) {
     this.context = context;
@@ -48,27 +48,30 @@
             directory.resolve(LOG_DIRECTORY), SEGMENT_BYTES, MAX_PENDING_WRITES, context::post);
   }
 
-  /** Reads the last number and stores the next one. */
+  /** Reads the last stored number and stores its successor. */
   void open() {
-    log.open(new LastNumberReader());
+    log.open(new IncarnationReader());
   }
 
-  /** Stores the next number above the given one. */
+  /** Stores the successor of the given number. */
   void storeAbove(long number) {
     store(number + 1);
   }
 
-  /** The latest durable number; zero before the first. */
+  /** The latest durable number; zero if none is durable yet. */
   long current() {
     return current;
   }
 
-  /** Why no number can be stored; empty where the disk works. */
+  /**
+   * Why the last attempt to store a number failed; empty if no attempt has failed since the last
+   * success.
+   */
   Optional<String> failure() {
     return failure;
   }
 
-  /** Writes that wait for the disk. */
+  /** The number of writes that are not durable yet. */
   int pendingWrites() {
     return log.queued();
   }
@@ -78,25 +81,25 @@
     log.close();
   }
 
-  private final class LastNumberReader implements AsyncRecordLog.OpenListener {
-    private long last;
+  private final class IncarnationReader implements AsyncRecordLog.OpenListener {
+    private long lastNumber;
 
     @Override
     public void snapshot(long upTo, ByteBuffer content) {
-      last = Math.max(last, content.getLong());
+      lastNumber = Math.max(lastNumber, content.getLong());
     }
 
     @Override
     public void record(long number, ByteBuffer content) {
-      last = Math.max(last, content.getLong());
+      lastNumber = Math.max(lastNumber, content.getLong());
     }
 
     @Override
-    public void opened(RecordLog.Recovered found) {
-      if (found.tornBytes() > 0) {
-        LOG.warning(() -> "mesh: torn end of log cut off: bytes=" + found.tornBytes());
+    public void opened(RecordLog.Recovered recovered) {
+      if (recovered.tornBytes() > 0) {
+        LOG.warning(() -> "mesh: torn log tail truncated: bytes=" + recovered.tornBytes());
       }
-      storeAbove(Math.max(last, current));
+      storeAbove(Math.max(lastNumber, current));
     }
 
     @Override
@@ -124,11 +127,11 @@
               }
             });
     if (!accepted) {
-      onFailure(new IOException("too many writes wait for the disk"));
+      onFailure(new IOException("too many pending writes"));
     }
   }
 
-  /** A snapshot of the number lets the log delete the records before it. */
+  /** Writes a snapshot of the number, so that the log can delete the earlier records. */
   private void compact(long recordNumber, long number) {
     boolean accepted =
         log.snapshot(
@@ -137,7 +140,7 @@
             new AsyncRecordLog.WriteListener() {
               @Override
               public void durable(long upTo) {
-                // Nothing depends on it: it only saves space.
+                // Nothing to do: the snapshot only saves space.
               }
 
               @Override
@@ -146,7 +149,7 @@
               }
             });
     if (!accepted) {
-      LOG.fine("mesh: snapshot skipped: reason=too many writes wait for the disk");
+      LOG.fine("mesh: snapshot skipped: reason=too many pending writes");
     }
   }
 
@@ -155,8 +158,8 @@
   }
 
   /**
-   * Without a durable number this gateway must not connect: peers would take it for its previous
-   * process. Serving goes on without the mesh.
+   * Without a durable number this gateway must not connect, because peers could not distinguish it
+   * from its previous process. Clients are served without the mesh.
    */
   private void onFailure(IOException cause) {
     boolean retry = !(cause instanceof CorruptLogException);
--- a/gateway/src/main/java/weldcross/mesh/net/MeshExtension.java
+++ b/gateway/src/main/java/weldcross/mesh/net/MeshExtension.java
@@ -22,14 +22,14 @@
 import weldcross.mesh.PeerName;
 
 /**
- * The mesh as an extension of a gateway: {@link PeerConnectionManager} decides, {@link
- * MinaMeshTransport} has the sockets, and {@link IncarnationStore} keeps the incarnation, which is
- * durable before any peer is connected. Other extensions send and receive through it, each under a
- * subject of its own.
+ * The gateway extension that runs the mesh. {@link PeerConnectionManager} manages the connections,
+ * {@link MinaMeshTransport} owns the sockets, and {@link IncarnationStore} stores the incarnation,
+ * which is durable before this gateway connects to any peer. Other extensions send and receive
+ * through it, each with its own subject.
  */
 public final class MeshExtension implements GatewayExtension, PeerConnectionListener {
 
-  /** The name of the table that configures the mesh, which users of the file know. */
+  /** The name of the configuration table of the mesh; part of the configuration format. */
   private static final String NAME = "link";
 
   private static final Logger LOG = Logger.getLogger(MeshExtension.class.getName());
@@ -47,10 +47,10 @@
   private RestartableTimer timer;
 
   /**
-   * Creates the extension, without any socket or file.
+   * Creates the extension; opens no socket or file before {@link #start}.
    *
-   * @param directory below which the incarnation is kept
-   * @param seed of the jitter of backoffs
+   * @param directory the directory under which the incarnation is stored
+   * @param seed seed of the backoff jitter
    */
   public MeshExtension(MeshConfig config, PeerAddresses addresses, Path directory, long seed) {
     this.config = config;
@@ -60,37 +60,40 @@
   }
 
   /**
-   * Adds the listener of a subject; called before the extension is started.
+   * Registers the listener of a subject; must be called before {@link #start}.
    *
-   * @param subject names the subsystem on the wire, the same on all gateways
+   * @param subject identifies the subsystem on the wire; the same on all gateways
    */
   public void subscribe(int subject, PeerListener listener) {
     listeners.put(subject, listener);
   }
 
   /** As {@link PeerConnectionManager#send}. */
-  public boolean send(PeerName to, int subject, ByteBuffer content, boolean mayBeLost) {
-    return connections.send(context.now(), to, subject, content, mayBeLost);
+  public boolean send(PeerName peer, int subject, ByteBuffer content, boolean droppable) {
+    return connections.send(context.now(), peer, subject, content, droppable);
   }
 
   /** As {@link PeerConnectionManager#sendDatagram}. */
-  public boolean sendDatagram(PeerName to, int subject, ByteBuffer content) {
-    return connections.sendDatagram(to, subject, content);
+  public boolean sendDatagram(PeerName peer, int subject, ByteBuffer content) {
+    return connections.sendDatagram(peer, subject, content);
   }
 
-  /** Takes a higher incarnation if others hold this one, or a later one, for dead. */
+  /**
+   * Raises this gateway's incarnation above one that other gateways have declared dead, unless it
+   * is higher already.
+   */
   public void raiseIncarnation(long deadIncarnation) {
     if (deadIncarnation >= incarnations.current()) {
       incarnations.storeAbove(deadIncarnation);
     }
   }
 
-  /** The connections to peers; not to be used before the extension is started. */
+  /** The connections to peers; available once the extension is started. */
   public PeerConnectionManager connections() {
     return connections;
   }
 
-  /** Why the incarnation cannot be stored; empty where the disk works. */
+  /** Why the incarnation cannot be stored; empty if the disk works. */
   public Optional<String> diskFailure() {
     return incarnations.failure();
   }
@@ -115,9 +118,9 @@
 
   private void onIncarnationStored(long number) {
     LOG.info(() -> "mesh: started: incarnation=" + number);
-    Incarnation self = new Incarnation(number, nonce);
-    connections.start(context.now(), self);
-    forEachListener(listener -> listener.onStarted(self));
+    Incarnation localIncarnation = new Incarnation(number, nonce);
+    connections.start(context.now(), localIncarnation);
+    forEachListener(listener -> listener.onStarted(localIncarnation));
   }
 
   @Override
@@ -190,7 +193,7 @@
                 + incarnations.current()
                 + " knownToPeers="
                 + knownIncarnation
-                + " reason=the disk lost what it had confirmed");
+                + " reason=the disk lost a confirmed write");
     incarnations.storeAbove(knownIncarnation);
   }
 
--- a/gateway/src/main/java/weldcross/mesh/net/MeshMessages.java
+++ b/gateway/src/main/java/weldcross/mesh/net/MeshMessages.java
@@ -15,7 +15,7 @@
 import weldcross.mesh.wire.IncarnationId;
 import weldcross.mesh.wire.Message;
 
-/** Builds and reads the Protocol Buffers messages of the mesh for one gateway. */
+/** Encodes and decodes the Protocol Buffers messages of the mesh for one gateway. */
 final class MeshMessages {
 
   private final MeshConfig config;
@@ -24,7 +24,7 @@
     this.config = config;
   }
 
-  Frame handshakeRequest(PeerName to, Incarnation self) {
+  Frame handshakeRequest(PeerName to, Incarnation localIncarnation) {
     return Frame.newBuilder()
         .setHandshakeRequest(
             weldcross.mesh.wire.HandshakeRequest.newBuilder()
@@ -32,16 +32,16 @@
                 .setCluster(config.cluster())
                 .setFrom(config.self().name())
                 .setTo(to.name())
-                .setIncarnation(encode(self)))
+                .setIncarnation(encode(localIncarnation)))
         .build();
   }
 
-  static Frame handshakeResponse(Incarnation self) {
+  static Frame handshakeResponse(Incarnation localIncarnation) {
     return Frame.newBuilder()
         .setHandshakeResponse(
             HandshakeResponse.newBuilder()
                 .setVersion(MeshConfig.PROTOCOL_VERSION)
-                .setIncarnation(encode(self)))
+                .setIncarnation(encode(localIncarnation)))
         .build();
   }
 
@@ -76,12 +76,12 @@
     return Frame.newBuilder().setGoodbye(true).build();
   }
 
-  Datagram datagram(Incarnation self, int subject, ByteBuffer content) {
+  Datagram datagram(Incarnation localIncarnation, int subject, ByteBuffer content) {
     return Datagram.newBuilder()
         .setVersion(MeshConfig.PROTOCOL_VERSION)
         .setCluster(config.cluster())
         .setFrom(config.self().name())
-        .setIncarnation(encode(self))
+        .setIncarnation(encode(localIncarnation))
         .setSubject(subject)
         .setContent(ByteString.copyFrom(content.duplicate()))
         .build();
@@ -100,7 +100,7 @@
     return new Incarnation(incarnation.getNumber(), incarnation.getNonce());
   }
 
-  static DatagramHeader header(Datagram datagram) {
+  static DatagramHeader decodeHeader(Datagram datagram) {
     return new DatagramHeader(
         datagram.getCluster(),
         new PeerName(datagram.getFrom()),
--- a/gateway/src/main/java/weldcross/mesh/net/MinaMeshTransport.java
+++ b/gateway/src/main/java/weldcross/mesh/net/MinaMeshTransport.java
@@ -37,8 +37,8 @@
 import weldcross.mesh.wire.Frame;
 
 /**
- * The sockets of the mesh, on Apache MINA. Its methods are called on the gateway's thread; MINA's
- * threads only decode what comes and post it there.
+ * The sockets of the mesh, implemented with Apache MINA. Its methods are called on the gateway's
+ * event loop thread; MINA threads only decode received data and post it to that thread.
  */
 final class MinaMeshTransport implements PeerTransport {
 
@@ -54,18 +54,18 @@
   private final ExecutorService threads;
   private final NioSocketAcceptor acceptor;
   private final NioSocketConnector connector;
-  private final CancellableConnector connects;
+  private final CancellableConnector pendingConnects;
   private final Map<Long, IoSession> sessions = new ConcurrentHashMap<>();
 
-  /** The hosts on which peers listen: connections from other hosts are rejected. */
+  /** The hosts on which peers listen; connections from other hosts are rejected. */
   private final Set<InetAddress> peerHosts;
 
-  private final List<WriteFuture> goodbyes = new ArrayList<>();
+  private final List<WriteFuture> goodbyeWrites = new ArrayList<>();
   private PeerConnectionManager connections;
   private Optional<DatagramTransport> datagrams = Optional.empty();
 
-  /** The number of the connection accepted last; written by MINA's acceptor thread alone. */
-  private long lastAccepted;
+  /** The number of the last accepted connection; accessed only by one MINA thread. */
+  private long lastAcceptedNumber;
 
   MinaMeshTransport(MeshConfig config, PeerAddresses addresses, ExtensionContext context) {
     this.config = config;
@@ -80,7 +80,7 @@
     processor = new SimpleIoProcessorPool<>(NioProcessor.class, threads, 1, null);
     acceptor = new NioSocketAcceptor(threads, processor);
     connector = new NioSocketConnector(threads, processor);
-    connects = new CancellableConnector(connector);
+    pendingConnects = new CancellableConnector(connector);
   }
 
   private static Thread newThread(Runnable task) {
@@ -90,9 +90,9 @@
   }
 
   /**
-   * Listens for peers and reports to the manager from now on.
+   * Starts listening and reports network events to the manager.
    *
-   * @throws IllegalStateException where an address cannot be bound
+   * @throws IllegalStateException if an address cannot be bound
    */
   void start(PeerConnectionManager manager) {
     connections = manager;
@@ -121,12 +121,13 @@
     session.setMaxReadBufferSize(MAX_READ_BUFFER_BYTES);
   }
 
-  /** Closes all sockets; goodbyes have the connect timeout to go out. */
+  /** Closes all sockets after waiting up to the connect timeout for the goodbyes to be written. */
   void stop() {
     long deadline = System.nanoTime() + config.connectTimeout().toNanos();
-    for (WriteFuture goodbye : goodbyes) {
+    for (WriteFuture goodbyeWrite : goodbyeWrites) {
       long remaining = Math.max(0, deadline - System.nanoTime());
-      goodbye.awaitUninterruptibly(TimeUnit.NANOSECONDS.toMillis(remaining), TimeUnit.MILLISECONDS);
+      goodbyeWrite.awaitUninterruptibly(
+          TimeUnit.NANOSECONDS.toMillis(remaining), TimeUnit.MILLISECONDS);
     }
     acceptor.dispose();
     connector.dispose();
@@ -134,11 +135,11 @@
     processor.dispose();
   }
 
-  // ---- Effects
+  // ---- PeerTransport
 
   @Override
   public void connect(long connection, PeerName to) {
-    connects.connect(
+    pendingConnects.connect(
         connection,
         addresses.connectAddresses().get(to),
         session -> addSession(session, connection),
@@ -149,13 +150,13 @@
     context.at(
         context.now().plus(config.connectTimeout()),
         () -> {
-          if (connects.cancel(connection)) {
+          if (pendingConnects.cancel(connection)) {
             connections.onConnectFailed(context.now(), connection, false);
           }
         });
   }
 
-  /** The JDK tells a refusal from other failures by the message alone. */
+  /** The JDK distinguishes a refused connect from other failures only by the exception message. */
   private static boolean isRefusal(Throwable cause) {
     return cause instanceof ConnectException
         && String.valueOf(cause.getMessage()).contains("refused");
@@ -167,13 +168,13 @@
   }
 
   @Override
-  public void sendHandshakeRequest(long connection, PeerName to, Incarnation self) {
-    send(connection, messages.handshakeRequest(to, self));
+  public void sendHandshakeRequest(long connection, PeerName to, Incarnation localIncarnation) {
+    send(connection, messages.handshakeRequest(to, localIncarnation));
   }
 
   @Override
-  public void sendHandshakeResponse(long connection, Incarnation self) {
-    send(connection, MeshMessages.handshakeResponse(self));
+  public void sendHandshakeResponse(long connection, Incarnation localIncarnation) {
+    send(connection, MeshMessages.handshakeResponse(localIncarnation));
   }
 
   @Override
@@ -198,19 +199,19 @@
     int bytes = content.remaining();
     send(connection, MeshMessages.message(subject, content))
         .ifPresent(
-            written ->
-                written.addListener(
+            write ->
+                write.addListener(
                     future -> context.post(() -> connections.onWritten(connection, bytes))));
   }
 
   @Override
   public void sendGoodbye(long connection) {
-    send(connection, MeshMessages.goodbye()).ifPresent(goodbyes::add);
+    send(connection, MeshMessages.goodbye()).ifPresent(goodbyeWrites::add);
   }
 
   @Override
   public void close(long connection) {
-    connects.cancel(connection);
+    pendingConnects.cancel(connection);
     IoSession session = sessions.remove(connection);
     if (session != null) {
       session.closeNow();
@@ -226,27 +227,28 @@
   }
 
   @Override
-  public void sendDatagram(PeerName to, Incarnation self, int subject, ByteBuffer content) {
+  public void sendDatagram(
+      PeerName to, Incarnation localIncarnation, int subject, ByteBuffer content) {
     InetSocketAddress address = addresses.datagramAddresses().get(to);
     if (address != null) {
       datagrams.ifPresent(
-          socket -> socket.send(address, messages.datagram(self, subject, content)));
+          socket -> socket.send(address, messages.datagram(localIncarnation, subject, content)));
     }
   }
 
-  /** Empty where the connection has ended. */
+  /** Writes a frame; empty if the connection has ended. */
   private Optional<WriteFuture> send(long connection, Frame frame) {
     return Optional.ofNullable(sessions.get(connection)).map(session -> session.write(frame));
   }
 
-  // ---- Events, on threads of MINA's
+  // ---- Network events, on MINA threads
 
   private void onDatagram(Datagram datagram) {
     context.post(
         () ->
             connections.onDatagram(
                 context.now(),
-                MeshMessages.header(datagram),
+                MeshMessages.decodeHeader(datagram),
                 datagram.getSubject(),
                 datagram.getContent().asReadOnlyByteBuffer()));
   }
@@ -259,16 +261,19 @@
 
     @Override
     public void sessionCreated(IoSession session) {
-      addSession(session, ++lastAccepted);
+      addSession(session, ++lastAcceptedNumber);
     }
 
     @Override
     public void sessionOpened(IoSession session) {
-      InetSocketAddress caller = (InetSocketAddress) session.getRemoteAddress();
-      boolean fromPeerHost = peerHosts.contains(caller.getAddress());
+      InetSocketAddress remoteAddress = (InetSocketAddress) session.getRemoteAddress();
+      boolean fromPeerHost = peerHosts.contains(remoteAddress.getAddress());
       if (!fromPeerHost) {
         LOG.info(
-            () -> "mesh: connection rejected: address=" + caller + " reason=not a peer's host");
+            () ->
+                "mesh: connection rejected: address="
+                    + remoteAddress
+                    + " reason=address is not a peer's host");
       }
       post(session, connection -> connections.onAccepted(context.now(), connection, fromPeerHost));
     }
--- a/gateway/src/main/java/weldcross/mesh/net/PeerListener.java
+++ b/gateway/src/main/java/weldcross/mesh/net/PeerListener.java
@@ -7,14 +7,14 @@
 import weldcross.mesh.PeerConnectionListener;
 import weldcross.mesh.PeerName;
 
-/** A subsystem that sends and receives messages under a subject of the mesh. */
+/** Receives the messages and connection events of one subsystem that communicates over the mesh. */
 public interface PeerListener {
 
-  /** A message or datagram of the same subsystem of another gateway. */
+  /** A message or datagram was received from the same subsystem of another gateway. */
   void onMessage(PeerName from, Incarnation incarnation, ByteBuffer content);
 
-  /** This gateway takes part in the mesh under this incarnation from now on. */
-  default void onStarted(Incarnation self) {}
+  /** This gateway has joined the mesh with this incarnation. */
+  default void onStarted(Incarnation localIncarnation) {}
 
   /** As {@link PeerConnectionListener#connectionUp}. */
   default void onConnectionUp(PeerName peer, Incarnation incarnation) {}
--- a/gateway/src/main/java/weldcross/mesh/net/PeerSessionHandler.java
+++ b/gateway/src/main/java/weldcross/mesh/net/PeerSessionHandler.java
@@ -12,13 +12,13 @@
 import weldcross.mesh.wire.Frame;
 
 /**
- * Hands the events of MINA sessions to the connection manager, on the gateway's thread. A session
- * of which too many frames wait there is not read on until half of them are done, so that its peer
- * is slowed down by the network.
+ * Passes the events of MINA sessions to the connection manager, on the gateway's event loop thread.
+ * Reading from a session is suspended while too many of its frames are pending, and resumed once
+ * half of them are dispatched, so that TCP flow control slows the peer down.
  */
 class PeerSessionHandler extends IoHandlerAdapter {
 
-  /** Frames of one session that were read and are not yet dispatched. */
+  /** Maximum number of frames of one session that were read and are not yet dispatched. */
   private static final int MAX_PENDING_FRAMES = 1024;
 
   private static final Logger LOG = Logger.getLogger(PeerSessionHandler.class.getName());
@@ -30,30 +30,31 @@
   private final ExtensionContext context;
   private final PeerConnectionManager connections;
   private final FrameDispatcher dispatcher;
-  private final LongConsumer forgetSession;
+  private final LongConsumer sessionRemover;
 
   /**
    * Creates a handler.
    *
-   * @param forgetSession is given the number of each closed connection, on the gateway's thread
+   * @param sessionRemover receives the number of each closed connection, on the gateway's event
+   *     loop thread
    */
   PeerSessionHandler(
-      ExtensionContext context, PeerConnectionManager connections, LongConsumer forgetSession) {
+      ExtensionContext context, PeerConnectionManager connections, LongConsumer sessionRemover) {
     this.context = context;
     this.connections = connections;
     this.dispatcher = new FrameDispatcher(connections);
-    this.forgetSession = forgetSession;
+    this.sessionRemover = sessionRemover;
   }
 
-  /** Names the session's connection; called before any other event of the session. */
+  /** Assigns the connection number to the session; called before any other event of the session. */
   static void setConnection(IoSession session, long connection) {
     session.setAttribute(CONNECTION, connection);
   }
 
-  /** Runs an event of the session's connection on the gateway's thread. */
-  final void post(IoSession session, LongConsumer event) {
+  /** Runs an action with the session's connection number on the gateway's event loop thread. */
+  final void post(IoSession session, LongConsumer action) {
     long connection = (Long) session.getAttribute(CONNECTION);
-    context.post(() -> event.accept(connection));
+    context.post(() -> action.accept(connection));
   }
 
   @Override
@@ -87,7 +88,7 @@
     post(
         session,
         connection -> {
-          forgetSession.accept(connection);
+          sessionRemover.accept(connection);
           connections.onClosed(context.now(), connection);
         });
   }
--- a/gateway/src/main/java/weldcross/mesh/net/package-info.java
+++ b/gateway/src/main/java/weldcross/mesh/net/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The sockets of the mesh on Apache MINA, its frames as Protocol Buffers, and the record log that
- * keeps this gateway's incarnation.
+ * Network and storage of the mesh: sockets on Apache MINA, frames encoded with Protocol Buffers,
+ * and the record log that stores this gateway's incarnation.
  */
 package weldcross.mesh.net;
