--- a/gateway/src/test/java/weldcross/mesh/InboundConnectionsTest.java
+++ b/gateway/src/test/java/weldcross/mesh/InboundConnectionsTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** One peer; a handshake has 200 ms, an established connection is silent for at most 400 ms. */
+/** One peer, a connect timeout of 200 ms for the handshake and a heartbeat timeout of 400 ms. */
 class InboundConnectionsTest {
 
   private static final PeerName PEER_NAME = new PeerName("peer");
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void thirdConnectionOfOnePeerIsClosed() {
+  void connectionAboveTheLimitIsClosed() {
     assertTrue(connections.accept(millis(0), 1));
     assertTrue(connections.accept(millis(0), 2));
     assertFalse(connections.accept(millis(0), 3));
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void laterConnectionTakesThePlaceOfTheEstablishedOne() {
+  void laterConnectionReplacesTheEstablishedOne() {
     establish(millis(0), 1, FIRST);
     establish(millis(0), 2, FIRST);
     assertEquals(List.of("close 1"), transport.takeCalls());
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void endOfAReplacedConnectionLeavesTheEstablishedOne() {
+  void closeOfAReplacedConnectionKeepsTheEstablishedOne() {
     establish(millis(0), 1, FIRST);
     establish(millis(0), 2, FIRST);
     assertEquals(Optional.empty(), connections.remove(1, DisconnectReason.CONNECTION_CLOSED));
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void callerWithoutAHandshakeExpiresAfterTheConnectTimeout() {
+  void connectionWithoutAHandshakeExpiresAfterTheConnectTimeout() {
     connections.accept(millis(0), 1);
     assertEquals(Optional.of(millis(200)), connections.nextDeadline());
     connections.onTimer(millis(199));
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void establishedConnectionExpiresAfterTheHeartbeatTimeoutOfSilence() {
+  void establishedConnectionExpiresAfterTheHeartbeatTimeout() {
     establish(millis(0), 1, FIRST);
     connections.find(1).orElseThrow().markReceived(millis(300));
     assertEquals(Optional.of(millis(700)), connections.nextDeadline());
--- a/gateway/src/test/java/weldcross/mesh/MeshExtensionTest.java
+++ b/gateway/src/test/java/weldcross/mesh/MeshExtensionTest.java
@@ -38,41 +38,44 @@
 import weldcross.mesh.wire.HandshakeResponse;
 import weldcross.mesh.wire.Message;
 
-/** Two gateways' meshes on real sockets and a real directory. */
+/** The mesh extensions of two gateways, on loopback sockets and temporary directories. */
 @Timeout(60)
 class MeshExtensionTest {
 
   private static final PeerName ONE = new PeerName("n1");
   private static final PeerName TWO = new PeerName("n2");
   private static final int SUBJECT = 7;
-  private static final int STRANGER_TIMEOUT_MILLIS = 10_000;
-  private static final Set<Integer> PORTS_TAKEN = new HashSet<>();
+  private static final int SOCKET_TIMEOUT_MILLIS = 10_000;
+  private static final Set<Integer> ALLOCATED_PORTS = new HashSet<>();
 
-  @TempDir private Path folder;
+  @TempDir private Path directory;
   private final Map<PeerName, InetSocketAddress> addresses = new HashMap<>();
   private final Map<PeerName, MeshExtension> meshes = new HashMap<>();
   private final Map<PeerName, StandaloneEventLoop> loops = new HashMap<>();
   private final List<String> events = new CopyOnWriteArrayList<>();
 
   @BeforeEach
-  void startBoth() throws IOException {
-    for (PeerName each : List.of(ONE, TWO)) {
-      addresses.put(each, freeAddress());
+  void startGateways() throws IOException {
+    for (PeerName gateway : List.of(ONE, TWO)) {
+      addresses.put(gateway, freeAddress());
     }
     start(ONE);
     start(TWO);
     await(() -> events.contains("n1 up n2 1") && events.contains("n2 up n1 1"));
   }
 
-  /** Below the ephemeral ports, one of which a client could take before it is listened on. */
+  /**
+   * Chosen below the ephemeral port range, so that no outgoing connection can use the port before
+   * the gateway binds it.
+   */
   private static InetSocketAddress freeAddress() throws IOException {
     for (int port = 12_000 + (int) (ProcessHandle.current().pid() % 8000); ; port++) {
       try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
-        if (PORTS_TAKEN.add(port)) {
+        if (ALLOCATED_PORTS.add(port)) {
           return (InetSocketAddress) socket.getLocalSocketAddress();
         }
       } catch (BindException e) {
-        // Another process has this port.
+        // The port is in use by another process.
       }
     }
   }
@@ -91,7 +94,7 @@
         8 << 20);
   }
 
-  /** Notes all that one gateway is told. */
+  /** Records the events reported to one gateway. */
   private final class RecordingListener implements PeerListener {
     private final PeerName self;
 
@@ -121,7 +124,7 @@
         new MeshExtension(
             config(self, self.equals(ONE) ? TWO : ONE),
             new PeerAddresses(address, Optional.of(address), addresses, addresses),
-            folder.resolve(self.name()),
+            directory.resolve(self.name()),
             1);
     mesh.subscribe(SUBJECT, new RecordingListener(self));
     StandaloneEventLoop loop = StandaloneEventLoop.start(self.name());
@@ -141,7 +144,7 @@
   }
 
   @AfterEach
-  void stopBoth() {
+  void stopGateways() {
     meshes.keySet().forEach(this::stop);
     await(() -> loops.values().stream().allMatch(StandaloneEventLoop::isStopped));
   }
@@ -149,7 +152,7 @@
   private static void await(BooleanSupplier condition) {
     long deadline = System.nanoTime() + Duration.ofSeconds(20).toNanos();
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < deadline, "in time");
+      assertTrue(System.nanoTime() < deadline, "condition not met within 20 s");
       Thread.onSpinWait();
     }
   }
@@ -163,19 +166,19 @@
     return events.stream().filter(event -> event.startsWith(prefix)).toList();
   }
 
-  private Socket openStranger() throws IOException {
-    Socket stranger = new Socket(addresses.get(ONE).getAddress(), addresses.get(ONE).getPort());
-    stranger.setSoTimeout(STRANGER_TIMEOUT_MILLIS);
-    return stranger;
+  private Socket openRawConnection() throws IOException {
+    Socket connection = new Socket(addresses.get(ONE).getAddress(), addresses.get(ONE).getPort());
+    connection.setSoTimeout(SOCKET_TIMEOUT_MILLIS);
+    return connection;
   }
 
   @Test
-  void messagesArriveWholeAndInOrderAndDatagramsArrive() {
+  void messagesArriveCompleteAndInOrderAndDatagramsArrive() {
     List<String> expected = new ArrayList<>();
-    for (int k = 0; k < 100; k++) {
-      int size = k % 10 == 9 ? 200_000 : 10 + k;
-      send(ONE, TWO, k, size);
-      expected.add("n2 received " + k + " of " + size);
+    for (int number = 0; number < 100; number++) {
+      int size = number % 10 == 9 ? 200_000 : 10 + number;
+      send(ONE, TWO, number, size);
+      expected.add("n2 received " + number + " of " + size);
     }
     await(() -> eventsStartingWith("n2 received").size() == 100);
     assertEquals(expected, eventsStartingWith("n2 received"));
@@ -184,7 +187,7 @@
     await(() -> events.contains("n1 received 77 of 8"));
   }
 
-  private static weldcross.mesh.wire.HandshakeRequest requestOfALaterVersion() {
+  private static weldcross.mesh.wire.HandshakeRequest requestOfUnsupportedVersion() {
     return weldcross.mesh.wire.HandshakeRequest.newBuilder()
         .setVersion(99)
         .setCluster("c")
@@ -194,25 +197,25 @@
   }
 
   @Test
-  void invalidFramesEndTheirConnectionAndNoOther() throws IOException {
+  void invalidFramesCloseOnlyTheirOwnConnection() throws IOException {
     byte[][] invalid = {
       "GET / HTTP/1.1\r\n\r\n".getBytes(UTF_8),
       {0x7f, 0, 0, 0},
       {(byte) 0xff, 0, 0, 0, 1},
       {0, 0, 0, 3, 9, 9, 9},
-      framed(Frame.newBuilder().setHeartbeat(1)),
-      framed(Frame.newBuilder().setHandshakeResponse(HandshakeResponse.getDefaultInstance())),
-      framed(Frame.newBuilder().setMessage(Message.newBuilder().setSubject(SUBJECT))),
-      framed(Frame.newBuilder().setHandshakeRequest(requestOfALaterVersion()))
+      encodeFrame(Frame.newBuilder().setHeartbeat(1)),
+      encodeFrame(Frame.newBuilder().setHandshakeResponse(HandshakeResponse.getDefaultInstance())),
+      encodeFrame(Frame.newBuilder().setMessage(Message.newBuilder().setSubject(SUBJECT))),
+      encodeFrame(Frame.newBuilder().setHandshakeRequest(requestOfUnsupportedVersion()))
     };
-    for (byte[] each : invalid) {
-      try (Socket stranger = openStranger()) {
-        stranger.getOutputStream().write(each);
-        while (stranger.getInputStream().read() >= 0) {
-          // Until the gateway closes the connection.
+    for (byte[] bytes : invalid) {
+      try (Socket connection = openRawConnection()) {
+        connection.getOutputStream().write(bytes);
+        while (connection.getInputStream().read() >= 0) {
+          // Read until the gateway closes the connection.
         }
       } catch (SocketException e) {
-        // A reset closes it as well.
+        // A connection reset is a valid way to close it, too.
       }
     }
     try (DatagramSocket socket = new DatagramSocket()) {
@@ -224,10 +227,11 @@
   }
 
   @Test
-  void laterVersionIsRejectedWithTheNewestSupportedAndUnknownFieldsAreIgnored() throws IOException {
-    try (Socket stranger = openStranger()) {
-      byte[] request = requestOfALaterVersion().toByteArray();
-      // Field 1 is the request; field 90 is in no schema.
+  void unsupportedVersionIsRejectedWithTheNewestSupportedOneAndUnknownFieldsAreIgnored()
+      throws IOException {
+    try (Socket connection = openRawConnection()) {
+      byte[] request = requestOfUnsupportedVersion().toByteArray();
+      // Field 1 is the request; field 90 does not exist in the schema.
       byte[] body =
           ByteBuffer.allocate(request.length + 5)
               .put((byte) 0x0a)
@@ -237,29 +241,30 @@
               .put((byte) 0x05)
               .put((byte) 1)
               .array();
-      stranger.getOutputStream().write(framed(body));
-      DataInputStream in = new DataInputStream(stranger.getInputStream());
-      Frame answer = Frame.parseFrom(in.readNBytes(in.readInt()));
-      assertEquals("VERSION", answer.getHandshakeRejected().getReason());
-      assertEquals(MeshConfig.PROTOCOL_VERSION, answer.getHandshakeRejected().getNewestVersion());
+      connection.getOutputStream().write(encodeFrame(body));
+      DataInputStream in = new DataInputStream(connection.getInputStream());
+      Frame response = Frame.parseFrom(in.readNBytes(in.readInt()));
+      assertEquals("VERSION", response.getHandshakeRejected().getReason());
+      assertEquals(MeshConfig.PROTOCOL_VERSION, response.getHandshakeRejected().getNewestVersion());
     }
   }
 
-  private static byte[] framed(Frame.Builder frame) {
-    return framed(frame.build().toByteArray());
+  private static byte[] encodeFrame(Frame.Builder frame) {
+    return encodeFrame(frame.build().toByteArray());
   }
 
-  private static byte[] framed(byte[] body) {
+  private static byte[] encodeFrame(byte[] body) {
     return ByteBuffer.allocate(Integer.BYTES + body.length).putInt(body.length).put(body).array();
   }
 
   @Test
-  void restartedGatewayHasAHigherIncarnationAndItsStopWasAnnounced() {
-    StandaloneEventLoop before = loops.get(TWO);
+  void stoppedGatewaySendsAGoodbyeAndRestartsWithAHigherIncarnation() {
+    StandaloneEventLoop stoppedLoop = loops.get(TWO);
     stop(TWO);
     await(() -> events.contains("n1 down n2 GOODBYE"));
-    // The goodbye goes out before the address is free, and the next process has to bind it.
-    await(before::isStopped);
+    // The goodbye is sent before the address is released, and the restarted gateway binds the same
+    // address.
+    await(stoppedLoop::isStopped);
     start(TWO);
     await(() -> events.contains("n1 up n2 2"));
   }
--- a/gateway/src/test/java/weldcross/mesh/MeshSimulation.java
+++ b/gateway/src/test/java/weldcross/mesh/MeshSimulation.java
@@ -18,9 +18,9 @@
 import java.util.function.Consumer;
 
 /**
- * The connection managers of several gateways over a network in memory, with time moved by hand.
- * Each connection is two queues of frames that keep their order, and can be delayed, swallowed or
- * reset. Checks each received message as it comes.
+ * Simulates the connection managers of several gateways on an in-memory network with simulated
+ * time. Each connection consists of one ordered frame queue per direction; its frames can be
+ * delayed or dropped, and the connection can be reset. Each received message is checked on arrival.
  */
 final class MeshSimulation {
 
@@ -42,12 +42,12 @@
         400);
   }
 
-  /** One end of a connection, and the frames on their way to it. */
+  /** One end of a connection, and the frames in transit to it. */
   static final class Endpoint {
     final Node node;
     final long number;
     Endpoint other;
-    final ArrayDeque<Consumer<PeerConnectionManager>> inbox = new ArrayDeque<>();
+    final ArrayDeque<Consumer<PeerConnectionManager>> framesInTransit = new ArrayDeque<>();
     boolean open = true;
 
     Endpoint(Node node, long number) {
@@ -56,7 +56,7 @@
     }
   }
 
-  /** One gateway, through its restarts. */
+  /** One gateway across its restarts. */
   final class Node implements PeerTransport, PeerConnectionListener {
     final PeerName name;
     PeerConnectionManager manager;
@@ -81,57 +81,61 @@
     private void write(long connection, Consumer<PeerConnectionManager> frame) {
       Endpoint end = endpoints.get(connection);
       if (end != null && end.open && end.other != null && !isCut(name, end.other.node.name)) {
-        end.other.inbox.add(frame);
+        end.other.framesInTransit.add(frame);
       }
     }
 
-    /** The number that the other gateway has for the connection; zero where there is none. */
-    private long numberThere(long connection) {
+    /** The connection's number at the remote gateway; zero if there is none. */
+    private long remoteNumber(long connection) {
       Endpoint end = endpoints.get(connection);
       return end == null || end.other == null ? 0 : end.other.number;
     }
 
     @Override
-    public void sendHandshakeRequest(long connection, PeerName to, Incarnation self) {
-      long there = numberThere(connection);
+    public void sendHandshakeRequest(long connection, PeerName to, Incarnation localIncarnation) {
+      long remoteConnection = remoteNumber(connection);
       HandshakeRequest request =
-          new HandshakeRequest("c", name, to, self, MeshConfig.PROTOCOL_VERSION);
-      write(connection, receiver -> receiver.onHandshakeRequest(now, there, request));
+          new HandshakeRequest("c", name, to, localIncarnation, MeshConfig.PROTOCOL_VERSION);
+      write(connection, receiver -> receiver.onHandshakeRequest(now, remoteConnection, request));
     }
 
     @Override
-    public void sendHandshakeResponse(long connection, Incarnation self) {
-      long there = numberThere(connection);
-      write(connection, receiver -> receiver.onHandshakeResponse(now, there, self));
+    public void sendHandshakeResponse(long connection, Incarnation localIncarnation) {
+      long remoteConnection = remoteNumber(connection);
+      write(
+          connection,
+          receiver -> receiver.onHandshakeResponse(now, remoteConnection, localIncarnation));
     }
 
     @Override
     public void sendHandshakeRejection(long connection, HandshakeRejection reason, long known) {
-      long there = numberThere(connection);
-      write(connection, receiver -> receiver.onHandshakeRejection(now, there, reason, known));
+      long remoteConnection = remoteNumber(connection);
+      write(
+          connection,
+          receiver -> receiver.onHandshakeRejection(now, remoteConnection, reason, known));
     }
 
     @Override
     public void sendHeartbeat(long connection, long sequence) {
-      long there = numberThere(connection);
-      write(connection, receiver -> receiver.onHeartbeat(now, there, sequence));
+      long remoteConnection = remoteNumber(connection);
+      write(connection, receiver -> receiver.onHeartbeat(now, remoteConnection, sequence));
     }
 
     @Override
     public void sendHeartbeatAck(long connection, long sequence) {
-      long there = numberThere(connection);
-      write(connection, receiver -> receiver.onHeartbeatAck(now, there, sequence));
+      long remoteConnection = remoteNumber(connection);
+      write(connection, receiver -> receiver.onHeartbeatAck(now, remoteConnection, sequence));
     }
 
     @Override
     public void sendMessage(long connection, int subject, ByteBuffer content) {
-      long there = numberThere(connection);
+      long remoteConnection = remoteNumber(connection);
       ByteBuffer copy = content.duplicate();
-      write(connection, receiver -> receiver.onMessage(now, there, subject, copy));
+      write(connection, receiver -> receiver.onMessage(now, remoteConnection, subject, copy));
       Endpoint end = endpoints.get(connection);
       int bytes = content.remaining();
-      if (networkTakesBytes && end != null) {
-        later.add(
+      if (networkWritesBytes && end != null) {
+        deferredActions.add(
             () -> {
               if (end.open && end.node.endpoints.get(connection) == end) {
                 manager.onWritten(connection, bytes);
@@ -142,8 +146,8 @@
 
     @Override
     public void sendGoodbye(long connection) {
-      long there = numberThere(connection);
-      write(connection, receiver -> receiver.onGoodbye(now, there));
+      long remoteConnection = remoteNumber(connection);
+      write(connection, receiver -> receiver.onGoodbye(now, remoteConnection));
     }
 
     @Override
@@ -153,14 +157,14 @@
         return;
       }
       end.open = false;
-      end.inbox.clear();
+      end.framesInTransit.clear();
       if (end.other != null && end.other.open && !isCut(name, end.other.node.name)) {
-        Endpoint there = end.other;
-        there.inbox.add(
+        Endpoint remote = end.other;
+        remote.framesInTransit.add(
             receiver -> {
-              there.open = false;
-              there.node.endpoints.remove(there.number);
-              receiver.onClosed(now, there.number);
+              remote.open = false;
+              remote.node.endpoints.remove(remote.number);
+              receiver.onClosed(now, remote.number);
             });
       }
     }
@@ -171,8 +175,9 @@
     }
 
     @Override
-    public void sendDatagram(PeerName to, Incarnation self, int subject, ByteBuffer content) {
-      throw new AssertionError("no datagrams are sent here");
+    public void sendDatagram(
+        PeerName to, Incarnation localIncarnation, int subject, ByteBuffer content) {
+      throw new AssertionError("unexpected datagram");
     }
 
     @Override
@@ -180,25 +185,28 @@
       wakeAt = when;
     }
 
-    /** Messages come from the latest incarnation known, and in the order they were sent. */
+    /**
+     * Checks that messages come from the latest known incarnation, in the order in which they were
+     * sent.
+     */
     @Override
     public void messageReceived(
         PeerName from, Incarnation sender, int subject, ByteBuffer content) {
-      Incarnation before = lastIncarnation.get(from);
+      Incarnation previous = lastIncarnation.get(from);
       assertEquals(
           Optional.of(sender),
           manager.incarnationOf(from),
           name + " knows a later incarnation of " + from);
-      if (before != null) {
+      if (previous != null) {
         assertTrue(
-            sender.number() >= before.number(),
-            name + " received from " + from + " of " + sender + " after " + before);
+            sender.number() >= previous.number(),
+            name + " received from " + from + " of " + sender + " after " + previous);
         assertTrue(
-            sender.number() > before.number() || sender.nonce() == before.nonce(),
-            "two processes under one incarnation: " + sender + " after " + before);
+            sender.number() > previous.number() || sender.nonce() == previous.nonce(),
+            "two processes under one incarnation: " + sender + " after " + previous);
       }
       long number = content.duplicate().getLong();
-      if (sender.equals(before)) {
+      if (sender.equals(previous)) {
         assertTrue(
             number > lastReceived.get(from),
             name + " received " + number + " of " + from + " after " + lastReceived.get(from));
@@ -209,8 +217,8 @@
     }
 
     @Override
-    public void connectionUp(PeerName peer, Incarnation there) {
-      events.add("up " + peer + " " + there.number());
+    public void connectionUp(PeerName peer, Incarnation remoteIncarnation) {
+      events.add("up " + peer + " " + remoteIncarnation.number());
     }
 
     @Override
@@ -227,30 +235,33 @@
     public void localIncarnationOutdated(long known) {
       events.add("outdated by " + known);
       incarnation = new Incarnation(known + 1, incarnation.nonce());
-      later.add(() -> manager.start(now, incarnation));
+      deferredActions.add(() -> manager.start(now, incarnation));
     }
 
-    /** A new process; its records are those of the one before, or older where a disk lost some. */
+    /**
+     * Replaces the process. Its incarnation number follows the previous one, or repeats an earlier
+     * one if the disk lost data.
+     */
     void restart(long incarnationNumber) {
       for (Endpoint end : List.copyOf(endpoints.values())) {
         close(end.number);
       }
       connects.removeIf(connect -> connect.from == this);
       restarts++;
-      incarnation = new Incarnation(incarnationNumber, ++nonces);
+      incarnation = new Incarnation(incarnationNumber, ++lastNonce);
       lastIncarnation.clear();
       lastReceived.clear();
       List<PeerName> others =
           nodes.values().stream().map(n -> n.name).filter(n -> !n.equals(name)).toList();
-      manager = new PeerConnectionManager(config(name, others), this, this, nonces);
+      manager = new PeerConnectionManager(config(name, others), this, this, lastNonce);
       wakeAt = null;
       manager.start(now, incarnation);
     }
 
-    void send(PeerName to, int size, boolean mayBeLost) {
+    void send(PeerName to, int size, boolean droppable) {
       long number = sent.merge(to, 1L, Long::sum);
       ByteBuffer content = ByteBuffer.allocate(size).putLong(0, number);
-      manager.send(now, to, SUBJECT, content, mayBeLost);
+      manager.send(now, to, SUBJECT, content, droppable);
     }
 
     void assertQueuesBounded() {
@@ -265,23 +276,26 @@
     }
   }
 
-  /** A connect under way. */
+  /** A connect in progress. */
   record Connect(Node from, long connection, Node to, int restarts) {}
 
   final Map<String, Node> nodes = new LinkedHashMap<>();
   final List<Connect> connects = new ArrayList<>();
-  final ArrayDeque<Runnable> later = new ArrayDeque<>();
+  final ArrayDeque<Runnable> deferredActions = new ArrayDeque<>();
 
-  /** Pairs, in one direction, whose frames and connects vanish. */
+  /** One-way paths, as "from>to", on which frames and connects are dropped. */
   final Set<String> cuts = new TreeSet<>();
 
-  /** Nodes that stand still: they run no timer and receive nothing, and the network goes on. */
+  /**
+   * Paused nodes: they run no timer and receive nothing, while the network continues to queue
+   * frames.
+   */
   final Set<Node> paused = new HashSet<>();
 
   Duration now = Duration.ZERO;
-  boolean networkTakesBytes = true;
+  boolean networkWritesBytes = true;
   long messagesReceived;
-  private long nonces;
+  private long lastNonce;
   private long acceptedConnections;
 
   MeshSimulation(int count) {
@@ -289,7 +303,7 @@
       nodes.put("n" + k, new Node(new PeerName("n" + k)));
     }
     nodes.values().forEach(node -> node.restart(1));
-    settle();
+    runDeferredActions();
   }
 
   Node node(int k) {
@@ -300,26 +314,26 @@
     return cuts.contains(from + ">" + to);
   }
 
-  /** A connect succeeds, or nothing happens where its path is cut. */
-  void complete(Connect connect) {
+  /** Completes a connect; it is dropped if the path is cut in either direction. */
+  void completeConnect(Connect connect) {
     connects.remove(connect);
     if (connect.from.restarts != connect.restarts
         || isCut(connect.from.name, connect.to.name)
         || isCut(connect.to.name, connect.from.name)) {
       return;
     }
-    Endpoint here = new Endpoint(connect.from, connect.connection);
-    Endpoint there = new Endpoint(connect.to, ++acceptedConnections);
-    here.other = there;
-    there.other = here;
-    connect.from.endpoints.put(here.number, here);
-    connect.to.endpoints.put(there.number, there);
-    connect.to.manager.onAccepted(now, there.number, true);
-    connect.from.manager.onConnected(now, here.number);
-    settle();
+    Endpoint local = new Endpoint(connect.from, connect.connection);
+    Endpoint remote = new Endpoint(connect.to, ++acceptedConnections);
+    local.other = remote;
+    remote.other = local;
+    connect.from.endpoints.put(local.number, local);
+    connect.to.endpoints.put(remote.number, remote);
+    connect.to.manager.onAccepted(now, remote.number, true);
+    connect.from.manager.onConnected(now, local.number);
+    runDeferredActions();
   }
 
-  private List<Connect> possibleConnects() {
+  private List<Connect> connectsBetweenRunningNodes() {
     return connects.stream()
         .filter(connect -> !paused.contains(connect.from) && !paused.contains(connect.to))
         .toList();
@@ -331,26 +345,28 @@
       if (paused.contains(node)) {
         continue;
       }
-      node.endpoints.values().stream().filter(end -> !end.inbox.isEmpty()).forEach(all::add);
+      node.endpoints.values().stream()
+          .filter(end -> !end.framesInTransit.isEmpty())
+          .forEach(all::add);
     }
     return all;
   }
 
   void deliver(Endpoint end) {
-    Consumer<PeerConnectionManager> frame = end.inbox.poll();
+    Consumer<PeerConnectionManager> frame = end.framesInTransit.poll();
     if (frame != null) {
       frame.accept(end.node.manager);
-      settle();
+      runDeferredActions();
     }
   }
 
-  void settle() {
-    for (Runnable next = later.poll(); next != null; next = later.poll()) {
+  void runDeferredActions() {
+    for (Runnable next = deferredActions.poll(); next != null; next = deferredActions.poll()) {
       next.run();
     }
   }
 
-  /** Moves time on to the next timer, or by that much if there is none before. */
+  /** Advances time to the next timer, or by the given maximum if no timer is due before. */
   void advance(Duration max) {
     Duration until = now.plus(max);
     for (Node node : nodes.values()) {
@@ -363,17 +379,17 @@
       if (!paused.contains(node) && node.wakeAt != null && node.wakeAt.compareTo(now) <= 0) {
         node.wakeAt = null;
         node.manager.onTimer(now);
-        settle();
+        runDeferredActions();
       }
     }
   }
 
-  /** Delivers all that is on its way, and moves time on by that much. */
+  /** Advances time by the given span and delivers all frames and connects on the way. */
   void run(Duration span) {
     Duration until = now.plus(span);
     while (now.compareTo(until) < 0) {
-      while (!possibleConnects().isEmpty() || !endpointsWithFrames().isEmpty()) {
-        possibleConnects().forEach(this::complete);
+      while (!connectsBetweenRunningNodes().isEmpty() || !endpointsWithFrames().isEmpty()) {
+        connectsBetweenRunningNodes().forEach(this::completeConnect);
         endpointsWithFrames().forEach(this::deliver);
       }
       advance(until.minus(now));
@@ -381,12 +397,13 @@
   }
 
   void assertAllUp() {
-    for (Node a : nodes.values()) {
-      for (Node b : nodes.values()) {
-        if (a != b) {
-          String states = a.manager.describe() + " | " + b.manager.describe();
-          assertTrue(a.manager.isUp(b.name), a.name + " to " + b.name + ": " + states);
-          assertEquals(Optional.of(b.incarnation), a.manager.incarnationOf(b.name));
+    for (Node first : nodes.values()) {
+      for (Node second : nodes.values()) {
+        if (first != second) {
+          String states = first.manager.describe() + " | " + second.manager.describe();
+          assertTrue(
+              first.manager.isUp(second.name), first.name + " to " + second.name + ": " + states);
+          assertEquals(Optional.of(second.incarnation), first.manager.incarnationOf(second.name));
         }
       }
     }
--- a/gateway/src/test/java/weldcross/mesh/OutboundConnectionsTest.java
+++ b/gateway/src/test/java/weldcross/mesh/OutboundConnectionsTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One peer; heartbeats each 100 ms with a timeout of 400 ms, a connect and a handshake have 200 ms
- * each, the first backoff is 50 to 75 ms.
+ * One peer, a heartbeat interval of 100 ms and timeout of 400 ms, a connect timeout of 200 ms for
+ * the connect and for the handshake, and a first backoff of 50 to 75 ms.
  */
 class OutboundConnectionsTest {
 
@@ -39,7 +39,7 @@
     assertEquals(List.of("connect -1 peer"), transport.takeCalls());
   }
 
-  private void connectAndShakeHands() {
+  private void connectAndHandshake() {
     connect();
     connections.onConnected(millis(0), -1, SELF);
     peer.setIncarnation(FIRST);
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void messagesSentBeforeTheHandshakeGoOutWhenItIsUp() {
+  void messagesQueuedBeforeTheHandshakeAreSentOnceTheConnectionIsUp() {
     connect();
     assertTrue(send(10, false));
     connections.onConnected(millis(0), -1, SELF);
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void connectAndHandshakeThatTakeTooLongAreGivenUp() {
+  void connectAndHandshakeTimeOut() {
     connect();
     connections.onTimer(millis(200));
     assertEquals(List.of("close -1"), transport.takeCalls());
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void connectThatWasGivenUpIsClosedWhenItSucceeds() {
+  void connectThatSucceedsAfterItsTimeoutIsClosed() {
     connect();
     connections.onTimer(millis(200));
     transport.takeCalls();
@@ -100,7 +100,7 @@
 
   @Test
   void heartbeatsAreSentUntilOneIsNotAcknowledgedInTime() {
-    connectAndShakeHands();
+    connectAndHandshake();
     connections.onTimer(millis(100));
     connections.onHeartbeatAck(millis(101), -1, 1);
     connections.onTimer(millis(200));
@@ -111,16 +111,16 @@
   }
 
   @Test
-  void acknowledgementOfAHeartbeatThatWasNotSentDoesNotCount() {
-    connectAndShakeHands();
+  void acknowledgementOfAHeartbeatThatWasNotSentIsIgnored() {
+    connectAndHandshake();
     connections.onHeartbeatAck(millis(300), -1, 7);
     connections.onTimer(millis(400));
     assertEquals(List.of("down HEARTBEAT_TIMEOUT"), listener.events);
   }
 
   @Test
-  void fullQueueEndsTheConnectionOnlyForWhatMustNotBeLost() {
-    connectAndShakeHands();
+  void fullQueueClosesTheConnectionOnlyForMessagesThatAreNotDroppable() {
+    connectAndHandshake();
     for (int k = 0; k < 9; k++) {
       assertTrue(send(350, true));
     }
@@ -130,8 +130,8 @@
   }
 
   @Test
-  void messageBeyondTheMaximumIsNotTaken() {
-    connectAndShakeHands();
+  void oversizedMessageAndUnknownPeerAreRejected() {
+    connectAndHandshake();
     assertFalse(send(MeshConfig.MAX_MESSAGE_BYTES + 1, true));
     assertFalse(
         connections.send(millis(1), new PeerName("other"), 1, ByteBuffer.allocate(1), true));
@@ -139,8 +139,8 @@
   }
 
   @Test
-  void connectionToAnEarlierIncarnationIsOpenedAnewWithoutBackoff() {
-    connectAndShakeHands();
+  void connectionToAnEarlierIncarnationIsReopenedWithoutBackoff() {
+    connectAndHandshake();
     assertFalse(connections.closeIfStale(millis(5), peer, FIRST));
     assertTrue(connections.closeIfStale(millis(5), peer, SECOND));
     assertEquals(List.of("down PEER_RESTARTED"), listener.events);
@@ -149,8 +149,8 @@
   }
 
   @Test
-  void leaveSaysGoodbyeWhereTheConnectionIsUpAndElseCloses() {
-    connectAndShakeHands();
+  void shutdownSendsAGoodbyeOnAnOpenConnection() {
+    connectAndHandshake();
     connections.shutdown(millis(1));
     assertEquals(List.of("goodbye -1", "flush -1"), transport.takeCalls());
   }
--- a/gateway/src/test/java/weldcross/mesh/PeerConnectionManagerTest.java
+++ b/gateway/src/test/java/weldcross/mesh/PeerConnectionManagerTest.java
@@ -20,7 +20,7 @@
 
   private static final Duration SECOND = Duration.ofSeconds(1);
 
-  /** The longest backoff with jitter, a connect, a handshake and a missed heartbeat. */
+  /** Covers the longest backoff with jitter, a connect, a handshake and a heartbeat timeout. */
   private static final Duration RECOVERY = Duration.ofMillis(2500);
 
   private static MeshSimulation connected(int count) {
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void silentCutIsDetectedThoughNoConnectionEnds() {
+  void networkCutIsDetectedByTheHeartbeatTimeout() {
     MeshSimulation simulation = connected(2);
     simulation.cuts.add("n0>n1");
     simulation.run(SECOND);
@@ -47,9 +47,9 @@
     simulation.assertAllUp();
   }
 
-  /** n0 hears n1, and n1 does not hear n0: heartbeats are acknowledged on neither connection. */
+  /** Frames pass from n1 to n0 only, so heartbeats are acknowledged on neither connection. */
   @Test
-  void cutInOneDirectionEndsBothConnections() {
+  void oneWayCutClosesBothConnections() {
     MeshSimulation simulation = connected(3);
     simulation.cuts.add("n0>n1");
     simulation.run(SECOND);
@@ -58,16 +58,19 @@
   }
 
   /**
-   * The peer stood still and is back when this gateway has given up its own connection, and before
-   * the one of the peer expires: that direction goes on, and loses no message.
+   * The peer is paused until this gateway's connection to it times out, and resumes before its own
+   * connection expires. The peer's connection stays up and loses no message.
    */
   @Test
-  void peerBackBeforeItsOwnConnectionExpiresLosesNoMessage() {
+  void peerThatResumesBeforeItsOwnConnectionExpiresLosesNoMessage() {
     MeshSimulation simulation = new MeshSimulation(2);
     final MeshSimulation.Node peer = simulation.node(1);
-    // The peer connects 50 ms later, so that its heartbeats are that much behind.
-    simulation.complete(
-        simulation.connects.stream().filter(c -> c.from() != peer).findFirst().orElseThrow());
+    // The peer connects 50 ms later, so that its heartbeats lag by 50 ms.
+    simulation.completeConnect(
+        simulation.connects.stream()
+            .filter(connect -> connect.from() != peer)
+            .findFirst()
+            .orElseThrow());
     while (!simulation.endpointsWithFrames().isEmpty()) {
       simulation.endpointsWithFrames().forEach(simulation::deliver);
     }
@@ -94,31 +97,35 @@
   }
 
   @Test
-  void restartedPeerIsKnownByItsIncarnationAndTheEarlierOneIsHeardNoMore() {
+  void messagesOfAnEarlierIncarnationAreIgnoredAfterARestart() {
     MeshSimulation simulation = connected(2);
     MeshSimulation.Node restarted = simulation.node(0);
     MeshSimulation.Node peer = simulation.node(1);
     restarted.send(peer.name, 8, false);
-    MeshSimulation.Endpoint before = simulation.endpointsWithFrames().get(0);
+    MeshSimulation.Endpoint earlierEndpoint = simulation.endpointsWithFrames().get(0);
     restarted.restart(2);
-    simulation.complete(simulation.connects.get(0));
-    // The new handshake overtakes what the earlier process had sent.
+    simulation.completeConnect(simulation.connects.get(0));
+    // Deliver the new handshake before the frames that the earlier process sent.
     simulation.deliver(
         simulation.endpointsWithFrames().stream()
-            .filter(end -> end != before && end.node == peer)
-            .reduce((a, b) -> b)
+            .filter(end -> end != earlierEndpoint && end.node == peer)
+            .reduce((earlier, later) -> later)
             .orElseThrow());
     assertEquals(
         Optional.of(2L), peer.manager.incarnationOf(restarted.name).map(Incarnation::number));
     long received = simulation.messagesReceived;
     simulation.run(RECOVERY);
-    assertEquals(received, simulation.messagesReceived, "nothing of the earlier process");
+    assertEquals(
+        received, simulation.messagesReceived, "messages received from the earlier process");
     simulation.assertAllUp();
   }
 
-  /** A disk lost the last incarnation: others know it, and this process must take a higher one. */
+  /**
+   * The disk lost the last incarnation, which peers know, so the process must change to a higher
+   * one.
+   */
   @Test
-  void processUnderAnIncarnationInUseIsRejectedAndTakesAHigherOne() {
+  void processWithAnIncarnationInUseIsRejectedAndChangesToAHigherOne() {
     MeshSimulation simulation = connected(3);
     MeshSimulation.Node node = simulation.node(0);
     node.restart(1);
@@ -131,7 +138,7 @@
     simulation.assertAllUp();
   }
 
-  /** A handshake that is rejected for the given reason alone. */
+  /** A handshake request with only the fault that leads to the given rejection. */
   private static HandshakeRequest rejectedRequest(
       HandshakeRejection reason, PeerName from, PeerName to, Incarnation incarnation) {
     return switch (reason) {
@@ -144,7 +151,7 @@
   }
 
   @Test
-  void rejectedHandshakesEndTheirConnectionsAndNoOther() {
+  void rejectedHandshakesCloseOnlyTheirOwnConnections() {
     MeshSimulation simulation = connected(2);
     MeshSimulation.Node node = simulation.node(0);
     MeshSimulation.Node peer = simulation.node(1);
@@ -160,11 +167,11 @@
     }
     simulation.run(SECOND);
     simulation.assertAllUp();
-    assertEquals(1, node.events.size(), "only the first up: " + node.events);
+    assertEquals(1, node.events.size(), "events besides the first connection up: " + node.events);
   }
 
   @Test
-  void silentCallersLeaveRoomForPeers() {
+  void connectionsWithoutAHandshakeDoNotLockOutPeers() {
     MeshSimulation simulation = new MeshSimulation(2);
     MeshSimulation.Node node = simulation.node(0);
     for (int k = 0; k < 5; k++) {
@@ -173,15 +180,15 @@
       node.manager.onAccepted(simulation.now, end.number, true);
     }
     long accepted = node.endpoints.keySet().stream().filter(number -> number >= 2000).count();
-    assertEquals(2, accepted, "two for one peer");
+    assertEquals(2, accepted, "accepted connections for one peer");
     simulation.run(RECOVERY);
     simulation.assertAllUp();
   }
 
   @Test
-  void fullQueueDropsTheOldestThatMayBeLostAndElseEndsTheConnection() {
+  void fullQueueDropsTheOldestMessageOrClosesTheConnection() {
     MeshSimulation simulation = connected(2);
-    simulation.networkTakesBytes = false;
+    simulation.networkWritesBytes = false;
     MeshSimulation.Node node = simulation.node(0);
     PeerName peer = simulation.node(1).name;
     for (int k = 0; k < 60; k++) {
@@ -195,7 +202,7 @@
   }
 
   @Test
-  void backoffGrowsWhileNobodyAnswersAndEndsWhenThePeerConnects() {
+  void backoffGrowsWhileThePeerIsUnreachableAndEndsWhenItConnects() {
     MeshSimulation simulation = connected(2);
     simulation.cuts.addAll(List.of("n0>n1", "n1>n0"));
     simulation.run(Duration.ofSeconds(20));
@@ -204,8 +211,11 @@
     while (simulation.now.compareTo(until) < 0) {
       simulation.advance(SECOND);
       connects +=
-          (int) simulation.connects.stream().filter(c -> c.from() == simulation.node(0)).count();
-      List.copyOf(simulation.connects).forEach(simulation::complete);
+          (int)
+              simulation.connects.stream()
+                  .filter(connect -> connect.from() == simulation.node(0))
+                  .count();
+      List.copyOf(simulation.connects).forEach(simulation::completeConnect);
     }
     assertTrue(connects >= 5 && connects <= 13, connects + " connects in 10 s");
     simulation.cuts.clear();
@@ -214,17 +224,17 @@
   }
 
   /**
-   * Restarts at any time, cuts in any direction, frames delayed for any time: the rules are checked
-   * at each step.
+   * Random restarts, one-way network cuts and frame delays; the invariants are checked at each
+   * step.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-  void rulesHoldThroughRandomFaults(long seed) {
+  void invariantsHoldUnderRandomFaults(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     MeshSimulation simulation = new MeshSimulation(3 + (int) (seed % 3));
     for (int step = 0; step < 6000; step++) {
       randomStep(simulation, random);
-      simulation.settle();
+      simulation.runDeferredActions();
       simulation.nodes.values().forEach(MeshSimulation.Node::assertQueuesBounded);
     }
     assertTrue(simulation.messagesReceived > 100, "received: " + simulation.messagesReceived);
@@ -242,7 +252,8 @@
     if (choice < 500 && !receivers.isEmpty()) {
       simulation.deliver(receivers.get(random.nextInt(receivers.size())));
     } else if (choice < 600 && !simulation.connects.isEmpty()) {
-      simulation.complete(simulation.connects.get(random.nextInt(simulation.connects.size())));
+      simulation.completeConnect(
+          simulation.connects.get(random.nextInt(simulation.connects.size())));
     } else if (choice < 800 && !peer.equals(node.name)) {
       node.send(peer, 8 + random.nextInt(40), random.nextBoolean());
     } else if (choice < 960) {
@@ -252,7 +263,7 @@
     } else if (choice < 990) {
       simulation.cuts.clear();
     } else if (choice < 996) {
-      // One restart in four is that of a gateway whose disk lost what it had confirmed.
+      // In one restart of four the disk has lost the stored incarnation.
       node.restart(node.incarnation.number() + (random.nextInt(4) == 0 ? 0 : 1));
     } else if (!node.endpoints.isEmpty()) {
       List<Long> numbers = List.copyOf(node.endpoints.keySet());
@@ -262,9 +273,12 @@
     }
   }
 
-  /** Every order of a few events between two gateways, one of which restarts or is cut off. */
+  /**
+   * Explores all sequences of nine events between two gateways, one of which may restart with a new
+   * or a repeated incarnation number.
+   */
   @Test
-  void rulesHoldInAllOrdersOfNineEvents() {
+  void invariantsHoldInAllSequencesOfNineEvents() {
     Set<String> states = new HashSet<>();
     explore(new int[0], 9, states);
     assertTrue(states.size() > 1000, states.size() + " states");
@@ -273,33 +287,33 @@
   private static final int CHOICES = 8;
 
   private static void explore(int[] path, int remaining, Set<String> states) {
-    Optional<MeshSimulation> simulation = play(path);
+    Optional<MeshSimulation> simulation = replay(path);
     if (simulation.isEmpty()
-        || !states.add(stateOf(simulation.get()) + "@" + remaining)
+        || !states.add(describeState(simulation.get()) + "@" + remaining)
         || remaining == 0) {
       return;
     }
     for (int choice = 0; choice < CHOICES; choice++) {
-      int[] longer = Arrays.copyOf(path, path.length + 1);
-      longer[path.length] = choice;
-      explore(longer, remaining - 1, states);
+      int[] extendedPath = Arrays.copyOf(path, path.length + 1);
+      extendedPath[path.length] = choice;
+      explore(extendedPath, remaining - 1, states);
     }
   }
 
-  /** Empty where one of the choices is not possible. */
-  private static Optional<MeshSimulation> play(int[] path) {
+  /** Replays the choices from the start; empty if one of them is not possible. */
+  private static Optional<MeshSimulation> replay(int[] path) {
     MeshSimulation simulation = new MeshSimulation(2);
     for (int choice : path) {
-      if (!choose(simulation, choice)) {
+      if (!applyChoice(simulation, choice)) {
         return Optional.empty();
       }
-      simulation.settle();
+      simulation.runDeferredActions();
       simulation.nodes.values().forEach(MeshSimulation.Node::assertQueuesBounded);
     }
     return Optional.of(simulation);
   }
 
-  private static boolean choose(MeshSimulation simulation, int choice) {
+  private static boolean applyChoice(MeshSimulation simulation, int choice) {
     List<MeshSimulation.Endpoint> receivers = simulation.endpointsWithFrames();
     MeshSimulation.Node node = simulation.node(0);
     switch (choice) {
@@ -313,7 +327,7 @@
         if (simulation.connects.isEmpty()) {
           return false;
         }
-        simulation.complete(simulation.connects.get(0));
+        simulation.completeConnect(simulation.connects.get(0));
       }
       case 4 -> node.send(simulation.node(1).name, 8, false);
       case 5 -> node.restart(node.incarnation.number() + 1);
@@ -323,13 +337,13 @@
     return true;
   }
 
-  private static String stateOf(MeshSimulation simulation) {
+  private static String describeState(MeshSimulation simulation) {
     StringBuilder state =
         new StringBuilder(simulation.now.toString()).append(simulation.connects.size());
     for (MeshSimulation.Node node : simulation.nodes.values()) {
       state.append(node.incarnation).append(node.manager.describe()).append(node.lastReceived);
       for (MeshSimulation.Endpoint end : node.endpoints.values()) {
-        state.append(end.number).append(end.open).append(end.inbox.size());
+        state.append(end.number).append(end.open).append(end.framesInTransit.size());
       }
     }
     return state.toString();
--- a/gateway/src/test/java/weldcross/mesh/ReconnectBackoffTest.java
+++ b/gateway/src/test/java/weldcross/mesh/ReconnectBackoffTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The bounds are 50 and 800 ms. */
+/** The minimum backoff is 50 ms and the maximum 800 ms, before jitter. */
 class ReconnectBackoffTest {
 
   private final ReconnectBackoff backoff =
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void delayStartsAnewAfterAReset() {
+  void delayStartsAtTheMinimumAfterAReset() {
     assertFalse(backoff.hasFailures());
     assertNextDelay(50);
     assertNextDelay(100);
--- a/gateway/src/test/java/weldcross/mesh/RecordingListener.java
+++ b/gateway/src/test/java/weldcross/mesh/RecordingListener.java
@@ -6,19 +6,19 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Notes what is reported, in order. */
+/** Records the reported events in order. */
 final class RecordingListener implements PeerConnectionListener {
   final List<String> events = new ArrayList<>();
 
   @Override
   public void wakeAt(Duration when) {
-    throw new AssertionError("only the manager sets timers");
+    throw new AssertionError("unexpected timer request");
   }
 
   @Override
   public void messageReceived(
       PeerName from, Incarnation incarnation, int subject, ByteBuffer content) {
-    throw new AssertionError("nothing is received on these connections");
+    throw new AssertionError("unexpected message");
   }
 
   @Override
@@ -48,6 +48,6 @@
 
   @Override
   public void localIncarnationOutdated(long knownIncarnation) {
-    throw new AssertionError("only the manager knows");
+    throw new AssertionError("unexpected outdated incarnation");
   }
 }
--- a/gateway/src/test/java/weldcross/mesh/RecordingTransport.java
+++ b/gateway/src/test/java/weldcross/mesh/RecordingTransport.java
@@ -4,12 +4,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Notes each call in words, in order. */
+/** Records each call as text, in order. */
 final class RecordingTransport implements PeerTransport {
 
   final List<String> calls = new ArrayList<>();
 
-  /** The calls since the last time. */
+  /** Returns and clears the calls recorded so far. */
   List<String> takeCalls() {
     List<String> taken = List.copyOf(calls);
     calls.clear();
@@ -22,12 +22,12 @@
   }
 
   @Override
-  public void sendHandshakeRequest(long connection, PeerName to, Incarnation self) {
+  public void sendHandshakeRequest(long connection, PeerName to, Incarnation localIncarnation) {
     calls.add("handshake " + connection + " " + to);
   }
 
   @Override
-  public void sendHandshakeResponse(long connection, Incarnation self) {
+  public void sendHandshakeResponse(long connection, Incarnation localIncarnation) {
     calls.add("accept " + connection);
   }
 
@@ -68,7 +68,8 @@
   }
 
   @Override
-  public void sendDatagram(PeerName to, Incarnation self, int subject, ByteBuffer content) {
+  public void sendDatagram(
+      PeerName to, Incarnation localIncarnation, int subject, ByteBuffer content) {
     calls.add("datagram " + to + " " + subject);
   }
 }
--- a/gateway/src/test/java/weldcross/mesh/SendQueueTest.java
+++ b/gateway/src/test/java/weldcross/mesh/SendQueueTest.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** The bounds are 8 messages and 400 bytes. */
+/** The limits are 8 messages and 400 bytes. */
 class SendQueueTest {
 
   private final SendQueue queue = new SendQueue(MeshSimulation.CONFIG);
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void messagesLeaveInTheOrderTheyCame() {
+  void messagesArePolledInTheOrderTheyWereQueued() {
     assertTrue(queue.offer(message(1, 10), false));
     assertTrue(queue.offer(message(2, 10), false));
     assertEquals(1, nextSubject());
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void messageIsRefusedWhereTheCountIsFull() {
+  void messageIsDroppedWhenTheMessageLimitIsReached() {
     for (int k = 0; k < 8; k++) {
       assertTrue(queue.offer(message(k, 1), false));
     }
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void messageThatMayBeLostReplacesTheOldest() {
+  void droppableMessageReplacesTheOldest() {
     for (int k = 0; k < 4; k++) {
       assertTrue(queue.offer(message(k, 100), false));
     }
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void messageWaitsUntilTheNetworkTookEnough() {
+  void messageWaitsUntilEnoughBytesAreWritten() {
     queue.onWriteStarted(390);
     assertFalse(queue.canWriteNow(20));
     assertTrue(queue.offer(message(1, 20), false));
@@ -63,14 +63,14 @@
   }
 
   @Test
-  void queuedMessagesGoBeforeOneThatCouldBeWrittenNow() {
+  void queuedMessagesAreSentBeforeLaterOnes() {
     assertTrue(queue.canWriteNow(10));
     assertTrue(queue.offer(message(1, 10), false));
     assertFalse(queue.canWriteNow(10));
   }
 
   @Test
-  void endOfTheConnectionDropsWhatIsQueuedAndUnwritten() {
+  void resetAndDropAllEmptyTheQueue() {
     queue.onWriteStarted(100);
     assertTrue(queue.offer(message(1, 10), false));
     queue.resetUnwritten();
--- a/gateway/src/test/java/weldcross/mesh/net/FrameCodecTest.java
+++ b/gateway/src/test/java/weldcross/mesh/net/FrameCodecTest.java
@@ -16,16 +16,16 @@
   private static final Frame FRAME = MeshMessages.heartbeat(7);
 
   @Test
-  void frameIsDecodedAsItWasEncoded() throws ProtocolDecoderException {
+  void encodedFrameIsDecodedUnchanged() throws ProtocolDecoderException {
     assertEquals(Optional.of(FRAME), FrameCodec.decode(FrameCodec.encode(FRAME)));
   }
 
   @Test
   void incompleteFrameIsLeftInTheBuffer() throws ProtocolDecoderException {
-    byte[] whole = new byte[FrameCodec.encode(FRAME).remaining()];
-    FrameCodec.encode(FRAME).get(whole);
-    for (int length = 0; length < whole.length; length++) {
-      IoBuffer part = IoBuffer.wrap(whole, 0, length);
+    byte[] encoded = new byte[FrameCodec.encode(FRAME).remaining()];
+    FrameCodec.encode(FRAME).get(encoded);
+    for (int length = 0; length < encoded.length; length++) {
+      IoBuffer part = IoBuffer.wrap(encoded, 0, length);
       assertEquals(Optional.empty(), FrameCodec.decode(part));
       assertEquals(length, part.remaining());
     }
@@ -33,13 +33,13 @@
 
   @ParameterizedTest
   @ValueSource(ints = {-1, Integer.MIN_VALUE, FrameCodec.MAX_FRAME_BYTES + 1, Integer.MAX_VALUE})
-  void lengthOutOfRangeIsRejectedBeforeTheBodyComes(int length) {
+  void lengthOutOfRangeIsRejectedBeforeTheBodyIsReceived(int length) {
     IoBuffer in = IoBuffer.allocate(Integer.BYTES).putInt(length).flip();
     assertThrows(ProtocolDecoderException.class, () -> FrameCodec.decode(in));
   }
 
   @Test
-  void bodyThatIsNoFrameIsRejected() {
+  void invalidBodyIsRejected() {
     IoBuffer in = IoBuffer.wrap(new byte[] {0, 0, 0, 3, 9, 9, 9});
     assertThrows(ProtocolDecoderException.class, () -> FrameCodec.decode(in));
   }
--- a/gateway/src/test/java/weldcross/mesh/net/HandshakeRejectionNamesTest.java
+++ b/gateway/src/test/java/weldcross/mesh/net/HandshakeRejectionNamesTest.java
@@ -24,7 +24,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", "old", "STALE_INCARNATION", "BUSY"})
-  void nameOfALaterVersionCountsAsUnknownPeer(String name) {
+  void unknownNameMapsToUnknownPeer(String name) {
     assertEquals(HandshakeRejection.UNKNOWN_PEER, HandshakeRejectionNames.rejectionOf(name));
   }
 }
--- a/gateway/src/test/java/weldcross/mesh/net/IncarnationStoreTest.java
+++ b/gateway/src/test/java/weldcross/mesh/net/IncarnationStoreTest.java
@@ -21,9 +21,9 @@
 @Timeout(30)
 class IncarnationStoreTest {
 
-  private static final Duration WAIT = Duration.ofSeconds(10);
+  private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
-  @TempDir private Path folder;
+  @TempDir private Path directory;
   private final StandaloneEventLoop loop = StandaloneEventLoop.start("gateway");
   private final BlockingQueue<Long> stored = new LinkedBlockingQueue<>();
 
@@ -32,56 +32,61 @@
     loop.stop();
   }
 
-  private IncarnationStore open(Path directory) {
-    IncarnationStore store = new IncarnationStore(directory, loop, stored::add);
+  private IncarnationStore open(Path storeDirectory) {
+    IncarnationStore store = new IncarnationStore(storeDirectory, loop, stored::add);
     loop.post(store::open);
     return store;
   }
 
-  /** Closes the store once its last snapshot is written, which its disk thread does by itself. */
+  /**
+   * Closes the store once its last snapshot, which its disk thread writes asynchronously, is
+   * written.
+   */
   private void close(IncarnationStore store) throws InterruptedException {
     CountDownLatch snapshotBegun = new CountDownLatch(1);
     loop.post(snapshotBegun::countDown);
-    assertTrue(snapshotBegun.await(WAIT.toMillis(), TimeUnit.MILLISECONDS), "the loop runs");
-    long deadline = System.nanoTime() + WAIT.toNanos();
+    assertTrue(
+        snapshotBegun.await(TIMEOUT.toMillis(), TimeUnit.MILLISECONDS),
+        "event loop did not run within the timeout");
+    long deadline = System.nanoTime() + TIMEOUT.toNanos();
     while (store.pendingWrites() > 0) {
-      assertTrue(System.nanoTime() < deadline, "the disk writes in time");
+      assertTrue(System.nanoTime() < deadline, "pending writes did not finish within the timeout");
       Thread.onSpinWait();
     }
     store.close();
   }
 
   private long nextStored() throws InterruptedException {
-    return Optional.ofNullable(stored.poll(WAIT.toMillis(), TimeUnit.MILLISECONDS)).orElse(-1L);
+    return Optional.ofNullable(stored.poll(TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)).orElse(-1L);
   }
 
   @Test
-  void eachStartStoresTheNextNumber() throws InterruptedException {
+  void eachStartIncrementsTheNumber() throws InterruptedException {
     for (long expected = 1; expected <= 3; expected++) {
-      IncarnationStore store = open(folder);
+      IncarnationStore store = open(directory);
       assertEquals(expected, nextStored());
       close(store);
     }
   }
 
   @Test
-  void numberAboveAKnownOneIsStoredAndFollowedByTheNextStart() throws InterruptedException {
-    IncarnationStore store = open(folder);
+  void numberAboveAKnownOneIsStoredAndIncrementedByTheNextStart() throws InterruptedException {
+    IncarnationStore store = open(directory);
     assertEquals(1, nextStored());
     loop.post(() -> store.storeAbove(6));
     assertEquals(7, nextStored());
     close(store);
-    IncarnationStore next = open(folder);
+    IncarnationStore next = open(directory);
     assertEquals(8, nextStored());
     close(next);
   }
 
   @Test
-  void storeTriesAgainUntilTheDiskWorks() throws Exception {
-    Path blocked = folder.resolve("blocked");
+  void storeRetriesUntilTheDiskWorks() throws Exception {
+    Path blocked = directory.resolve("blocked");
     Files.writeString(blocked, "a file where the directory should be");
     final IncarnationStore store = open(blocked);
-    assertNull(stored.poll(300, TimeUnit.MILLISECONDS), "nothing while the disk fails");
+    assertNull(stored.poll(300, TimeUnit.MILLISECONDS), "number stored while the disk fails");
     Files.delete(blocked);
     assertEquals(1, nextStored());
     assertEquals(Optional.empty(), store.failure());
