--- a/gateway/src/main/java/weldcross/mesh/InboundConnections.java
+++ b/gateway/src/main/java/weldcross/mesh/InboundConnections.java
@@ -13,7 +13,7 @@
    * Accepted connections per configured peer: after a network cut, the old connection may still be
    * open when the peer connects again.
    */
-  private static final int MAX_PER_PEER = 2;
+  private static final int MAX_CONNECTIONS_PER_PEER = 2;
 
   /** A connection accepted by this gateway. */
   static final class InboundConnection {
@@ -73,7 +73,7 @@
    * @return false if it was closed because there are too many connections
    */
   boolean accept(Duration now, long id) {
-    if (byId.size() >= MAX_PER_PEER * config.peers().size()) {
+    if (byId.size() >= MAX_CONNECTIONS_PER_PEER * config.peers().size()) {
       transport.close(id);
       return false;
     }
--- a/gateway/src/main/java/weldcross/mesh/PeerConnectionManager.java
+++ b/gateway/src/main/java/weldcross/mesh/PeerConnectionManager.java
@@ -41,7 +41,7 @@
   /**
    * Creates a manager that opens no connection before {@link #start}.
    *
-   * @param seed seed of the backoff jitter
+   * @param seed the seed of the backoff jitter
    */
   public PeerConnectionManager(
       MeshConfig config, PeerTransport transport, PeerConnectionListener listener, long seed) {
@@ -136,7 +136,8 @@
   /**
    * A connect failed.
    *
-   * @param refused whether the connect was refused, so that no process listens on the address
+   * @param refused whether the connect was refused, which means that no process listens on the
+   *     address
    */
   public void onConnectFailed(Duration now, long connection, boolean refused) {
     outbound.onConnectFailed(now, connection, refused);
--- a/gateway/src/main/java/weldcross/mesh/ReconnectBackoff.java
+++ b/gateway/src/main/java/weldcross/mesh/ReconnectBackoff.java
@@ -9,7 +9,7 @@
  */
 final class ReconnectBackoff {
 
-  private static final double MAX_JITTER = 0.5;
+  private static final double MAX_JITTER_FRACTION = 0.5;
 
   private final MeshConfig config;
   private final SplittableRandom random;
@@ -32,7 +32,7 @@
       delay = config.maxBackoff();
     }
     failures++;
-    return delay.plusNanos((long) (delay.toNanos() * MAX_JITTER * random.nextDouble()));
+    return delay.plusNanos((long) (delay.toNanos() * MAX_JITTER_FRACTION * random.nextDouble()));
   }
 
   boolean hasFailures() {
--- a/gateway/src/main/java/weldcross/mesh/net/MeshExtension.java
+++ b/gateway/src/main/java/weldcross/mesh/net/MeshExtension.java
@@ -50,7 +50,7 @@
    * Creates the extension; opens no socket or file before {@link #start}.
    *
    * @param directory the directory under which the incarnation is stored
-   * @param seed seed of the backoff jitter
+   * @param seed the seed of the backoff jitter
    */
   public MeshExtension(MeshConfig config, PeerAddresses addresses, Path directory, long seed) {
     this.config = config;
--- a/gateway/src/test/java/weldcross/mesh/MeshSimulation.java
+++ b/gateway/src/test/java/weldcross/mesh/MeshSimulation.java
@@ -134,7 +134,7 @@
       write(connection, receiver -> receiver.onMessage(now, remoteConnection, subject, copy));
       Endpoint end = endpoints.get(connection);
       int bytes = content.remaining();
-      if (networkWritesBytes && end != null) {
+      if (networkCompletesWrites && end != null) {
         deferredActions.add(
             () -> {
               if (end.open && end.node.endpoints.get(connection) == end) {
@@ -284,7 +284,7 @@
   final ArrayDeque<Runnable> deferredActions = new ArrayDeque<>();
 
   /** One-way paths, as "from>to", on which frames and connects are dropped. */
-  final Set<String> cuts = new TreeSet<>();
+  final Set<String> cutPaths = new TreeSet<>();
 
   /**
    * Paused nodes: they run no timer and receive nothing, while the network continues to queue
@@ -293,7 +293,7 @@
   final Set<Node> paused = new HashSet<>();
 
   Duration now = Duration.ZERO;
-  boolean networkWritesBytes = true;
+  boolean networkCompletesWrites = true;
   long messagesReceived;
   private long lastNonce;
   private long acceptedConnections;
@@ -311,7 +311,7 @@
   }
 
   private boolean isCut(PeerName from, PeerName to) {
-    return cuts.contains(from + ">" + to);
+    return cutPaths.contains(from + ">" + to);
   }
 
   /** Completes a connect; it is dropped if the path is cut in either direction. */
--- a/gateway/src/test/java/weldcross/mesh/PeerConnectionManagerTest.java
+++ b/gateway/src/test/java/weldcross/mesh/PeerConnectionManagerTest.java
@@ -21,9 +21,9 @@
   private static final Duration SECOND = Duration.ofSeconds(1);
 
   /** Covers the longest backoff with jitter, a connect, a handshake and a heartbeat timeout. */
-  private static final Duration RECOVERY = Duration.ofMillis(2500);
+  private static final Duration RECOVERY_TIME = Duration.ofMillis(2500);
 
-  private static MeshSimulation connected(int count) {
+  private static MeshSimulation connectedSimulation(int count) {
     MeshSimulation simulation = new MeshSimulation(count);
     simulation.run(SECOND);
     simulation.assertAllUp();
@@ -36,22 +36,22 @@
 
   @Test
   void networkCutIsDetectedByTheHeartbeatTimeout() {
-    MeshSimulation simulation = connected(2);
-    simulation.cuts.add("n0>n1");
+    MeshSimulation simulation = connectedSimulation(2);
+    simulation.cutPaths.add("n0>n1");
     simulation.run(SECOND);
     List<String> events = simulation.node(0).events;
     assertTrue(events.contains("down n1 HEARTBEAT_TIMEOUT"), events.toString());
     assertFalse(isUp(simulation, 0, 1));
-    simulation.cuts.clear();
-    simulation.run(RECOVERY);
+    simulation.cutPaths.clear();
+    simulation.run(RECOVERY_TIME);
     simulation.assertAllUp();
   }
 
   /** Frames pass from n1 to n0 only, so heartbeats are acknowledged on neither connection. */
   @Test
   void oneWayCutClosesBothConnections() {
-    MeshSimulation simulation = connected(3);
-    simulation.cuts.add("n0>n1");
+    MeshSimulation simulation = connectedSimulation(3);
+    simulation.cutPaths.add("n0>n1");
     simulation.run(SECOND);
     assertFalse(isUp(simulation, 0, 1) || isUp(simulation, 1, 0));
     assertTrue(isUp(simulation, 0, 2) && isUp(simulation, 1, 2));
@@ -87,7 +87,7 @@
     for (int k = 0; k < 3; k++) {
       peer.send(simulation.node(0).name, 8, false);
     }
-    simulation.run(RECOVERY);
+    simulation.run(RECOVERY_TIME);
     assertEquals(4, simulation.messagesReceived);
     assertTrue(
         simulation.node(0).events.contains("down n1 HEARTBEAT_TIMEOUT"),
@@ -98,7 +98,7 @@
 
   @Test
   void messagesOfAnEarlierIncarnationAreIgnoredAfterARestart() {
-    MeshSimulation simulation = connected(2);
+    MeshSimulation simulation = connectedSimulation(2);
     MeshSimulation.Node restarted = simulation.node(0);
     MeshSimulation.Node peer = simulation.node(1);
     restarted.send(peer.name, 8, false);
@@ -114,7 +114,7 @@
     assertEquals(
         Optional.of(2L), peer.manager.incarnationOf(restarted.name).map(Incarnation::number));
     long received = simulation.messagesReceived;
-    simulation.run(RECOVERY);
+    simulation.run(RECOVERY_TIME);
     assertEquals(
         received, simulation.messagesReceived, "messages received from the earlier process");
     simulation.assertAllUp();
@@ -126,15 +126,15 @@
    */
   @Test
   void processWithAnIncarnationInUseIsRejectedAndChangesToAHigherOne() {
-    MeshSimulation simulation = connected(3);
+    MeshSimulation simulation = connectedSimulation(3);
     MeshSimulation.Node node = simulation.node(0);
     node.restart(1);
-    simulation.run(RECOVERY);
+    simulation.run(RECOVERY_TIME);
     assertTrue(
         node.events.stream().anyMatch(event -> event.startsWith("outdated by 1")),
         node.events.toString());
     assertEquals(2, node.incarnation.number());
-    simulation.run(RECOVERY);
+    simulation.run(RECOVERY_TIME);
     simulation.assertAllUp();
   }
 
@@ -152,7 +152,7 @@
 
   @Test
   void rejectedHandshakesCloseOnlyTheirOwnConnections() {
-    MeshSimulation simulation = connected(2);
+    MeshSimulation simulation = connectedSimulation(2);
     MeshSimulation.Node node = simulation.node(0);
     MeshSimulation.Node peer = simulation.node(1);
     Incarnation incarnation = new Incarnation(1, peer.incarnation.nonce());
@@ -167,7 +167,8 @@
     }
     simulation.run(SECOND);
     simulation.assertAllUp();
-    assertEquals(1, node.events.size(), "events besides the first connection up: " + node.events);
+    assertEquals(
+        1, node.events.size(), "expected only the first connection-up event: " + node.events);
   }
 
   @Test
@@ -181,14 +182,14 @@
     }
     long accepted = node.endpoints.keySet().stream().filter(number -> number >= 2000).count();
     assertEquals(2, accepted, "accepted connections for one peer");
-    simulation.run(RECOVERY);
+    simulation.run(RECOVERY_TIME);
     simulation.assertAllUp();
   }
 
   @Test
   void fullQueueDropsTheOldestMessageOrClosesTheConnection() {
-    MeshSimulation simulation = connected(2);
-    simulation.networkWritesBytes = false;
+    MeshSimulation simulation = connectedSimulation(2);
+    simulation.networkCompletesWrites = false;
     MeshSimulation.Node node = simulation.node(0);
     PeerName peer = simulation.node(1).name;
     for (int k = 0; k < 60; k++) {
@@ -203,8 +204,8 @@
 
   @Test
   void backoffGrowsWhileThePeerIsUnreachableAndEndsWhenItConnects() {
-    MeshSimulation simulation = connected(2);
-    simulation.cuts.addAll(List.of("n0>n1", "n1>n0"));
+    MeshSimulation simulation = connectedSimulation(2);
+    simulation.cutPaths.addAll(List.of("n0>n1", "n1>n0"));
     simulation.run(Duration.ofSeconds(20));
     int connects = 0;
     Duration until = simulation.now.plus(Duration.ofSeconds(10));
@@ -218,8 +219,8 @@
       List.copyOf(simulation.connects).forEach(simulation::completeConnect);
     }
     assertTrue(connects >= 5 && connects <= 13, connects + " connects in 10 s");
-    simulation.cuts.clear();
-    simulation.run(RECOVERY);
+    simulation.cutPaths.clear();
+    simulation.run(RECOVERY_TIME);
     simulation.assertAllUp();
   }
 
@@ -238,8 +239,8 @@
       simulation.nodes.values().forEach(MeshSimulation.Node::assertQueuesBounded);
     }
     assertTrue(simulation.messagesReceived > 100, "received: " + simulation.messagesReceived);
-    simulation.cuts.clear();
-    simulation.run(RECOVERY.multipliedBy(2));
+    simulation.cutPaths.clear();
+    simulation.run(RECOVERY_TIME.multipliedBy(2));
     simulation.assertAllUp();
   }
 
@@ -259,9 +260,9 @@
     } else if (choice < 960) {
       simulation.advance(Duration.ofMillis(random.nextInt(60)));
     } else if (choice < 975 && !peer.equals(node.name)) {
-      simulation.cuts.add(node.name + ">" + peer);
+      simulation.cutPaths.add(node.name + ">" + peer);
     } else if (choice < 990) {
-      simulation.cuts.clear();
+      simulation.cutPaths.clear();
     } else if (choice < 996) {
       // In one restart of four the disk has lost the stored incarnation.
       node.restart(node.incarnation.number() + (random.nextInt(4) == 0 ? 0 : 1));
@@ -284,7 +285,7 @@
     assertTrue(states.size() > 1000, states.size() + " states");
   }
 
-  private static final int CHOICES = 8;
+  private static final int CHOICE_COUNT = 8;
 
   private static void explore(int[] path, int remaining, Set<String> states) {
     Optional<MeshSimulation> simulation = replay(path);
@@ -293,7 +294,7 @@
         || remaining == 0) {
       return;
     }
-    for (int choice = 0; choice < CHOICES; choice++) {
+    for (int choice = 0; choice < CHOICE_COUNT; choice++) {
       int[] extendedPath = Arrays.copyOf(path, path.length + 1);
       extendedPath[path.length] = choice;
       explore(extendedPath, remaining - 1, states);
