--- a/gateway/src/main/java/weldcross/mesh/PeerConnectionManager.java
+++ b/gateway/src/main/java/weldcross/mesh/PeerConnectionManager.java
@@ -73,8 +73,8 @@
   }
 
   /**
-   * Sends a goodbye to all peers and closes the outbound connections; nothing is sent and no timer
-   * is set afterwards.
+   * Sends a goodbye to all peers and closes the outbound connections. Afterwards this gateway sends
+   * no messages or datagrams, opens no connections and sets no timer.
    */
   public void shutdown(Duration now) {
     shuttingDown = true;
