--- a/gateway/src/test/java/weldcross/mesh/OutboundConnectionsTest.java
+++ b/gateway/src/test/java/weldcross/mesh/OutboundConnectionsTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One peer; heartbeats each 100 ms with a timeout of 400 ms, a connect and a handshake have 200 ms
- * each, the first backoff is 50 to 75 ms.
+ * One peer, a heartbeat interval of 100 ms and timeout of 400 ms, a connect timeout of 200 ms for
+ * the connect and for the handshake, and a first backoff of 50 to 75 ms.
  */
 class OutboundConnectionsTest {
 
@@ -39,26 +39,28 @@
     assertEquals(List.of("connect -1 peer"), transport.takeCalls());
   }
 
-  private void connectAndShakeHands() {
+  private void connectAndHandshake() {
     connect();
     connections.onConnected(millis(0), -1, SELF);
     peer.setIncarnation(FIRST);
-    connections.up(millis(0), connections.findInHandshake(-1).orElseThrow(), FIRST);
+    connections.onHandshakeAccepted(
+        millis(0), connections.findAwaitingHandshake(-1).orElseThrow(), FIRST);
     transport.takeCalls();
     listener.events.clear();
   }
 
-  private boolean send(int size, boolean mayBeLost) {
-    return connections.send(millis(1), PEER_NAME, 1, ByteBuffer.allocate(size), mayBeLost);
+  private boolean send(int size, boolean droppable) {
+    return connections.send(millis(1), PEER_NAME, 1, ByteBuffer.allocate(size), droppable);
   }
 
   @Test
-  void messagesSentBeforeTheHandshakeGoOutWhenItIsUp() {
+  void messagesQueuedBeforeTheHandshakeAreSentOnceTheConnectionIsUp() {
     connect();
     assertTrue(send(10, false));
     connections.onConnected(millis(0), -1, SELF);
     assertEquals(List.of("handshake -1 peer"), transport.takeCalls());
-    connections.up(millis(0), connections.findInHandshake(-1).orElseThrow(), FIRST);
+    connections.onHandshakeAccepted(
+        millis(0), connections.findAwaitingHandshake(-1).orElseThrow(), FIRST);
     assertEquals(List.of("message -1 1 10"), transport.takeCalls());
     assertEquals(List.of("up 3"), listener.events);
   }
@@ -70,12 +72,12 @@
     peer.setIncarnation(SECOND);
     connections.onConnectFailed(millis(1), -1, true);
     assertEquals(List.of("refused 3"), listener.events);
-    Duration next = connections.nextTimer().orElseThrow();
+    Duration next = connections.nextDeadline().orElseThrow();
     assertTrue(next.compareTo(millis(51)) >= 0 && next.compareTo(millis(76)) < 0, next.toString());
   }
 
   @Test
-  void connectAndHandshakeThatTakeTooLongAreGivenUp() {
+  void connectAndHandshakeTimeOut() {
     connect();
     connections.onTimer(millis(200));
     assertEquals(List.of("close -1"), transport.takeCalls());
@@ -88,7 +90,7 @@
   }
 
   @Test
-  void connectThatWasGivenUpIsClosedWhenItSucceeds() {
+  void connectThatSucceedsAfterItsTimeoutIsClosed() {
     connect();
     connections.onTimer(millis(200));
     transport.takeCalls();
@@ -98,7 +100,7 @@
 
   @Test
   void heartbeatsAreSentUntilOneIsNotAcknowledgedInTime() {
-    connectAndShakeHands();
+    connectAndHandshake();
     connections.onTimer(millis(100));
     connections.onHeartbeatAck(millis(101), -1, 1);
     connections.onTimer(millis(200));
@@ -109,16 +111,16 @@
   }
 
   @Test
-  void acknowledgementOfAHeartbeatThatWasNotSentDoesNotCount() {
-    connectAndShakeHands();
+  void acknowledgementOfAHeartbeatThatWasNotSentIsIgnored() {
+    connectAndHandshake();
     connections.onHeartbeatAck(millis(300), -1, 7);
     connections.onTimer(millis(400));
     assertEquals(List.of("down HEARTBEAT_TIMEOUT"), listener.events);
   }
 
   @Test
-  void fullQueueEndsTheConnectionOnlyForWhatMustNotBeLost() {
-    connectAndShakeHands();
+  void fullQueueClosesTheConnectionOnlyForMessagesThatAreNotDroppable() {
+    connectAndHandshake();
     for (int k = 0; k < 9; k++) {
       assertTrue(send(350, true));
     }
@@ -128,8 +130,8 @@
   }
 
   @Test
-  void messageBeyondTheMaximumIsNotTaken() {
-    connectAndShakeHands();
+  void oversizedMessageAndUnknownPeerAreRejected() {
+    connectAndHandshake();
     assertFalse(send(MeshConfig.MAX_MESSAGE_BYTES + 1, true));
     assertFalse(
         connections.send(millis(1), new PeerName("other"), 1, ByteBuffer.allocate(1), true));
@@ -137,19 +139,19 @@
   }
 
   @Test
-  void connectionToAnEarlierIncarnationIsOpenedAnewWithoutBackoff() {
-    connectAndShakeHands();
-    assertFalse(connections.closeToEarlierIncarnation(millis(5), peer, FIRST));
-    assertTrue(connections.closeToEarlierIncarnation(millis(5), peer, SECOND));
+  void connectionToAnEarlierIncarnationIsReopenedWithoutBackoff() {
+    connectAndHandshake();
+    assertFalse(connections.closeIfStale(millis(5), peer, FIRST));
+    assertTrue(connections.closeIfStale(millis(5), peer, SECOND));
     assertEquals(List.of("down PEER_RESTARTED"), listener.events);
     connections.onTimer(millis(5));
     assertEquals(List.of("close -1", "connect -2 peer"), transport.takeCalls());
   }
 
   @Test
-  void leaveSaysGoodbyeWhereTheConnectionIsUpAndElseCloses() {
-    connectAndShakeHands();
-    connections.leave(millis(1));
+  void shutdownSendsAGoodbyeOnAnOpenConnection() {
+    connectAndHandshake();
+    connections.shutdown(millis(1));
     assertEquals(List.of("goodbye -1", "flush -1"), transport.takeCalls());
   }
 }
--- a/gateway/src/test/java/weldcross/mesh/SendQueueTest.java
+++ b/gateway/src/test/java/weldcross/mesh/SendQueueTest.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** The bounds are 8 messages and 400 bytes. */
+/** The limits are 8 messages and 400 bytes. */
 class SendQueueTest {
 
   private final SendQueue queue = new SendQueue(MeshSimulation.CONFIG);
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void messagesLeaveInTheOrderTheyCame() {
+  void messagesArePolledInTheOrderTheyWereQueued() {
     assertTrue(queue.offer(message(1, 10), false));
     assertTrue(queue.offer(message(2, 10), false));
     assertEquals(1, nextSubject());
@@ -31,52 +31,52 @@
   }
 
   @Test
-  void messageIsRefusedWhereTheCountIsFull() {
+  void messageIsDroppedWhenTheMessageLimitIsReached() {
     for (int k = 0; k < 8; k++) {
       assertTrue(queue.offer(message(k, 1), false));
     }
     assertFalse(queue.offer(message(8, 1), false));
-    assertEquals(8, queue.messages());
-    assertEquals(1, queue.dropped());
+    assertEquals(8, queue.messageCount());
+    assertEquals(1, queue.droppedCount());
   }
 
   @Test
-  void messageThatMayBeLostReplacesTheOldest() {
+  void droppableMessageReplacesTheOldest() {
     for (int k = 0; k < 4; k++) {
       assertTrue(queue.offer(message(k, 100), false));
     }
     assertTrue(queue.offer(message(4, 150), true));
-    assertEquals(2, queue.dropped());
-    assertEquals(350, queue.bytes());
+    assertEquals(2, queue.droppedCount());
+    assertEquals(350, queue.totalBytes());
     assertEquals(2, nextSubject());
   }
 
   @Test
-  void messageWaitsUntilTheNetworkTookEnough() {
-    queue.writing(390);
+  void messageWaitsUntilEnoughBytesAreWritten() {
+    queue.onWriteStarted(390);
     assertFalse(queue.canWriteNow(20));
     assertTrue(queue.offer(message(1, 20), false));
     assertEquals(Optional.empty(), queue.pollWritable());
-    queue.written(10);
+    queue.onWriteCompleted(10);
     assertEquals(1, nextSubject());
-    assertEquals(400, queue.bytes());
+    assertEquals(400, queue.totalBytes());
   }
 
   @Test
-  void queuedMessagesGoBeforeOneThatCouldBeWrittenNow() {
+  void queuedMessagesAreSentBeforeLaterOnes() {
     assertTrue(queue.canWriteNow(10));
     assertTrue(queue.offer(message(1, 10), false));
     assertFalse(queue.canWriteNow(10));
   }
 
   @Test
-  void endOfTheConnectionDropsWhatIsQueuedAndUnwritten() {
-    queue.writing(100);
+  void resetAndDropAllEmptyTheQueue() {
+    queue.onWriteStarted(100);
     assertTrue(queue.offer(message(1, 10), false));
-    queue.forgetUnwritten();
+    queue.resetUnwritten();
     queue.dropAll();
-    assertEquals(0, queue.bytes());
-    assertEquals(0, queue.messages());
-    assertEquals(1, queue.dropped());
+    assertEquals(0, queue.totalBytes());
+    assertEquals(0, queue.messageCount());
+    assertEquals(1, queue.droppedCount());
   }
 }
