--- a/gateway/src/main/java/weldcross/config/ExtensionsConfigReader.java
+++ b/gateway/src/main/java/weldcross/config/ExtensionsConfigReader.java
@@ -210,7 +210,7 @@
             period,
             answerWithin,
             defaults.indirectProbes(),
-            defaults.minSuspicion(),
+            defaults.minSuspicionIntervals(),
             defaults.maxSuspicionFactor(),
             defaults.maxUpdatesPerMessage(),
             defaults.retransmitFactor()));
--- a/gateway/src/main/java/weldcross/membership/FailureDetector.java
+++ b/gateway/src/main/java/weldcross/membership/FailureDetector.java
@@ -11,25 +11,28 @@
 import weldcross.mesh.PeerName;
 
 /**
- * Detects which other gateways are alive, unreachable or dead, as one gateway sees it.
+ * Tracks which other gateways are alive, unreachable or dead from the point of view of one gateway.
  *
- * <p>After SWIM (Das, Gupta, Motivala, 2002): one other member is probed in each interval; if it
- * does not answer, some others are asked to probe it; if they get no answer either it is suspected,
- * and has time to refute that. Updates travel on the probes, so that each gateway's cost is the
- * same however many there are. After Lifeguard (Dadgar, Phillips, Currey, 2017): a gateway that
- * gets no answers at all suspects itself first and gives others more time, and a suspicion is the
- * shorter the more gateways share it.
+ * <p>Implements SWIM (Das, Gupta, Motivala, 2002): each interval one member is probed. If it does
+ * not respond, several relays are asked to probe it indirectly; if they get no response either, the
+ * member becomes suspect and may refute the suspicion before it times out. Updates are piggybacked
+ * on the probe messages, so the cost per gateway is independent of the cluster size. Adds two parts
+ * of Lifeguard (Dadgar, Phillips, Currey, 2017): a gateway that receives no responses lowers its
+ * own health score first and extends its timeouts, and a suspicion times out sooner the more
+ * gateways confirm it.
  *
- * <p>SWIM declares an unanswering member dead. Here it is only {@link MemberState#UNREACHABLE};
- * {@link MemberState#DEAD} takes proof, and only a later incarnation ends it.
+ * <p>SWIM declares an unresponsive member dead. This detector only declares it {@link
+ * MemberState#UNREACHABLE}; {@link MemberState#DEAD} requires proof and is cleared only by a later
+ * incarnation.
  *
- * <p>Pure: no I/O, no clock, random choices from a seed. Not thread-safe: called by the one thread
- * that owns the gateway's state. Times are durations since any fixed origin.
+ * <p>Deterministic: performs no I/O, reads no clock and takes random choices from a seed. Not
+ * thread-safe: must be called on the thread that owns the gateway's state. Times are durations
+ * since an arbitrary fixed origin.
  */
 public final class FailureDetector {
 
-  /** A ping sent on behalf of another member, which gets an ack or a nack. */
-  private record RelayedProbe(PeerName asker, long askerSequence, Duration deadline) {}
+  /** A ping sent on behalf of a requester, which receives an ack or a nack for it. */
+  private record RelayedProbe(PeerName requester, long requesterSequence, Duration deadline) {}
 
   private final FailureDetectorConfig config;
   private final FailureDetectorActions actions;
@@ -47,9 +50,9 @@
   private boolean leaving;
 
   /**
-   * Creates a detector that sends nothing before {@link #start}.
+   * Creates a detector that sends no messages before {@link #start}.
    *
-   * @param seed of the order of probes and the choice of helpers
+   * @param seed seeds the probe order and the choice of relays
    */
   public FailureDetector(FailureDetectorConfig config, FailureDetectorActions actions, long seed) {
     this.config = config;
@@ -59,29 +62,29 @@
     this.schedule = new ProbeSchedule(members, random);
   }
 
-  /** Starts probing, or starts again under a higher incarnation. */
+  /** Starts probing, or restarts under a higher incarnation. */
   public void start(Duration now, long incarnation) {
-    self = Optional.of(selfAlive(incarnation, 0));
+    self = Optional.of(aliveUpdateOfSelf(incarnation, 0));
     nextProbeAt = now.plusNanos((long) (config.probeInterval().toNanos() * random.nextDouble()));
     actions.wakeAt(nextProbeAt);
   }
 
   /**
-   * Tells some members that this gateway ends, who pass it on. Nothing is sent and no timer is set
-   * afterwards.
+   * Announces to several members that this gateway shuts down; they gossip the update further. The
+   * detector sends no messages and sets no timers afterwards.
    */
   public void leave() {
     leaving = true;
     MembershipUpdate dead = requireSelf().withState(MemberState.DEAD, config.self());
-    int receivers = Math.max(config.indirectProbes(), maxDeliveries());
-    for (PeerName receiver : chooseRandomly(members.reachable(), receivers)) {
+    int receiverCount = Math.max(config.indirectProbes(), maxDeliveries());
+    for (PeerName receiver : chooseRandomly(members.reachable(), receiverCount)) {
       actions.sendAck(receiver, 0, List.of(dead));
     }
   }
 
-  // ---- Messages received
+  // ---- Received messages
 
-  /** Another member wants to know whether this gateway is alive. */
+  /** Handles a probe of this gateway by another member. */
   public void onPing(Duration now, PeerName from, long sequence, List<MembershipUpdate> received) {
     if (leaving) {
       return;
@@ -90,7 +93,7 @@
     sendAck(from, sequence);
   }
 
-  /** Another member got no answer from the target and asks this gateway to ping it. */
+  /** Handles a request to probe a target that did not respond to the requester. */
   public void onPingRequest(
       Duration now,
       PeerName from,
@@ -108,36 +111,36 @@
     scheduleWake(now);
   }
 
-  /** A ping of this gateway was answered, by its target or through a helper. */
+  /** Handles the response to a ping of this gateway, sent by the target or through a relay. */
   public void onAck(Duration now, PeerName from, long sequence, List<MembershipUpdate> received) {
     applyAll(now, received);
     RelayedProbe relayed = relayedProbes.remove(sequence);
     if (relayed != null) {
-      sendAck(relayed.asker(), relayed.askerSequence());
+      sendAck(relayed.requester(), relayed.requesterSequence());
     }
     Probe probe = probes.get(sequence);
     if (probe != null && !probe.isAcked()) {
-      probe.ack();
-      updates.delivered(probe.updates(), maxDeliveries());
+      probe.recordAck();
+      updates.recordDelivery(probe.updates(), maxDeliveries());
       health.improve();
     }
   }
 
-  /** The helper is alive, and the target gave it no answer. */
-  public void onNack(Duration now, PeerName helper, long sequence) {
+  /** Handles a relay's report that the target did not respond to it. */
+  public void onNack(Duration now, PeerName relay, long sequence) {
     Probe probe = probes.get(sequence);
     if (probe != null) {
-      probe.nack();
+      probe.recordNack();
     }
   }
 
   /**
-   * Proof that no process listens on the peer's address.
+   * Handles proof that no process listens on the peer's address.
    *
-   * @param incarnation the one known before the connect was begun. A gateway listens before it
-   *     sends its first message, so that a known incarnation has listened, and has ended when the
-   *     address refuses. A later incarnation, heard of meanwhile, may have begun to listen after
-   *     the refusal, which proves nothing about it.
+   * @param incarnation the peer's incarnation known before the connection attempt. A gateway
+   *     listens before it sends its first message, so a known incarnation has been listening and
+   *     must have ended if the connection is refused. An incarnation learned during the attempt may
+   *     have started listening after the refusal, so the refusal proves nothing about it.
    */
   public void onConnectionRefused(Duration now, PeerName peer, long incarnation) {
     members
@@ -158,18 +161,18 @@
     }
   }
 
-  /** Raises this gateway's version above that of an update that doubts it. */
-  private void refute(MembershipUpdate said) {
+  /** Raises this gateway's version above that of an update that reports it as not alive. */
+  private void refute(MembershipUpdate update) {
     MembershipUpdate own = requireSelf();
-    boolean sameIncarnation = said.incarnation() == own.incarnation();
-    if (said.incarnation() > own.incarnation()
-        || (sameIncarnation && said.state() == MemberState.DEAD)) {
-      actions.declaredDead(said.incarnation());
+    boolean sameIncarnation = update.incarnation() == own.incarnation();
+    if (update.incarnation() > own.incarnation()
+        || (sameIncarnation && update.state() == MemberState.DEAD)) {
+      actions.declaredDead(update.incarnation());
     } else if (sameIncarnation
-        && said.state() != MemberState.ALIVE
-        && said.version() >= own.version()) {
-      self = Optional.of(selfAlive(own.incarnation(), said.version() + 1));
-      // This gateway was slow to answer, or its messages are lost.
+        && update.state() != MemberState.ALIVE
+        && update.version() >= own.version()) {
+      self = Optional.of(aliveUpdateOfSelf(own.incarnation(), update.version() + 1));
+      // This gateway responded too slowly, or its messages were lost.
       health.worsen(1);
     }
   }
@@ -203,7 +206,7 @@
 
   // ---- Timers
 
-  /** Does all that is due by now, and asks to be called again. */
+  /** Processes all expired timers and schedules the next call. */
   public void onTimer(Duration now) {
     if (leaving || self.isEmpty()) {
       return;
@@ -214,9 +217,9 @@
     expireRelayedProbes(now);
     expireSuspicions(now);
     if (nextProbeAt.compareTo(now) <= 0) {
-      // Lifeguard stretches the interval by the local health. Where most members are dead none of
-      // them sends a nack, which looks like bad local health, and the survivors must not probe
-      // more rarely then.
+      // Lifeguard also scales the probe interval by the local health score. That is omitted here:
+      // if most members are dead, the missing nacks worsen the score, and the remaining gateways
+      // must not probe less often in that case.
       nextProbeAt = now.plus(config.probeInterval());
       probeNext(now);
     }
@@ -242,9 +245,9 @@
   private void sendPingRequests(long sequence, Probe probe) {
     List<PeerName> candidates = members.reachable();
     candidates.remove(probe.target());
-    for (PeerName helper : chooseRandomly(candidates, config.indirectProbes())) {
-      probe.requestSent();
-      actions.sendPingRequest(helper, probe.target(), sequence, updatesFor(helper));
+    for (PeerName relay : chooseRandomly(candidates, config.indirectProbes())) {
+      probe.recordPingRequest();
+      actions.sendPingRequest(relay, probe.target(), sequence, updatesFor(relay));
     }
   }
 
@@ -255,7 +258,7 @@
             relayed -> {
               boolean expired = relayed.deadline().compareTo(now) <= 0;
               if (expired) {
-                actions.sendNack(relayed.asker(), relayed.askerSequence());
+                actions.sendNack(relayed.requester(), relayed.requesterSequence());
               }
               return expired;
             });
@@ -263,7 +266,7 @@
 
   private void expireSuspicions(Duration now) {
     for (Map.Entry<PeerName, Suspicion> entry : List.copyOf(suspicions.entrySet())) {
-      if (deadlineOf(entry.getValue()).compareTo(now) <= 0) {
+      if (suspicionDeadline(entry.getValue()).compareTo(now) <= 0) {
         members
             .find(entry.getKey())
             .ifPresent(
@@ -286,20 +289,20 @@
     actions.sendPing(target, sequence, carried);
   }
 
-  private Duration deadlineOf(Suspicion suspicion) {
-    return suspicion.deadline(config, members.heardOfCount() + 1);
+  private Duration suspicionDeadline(Suspicion suspicion) {
+    return suspicion.deadline(config, members.knownCount() + 1);
   }
 
   private void scheduleWake(Duration now) {
     Duration next = nextProbeAt;
     for (Probe probe : probes.values()) {
-      next = earlier(next, probe.nextTimer());
+      next = earlier(next, probe.nextDeadline());
     }
     for (RelayedProbe relayed : relayedProbes.values()) {
       next = earlier(next, relayed.deadline());
     }
     for (Suspicion suspicion : suspicions.values()) {
-      next = earlier(next, deadlineOf(suspicion));
+      next = earlier(next, suspicionDeadline(suspicion));
     }
     actions.wakeAt(next.compareTo(now) > 0 ? next : now);
   }
@@ -308,19 +311,19 @@
     return b.compareTo(a) < 0 ? b : a;
   }
 
-  // ---- Messages sent
+  // ---- Sent messages
 
-  /** Whoever sent a message is alive, so that the updates of the ack count as delivered. */
+  /** Counts the updates of the ack as delivered: the receiver has just sent a message. */
   private void sendAck(PeerName to, long sequence) {
     List<MembershipUpdate> carried = updatesFor(to);
-    updates.delivered(carried, maxDeliveries());
+    updates.recordDelivery(carried, maxDeliveries());
     actions.sendAck(to, sequence, carried);
   }
 
   /**
-   * The updates for a message: first this gateway's own, so that a restarted gateway is known by
-   * its first message; then what is held of the receiver if that is not alive, so that it can
-   * refute it; then those with the fewest deliveries.
+   * Returns the updates for a message: first this gateway's own, so that the first message after a
+   * restart announces its new incarnation; then the receiver's, if it is not alive, so that it can
+   * refute it; then the pending updates with the fewest deliveries.
    */
   private List<MembershipUpdate> updatesFor(PeerName receiver) {
     List<MembershipUpdate> message = new ArrayList<>();
@@ -334,8 +337,7 @@
   }
 
   private int maxDeliveries() {
-    return config.retransmitFactor()
-        * (int) Math.ceil(Math.log10(members.heardOfCount() + 2.0) + 1);
+    return config.retransmitFactor() * (int) Math.ceil(Math.log10(members.knownCount() + 2.0) + 1);
   }
 
   private List<PeerName> chooseRandomly(List<PeerName> candidates, int count) {
@@ -346,7 +348,7 @@
     return chosen;
   }
 
-  private MembershipUpdate selfAlive(long incarnation, long version) {
+  private MembershipUpdate aliveUpdateOfSelf(long incarnation, long version) {
     return new MembershipUpdate(
         config.self(),
         incarnation,
@@ -363,32 +365,32 @@
 
   // ---- State
 
-  /** The latest update of each other member that was ever heard of, ordered by name. */
+  /** Returns the latest update of each other known member, ordered by name. */
   public Collection<MembershipUpdate> members() {
-    return members.heardOf();
+    return members.known();
   }
 
-  /** The latest update of another member; empty if it was never heard of. */
+  /** Returns the latest update of another member, or empty if none was received. */
   public Optional<MembershipUpdate> find(PeerName name) {
     return members.find(name);
   }
 
-  /** The state held of a member; {@link MemberState#UNKNOWN} if it was never heard of. */
+  /** Returns a member's state, {@link MemberState#UNKNOWN} if no update was received. */
   public MemberState stateOf(PeerName name) {
     return members.stateOf(name);
   }
 
-  /** This gateway's own update; empty before {@link #start}. */
+  /** Returns this gateway's own update; empty before {@link #start}. */
   public Optional<MembershipUpdate> self() {
     return self;
   }
 
-  /** Zero where all is well here; each step gives others one timeout more. */
+  /** Returns the local health score: 0 is healthy; each point adds one base timeout. */
   public int healthScore() {
     return health.score();
   }
 
-  /** The state in one line, without a line end. */
+  /** Returns a one-line summary for the log, without a line terminator. */
   public String describe() {
     return "membership: states="
         + members.countByState()
--- a/gateway/src/main/java/weldcross/membership/FailureDetectorActions.java
+++ b/gateway/src/main/java/weldcross/membership/FailureDetectorActions.java
@@ -5,37 +5,38 @@
 import weldcross.mesh.PeerName;
 
 /**
- * The effects of a {@link FailureDetector}. Messages may be lost, delayed and repeated; none of the
- * calls waits.
+ * Side effects requested by a {@link FailureDetector}. Messages may be lost, delayed or duplicated;
+ * no method blocks.
  */
 public interface FailureDetectorActions {
 
-  /** Asks a member for an ack with the same sequence number. */
+  /** Sends a ping, to be acked under the same sequence number. */
   void sendPing(PeerName to, long sequence, List<MembershipUpdate> updates);
 
   /**
-   * Asks a helper to ping the target for this gateway; its ack or nack comes back under the same
-   * sequence number.
+   * Asks a relay to ping the target on behalf of this gateway; the relay responds with an ack or
+   * nack under the same sequence number.
    */
   void sendPingRequest(
-      PeerName helper, PeerName target, long sequence, List<MembershipUpdate> updates);
+      PeerName relay, PeerName target, long sequence, List<MembershipUpdate> updates);
 
-  /** Answers a ping, or tells an asker that the target of its ping request answered. */
+  /** Acks a ping, or reports to a requester that the target of its ping request responded. */
   void sendAck(PeerName to, long sequence, List<MembershipUpdate> updates);
 
-  /** Tells an asker that the target of its ping request did not answer in time. */
+  /** Reports to a requester that the target of its ping request did not respond in time. */
   void sendNack(PeerName to, long sequence);
 
-  /** Called whenever the state held of another member changed, {@code SUSPECT} included. */
+  /** Notifies of every state change of another member, including to {@code SUSPECT}. */
   void memberChanged(MembershipUpdate update);
 
   /**
-   * Others hold this gateway's incarnation for dead, which only a higher incarnation refutes.
+   * Notifies that other members consider this gateway's incarnation dead, which only a higher
+   * incarnation can refute.
    *
-   * @param incarnation the one held for dead, or a later one that others know of
+   * @param incarnation the incarnation declared dead, or a later one known to other members
    */
   void declaredDead(long incarnation);
 
-  /** Asks for a call of {@link FailureDetector#onTimer} then; only the last request counts. */
+  /** Schedules a call of {@link FailureDetector#onTimer}, replacing any earlier request. */
   void wakeAt(Duration when);
 }
--- a/gateway/src/main/java/weldcross/membership/LocalHealth.java
+++ b/gateway/src/main/java/weldcross/membership/LocalHealth.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 
 /**
- * Lifeguard's local health: a gateway that gets no answers suspects itself first and gives others
- * more time.
+ * Lifeguard's local health score: a gateway that receives no responses assumes that it is itself
+ * unhealthy and extends its timeouts before it suspects other members.
  */
 final class LocalHealth {
 
@@ -12,7 +12,7 @@
 
   private int score;
 
-  /** Zero where all is well; each step gives others one timeout more. */
+  /** Returns the score: 0 is healthy; each point adds one base timeout. */
   int score() {
     return score;
   }
@@ -21,11 +21,11 @@
     score = Math.max(0, score - 1);
   }
 
-  void worsen(int steps) {
-    score = Math.min(MAX_SCORE, score + steps);
+  void worsen(int points) {
+    score = Math.min(MAX_SCORE, score + points);
   }
 
-  /** The timeout to use in place of the configured one. */
+  /** Returns the base timeout extended according to the score. */
   Duration scale(Duration timeout) {
     return timeout.multipliedBy(score + 1L);
   }
--- a/gateway/src/main/java/weldcross/membership/MemberState.java
+++ b/gateway/src/main/java/weldcross/membership/MemberState.java
@@ -1,30 +1,30 @@
 package weldcross.membership;
 
 /**
- * The state of a member as one gateway sees it.
+ * The state of a member from the point of view of one gateway.
  *
- * <p>The order of the constants is the order of precedence between two updates of one incarnation
- * and version: the later constant wins.
+ * <p>The order of the constants is significant: between two updates of the same incarnation and
+ * version, the later constant takes precedence.
  */
 public enum MemberState {
-  /** Configured as a peer, and never heard of. */
+  /** Configured as a peer, but no update about it was received. */
   UNKNOWN,
-  /** It answers, or others say that it does. */
+  /** Responds to probes, or is reported to do so. */
   ALIVE,
   /**
-   * It did not answer and still has time to refute the suspicion. Treated as alive by everything
-   * but the next probe.
+   * Did not respond to a probe, and may still refute the suspicion. Treated as alive outside the
+   * failure detector.
    */
   SUSPECT,
-  /** It did not answer in time. It may be running, cut off from this gateway, and still at work. */
+  /** Did not respond in time. May still be running behind a network partition. */
   UNREACHABLE,
   /**
-   * Proven: it said goodbye, or no process listens on its address. This incarnation does nothing
-   * any more.
+   * Proven to have ended: announced its shutdown, or no process listens on its address. This
+   * incarnation performs no further actions.
    */
   DEAD;
 
-  /** Whether the member is expected to answer: alive, or suspected and not yet given up. */
+  /** Returns whether the member is expected to respond: alive or suspect. */
   public boolean isReachable() {
     return this == ALIVE || this == SUSPECT;
   }
--- a/gateway/src/main/java/weldcross/membership/MemberTable.java
+++ b/gateway/src/main/java/weldcross/membership/MemberTable.java
@@ -10,16 +10,16 @@
 import java.util.TreeMap;
 import weldcross.mesh.PeerName;
 
-/** The latest update held of each other member, by name. */
+/** The latest update about each other member, by name. */
 final class MemberTable {
 
   private final Map<PeerName, MembershipUpdate> updates = new TreeMap<>();
 
-  /** Configured peers of which no update has come. */
-  private final Set<PeerName> unknown;
+  /** Configured peers about which no update was received. */
+  private final Set<PeerName> unknownPeers;
 
   MemberTable(Collection<PeerName> configuredPeers) {
-    unknown = new HashSet<>(configuredPeers);
+    unknownPeers = new HashSet<>(configuredPeers);
   }
 
   Optional<MembershipUpdate> find(PeerName name) {
@@ -28,35 +28,35 @@
 
   void put(MembershipUpdate update) {
     updates.put(update.member(), update);
-    unknown.remove(update.member());
+    unknownPeers.remove(update.member());
   }
 
   MemberState stateOf(PeerName name) {
     return find(name).map(MembershipUpdate::state).orElse(MemberState.UNKNOWN);
   }
 
-  /** All members heard of, ordered by name. */
-  List<MembershipUpdate> heardOf() {
+  /** Returns the latest update about each known member, ordered by name. */
+  List<MembershipUpdate> known() {
     return List.copyOf(updates.values());
   }
 
-  int heardOfCount() {
+  int knownCount() {
     return updates.size();
   }
 
   int unknownCount() {
-    return unknown.size();
+    return unknownPeers.size();
   }
 
-  /** The names of all members that were configured or heard of, ordered by name. */
+  /** Returns the names of all configured and known members, in order. */
   List<PeerName> names() {
-    List<PeerName> names = new ArrayList<>(unknown);
+    List<PeerName> names = new ArrayList<>(unknownPeers);
     names.addAll(updates.keySet());
     names.sort(null);
     return names;
   }
 
-  /** The names of all reachable members, ordered by name; the list is the caller's. */
+  /** Returns the names of all reachable members, in order, as a new modifiable list. */
   List<PeerName> reachable() {
     List<PeerName> names = new ArrayList<>();
     for (MembershipUpdate update : updates.values()) {
--- a/gateway/src/main/java/weldcross/membership/MembershipUpdate.java
+++ b/gateway/src/main/java/weldcross/membership/MembershipUpdate.java
@@ -4,17 +4,18 @@
 import weldcross.mesh.PeerName;
 
 /**
- * A statement about one member, as gateways pass it on to each other.
+ * The state of one member, as gossiped between gateways.
  *
- * @param member whom it is about
- * @param incarnation the member's incarnation, from its records; an update of a later incarnation
- *     replaces all of earlier ones
- * @param version within the incarnation; raised by the member alone, to refute what is said of it
+ * @param member the member described
+ * @param incarnation the member's incarnation, from its durable storage; an update of a later
+ *     incarnation replaces those of all earlier ones
+ * @param version version within the incarnation, raised only by the member itself to refute an
+ *     update about it
  * @param state never {@link MemberState#UNKNOWN}
- * @param zone the member's zone; empty where there are none
- * @param trafficWeight the member's part of all traffic, in thousandths
- * @param reporter who found the state, so that one gateway's suspicion counts once however many
- *     pass it on
+ * @param zone the member's zone; empty if zones are not used
+ * @param trafficWeight share of all traffic that the member serves, in thousandths
+ * @param reporter the gateway that detected the state; a suspicion counts once per reporter,
+ *     however many gateways forward it
  */
 public record MembershipUpdate(
     PeerName member,
@@ -26,9 +27,9 @@
     PeerName reporter) {
 
   /**
-   * Whether this update, received after the other, takes its place. Of one incarnation and version
-   * the worse state wins; {@link MemberState#DEAD} holds for the whole incarnation, so that no
-   * delayed update revives it.
+   * Returns whether this update replaces one received earlier. At equal incarnation and version,
+   * the later state constant wins; {@link MemberState#DEAD} is final for its incarnation, so that a
+   * delayed update cannot revive it.
    */
   boolean overrides(Optional<MembershipUpdate> previous) {
     return previous.map(this::overrides).orElse(true);
@@ -47,7 +48,7 @@
     return state.compareTo(previous.state) > 0;
   }
 
-  /** Whether both updates confirm one suspicion: same incarnation and version, both suspect. */
+  /** Returns whether both updates are suspicions of the same incarnation and version. */
   boolean confirmsSuspicionOf(MembershipUpdate previous) {
     return state == MemberState.SUSPECT
         && previous.state == MemberState.SUSPECT
@@ -55,7 +56,7 @@
         && version == previous.version;
   }
 
-  /** The same incarnation and version in another state. */
+  /** Returns a copy with another state and reporter. */
   MembershipUpdate withState(MemberState newState, PeerName newReporter) {
     return new MembershipUpdate(
         member, incarnation, version, newState, zone, trafficWeight, newReporter);
--- a/gateway/src/main/java/weldcross/membership/Probe.java
+++ b/gateway/src/main/java/weldcross/membership/Probe.java
@@ -5,20 +5,20 @@
 import java.util.Optional;
 import weldcross.mesh.PeerName;
 
-/** A ping of this gateway's own that is under way, and the indirect probes sent for it. */
+/** A pending ping of this gateway and the indirect probes requested for it. */
 final class Probe {
 
   private final PeerName target;
   private final Duration deadline;
 
-  /** The updates that its ping carried; delivered if the target answers. */
+  /** Updates piggybacked on the ping; delivered once the target acks. */
   private final List<MembershipUpdate> updates;
 
-  /** Empty once other members have been asked to probe. */
+  /** Empty once indirect probes have been requested. */
   private Optional<Duration> indirectProbesAt;
 
   private boolean acked;
-  private int requestsSent;
+  private int pingRequestsSent;
   private int nacks;
 
   Probe(
@@ -44,16 +44,16 @@
     return acked;
   }
 
-  void ack() {
+  void recordAck() {
     acked = true;
   }
 
-  void nack() {
+  void recordNack() {
     nacks++;
   }
 
-  void requestSent() {
-    requestsSent++;
+  void recordPingRequest() {
+    pingRequestsSent++;
   }
 
   void indirectProbesStarted() {
@@ -68,16 +68,16 @@
     return indirectProbesAt.isPresent() && indirectProbesAt.get().compareTo(now) <= 0;
   }
 
-  /** When the probe has to be looked at next. */
-  Duration nextTimer() {
+  /** Returns when the probe must be checked next. */
+  Duration nextDeadline() {
     return acked ? deadline : indirectProbesAt.orElse(deadline);
   }
 
   /**
-   * How much an unanswered probe worsens the local health: one for each helper that gave neither
-   * ack nor nack, as a helper that is alive gives one of them; one if there was no helper.
+   * Returns the points that an unanswered probe adds to the local health score: one per relay that
+   * sent neither ack nor nack, as every live relay sends one of them; one if there was no relay.
    */
   int healthPenalty() {
-    return requestsSent == 0 ? 1 : Math.max(0, requestsSent - nacks);
+    return pingRequestsSent == 0 ? 1 : Math.max(0, pingRequestsSent - nacks);
   }
 }
--- a/gateway/src/main/java/weldcross/membership/ProbeSchedule.java
+++ b/gateway/src/main/java/weldcross/membership/ProbeSchedule.java
@@ -7,35 +7,35 @@
 import weldcross.mesh.PeerName;
 
 /**
- * Decides whom to probe next: rounds in random order in which each member comes once, so that
- * nobody is left out for long.
+ * Selects the next member to probe. Each round visits every member once, in random order, which
+ * bounds the time between two probes of a member.
  *
- * <p>Members that are not reachable have a round of their own and one probe in four. Many of them
- * then do not delay the detection of others, and they are still found when they come back. Dead
- * members are not probed.
+ * <p>Unreachable and unknown members have a separate round that receives one probe in four. A large
+ * number of them therefore does not delay failure detection of the others, and their recovery is
+ * still detected. Dead members are not probed.
  */
 final class ProbeSchedule {
 
-  /** One probe in so many goes to a member that is not reachable. */
-  private static final int UNREACHABLE_PROBE_EVERY = 4;
+  /** One in this many probes targets a member that is not reachable. */
+  private static final int PROBES_PER_UNREACHABLE_PROBE = 4;
 
   private final MemberTable members;
   private final SplittableRandom random;
   private final List<PeerName> reachableRound = new ArrayList<>();
   private final List<PeerName> unreachableRound = new ArrayList<>();
-  private int probes;
+  private int probeCount;
 
   ProbeSchedule(MemberTable members, SplittableRandom random) {
     this.members = members;
     this.random = random;
   }
 
-  /** The next member to probe; empty where there is none. */
+  /** Returns the next member to probe, or empty if there is none. */
   Optional<PeerName> next() {
-    probes++;
-    Optional<PeerName> first =
-        probes % UNREACHABLE_PROBE_EVERY == 0 ? nextUnreachable() : Optional.empty();
-    return first.or(this::nextReachable).or(this::nextUnreachable);
+    probeCount++;
+    Optional<PeerName> unreachable =
+        probeCount % PROBES_PER_UNREACHABLE_PROBE == 0 ? nextUnreachable() : Optional.empty();
+    return unreachable.or(this::nextReachable).or(this::nextUnreachable);
   }
 
   private Optional<PeerName> nextReachable() {
@@ -55,11 +55,11 @@
     return pollRound(round, reachable);
   }
 
-  /** Members whose state has changed since the round was filled are passed over. */
+  /** Skips members whose state has changed since the round was filled. */
   private Optional<PeerName> pollRound(List<PeerName> round, boolean reachable) {
     while (!round.isEmpty()) {
       PeerName next = round.remove(round.size() - 1);
-      if (belongsTo(next, reachable)) {
+      if (isEligible(next, reachable)) {
         return Optional.of(next);
       }
     }
@@ -68,7 +68,7 @@
 
   private void fillRound(List<PeerName> round, boolean reachable) {
     for (PeerName name : members.names()) {
-      if (belongsTo(name, reachable)) {
+      if (isEligible(name, reachable)) {
         round.add(name);
       }
     }
@@ -77,7 +77,7 @@
     }
   }
 
-  private boolean belongsTo(PeerName name, boolean reachable) {
+  private boolean isEligible(PeerName name, boolean reachable) {
     MemberState state = members.stateOf(name);
     return reachable
         ? state.isReachable()
--- a/gateway/src/main/java/weldcross/membership/Suspicion.java
+++ b/gateway/src/main/java/weldcross/membership/Suspicion.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import weldcross.mesh.PeerName;
 
-/** A member under suspicion: since when, and who shares the suspicion. */
+/** An open suspicion of a member: its start and the gateways that reported it. */
 final class Suspicion {
 
   private final Duration since;
@@ -17,20 +17,22 @@
   }
 
   /**
-   * Counts another gateway that shares the suspicion, each once.
+   * Records a confirmation by another gateway; each reporter counts once.
    *
-   * @return whether it is new and shortens the suspicion
+   * @return whether the confirmation is new and shortens the timeout
    */
   boolean confirm(PeerName reporter, int maxConfirmations) {
     return reporters.size() <= maxConfirmations && reporters.add(reporter);
   }
 
-  /** When the member is given up: the maximum for one reporter, earlier with each further one. */
+  /** Returns when the suspicion times out: sooner with each further reporter. */
   Duration deadline(FailureDetectorConfig config, int memberCount) {
-    double min = config.minSuspicion() * Math.max(1, Math.log10(Math.max(1, memberCount)));
-    double max = min * config.maxSuspicionFactor();
-    double confirmed = Math.log(reporters.size()) / Math.log(config.indirectProbes() + 1.0);
-    double intervals = Math.max(min, max - (max - min) * confirmed);
+    double minIntervals =
+        config.minSuspicionIntervals() * Math.max(1, Math.log10(Math.max(1, memberCount)));
+    double maxIntervals = minIntervals * config.maxSuspicionFactor();
+    double confirmedRatio = Math.log(reporters.size()) / Math.log(config.indirectProbes() + 1.0);
+    double intervals =
+        Math.max(minIntervals, maxIntervals - (maxIntervals - minIntervals) * confirmedRatio);
     return since.plusNanos((long) (config.probeInterval().toNanos() * intervals));
   }
 }
--- a/gateway/src/main/java/weldcross/membership/UpdateQueue.java
+++ b/gateway/src/main/java/weldcross/membership/UpdateQueue.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import weldcross.mesh.PeerName;
 
-/** Updates that are still to be passed on, the latest of each member, with their deliveries. */
+/** Updates still to be gossiped, the latest about each member, with their delivery counts. */
 final class UpdateQueue {
 
   private static final class PendingUpdate {
@@ -25,33 +25,33 @@
 
   private final Map<PeerName, PendingUpdate> pending = new LinkedHashMap<>();
 
-  /** Replaces what was pending about the same member. */
+  /** Adds an update, replacing a pending one about the same member. */
   void add(MembershipUpdate update) {
     pending.put(update.member(), new PendingUpdate(update));
   }
 
   /**
-   * Fills a message up with the updates of the fewest deliveries; those about the receiver are left
-   * out.
+   * Fills a message with the updates that have the fewest deliveries, excluding those about the
+   * receiver.
    */
   void fill(List<MembershipUpdate> message, PeerName receiver, int maxUpdates) {
     List<PendingUpdate> fewestFirst = new ArrayList<>(pending.values());
     fewestFirst.sort(Comparator.comparingInt(PendingUpdate::deliveries));
-    for (PendingUpdate each : fewestFirst) {
+    for (PendingUpdate candidate : fewestFirst) {
       if (message.size() >= maxUpdates) {
         return;
       }
-      if (!each.update.member().equals(receiver)) {
-        message.add(each.update);
+      if (!candidate.update.member().equals(receiver)) {
+        message.add(candidate.update);
       }
     }
   }
 
   /**
-   * Counts the updates as delivered to a gateway that answered, and removes those that were
-   * delivered often enough. What is sent to the dead spreads no further and must not be counted.
+   * Counts a delivery of each update to a gateway that responded, and removes updates that reached
+   * the maximum. Messages to dead members spread no further and must not be counted.
    */
-  void delivered(List<MembershipUpdate> updates, int maxDeliveries) {
+  void recordDelivery(List<MembershipUpdate> updates, int maxDeliveries) {
     for (MembershipUpdate update : updates) {
       PendingUpdate match = pending.get(update.member());
       if (match != null && match.update.equals(update) && ++match.deliveries >= maxDeliveries) {
--- a/gateway/src/main/java/weldcross/membership/net/MemberStateNames.java
+++ b/gateway/src/main/java/weldcross/membership/net/MemberStateNames.java
@@ -6,9 +6,9 @@
 import weldcross.membership.MemberState;
 
 /**
- * The names of member states outside the process: in membership messages, in the JSON of the
- * control endpoint and in the output of {@code weldcross cluster}. They are part of the protocol
- * and stay as they are whatever the constants of {@link MemberState} are called.
+ * The external names of member states: in membership messages, in the JSON of the control endpoint
+ * and in the output of {@code weldcross cluster}. They are part of the protocol and must not change
+ * when constants of {@link MemberState} are renamed.
  */
 public final class MemberStateNames {
 
@@ -20,7 +20,7 @@
           MemberState.UNREACHABLE, "SILENT",
           MemberState.DEAD, "GONE");
 
-  /** The states that a membership message may hold. */
+  /** The states that a membership message may contain. */
   private static final Map<String, MemberState> STATES =
       NAMES.entrySet().stream()
           .filter(entry -> entry.getKey() != MemberState.UNKNOWN)
@@ -28,14 +28,14 @@
 
   private MemberStateNames() {}
 
-  /** The external name of a state. */
+  /** Returns the external name of a state. */
   public static String nameOf(MemberState state) {
     return NAMES.get(state);
   }
 
   /**
-   * The state of that name; empty where the name is none that a message may hold, as those of later
-   * versions, or that of {@link MemberState#UNKNOWN}, which is never sent.
+   * Returns the state with an external name. Empty for names that a message may not contain: those
+   * of later versions, and that of {@link MemberState#UNKNOWN}, which is never sent.
    */
   public static Optional<MemberState> stateOf(String name) {
     return Optional.ofNullable(STATES.get(name));
--- a/gateway/src/main/java/weldcross/membership/net/MembershipExtension.java
+++ b/gateway/src/main/java/weldcross/membership/net/MembershipExtension.java
@@ -24,13 +24,13 @@
 import weldcross.mesh.net.PeerListener;
 
 /**
- * Membership as an extension of a gateway: {@link FailureDetector} decides, the mesh carries its
- * messages as datagrams.
+ * Runs the {@link FailureDetector} as an extension of a gateway. Its messages are sent as datagrams
+ * over the mesh.
  */
 public final class MembershipExtension
     implements GatewayExtension, FailureDetectorActions, PeerListener {
 
-  /** The subject of this extension's messages on the mesh. */
+  /** Mesh subject of this extension's messages. */
   public static final int SUBJECT = 2;
 
   private static final Logger LOG = Logger.getLogger(MembershipExtension.class.getName());
@@ -44,7 +44,7 @@
   /**
    * Creates the extension and subscribes it to the mesh.
    *
-   * @param seed of the order of probes
+   * @param seed seeds the random choices of the failure detector
    */
   public MembershipExtension(FailureDetectorConfig config, MeshExtension mesh, long seed) {
     this.mesh = mesh;
@@ -52,12 +52,12 @@
     mesh.subscribe(SUBJECT, this);
   }
 
-  /** Adds a listener of each changed member state; called before the extension is started. */
+  /** Adds a listener for member state changes; must be called before the extension starts. */
   public void addListener(Consumer<MembershipUpdate> listener) {
     listeners.add(listener);
   }
 
-  /** The states held of the other gateways. */
+  /** Returns the failure detector, for use on the gateway's thread. */
   public FailureDetector failureDetector() {
     return failureDetector;
   }
@@ -87,12 +87,12 @@
     return failureDetector.describe();
   }
 
-  /** Whether the mesh has an incarnation, without which nothing is sent or heard. */
+  /** Returns whether the mesh has an incarnation; messages are neither sent nor handled before. */
   private boolean isStarted() {
     return failureDetector.self().isPresent();
   }
 
-  // ---- Events of the mesh
+  // ---- PeerListener
 
   @Override
   public void onStarted(Incarnation self) {
@@ -124,14 +124,14 @@
         failureDetector.onPingRequest(now, from, target, message.getPingRequest(), updates);
       }
       default -> {
-        // A kind of a later version.
+        // Ignored: message kind of a later version.
       }
     }
   }
 
   /**
-   * Of the mesh's connections only a refused connect is evidence: an open connection says nothing
-   * about the peer's event loop, and its end proves nothing.
+   * Handles the only connection event that is evidence of a peer's state: an open connection does
+   * not show that the peer's event loop runs, and a closed one does not show that it ended.
    */
   @Override
   public void onConnectionRefused(PeerName peer, Optional<Incarnation> lastKnown) {
@@ -149,10 +149,10 @@
 
   @Override
   public void sendPingRequest(
-      PeerName helper, PeerName target, long sequence, List<MembershipUpdate> updates) {
+      PeerName relay, PeerName target, long sequence, List<MembershipUpdate> updates) {
     MembershipMessage.Builder message =
         MembershipMessage.newBuilder().setPingRequest(sequence).setPingRequestTarget(target.name());
-    send(helper, message, updates);
+    send(relay, message, updates);
   }
 
   @Override
@@ -211,7 +211,8 @@
         () ->
             "membership: declared dead while alive: incarnation="
                 + incarnation
-                + " reason=connects are refused in this gateway's place, or its records were lost");
+                + " reason=connections to this gateway were refused, or its stored incarnation was"
+                + " lost");
     mesh.raiseIncarnation(incarnation);
   }
 
--- a/gateway/src/main/java/weldcross/membership/net/MembershipUpdateCodec.java
+++ b/gateway/src/main/java/weldcross/membership/net/MembershipUpdateCodec.java
@@ -7,7 +7,7 @@
 import weldcross.membership.wire.MemberUpdate;
 import weldcross.mesh.PeerName;
 
-/** Translates membership updates to Protocol Buffers and back. */
+/** Converts membership updates to and from Protocol Buffers. */
 final class MembershipUpdateCodec {
 
   private MembershipUpdateCodec() {}
@@ -28,7 +28,7 @@
         .build();
   }
 
-  /** Passes over updates with a state that this version does not know. */
+  /** Decodes updates, skipping those with a state that this version does not define. */
   static List<MembershipUpdate> decodeAll(List<MemberUpdate> updates) {
     List<MembershipUpdate> decoded = new ArrayList<>();
     for (MemberUpdate update : updates) {
--- a/gateway/src/main/java/weldcross/membership/net/package-info.java
+++ b/gateway/src/main/java/weldcross/membership/net/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Joins the failure detector to a gateway: its messages as Protocol Buffers in datagrams of the
- * mesh.
+ * Connects the failure detector to a gateway: messages are encoded as Protocol Buffers and sent as
+ * datagrams over the mesh.
  */
 package weldcross.membership.net;
--- a/gateway/src/main/java/weldcross/membership/package-info.java
+++ b/gateway/src/main/java/weldcross/membership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Failure detection between gateways after SWIM and Lifeguard. Pure: no I/O and no clock; {@link
- * weldcross.membership.net} carries its messages.
+ * Failure detection between gateways, based on SWIM and Lifeguard. Performs no I/O and reads no
+ * clock; {@link weldcross.membership.net} transports its messages.
  */
 package weldcross.membership;
--- a/gateway/src/test/java/weldcross/control/ControlRequestHandlerTest.java
+++ b/gateway/src/test/java/weldcross/control/ControlRequestHandlerTest.java
@@ -60,14 +60,14 @@
   }
 
   @Test
-  void resultOfTheActionIsTheBody() throws Exception {
+  void actionResultIsTheResponseBody() throws Exception {
     HttpResponse<String> reply =
         post("", (name, response) -> response.complete(ControlJson.object("phase", "IN")));
     assertReply(200, "{\"phase\":\"IN\"}", reply);
   }
 
   @Test
-  void nameOfTheQueryIsDecoded() throws Exception {
+  void nameParameterIsUrlDecoded() throws Exception {
     HttpResponse<String> reply =
         post(
             "?name=n%201",
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void otherQueryNamesNobody() throws Exception {
+  void queryWithoutNameParameterHasNoName() throws Exception {
     HttpResponse<String> reply =
         post(
             "?who=n1",
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void failedActionIsABadRequestWithItsMessage() throws Exception {
+  void failedActionReturnsBadRequestWithItsMessage() throws Exception {
     HttpResponse<String> reply =
         post(
             "",
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void otherMethodIsNotFoundAndRunsNothing() throws Exception {
+  void otherMethodReturnsNotFoundWithoutRunningTheAction() throws Exception {
     server.createContext(
         "/x",
         new ControlRequestHandler(
--- a/gateway/src/test/java/weldcross/membership/FailureDetectorExplorer.java
+++ b/gateway/src/test/java/weldcross/membership/FailureDetectorExplorer.java
@@ -12,46 +12,46 @@
 import weldcross.mesh.PeerName;
 
 /**
- * Explores three gateways with failure detectors through all orders of what can happen: each
- * message arrives or is lost, in any order; the timer of any of them runs; one of them ends and
- * starts again; another connects to it, is refused or not, and learns of that at any time after.
- * States that were reached before are not explored again. Checks in each state that nobody holds an
- * incarnation for dead that has not ended.
+ * Exhaustively explores the event orders of three gateways with failure detectors: messages are
+ * delivered or lost in any order, any timer fires, one gateway ends and restarts, and another one
+ * attempts a connection to it and handles the result at any later time. States reached before are
+ * not explored again. Checks in each state that no gateway considers an incarnation dead that has
+ * not ended.
  */
 final class FailureDetectorExplorer {
 
   private static final int GATEWAYS = 3;
 
-  /** The gateway that connects to the one that ends. */
+  /** The gateway that connects to the restarting one. */
   private static final int CONNECTING = 0;
 
-  /** The gateway that ends and starts again. */
+  /** The gateway that ends and restarts. */
   private static final int RESTARTING = 1;
 
   private static final int MAX_INCARNATION = 2;
 
-  /** Of more messages in flight the oldest is lost. */
+  /** If more messages are in flight, the oldest is dropped. */
   private static final int MAX_IN_FLIGHT = 2;
 
-  /** A message, and a description by which equal states are recognized. */
+  /** A message with a description that identifies equal states. */
   private record Message(String description, int to, Consumer<FailureDetector> delivery) {}
 
-  /** Something that can happen next. */
+  /** A possible next event. */
   private record Step(String description, Runnable action) {}
 
-  /** A connect under way: the incarnation known before it, and its result once there is one. */
-  private record Connect(long knownIncarnation, Optional<Boolean> refused) {}
+  /** A connection attempt: the incarnation known before it, and its result once available. */
+  private record ConnectionAttempt(long knownIncarnation, Optional<Boolean> refused) {}
 
-  /** One state, reached by a path: the number of the step taken, of those possible, each time. */
+  /** One state, reached by a path of step indices into {@link #steps}. */
   private final class State {
     private final List<FailureDetector> detectors = new ArrayList<>();
     private final long[] incarnations = {1, 1, 1};
     private final List<Message> inFlight = new ArrayList<>();
-    private boolean restartingRuns = true;
-    private Optional<Connect> connect = Optional.empty();
+    private boolean restartingGatewayRuns = true;
+    private Optional<ConnectionAttempt> connectionAttempt = Optional.empty();
     private Duration now = Duration.ZERO;
 
-    /** All gateways know each other, and one ping is under way. */
+    /** Creates the initial state: all gateways know each other, and one ping is in flight. */
     State() {
       for (int k = 0; k < GATEWAYS; k++) {
         detectors.add(newDetector(k));
@@ -68,29 +68,30 @@
       runTimer(CONNECTING);
     }
 
-    private FailureDetector newDetector(int k) {
+    private FailureDetector newDetector(int gateway) {
       List<PeerName> others = new ArrayList<>();
       for (int other = 0; other < GATEWAYS; other++) {
-        if (other != k) {
+        if (other != gateway) {
           others.add(name(other));
         }
       }
-      FailureDetectorConfig config = FailureDetectorConfig.defaults(name(k), others, "", 1);
-      FailureDetector detector = new FailureDetector(config, new RecordingActions(k), 7 + k);
-      detector.start(now, incarnations[k]);
+      FailureDetectorConfig config = FailureDetectorConfig.defaults(name(gateway), others, "", 1);
+      FailureDetector detector =
+          new FailureDetector(config, new RecordingActions(gateway), 7 + gateway);
+      detector.start(now, incarnations[gateway]);
       return detector;
     }
 
-    private void runTimer(int k) {
+    private void runTimer(int gateway) {
       now = now.plusSeconds(1);
-      detectors.get(k).onTimer(now);
+      detectors.get(gateway).onTimer(now);
     }
 
-    private boolean runs(int k) {
-      return k != RESTARTING || restartingRuns;
+    private boolean isRunning(int gateway) {
+      return gateway != RESTARTING || restartingGatewayRuns;
     }
 
-    /** Puts what one gateway sends in flight. */
+    /** Adds the messages of one gateway to those in flight. */
     private final class RecordingActions implements FailureDetectorActions {
       private final int self;
 
@@ -123,10 +124,10 @@
 
       @Override
       public void sendPingRequest(
-          PeerName helper, PeerName target, long sequence, List<MembershipUpdate> updates) {
+          PeerName relay, PeerName target, long sequence, List<MembershipUpdate> updates) {
         send(
             "ping-request" + target,
-            helper,
+            relay,
             sequence,
             updates,
             receiver -> receiver.onPingRequest(now, name(self), target, sequence, updates));
@@ -154,7 +155,7 @@
 
       @Override
       public void memberChanged(MembershipUpdate update) {
-        // Checked after each step.
+        // States are checked after each step.
       }
 
       @Override
@@ -162,33 +163,37 @@
         if (dead >= incarnations[self]) {
           violation =
               Optional.of(
-                  name(self) + " runs as " + incarnations[self] + " and is held for dead: " + dead);
+                  name(self)
+                      + " runs as incarnation "
+                      + incarnations[self]
+                      + " but is declared dead: "
+                      + dead);
         }
       }
 
       @Override
       public void wakeAt(Duration when) {
-        // Any timer may run at any time.
+        // Any timer may fire at any time.
       }
     }
 
-    /** All steps that are possible now, in an order that depends on the state alone. */
+    /** Returns all possible steps, in an order that depends only on the state. */
     List<Step> steps() {
       List<Step> steps = new ArrayList<>();
       for (Message message : List.copyOf(inFlight)) {
-        steps.add(new Step("arrives " + message.description(), () -> deliver(message)));
-        steps.add(new Step("is lost " + message.description(), () -> inFlight.remove(message)));
+        steps.add(new Step("deliver " + message.description(), () -> deliver(message)));
+        steps.add(new Step("lose " + message.description(), () -> inFlight.remove(message)));
       }
       for (int k = 0; k < GATEWAYS; k++) {
         int gateway = k;
-        if (runs(k)) {
-          steps.add(new Step("timer of " + name(k), () -> runTimer(gateway)));
+        if (isRunning(k)) {
+          steps.add(new Step("fire timer of " + name(k), () -> runTimer(gateway)));
         }
       }
-      if (restartingRuns) {
-        steps.add(new Step("ends", () -> restartingRuns = false));
+      if (restartingGatewayRuns) {
+        steps.add(new Step("end", () -> restartingGatewayRuns = false));
       } else if (incarnations[RESTARTING] < MAX_INCARNATION) {
-        steps.add(new Step("starts again", this::startAgain));
+        steps.add(new Step("restart", this::restart));
       }
       steps.add(connectStep());
       return steps;
@@ -196,38 +201,42 @@
 
     private void deliver(Message message) {
       inFlight.remove(message);
-      if (runs(message.to())) {
+      if (isRunning(message.to())) {
         message.delivery().accept(detectors.get(message.to()));
       }
     }
 
-    private void startAgain() {
+    private void restart() {
       incarnations[RESTARTING]++;
-      restartingRuns = true;
+      restartingGatewayRuns = true;
       detectors.set(RESTARTING, newDetector(RESTARTING));
     }
 
     private Step connectStep() {
-      if (connect.isEmpty()) {
+      if (connectionAttempt.isEmpty()) {
         return new Step(
-            "begins to connect",
-            () -> connect = Optional.of(new Connect(knownIncarnation(), Optional.empty())));
+            "start connecting",
+            () ->
+                connectionAttempt =
+                    Optional.of(new ConnectionAttempt(knownIncarnation(), Optional.empty())));
       }
-      long known = connect.get().knownIncarnation();
-      if (connect.get().refused().isEmpty()) {
-        boolean refused = !restartingRuns;
+      long known = connectionAttempt.get().knownIncarnation();
+      if (connectionAttempt.get().refused().isEmpty()) {
+        boolean refused = !restartingGatewayRuns;
         return new Step(
-            refused ? "is refused" : "is accepted",
-            () -> connect = Optional.of(new Connect(known, Optional.of(refused))));
+            refused ? "refuse connection" : "accept connection",
+            () ->
+                connectionAttempt =
+                    Optional.of(new ConnectionAttempt(known, Optional.of(refused))));
       }
-      return new Step("learns of it", this::learnResult);
+      return new Step("handle connection result", this::handleConnectionResult);
     }
 
-    private void learnResult() {
-      Connect done = connect.orElseThrow();
-      connect = Optional.empty();
-      if (done.refused().orElseThrow()) {
-        long proven = plantedFault ? knownIncarnation() : done.knownIncarnation();
+    private void handleConnectionResult() {
+      ConnectionAttempt completed = connectionAttempt.orElseThrow();
+      connectionAttempt = Optional.empty();
+      if (completed.refused().orElseThrow()) {
+        long proven = injectBug ? knownIncarnation() : completed.knownIncarnation();
         detectors.get(CONNECTING).onConnectionRefused(now, name(RESTARTING), proven);
       }
     }
@@ -238,48 +247,48 @@
 
     void check() {
       for (int k = 0; k < GATEWAYS; k++) {
-        for (MembershipUpdate held : detectors.get(k).members()) {
-          int member = numberOf(held.member());
-          boolean ended = held.incarnation() < incarnations[member] || !runs(member);
-          if (runs(k) && held.state() == MemberState.DEAD && !ended) {
-            violation = Optional.of(name(k) + " holds " + held);
+        for (MembershipUpdate update : detectors.get(k).members()) {
+          int member = numberOf(update.member());
+          boolean ended = update.incarnation() < incarnations[member] || !isRunning(member);
+          if (isRunning(k) && update.state() == MemberState.DEAD && !ended) {
+            violation = Optional.of(name(k) + " observes " + update);
           }
         }
       }
     }
 
-    /** Equal for equal states. */
+    /** Returns a description that is equal for equal states. */
     String describe() {
       StringBuilder state = new StringBuilder();
       for (int k = 0; k < GATEWAYS; k++) {
         FailureDetector detector = detectors.get(k);
         state
-            .append(runs(k))
+            .append(isRunning(k))
             .append(incarnations[k])
             .append(detector.self())
             .append(detector.members())
             .append(detector.describe());
       }
       inFlight.forEach(message -> state.append(message.description()));
-      return state.append(now).append(connect).toString();
+      return state.append(now).append(connectionAttempt).toString();
     }
   }
 
-  private final boolean plantedFault;
+  private final boolean injectBug;
 
-  /** Each state, with the number of steps that were explored from it. */
-  private final Map<UUID, Integer> explored = new HashMap<>();
+  /** The explored states, with the depth explored from each. */
+  private final Map<UUID, Integer> exploredDepths = new HashMap<>();
 
   private Optional<String> violation = Optional.empty();
 
   /**
    * Creates an explorer.
    *
-   * @param plantedFault whether a refusal counts for the incarnation known when it is learnt of,
-   *     which the exploration has to find
+   * @param injectBug whether to attribute a refused connection to the incarnation known when the
+   *     result is handled, a bug that the exploration must find
    */
-  FailureDetectorExplorer(boolean plantedFault) {
-    this.plantedFault = plantedFault;
+  FailureDetectorExplorer(boolean injectBug) {
+    this.injectBug = injectBug;
   }
 
   private static PeerName name(int number) {
@@ -290,7 +299,9 @@
     return Integer.parseInt(name.name().substring(1));
   }
 
-  /** What is wrong and the steps to it; empty where nothing is, within that many steps. */
+  /**
+   * Returns a violation and the steps to it, or empty if none is reachable in {@code depth} steps.
+   */
   Optional<String> explore(int depth) {
     return explore(new ArrayList<>(), depth);
   }
@@ -302,10 +313,10 @@
       return Optional.of(violation.get() + " after " + describe(path));
     }
     UUID key = UUID.nameUUIDFromBytes(state.describe().getBytes(StandardCharsets.UTF_8));
-    if (depth == 0 || explored.getOrDefault(key, 0) >= depth) {
+    if (depth == 0 || exploredDepths.getOrDefault(key, 0) >= depth) {
       return Optional.empty();
     }
-    explored.put(key, depth);
+    exploredDepths.put(key, depth);
     int count = state.steps().size();
     for (int k = 0; k < count; k++) {
       path.add(k);
@@ -318,8 +329,8 @@
     return Optional.empty();
   }
 
-  int states() {
-    return explored.size();
+  int stateCount() {
+    return exploredDepths.size();
   }
 
   private State reach(List<Integer> path) {
--- a/gateway/src/test/java/weldcross/membership/FailureDetectorTest.java
+++ b/gateway/src/test/java/weldcross/membership/FailureDetectorTest.java
@@ -18,63 +18,64 @@
     return Duration.ofSeconds(count);
   }
 
-  private static MembershipSimulation connected(int count, long seed) {
+  private static MembershipSimulation convergedSimulation(int count, long seed) {
     MembershipSimulation simulation = new MembershipSimulation(count, seed);
-    assertAllHold(simulation, Duration.ofMinutes(10), simulation.all, MemberState.ALIVE);
+    assertAllObserve(simulation, Duration.ofMinutes(10), simulation.nodes, MemberState.ALIVE);
     return simulation;
   }
 
-  /** Runs until all active gateways hold that state, and returns how long that took. */
-  private static Duration assertAllHold(
+  /** Runs until all active gateways observe the state, and returns the time taken. */
+  private static Duration assertAllObserve(
       MembershipSimulation simulation,
       Duration max,
       List<MembershipSimulation.Node> members,
       MemberState state) {
-    Optional<Duration> taken = simulation.runUntilAllHold(max, members, state);
-    return taken.orElseThrow(() -> new AssertionError("not all " + state + " within " + max));
+    Optional<Duration> taken = simulation.runUntilAllObserve(max, members, state);
+    return taken.orElseThrow(
+        () -> new AssertionError("not observed as " + state + " by all within " + max));
   }
 
-  private static void assertShorter(Duration max, Duration taken) {
-    assertTrue(taken.compareTo(max) < 0, taken + ", at most " + max);
+  private static void assertLessThan(Duration max, Duration taken) {
+    assertTrue(taken.compareTo(max) < 0, taken + ", expected less than " + max);
   }
 
-  /** Killed and paused are both unreachable: nothing tells them apart but proof. */
+  /** A killed and a paused process cannot be told apart without proof that one has ended. */
   @Test
-  void unansweringMemberIsUnreachableAndOnlyProofMakesItDead() {
-    MembershipSimulation simulation = connected(5, 1);
-    MembershipSimulation.Node killed = simulation.all.get(1);
-    MembershipSimulation.Node paused = simulation.all.get(2);
+  void unresponsiveMemberIsUnreachableUntilProvenDead() {
+    MembershipSimulation simulation = convergedSimulation(5, 1);
+    MembershipSimulation.Node killed = simulation.nodes.get(1);
+    MembershipSimulation.Node paused = simulation.nodes.get(2);
     killed.kill();
     paused.pause();
-    assertAllHold(simulation, MINUTE, List.of(killed, paused), MemberState.UNREACHABLE);
-    FailureDetector detector = simulation.all.get(0).detector;
+    assertAllObserve(simulation, MINUTE, List.of(killed, paused), MemberState.UNREACHABLE);
+    FailureDetector detector = simulation.nodes.get(0).detector;
     detector.onConnectionRefused(simulation.now, killed.name, 2);
     assertTrue(
-        simulation.allHold(List.of(killed), MemberState.UNREACHABLE),
-        "a connect begun under another incarnation proves nothing");
+        simulation.allObserve(List.of(killed), MemberState.UNREACHABLE),
+        "a connection attempt to another incarnation proves nothing");
     detector.onConnectionRefused(simulation.now, killed.name, 1);
-    assertAllHold(simulation, seconds(10), List.of(killed), MemberState.DEAD);
-    assertTrue(simulation.allHold(List.of(paused), MemberState.UNREACHABLE));
+    assertAllObserve(simulation, seconds(10), List.of(killed), MemberState.DEAD);
+    assertTrue(simulation.allObserve(List.of(paused), MemberState.UNREACHABLE));
     paused.resume();
-    assertAllHold(simulation, seconds(10), List.of(paused), MemberState.ALIVE);
+    assertAllObserve(simulation, seconds(10), List.of(paused), MemberState.ALIVE);
     killed.start();
-    assertAllHold(simulation, seconds(20), simulation.all, MemberState.ALIVE);
-    assertEquals(0, simulation.falselyUnreachable);
+    assertAllObserve(simulation, seconds(20), simulation.nodes, MemberState.ALIVE);
+    assertEquals(0, simulation.falsePositives);
   }
 
   @Test
-  void memberThatSaysGoodbyeIsDeadAtOnce() {
-    MembershipSimulation simulation = connected(30, 2);
-    MembershipSimulation.Node leaving = simulation.all.get(3);
+  void gracefulLeaveIsDetectedAsDeadWithinSeconds() {
+    MembershipSimulation simulation = convergedSimulation(30, 2);
+    MembershipSimulation.Node leaving = simulation.nodes.get(3);
     leaving.detector.leave();
     leaving.kill();
-    assertShorter(
-        seconds(6), assertAllHold(simulation, seconds(20), List.of(leaving), MemberState.DEAD));
+    assertLessThan(
+        seconds(6), assertAllObserve(simulation, seconds(20), List.of(leaving), MemberState.DEAD));
   }
 
-  private static boolean holdsPartitions(MembershipSimulation simulation) {
-    for (MembershipSimulation.Node a : simulation.all) {
-      for (MembershipSimulation.Node b : simulation.all) {
+  private static boolean observesPartitions(MembershipSimulation simulation) {
+    for (MembershipSimulation.Node a : simulation.nodes) {
+      for (MembershipSimulation.Node b : simulation.nodes) {
         MemberState expected =
             a.partition == b.partition ? MemberState.ALIVE : MemberState.UNREACHABLE;
         if (a != b && a.detector.stateOf(b.name) != expected) {
@@ -86,99 +87,101 @@
   }
 
   @Test
-  void partitionsHoldEachOtherUnreachableAndFindTogetherAgain() {
-    MembershipSimulation simulation = connected(9, 3);
-    simulation.all.subList(0, 4).forEach(node -> node.partition = 1);
-    assertTrue(simulation.runUntil(MINUTE, () -> holdsPartitions(simulation)).isPresent());
-    simulation.all.forEach(node -> node.partition = 0);
-    assertShorter(
-        seconds(15), assertAllHold(simulation, MINUTE, simulation.all, MemberState.ALIVE));
-    assertEquals(0, simulation.falselyUnreachable);
+  void partitionsObserveEachOtherUnreachableAndMergeAfterHealing() {
+    MembershipSimulation simulation = convergedSimulation(9, 3);
+    simulation.nodes.subList(0, 4).forEach(node -> node.partition = 1);
+    assertTrue(simulation.runUntil(MINUTE, () -> observesPartitions(simulation)).isPresent());
+    simulation.nodes.forEach(node -> node.partition = 0);
+    assertLessThan(
+        seconds(15), assertAllObserve(simulation, MINUTE, simulation.nodes, MemberState.ALIVE));
+    assertEquals(0, simulation.falsePositives);
   }
 
   /**
-   * A gateway that is paused for two seconds of each three accuses nobody: it first reads what came
-   * meanwhile.
+   * A gateway that is paused for two of every three seconds must process the messages received
+   * during a pause before it declares any member unreachable.
    */
   @Test
-  void slowGatewayDoesNotAccuseOthers() {
-    MembershipSimulation simulation = connected(20, 4);
-    MembershipSimulation.Node slow = simulation.all.get(0);
-    long accused = 0;
+  void intermittentlyPausedGatewayDeclaresNoMemberUnreachable() {
+    MembershipSimulation simulation = convergedSimulation(20, 4);
+    MembershipSimulation.Node paused = simulation.nodes.get(0);
+    long unreachableCount = 0;
     for (int k = 0; k < 100; k++) {
-      slow.pause();
+      paused.pause();
       simulation.run(seconds(2));
-      slow.resume();
+      paused.resume();
       simulation.run(seconds(1));
-      accused +=
-          slow.detector.members().stream()
+      unreachableCount +=
+          paused.detector.members().stream()
               .filter(update -> update.state() == MemberState.UNREACHABLE)
               .count();
     }
-    assertEquals(0, accused);
+    assertEquals(0, unreachableCount);
   }
 
-  /** A third of all messages is lost, and each takes up to 0.2 s. */
+  /** 30 % of all messages are lost, and each takes 100 to 200 ms. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void badNetworkMakesFewFalselyUnreachableAndNobodyDead(long seed) {
-    MembershipSimulation simulation = connected(20, seed);
+  void lossyNetworkCausesFewFalsePositivesAndNoDeadMembers(long seed) {
+    MembershipSimulation simulation = convergedSimulation(20, seed);
     simulation.lossRate = 0.3;
     simulation.delayMillis = 100;
     simulation.run(Duration.ofMinutes(10));
     assertTrue(
-        simulation.all.stream().anyMatch(node -> node.detector.healthScore() > 0),
-        "who gets no answers suspects itself");
-    double anHour = simulation.falselyUnreachable / 20.0 * 6;
-    assertTrue(anHour < 12, simulation.falselyUnreachable + " in ten minutes of 20 gateways");
+        simulation.nodes.stream().anyMatch(node -> node.detector.healthScore() > 0),
+        "a gateway without responses has a non-zero health score");
+    double perGatewayHour = simulation.falsePositives / 20.0 * 6;
+    assertTrue(
+        perGatewayHour < 12,
+        simulation.falsePositives + " false positives in ten minutes with 20 gateways");
     simulation.lossRate = 0;
     simulation.delayMillis = 1;
-    assertAllHold(simulation, MINUTE, simulation.all, MemberState.ALIVE);
+    assertAllObserve(simulation, MINUTE, simulation.nodes, MemberState.ALIVE);
   }
 
-  /** An update takes rounds by the logarithm of the number of gateways. */
+  /** An update spreads in a number of rounds logarithmic in the number of gateways. */
   @Test
-  void messagesOfOneGatewayAreTheSameAtThirtyAndThreeHundred() {
+  void messageRatePerGatewayIsIndependentOfClusterSize() {
     int[] counts = {30, 300};
     double[] messagesPerSecond = new double[2];
     for (int k = 0; k < counts.length; k++) {
-      MembershipSimulation simulation = connected(counts[k], 5);
+      MembershipSimulation simulation = convergedSimulation(counts[k], 5);
       long before = simulation.messagesSent;
       simulation.run(seconds(30));
       messagesPerSecond[k] = (simulation.messagesSent - before) / 30.0 / counts[k];
-      MembershipSimulation.Node leaving = simulation.all.get(7);
+      MembershipSimulation.Node leaving = simulation.nodes.get(7);
       leaving.detector.leave();
       leaving.kill();
-      assertShorter(
-          seconds(12), assertAllHold(simulation, MINUTE, List.of(leaving), MemberState.DEAD));
+      assertLessThan(
+          seconds(12), assertAllObserve(simulation, MINUTE, List.of(leaving), MemberState.DEAD));
     }
     assertEquals(messagesPerSecond[0], messagesPerSecond[1], 0.2);
   }
 
   /**
-   * Restarts, pauses, partitions and losses at random: {@link MembershipSimulation} checks at each
-   * step what must never be held.
+   * Random restarts, pauses, partitions and message loss; {@link MembershipSimulation} checks the
+   * safety properties at each state change.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void noRunningMemberIsEverHeldForDeadAndAllFindTogetherAgain(long seed) {
-    MembershipSimulation simulation = connected(5 + (int) (seed % 4), seed);
+  void runningMemberIsNeverDeclaredDeadAndClusterReconverges(long seed) {
+    MembershipSimulation simulation = convergedSimulation(5 + (int) (seed % 4), seed);
     for (int step = 0; step < 400; step++) {
       randomStep(simulation);
       simulation.run(Duration.ofMillis(simulation.random.nextInt(3000)));
     }
     simulation.lossRate = 0;
-    simulation.all.forEach(FailureDetectorTest::recover);
-    assertAllHold(simulation, Duration.ofMinutes(2), simulation.all, MemberState.ALIVE);
+    simulation.nodes.forEach(FailureDetectorTest::recover);
+    assertAllObserve(simulation, Duration.ofMinutes(2), simulation.nodes, MemberState.ALIVE);
   }
 
   private static void randomStep(MembershipSimulation simulation) {
-    List<MembershipSimulation.Node> all = simulation.all;
+    List<MembershipSimulation.Node> all = simulation.nodes;
     MembershipSimulation.Node node = all.get(simulation.random.nextInt(all.size()));
     switch (simulation.random.nextInt(9)) {
       case 0 -> {
         if (node.isActive()) {
-          killAndPerhapsRefuse(simulation, node);
+          killAndMaybeReportRefusal(simulation, node);
         }
       }
       case 1, 2 -> {
@@ -202,12 +205,12 @@
     }
   }
 
-  /** Kills a gateway; another one may find that out by a refused connect. */
-  private static void killAndPerhapsRefuse(
+  /** Kills a gateway; another one may detect that through a refused connection. */
+  private static void killAndMaybeReportRefusal(
       MembershipSimulation simulation, MembershipSimulation.Node killed) {
     killed.kill();
     MembershipSimulation.Node other =
-        simulation.all.get(simulation.random.nextInt(simulation.all.size()));
+        simulation.nodes.get(simulation.random.nextInt(simulation.nodes.size()));
     if (other != killed && other.isActive() && simulation.random.nextBoolean()) {
       long known = simulation.random.nextLong(killed.incarnation) + 1;
       other.detector.onConnectionRefused(simulation.now, killed.name, known);
@@ -224,16 +227,17 @@
   }
 
   /**
-   * All orders of seven steps of three gateways, one of which ends and starts again while another
-   * connects to it.
+   * Explores all orders of seven steps of three gateways, one of which restarts while another
+   * connects to it. A refused connection proves the end only of the incarnation known before the
+   * attempt; crediting it to a later one would declare a running gateway dead.
    */
   @Test
-  void inNoOrderIsAnIncarnationHeldForDeadThatHasNotEnded() {
+  void noEventOrderDeclaresARunningIncarnationDead() {
     FailureDetectorExplorer explorer = new FailureDetectorExplorer(false);
     assertEquals(Optional.empty(), explorer.explore(7));
-    assertTrue(explorer.states() > 5_000, explorer.states() + " states");
+    assertTrue(explorer.stateCount() > 5_000, explorer.stateCount() + " states");
     assertTrue(
         new FailureDetectorExplorer(true).explore(7).isPresent(),
-        "a refusal that counts for an incarnation it does not prove is found");
+        "the exploration finds the injected bug");
   }
 }
--- a/gateway/src/test/java/weldcross/membership/LocalHealthTest.java
+++ b/gateway/src/test/java/weldcross/membership/LocalHealthTest.java
@@ -10,7 +10,7 @@
   private final LocalHealth health = new LocalHealth();
 
   @Test
-  void timeoutGrowsWithEachStep() {
+  void timeoutGrowsWithScore() {
     Duration timeout = Duration.ofMillis(400);
     assertEquals(timeout, health.scale(timeout));
     health.worsen(2);
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void scoreStaysWithinItsRange() {
+  void scoreIsClampedToItsRange() {
     health.improve();
     assertEquals(0, health.score());
     health.worsen(100);
--- a/gateway/src/test/java/weldcross/membership/MemberTableTest.java
+++ b/gateway/src/test/java/weldcross/membership/MemberTableTest.java
@@ -21,23 +21,23 @@
   }
 
   @Test
-  void configuredMemberIsUnknownUntilItIsHeardOf() {
+  void configuredPeerIsUnknownUntilItsFirstUpdate() {
     assertEquals(MemberState.UNKNOWN, members.stateOf(A));
     assertEquals(Optional.empty(), members.find(A));
     members.put(update(A, MemberState.ALIVE));
     assertEquals(MemberState.ALIVE, members.stateOf(A));
     assertEquals(1, members.unknownCount());
-    assertEquals(1, members.heardOfCount());
+    assertEquals(1, members.knownCount());
   }
 
   @Test
-  void memberThatWasNotConfiguredIsLearntOf() {
+  void unconfiguredMemberIsAddedByItsFirstUpdate() {
     members.put(update(B, MemberState.ALIVE));
     assertEquals(List.of(A, B, C), members.names());
   }
 
   @Test
-  void reachableMembersAreThoseAliveAndSuspected() {
+  void reachableMembersAreAliveOrSuspect() {
     members.put(update(A, MemberState.SUSPECT));
     members.put(update(B, MemberState.ALIVE));
     members.put(update(C, MemberState.UNREACHABLE));
--- a/gateway/src/test/java/weldcross/membership/MembershipSimulation.java
+++ b/gateway/src/test/java/weldcross/membership/MembershipSimulation.java
@@ -17,8 +17,8 @@
 import weldcross.mesh.PeerName;
 
 /**
- * The failure detectors of many gateways over a network in memory, on a clock moved by hand:
- * messages are delayed, lost, and cut off.
+ * Simulates the failure detectors of many gateways with a manual clock and an in-memory network
+ * that delays and drops messages and can be partitioned.
  */
 final class MembershipSimulation {
 
@@ -28,7 +28,7 @@
 
   private record Event(Duration at, long order, Runnable task) {}
 
-  /** One gateway, through its restarts. */
+  /** One gateway, across its restarts. */
   final class Node implements FailureDetectorActions {
     final PeerName name;
     FailureDetector detector;
@@ -36,7 +36,7 @@
     boolean running;
     boolean paused;
 
-    /** Messages between gateways of different partitions are lost. */
+    /** Messages between gateways in different partitions are dropped. */
     int partition;
 
     private final ArrayDeque<Runnable> receivedWhilePaused = new ArrayDeque<>();
@@ -47,7 +47,7 @@
     }
 
     private void send(PeerName to, int updateCount, Consumer<FailureDetector> message) {
-      Node receiver = nodes.get(to);
+      Node receiver = nodesByName.get(to);
       messagesSent++;
       bytesSent += MESSAGE_BYTES + UPDATE_BYTES * updateCount;
       if (random.nextDouble() < lossRate || partition != receiver.partition) {
@@ -57,7 +57,7 @@
       schedule(now.plus(delay), () -> receiver.receive(() -> message.accept(receiver.detector)));
     }
 
-    /** A paused process handles all that came meanwhile when it goes on. */
+    /** A paused process handles the events received during the pause when it resumes. */
     private void receive(Runnable event) {
       if (paused) {
         receivedWhilePaused.add(event);
@@ -73,9 +73,9 @@
 
     @Override
     public void sendPingRequest(
-        PeerName helper, PeerName target, long sequence, List<MembershipUpdate> updates) {
+        PeerName relay, PeerName target, long sequence, List<MembershipUpdate> updates) {
       send(
-          helper,
+          relay,
           updates.size(),
           receiver -> receiver.onPingRequest(now, name, target, sequence, updates));
     }
@@ -90,30 +90,30 @@
       send(to, 0, receiver -> receiver.onNack(now, name, sequence));
     }
 
-    /** DEAD is proven: it is only ever held of an incarnation that has ended. */
+    /** Checks that a member is only declared dead if that incarnation has ended. */
     @Override
     public void memberChanged(MembershipUpdate update) {
-      Node member = nodes.get(update.member());
+      Node member = nodesByName.get(update.member());
       assertTrue(
           update.incarnation() <= member.incarnation,
-          name + " holds " + update + " of " + member.incarnation);
+          name + " observes " + update + " of incarnation " + member.incarnation);
       if (update.state() == MemberState.DEAD) {
         assertTrue(
             update.incarnation() < member.incarnation || !member.running,
-            name + " holds a running one for dead: " + update);
+            name + " declares a running member dead: " + update);
       }
       if (update.state() == MemberState.UNREACHABLE
           && member.running
           && !member.paused
           && member.partition == partition
           && update.reporter().equals(name)) {
-        falselyUnreachable++;
+        falsePositives++;
       }
     }
 
     @Override
     public void declaredDead(long deadIncarnation) {
-      throw new AssertionError(name + " runs and is held for dead: " + deadIncarnation);
+      throw new AssertionError(name + " is running but declared dead: " + deadIncarnation);
     }
 
     @Override
@@ -134,7 +134,7 @@
       receivedWhilePaused.clear();
       incarnation++;
       lastWake++;
-      List<PeerName> others = nodes.keySet().stream().filter(n -> !n.equals(name)).toList();
+      List<PeerName> others = nodesByName.keySet().stream().filter(n -> !n.equals(name)).toList();
       detector =
           new FailureDetector(
               FailureDetectorConfig.defaults(name, others, "a", 10), this, random.nextLong());
@@ -162,15 +162,15 @@
     }
   }
 
-  final List<Node> all = new ArrayList<>();
+  final List<Node> nodes = new ArrayList<>();
   final SplittableRandom random;
   Duration now = Duration.ZERO;
   double lossRate;
   int delayMillis = 1;
   long messagesSent;
   long bytesSent;
-  long falselyUnreachable;
-  private final Map<PeerName, Node> nodes = new LinkedHashMap<>();
+  long falsePositives;
+  private final Map<PeerName, Node> nodesByName = new LinkedHashMap<>();
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(Comparator.comparing(Event::at).thenComparingLong(Event::order));
   private long lastOrder;
@@ -179,18 +179,18 @@
     random = new SplittableRandom(seed);
     for (int k = 0; k < count; k++) {
       Node node = new Node("n" + k);
-      nodes.put(node.name, node);
-      all.add(node);
+      nodesByName.put(node.name, node);
+      nodes.add(node);
     }
-    all.forEach(Node::start);
+    nodes.forEach(Node::start);
   }
 
   private void schedule(Duration when, Runnable task) {
     events.add(new Event(when, ++lastOrder, task));
   }
 
-  void run(Duration span) {
-    Duration until = now.plus(span);
+  void run(Duration duration) {
+    Duration until = now.plus(duration);
     while (!events.isEmpty() && events.peek().at().compareTo(until) <= 0) {
       Event next = events.poll();
       now = next.at().compareTo(now) > 0 ? next.at() : now;
@@ -200,9 +200,9 @@
   }
 
   /**
-   * Runs until the condition holds, which is checked ten times a second.
+   * Runs until the condition holds, checked at each {@link #CHECK_INTERVAL}.
    *
-   * @return how long that took; empty where it took longer than the maximum
+   * @return the time taken, or empty if the condition did not hold within the maximum
    */
   Optional<Duration> runUntil(Duration max, BooleanSupplier condition) {
     Duration start = now;
@@ -215,14 +215,14 @@
     return Optional.of(now.minus(start));
   }
 
-  /** As {@link #runUntil} with the condition that {@link #allHold} holds. */
-  Optional<Duration> runUntilAllHold(Duration max, List<Node> members, MemberState state) {
-    return runUntil(max, () -> allHold(members, state));
+  /** Runs {@link #runUntil} with {@link #allObserve} as the condition. */
+  Optional<Duration> runUntilAllObserve(Duration max, List<Node> members, MemberState state) {
+    return runUntil(max, () -> allObserve(members, state));
   }
 
-  /** Whether all active gateways hold that state of each of the members. */
-  boolean allHold(List<Node> members, MemberState state) {
-    for (Node node : all) {
+  /** Returns whether all active gateways observe each of the members in the given state. */
+  boolean allObserve(List<Node> members, MemberState state) {
+    for (Node node : nodes) {
       for (Node member : members) {
         if (node != member && node.isActive() && node.detector.stateOf(member.name) != state) {
           return false;
--- a/gateway/src/test/java/weldcross/membership/MembershipUpdateTest.java
+++ b/gateway/src/test/java/weldcross/membership/MembershipUpdateTest.java
@@ -164,7 +164,7 @@
     "ALIVE, 1, 5, DEAD, 1, 0, false",
     "DEAD, 1, 5, DEAD, 1, 0, false"
   })
-  void laterIncarnationThenDeathThenVersionThenWorseStateWins(
+  void precedenceIsIncarnationThenDeadThenVersionThenState(
       MemberState state,
       long incarnation,
       long version,
@@ -183,7 +183,7 @@
    * Updates about one gateway in any order, with loss and repeats, while it restarts or refutes.
    */
   @Test
-  void allOrdersOfUpdatesAboutOneGatewayConverge() {
+  void updatesAboutOneGatewayConvergeInAnyOrder() {
     Set<String> states = new HashSet<>();
     explore(new int[0], 9, states);
     assertTrue(states.size() > 1500, states.size() + " states");
--- a/gateway/src/test/java/weldcross/membership/ProbeScheduleTest.java
+++ b/gateway/src/test/java/weldcross/membership/ProbeScheduleTest.java
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void eachReachableMemberComesOnceInARound() {
+  void eachReachableMemberIsProbedOncePerRound() {
     for (int k = 0; k < 6; k++) {
       hold(k, k % 2 == 0 ? MemberState.ALIVE : MemberState.SUSPECT);
     }
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void unknownMemberIsProbedEachTimeWhereNobodyIsReachable() {
+  void unknownMemberIsProbedEveryTimeIfNoMemberIsReachable() {
     MemberTable onlyConfigured = new MemberTable(List.of(name(4)));
     ProbeSchedule probes = new ProbeSchedule(onlyConfigured, new SplittableRandom(1));
     for (int k = 0; k < 5; k++) {
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void memberThatDiesDuringARoundIsPassedOver() {
+  void memberThatDiesDuringARoundIsSkipped() {
     for (int k = 0; k < 4; k++) {
       hold(k, MemberState.ALIVE);
     }
--- a/gateway/src/test/java/weldcross/membership/ProbeTest.java
+++ b/gateway/src/test/java/weldcross/membership/ProbeTest.java
@@ -19,33 +19,33 @@
   private final Probe probe = new Probe(new PeerName("target"), INDIRECT_AT, DEADLINE, List.of());
 
   @Test
-  void unansweredProbeAsksOthersOnceAndThenExpires() {
+  void unansweredProbeNeedsIndirectProbesOnceAndThenExpires() {
     assertFalse(probe.needsIndirectProbes(INDIRECT_AT.minusMillis(1)));
     assertTrue(probe.needsIndirectProbes(INDIRECT_AT));
-    assertEquals(INDIRECT_AT, probe.nextTimer());
+    assertEquals(INDIRECT_AT, probe.nextDeadline());
     probe.indirectProbesStarted();
     assertFalse(probe.needsIndirectProbes(INDIRECT_AT));
-    assertEquals(DEADLINE, probe.nextTimer());
+    assertEquals(DEADLINE, probe.nextDeadline());
     assertFalse(probe.isExpired(DEADLINE.minusMillis(1)));
     assertTrue(probe.isExpired(DEADLINE));
   }
 
   @Test
-  void ackedProbeIsLookedAtWhenItEnds() {
-    probe.ack();
+  void ackedProbeIsCheckedAtItsDeadline() {
+    probe.recordAck();
     assertTrue(probe.isAcked());
-    assertEquals(DEADLINE, probe.nextTimer());
+    assertEquals(DEADLINE, probe.nextDeadline());
   }
 
-  /** A helper that is alive gives an ack or a nack; each that gives neither costs one. */
+  /** A relay that is alive gives an ack or a nack; each that gives neither costs one. */
   @ParameterizedTest
   @CsvSource({"0, 0, 1", "0, 1, 1", "3, 0, 3", "3, 2, 1", "3, 3, 0", "2, 3, 0"})
-  void healthPenaltyCountsSilentHelpers(int requests, int nacks, int expected) {
+  void healthPenaltyCountsUnresponsiveRelays(int requests, int nacks, int expected) {
     for (int k = 0; k < requests; k++) {
-      probe.requestSent();
+      probe.recordPingRequest();
     }
     for (int k = 0; k < nacks; k++) {
-      probe.nack();
+      probe.recordNack();
     }
     assertEquals(expected, probe.healthPenalty());
   }
--- a/gateway/src/test/java/weldcross/membership/SuspicionTest.java
+++ b/gateway/src/test/java/weldcross/membership/SuspicionTest.java
@@ -18,7 +18,7 @@
   private final Suspicion suspicion = new Suspicion(SINCE, new PeerName("a"));
 
   @Test
-  void unsharedSuspicionLastsTheMaximum() {
+  void unconfirmedSuspicionLastsTheMaximum() {
     // 4 intervals of a second, times 6; ten members make the logarithm 1.
     assertEquals(SINCE.plusSeconds(24), suspicion.deadline(CONFIG, 10));
   }
@@ -32,12 +32,12 @@
   }
 
   @Test
-  void suspicionLastsLongerAmongMoreMembers() {
+  void suspicionLastsLongerInLargerClusters() {
     assertEquals(SINCE.plusSeconds(48), suspicion.deadline(CONFIG, 100));
   }
 
   @Test
-  void reporterCountsOnceAndNoneBeyondTheLimit() {
+  void eachReporterCountsOnceUpToTheLimit() {
     assertFalse(suspicion.confirm(new PeerName("a"), 3));
     assertTrue(suspicion.confirm(new PeerName("b"), 1));
     assertFalse(suspicion.confirm(new PeerName("c"), 1));
--- a/gateway/src/test/java/weldcross/membership/UpdateQueueTest.java
+++ b/gateway/src/test/java/weldcross/membership/UpdateQueueTest.java
@@ -25,16 +25,16 @@
   }
 
   @Test
-  void updatesOfFewestDeliveriesGoFirstUpToTheLimit() {
+  void updatesWithFewestDeliveriesAreSentFirstUpToTheLimit() {
     queue.add(update("a", 1));
     queue.add(update("b", 1));
     queue.add(update("c", 1));
-    queue.delivered(List.of(update("a", 1)), 5);
+    queue.recordDelivery(List.of(update("a", 1)), 5);
     assertEquals(List.of(update("b", 1), update("c", 1)), fill(2));
   }
 
   @Test
-  void updateAboutTheReceiverIsLeftOut() {
+  void updateAboutTheReceiverIsExcluded() {
     queue.add(update(RECEIVER.name(), 1));
     queue.add(update("a", 1));
     assertEquals(List.of(update("a", 1)), fill(5));
@@ -43,9 +43,9 @@
   @Test
   void updateIsRemovedAfterEnoughDeliveries() {
     queue.add(update("a", 1));
-    queue.delivered(List.of(update("a", 1)), 2);
+    queue.recordDelivery(List.of(update("a", 1)), 2);
     assertEquals(1, queue.size());
-    queue.delivered(List.of(update("a", 1)), 2);
+    queue.recordDelivery(List.of(update("a", 1)), 2);
     assertEquals(0, queue.size());
   }
 
@@ -53,7 +53,7 @@
   void deliveryOfAReplacedUpdateDoesNotCount() {
     queue.add(update("a", 1));
     queue.add(update("a", 2));
-    queue.delivered(List.of(update("a", 1)), 1);
+    queue.recordDelivery(List.of(update("a", 1)), 1);
     assertEquals(List.of(update("a", 2)), fill(5));
   }
 }
--- a/gateway/src/test/java/weldcross/membership/net/MemberStateNamesTest.java
+++ b/gateway/src/test/java/weldcross/membership/net/MemberStateNamesTest.java
@@ -13,20 +13,20 @@
 
   @ParameterizedTest
   @CsvSource({"ALIVE, HERE", "SUSPECT, SUSPECT", "UNREACHABLE, SILENT", "DEAD, GONE"})
-  void stateOfAMessageIsMappedBothWays(MemberState state, String name) {
+  void stateNameRoundTrips(MemberState state, String name) {
     assertEquals(name, MemberStateNames.nameOf(state));
     assertEquals(Optional.of(state), MemberStateNames.stateOf(name));
   }
 
   @Test
-  void unknownStateHasANameAndIsNeverRead() {
+  void unknownStateHasANameButIsNeverDecoded() {
     assertEquals("UNHEARD", MemberStateNames.nameOf(MemberState.UNKNOWN));
     assertEquals(Optional.empty(), MemberStateNames.stateOf("UNHEARD"));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "here", "ALIVE", "DEAD", "UNREACHABLE", "LEFT"})
-  void nameOutsideTheProtocolIsNoState(String name) {
+  void undefinedNameIsNotDecoded(String name) {
     assertEquals(Optional.empty(), MemberStateNames.stateOf(name));
   }
 }
--- a/gateway/src/test/java/weldcross/membership/net/MembershipUpdateCodecTest.java
+++ b/gateway/src/test/java/weldcross/membership/net/MembershipUpdateCodecTest.java
@@ -20,14 +20,14 @@
 
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "UNKNOWN")
-  void updateOfAnyStateIsDecodedAsItWasEncoded(MemberState state) {
+  void updateOfAnyStateRoundTrips(MemberState state) {
     List<MembershipUpdate> updates = List.of(update(state));
     assertEquals(
         updates, MembershipUpdateCodec.decodeAll(MembershipUpdateCodec.encodeAll(updates)));
   }
 
   @Test
-  void updateWithAnUnknownStateIsPassedOver() {
+  void updateWithAnUnrecognizedStateIsSkipped() {
     MembershipUpdate known = update(MemberState.ALIVE);
     List<MemberUpdate> encoded =
         new ArrayList<>(MembershipUpdateCodec.encodeAll(List.of(known, known)));
