--- a/gateway/src/main/java/weldcross/membership/FailureDetector.java
+++ b/gateway/src/main/java/weldcross/membership/FailureDetector.java
@@ -17,8 +17,8 @@
  * not respond, several relays are asked to probe it indirectly; if they get no response either, the
  * member becomes suspect and may refute the suspicion before it times out. Updates are piggybacked
  * on the probe messages, so the cost per gateway is independent of the cluster size. Adds two parts
- * of Lifeguard (Dadgar, Phillips, Currey, 2017): a gateway that receives no responses lowers its
- * own health score first and extends its timeouts, and a suspicion times out sooner the more
+ * of Lifeguard (Dadgar, Phillips, Currey, 2017): a gateway that receives no responses first assumes
+ * that it is itself unhealthy and extends its timeouts, and a suspicion times out sooner the more
  * gateways confirm it.
  *
  * <p>SWIM declares an unresponsive member dead. This detector only declares it {@link
@@ -282,11 +282,11 @@
     }
     PeerName target = next.get();
     long sequence = ++lastSequence;
-    List<MembershipUpdate> carried = updatesFor(target);
+    List<MembershipUpdate> piggybacked = updatesFor(target);
     Duration indirectProbesAt = now.plus(health.scale(config.ackTimeout()));
     Duration deadline = now.plus(health.scale(config.probeInterval()));
-    probes.put(sequence, new Probe(target, indirectProbesAt, deadline, carried));
-    actions.sendPing(target, sequence, carried);
+    probes.put(sequence, new Probe(target, indirectProbesAt, deadline, piggybacked));
+    actions.sendPing(target, sequence, piggybacked);
   }
 
   private Duration suspicionDeadline(Suspicion suspicion) {
@@ -315,9 +315,9 @@
 
   /** Counts the updates of the ack as delivered: the receiver has just sent a message. */
   private void sendAck(PeerName to, long sequence) {
-    List<MembershipUpdate> carried = updatesFor(to);
-    updates.recordDelivery(carried, maxDeliveries());
-    actions.sendAck(to, sequence, carried);
+    List<MembershipUpdate> piggybacked = updatesFor(to);
+    updates.recordDelivery(piggybacked, maxDeliveries());
+    actions.sendAck(to, sequence, piggybacked);
   }
 
   /**
--- a/gateway/src/test/java/weldcross/membership/MembershipUpdateTest.java
+++ b/gateway/src/test/java/weldcross/membership/MembershipUpdateTest.java
@@ -5,7 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Optional;
@@ -20,21 +19,30 @@
   private static final PeerName A = new PeerName("a");
   private static final PeerName B = new PeerName("b");
   private static final PeerName C = new PeerName("c");
-  private static final int CHOICES = 7;
+
+  private enum Step {
+    A_RECEIVES_ALL,
+    B_RECEIVES_ALL,
+    A_RECEIVES_LATEST_ONLY,
+    A_DECLARES_UNREACHABLE,
+    C_REFUTES,
+    C_ENDS,
+    C_RESTARTS
+  }
 
   /**
-   * What a and b hold of c, and all updates about c that are on their way; repeats may come, so
-   * that none of them is ever removed.
+   * The state of c as observed by a and b, and all updates about c in flight. Updates are never
+   * removed, because duplicates may be delivered.
    */
-  private static final class Exchange {
-    Optional<MembershipUpdate> heldByA = Optional.empty();
-    Optional<MembershipUpdate> heldByB = Optional.empty();
+  private static final class UpdateExchange {
+    Optional<MembershipUpdate> observedByA = Optional.empty();
+    Optional<MembershipUpdate> observedByB = Optional.empty();
     final List<MembershipUpdate> sent = new ArrayList<>();
     long incarnation = 1;
     long version;
     boolean running = true;
 
-    Exchange() {
+    UpdateExchange() {
       sendAlive();
     }
 
@@ -43,72 +51,71 @@
     }
 
     private static Optional<MembershipUpdate> receive(
-        Optional<MembershipUpdate> held, MembershipUpdate update) {
-      return update.overrides(held) ? Optional.of(update) : held;
+        Optional<MembershipUpdate> observed, MembershipUpdate update) {
+      return update.overrides(observed) ? Optional.of(update) : observed;
     }
 
-    private Optional<MembershipUpdate> receiveAll(Optional<MembershipUpdate> held) {
-      Optional<MembershipUpdate> latest = held;
+    private Optional<MembershipUpdate> receiveAll(Optional<MembershipUpdate> observed) {
+      Optional<MembershipUpdate> latest = observed;
       for (MembershipUpdate update : sent) {
         latest = receive(latest, update);
       }
       return latest;
     }
 
-    /** Does one of the steps; false where it is not possible. */
-    boolean step(int choice) {
-      return switch (choice) {
-        case 0 -> {
-          heldByA = receiveAll(heldByA);
+    /** Performs one step; returns false if it is not possible. */
+    boolean perform(Step step) {
+      return switch (step) {
+        case A_RECEIVES_ALL -> {
+          observedByA = receiveAll(observedByA);
           yield true;
         }
-        case 1 -> {
-          heldByB = receiveAll(heldByB);
+        case B_RECEIVES_ALL -> {
+          observedByB = receiveAll(observedByB);
           yield true;
         }
-        case 2 -> {
-          // The last update overtakes all others.
-          heldByA = receive(heldByA, sent.get(sent.size() - 1));
+        case A_RECEIVES_LATEST_ONLY -> {
+          observedByA = receive(observedByA, sent.get(sent.size() - 1));
           yield true;
         }
-        case 3 -> holdUnreachable();
-        case 4 -> refute();
-        case 5 -> end();
-        default -> restart();
+        case A_DECLARES_UNREACHABLE -> declareUnreachable();
+        case C_REFUTES -> refute();
+        case C_ENDS -> end();
+        case C_RESTARTS -> restart();
       };
     }
 
-    /** a gives c up. */
-    private boolean holdUnreachable() {
-      if (heldByA.isEmpty() || heldByA.get().state() != MemberState.ALIVE) {
+    /** a declares c unreachable. */
+    private boolean declareUnreachable() {
+      if (observedByA.isEmpty() || observedByA.get().state() != MemberState.ALIVE) {
         return false;
       }
-      heldByA = Optional.of(heldByA.get().withState(MemberState.UNREACHABLE, A));
-      sent.add(heldByA.get());
+      observedByA = Optional.of(observedByA.get().withState(MemberState.UNREACHABLE, A));
+      sent.add(observedByA.get());
       return true;
     }
 
-    /** c learns what a holds of it, and refutes it. */
+    /** c receives the update of a about it, and refutes it. */
     private boolean refute() {
       if (!running
-          || heldByA.isEmpty()
-          || heldByA.get().incarnation() != incarnation
-          || heldByA.get().state() == MemberState.ALIVE) {
+          || observedByA.isEmpty()
+          || observedByA.get().incarnation() != incarnation
+          || observedByA.get().state() == MemberState.ALIVE) {
         return false;
       }
-      version = Math.max(version, heldByA.get().version() + 1);
+      version = Math.max(version, observedByA.get().version() + 1);
       sendAlive();
       return true;
     }
 
-    /** c ends, and b finds that nobody listens on its address. */
+    /** c ends, and b detects that no process listens on its address. */
     private boolean end() {
-      if (!running || heldByB.isEmpty()) {
+      if (!running || observedByB.isEmpty()) {
         return false;
       }
       running = false;
-      heldByB = Optional.of(heldByB.get().withState(MemberState.DEAD, B));
-      sent.add(heldByB.get());
+      observedByB = Optional.of(observedByB.get().withState(MemberState.DEAD, B));
+      sent.add(observedByB.get());
       return true;
     }
 
@@ -123,21 +130,21 @@
       return true;
     }
 
-    void assertRunningOneIsNotHeldForDead() {
-      for (Optional<MembershipUpdate> held : List.of(heldByA, heldByB)) {
+    void assertRunningIncarnationIsNotDead() {
+      for (Optional<MembershipUpdate> observed : List.of(observedByA, observedByB)) {
         assertFalse(
-            held.isPresent()
-                && held.get().state() == MemberState.DEAD
+            observed.isPresent()
+                && observed.get().state() == MemberState.DEAD
                 && running
-                && held.get().incarnation() == incarnation,
-            "a running one is held for dead: " + held);
+                && observed.get().incarnation() == incarnation,
+            "a running incarnation is declared dead: " + observed);
       }
     }
 
-    /** Whatever came in whatever order: once all have come, both hold the same. */
+    /** After all updates are delivered, in whatever order, both observe the same state. */
     void assertConverges() {
-      Optional<MembershipUpdate> a = receiveAll(heldByA);
-      Optional<MembershipUpdate> b = receiveAll(heldByB);
+      Optional<MembershipUpdate> a = receiveAll(observedByA);
+      Optional<MembershipUpdate> b = receiveAll(observedByB);
       assertTrue(a.isPresent() && b.isPresent(), a + " and " + b);
       assertEquals(a.get().incarnation(), b.get().incarnation());
       assertEquals(a.get().version(), b.get().version());
@@ -146,11 +153,11 @@
 
     @Override
     public String toString() {
-      return heldByA + " " + heldByB + " " + sent + incarnation + version + running;
+      return observedByA + " " + observedByB + " " + sent + incarnation + version + running;
     }
   }
 
-  /** Both updates are of one member, given by state, incarnation and version. */
+  /** Each row: state, incarnation and version of an update, then those of the previous one. */
   @ParameterizedTest
   @CsvSource({
     "ALIVE, 2, 0, DEAD, 1, 9, true",
@@ -180,35 +187,36 @@
   }
 
   /**
-   * Updates about one gateway in any order, with loss and repeats, while it restarts or refutes.
+   * Guards against a precedence rule under which delayed, lost or duplicated updates leave two
+   * gateways in different states, or declare a running one dead.
    */
   @Test
   void updatesAboutOneGatewayConvergeInAnyOrder() {
     Set<String> states = new HashSet<>();
-    explore(new int[0], 9, states);
+    explore(List.of(), 9, states);
     assertTrue(states.size() > 1500, states.size() + " states");
   }
 
-  private static void explore(int[] path, int remaining, Set<String> states) {
-    Optional<Exchange> exchange = play(path);
+  private static void explore(List<Step> path, int remaining, Set<String> states) {
+    Optional<UpdateExchange> exchange = replay(path);
     if (exchange.isEmpty() || !states.add(exchange.get() + "@" + remaining) || remaining == 0) {
       return;
     }
-    for (int choice = 0; choice < CHOICES; choice++) {
-      int[] longer = Arrays.copyOf(path, path.length + 1);
-      longer[path.length] = choice;
+    for (Step step : Step.values()) {
+      List<Step> longer = new ArrayList<>(path);
+      longer.add(step);
       explore(longer, remaining - 1, states);
     }
   }
 
-  /** Empty where one of the choices is not possible. */
-  private static Optional<Exchange> play(int[] path) {
-    Exchange exchange = new Exchange();
-    for (int choice : path) {
-      if (!exchange.step(choice)) {
+  /** Returns the exchange after the steps, or empty if one of them is not possible. */
+  private static Optional<UpdateExchange> replay(List<Step> path) {
+    UpdateExchange exchange = new UpdateExchange();
+    for (Step step : path) {
+      if (!exchange.perform(step)) {
         return Optional.empty();
       }
-      exchange.assertRunningOneIsNotHeldForDead();
+      exchange.assertRunningIncarnationIsNotDead();
     }
     exchange.assertConverges();
     return Optional.of(exchange);
--- a/gateway/src/test/java/weldcross/membership/ProbeScheduleTest.java
+++ b/gateway/src/test/java/weldcross/membership/ProbeScheduleTest.java
@@ -19,7 +19,7 @@
     return new PeerName("n" + number);
   }
 
-  private void hold(int number, MemberState state) {
+  private void putMember(int number, MemberState state) {
     PeerName name = name(number);
     members.put(new MembershipUpdate(name, 1, 0, state, "", 1, name));
   }
@@ -35,7 +35,7 @@
   @Test
   void eachReachableMemberIsProbedOncePerRound() {
     for (int k = 0; k < 6; k++) {
-      hold(k, k % 2 == 0 ? MemberState.ALIVE : MemberState.SUSPECT);
+      putMember(k, k % 2 == 0 ? MemberState.ALIVE : MemberState.SUSPECT);
     }
     for (int round = 0; round < 3; round++) {
       List<PeerName> probes = nextProbes(6);
@@ -46,8 +46,8 @@
 
   @Test
   void oneProbeInFourGoesToAnUnreachableMember() {
-    hold(0, MemberState.ALIVE);
-    hold(1, MemberState.UNREACHABLE);
+    putMember(0, MemberState.ALIVE);
+    putMember(1, MemberState.UNREACHABLE);
     assertEquals(
         List.of(name(0), name(0), name(0), name(1), name(0), name(0), name(0), name(1)),
         nextProbes(8));
@@ -64,19 +64,19 @@
 
   @Test
   void deadMemberIsNotProbed() {
-    hold(0, MemberState.DEAD);
+    putMember(0, MemberState.DEAD);
     assertEquals(List.of(), nextProbes(8));
   }
 
   @Test
   void memberThatDiesDuringARoundIsSkipped() {
     for (int k = 0; k < 4; k++) {
-      hold(k, MemberState.ALIVE);
+      putMember(k, MemberState.ALIVE);
     }
     PeerName first = schedule.next().orElseThrow();
     for (int k = 0; k < 4; k++) {
       if (!name(k).equals(first)) {
-        hold(k, MemberState.DEAD);
+        putMember(k, MemberState.DEAD);
       }
     }
     assertEquals(List.of(first, first, first), nextProbes(3));
--- a/gateway/src/test/java/weldcross/membership/ProbeTest.java
+++ b/gateway/src/test/java/weldcross/membership/ProbeTest.java
@@ -37,7 +37,7 @@
     assertEquals(DEADLINE, probe.nextDeadline());
   }
 
-  /** A relay that is alive gives an ack or a nack; each that gives neither costs one. */
+  /** A live relay sends an ack or a nack; each one that sends neither adds a point. */
   @ParameterizedTest
   @CsvSource({"0, 0, 1", "0, 1, 1", "3, 0, 3", "3, 2, 1", "3, 3, 0", "2, 3, 0"})
   void healthPenaltyCountsUnresponsiveRelays(int requests, int nacks, int expected) {
--- a/gateway/src/test/java/weldcross/membership/SuspicionTest.java
+++ b/gateway/src/test/java/weldcross/membership/SuspicionTest.java
@@ -19,7 +19,7 @@
 
   @Test
   void unconfirmedSuspicionLastsTheMaximum() {
-    // 4 intervals of a second, times 6; ten members make the logarithm 1.
+    // 4 intervals of one second times a factor of 6; log10 of ten members is 1.
     assertEquals(SINCE.plusSeconds(24), suspicion.deadline(CONFIG, 10));
   }
 
