--- a/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
+++ b/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
@@ -129,7 +129,7 @@
   }
 
   @Override
-  public boolean isDone() {
+  public boolean isDrained() {
     return left;
   }
 
@@ -241,7 +241,7 @@
     @Override
     public void left() {
       left = true;
-      context.changed();
+      context.stateChanged();
     }
 
     @Override
--- a/gateway/src/main/java/weldcross/extension/ExtensionContext.java
+++ b/gateway/src/main/java/weldcross/extension/ExtensionContext.java
@@ -3,32 +3,33 @@
 import java.time.Duration;
 
 /**
- * What a {@link GatewayExtension} may ask of its gateway. All methods but {@link #post} must be
- * called on the gateway's thread.
+ * Services that a gateway provides to a {@link GatewayExtension}. All methods except {@link #post}
+ * must be called on the gateway's thread.
  */
 public interface ExtensionContext {
 
-  /** Time since the gateway's start as of the current event; never goes back. */
+  /** Returns the time of the current event since the gateway's start; monotonic. */
   Duration now();
 
-  /** Runs the task at that time, or at once if it has passed, as an event of its own. */
-  void at(Duration when, Runnable task);
+  /** Runs the task as a separate event at the given time, or immediately if it has passed. */
+  void schedule(Duration when, Runnable task);
 
-  /** Runs the task at the same time, after the current call has returned. */
-  void soon(Runnable task);
+  /** Runs the task after the current call has returned, without advancing the time. */
+  void defer(Runnable task);
 
   /**
-   * From any thread: runs the task on the gateway's thread. Tasks of one thread keep their order.
+   * Runs the task on the gateway's thread. May be called from any thread; tasks posted by one
+   * thread run in order.
    */
   void post(Runnable task);
 
-  /** Tells the gateway that the extension's readiness, or whether it is done, may have changed. */
-  void changed();
+  /** Notifies the gateway that the extension may have become ready, not ready or drained. */
+  void stateChanged();
 
   /**
-   * Sets this gateway's share of the limits that all gateways have together.
+   * Sets this gateway's share of the limits that all gateways share.
    *
-   * @param share above 0, at most 1
+   * @param share greater than 0, at most 1
    */
   void setQuota(double share);
 }
--- a/gateway/src/main/java/weldcross/extension/GatewayExtension.java
+++ b/gateway/src/main/java/weldcross/extension/GatewayExtension.java
@@ -1,56 +1,56 @@
 package weldcross.extension;
 
 /**
- * A subsystem that joins a gateway: an adapter that turns the decisions of its own pure module into
- * effects.
+ * A subsystem that runs inside a gateway: an adapter that performs the I/O for the deterministic
+ * logic of its module.
  *
- * <p>All methods are called by the gateway, on the one thread that owns its state, and must not
- * block. What happens elsewhere (a socket, a disk) is handed to that thread by {@link
- * ExtensionContext#post}. Extensions are started in the configured order and stopped in the reverse
- * one. See docs/architecture.md for how to add one.
+ * <p>The gateway calls all methods on the one thread that owns its state, so they must not block.
+ * Events of other threads, such as socket and disk I/O, are passed to that thread with {@link
+ * ExtensionContext#post}. Extensions start in the configured order and stop in reverse order. See
+ * docs/architecture.md for how to add one.
  */
 public interface GatewayExtension {
 
-  /** A short name for the log; also the name of its table in the extensions' file. */
+  /** Returns the short name used in the log and as the table name in the extensions file. */
   String name();
 
   /**
-   * Called once, before the gateway listens for clients.
+   * Starts the extension; called once, before the gateway listens for clients.
    *
-   * @param context what the extension may ask of the gateway until it is stopped
-   * @throws IllegalStateException where the extension cannot work at all; the gateway then exits
-   *     with a failure
+   * @param context services of the gateway, usable until {@link #stop}
+   * @throws IllegalStateException if the extension cannot operate; the gateway then exits with a
+   *     failure
    */
   void start(ExtensionContext context);
 
-  /** Whether, for all that this extension knows, the gateway may report itself ready. */
+  /** Returns whether this extension allows the gateway to report itself ready. */
   default boolean isReady() {
     return true;
   }
 
   /**
-   * The gateway has read its configuration again. Most extensions ignore this, as their own
-   * configuration is fixed at their start.
+   * Called after the gateway has reloaded its configuration. Most extensions ignore this, as their
+   * own configuration is fixed at startup.
    */
-  default void reloaded() {}
+  default void configReloaded() {}
 
   /**
-   * The gateway shuts down: RPCs under way are still completed, no new ones are wanted. Most
-   * extensions work on until {@link #stop}.
+   * Called when graceful shutdown begins: pending RPCs are completed, and no new ones are accepted.
+   * Most extensions keep operating until {@link #stop}.
    */
   default void drain() {}
 
   /**
-   * Whether the gateway need not wait for this extension before it exits. An extension that answers
-   * false after {@link #drain} bounds the wait itself.
+   * Returns whether the gateway may exit without waiting for this extension. An extension that
+   * returns false after {@link #drain} must bound the wait itself.
    */
-  default boolean isDone() {
+  default boolean isDrained() {
     return true;
   }
 
-  /** The last call: closes at once whatever is open. */
+  /** Closes all resources immediately; called last. */
   void stop();
 
-  /** The extension's state for the gateway's log, in one line without a line end. */
+  /** Returns a one-line summary for the gateway's log, without a line terminator. */
   String describe();
 }
--- a/gateway/src/main/java/weldcross/extension/RestartableTimer.java
+++ b/gateway/src/main/java/weldcross/extension/RestartableTimer.java
@@ -4,9 +4,9 @@
 import java.util.function.Consumer;
 
 /**
- * A timer of which only the last requested time counts. Used on the gateway's thread alone.
+ * A timer that fires only at the last requested time. Must be used on the gateway's thread.
  *
- * <p>Requests that were replaced stay in the gateway's timer queue and do nothing when they run.
+ * <p>Replaced requests stay in the gateway's timer queue and have no effect when they run.
  */
 public final class RestartableTimer {
 
@@ -15,19 +15,19 @@
   private Duration scheduledAt;
 
   /**
-   * Creates a timer that is not set.
+   * Creates a timer that is not scheduled.
    *
-   * @param onTimer is given the time at which it runs
+   * @param onTimer receives the time at which the timer fires
    */
   public RestartableTimer(ExtensionContext context, Consumer<Duration> onTimer) {
     this.context = context;
     this.onTimer = onTimer;
   }
 
-  /** Sets the timer, in place of any earlier request. */
+  /** Schedules the timer, replacing any earlier request. */
   public void schedule(Duration when) {
     scheduledAt = when;
-    context.at(
+    context.schedule(
         when,
         () -> {
           if (when.equals(scheduledAt)) {
--- a/gateway/src/main/java/weldcross/extension/StandaloneEventLoop.java
+++ b/gateway/src/main/java/weldcross/extension/StandaloneEventLoop.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs one extension without a gateway, on a thread of its own, as tests and benchmarks do. Nothing
- * is routed: quotas and readiness are ignored.
+ * Runs one extension without a gateway, on a dedicated thread, for tests and benchmarks. No
+ * requests are routed; quotas and readiness are ignored.
  */
 public final class StandaloneEventLoop implements ExtensionContext {
 
@@ -25,7 +25,7 @@
 
   private StandaloneEventLoop() {}
 
-  /** Starts the loop's thread, which is a daemon of that name. */
+  /** Starts an event loop on a daemon thread of the given name. */
   public static StandaloneEventLoop start(String name) {
     StandaloneEventLoop loop = new StandaloneEventLoop();
     Thread thread = new Thread(loop::run, name);
@@ -40,12 +40,12 @@
   }
 
   @Override
-  public void at(Duration when, Runnable task) {
+  public void schedule(Duration when, Runnable task) {
     timers.add(new Timer(when, task));
   }
 
   @Override
-  public void soon(Runnable task) {
+  public void defer(Runnable task) {
     tasks.add(task);
   }
 
@@ -55,26 +55,26 @@
   }
 
   @Override
-  public void changed() {
-    // No gateway asks whether the extension is ready.
+  public void stateChanged() {
+    // There is no gateway to check the extension's readiness.
   }
 
   @Override
   public void setQuota(double share) {
-    // Nothing is routed.
+    // No requests are routed.
   }
 
-  /** Tasks that were posted and have not run. */
+  /** Returns the number of posted tasks that have not run. */
   public int pendingTasks() {
     return tasks.size();
   }
 
-  /** Ends the thread after its current task; called from any thread. */
+  /** Stops the thread after its current task; may be called from any thread. */
   public void stop() {
     stopped = true;
   }
 
-  /** Whether {@link #stop} was called. */
+  /** Returns whether {@link #stop} was called. */
   public boolean isStopped() {
     return stopped;
   }
--- a/gateway/src/main/java/weldcross/extension/package-info.java
+++ b/gateway/src/main/java/weldcross/extension/package-info.java
@@ -1,5 +1,4 @@
 /**
- * The interface between a gateway and the subsystems that join it, such as the mesh, membership and
- * consensus.
+ * The interface between a gateway and its extensions, such as the mesh, membership and consensus.
  */
 package weldcross.extension;
--- a/gateway/src/main/java/weldcross/gateway/ExtensionHost.java
+++ b/gateway/src/main/java/weldcross/gateway/ExtensionHost.java
@@ -31,12 +31,12 @@
       }
 
       @Override
-      public void at(Duration when, Runnable due) {
+      public void schedule(Duration when, Runnable due) {
         gateway.at(when, due);
       }
 
       @Override
-      public void soon(Runnable next) {
+      public void defer(Runnable next) {
         gateway.soon(next);
       }
 
@@ -46,7 +46,7 @@
       }
 
       @Override
-      public void changed() {
+      public void stateChanged() {
         gateway.extensionStateChanged();
       }
 
@@ -66,7 +66,7 @@
   }
 
   void reloaded() {
-    extensions.forEach(GatewayExtension::reloaded);
+    extensions.forEach(GatewayExtension::configReloaded);
   }
 
   /** Whether no extension holds back the gateway's readiness. */
@@ -76,7 +76,7 @@
 
   /** Whether no extension holds up the gateway's stop. */
   boolean isDone() {
-    return extensions.stream().allMatch(GatewayExtension::isDone);
+    return extensions.stream().allMatch(GatewayExtension::isDrained);
   }
 
   /** Stops all extensions, the last started first. */
--- a/gateway/src/main/java/weldcross/mesh/net/IncarnationStore.java
+++ b/gateway/src/main/java/weldcross/mesh/net/IncarnationStore.java
@@ -170,7 +170,7 @@
                   + cause.getMessage());
     }
     if (retry) {
-      context.at(context.now().plus(RETRY_DELAY), this::open);
+      context.schedule(context.now().plus(RETRY_DELAY), this::open);
     }
   }
 }
--- a/gateway/src/main/java/weldcross/mesh/net/MinaMeshTransport.java
+++ b/gateway/src/main/java/weldcross/mesh/net/MinaMeshTransport.java
@@ -146,7 +146,7 @@
           boolean refused = isRefusal(cause);
           context.post(() -> connections.onConnectFailed(context.now(), connection, refused));
         });
-    context.at(
+    context.schedule(
         context.now().plus(config.connectTimeout()),
         () -> {
           if (connects.cancel(connection)) {
--- a/gateway/src/test/java/weldcross/extension/RestartableTimerTest.java
+++ b/gateway/src/test/java/weldcross/extension/RestartableTimerTest.java
@@ -11,7 +11,7 @@
 
 class RestartableTimerTest {
 
-  /** A context whose time is set by hand and that only has timers. */
+  /** A context with a manual clock that supports only timers. */
   private static final class ManualContext implements ExtensionContext {
     final Map<Duration, Runnable> tasks = new TreeMap<>();
     Duration now = Duration.ZERO;
@@ -22,12 +22,12 @@
     }
 
     @Override
-    public void at(Duration when, Runnable task) {
+    public void schedule(Duration when, Runnable task) {
       tasks.put(when, task);
     }
 
     @Override
-    public void soon(Runnable task) {
+    public void defer(Runnable task) {
       throw new UnsupportedOperationException();
     }
 
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public void changed() {
+    public void stateChanged() {
       throw new UnsupportedOperationException();
     }
 
--- a/gateway/src/test/java/weldcross/gateway/ExtensionHostTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ExtensionHostTest.java
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public void reloaded() {
+    public void configReloaded() {
       calls.add(name + " reloaded");
     }
 
@@ -73,7 +73,7 @@
     }
 
     @Override
-    public boolean isDone() {
+    public boolean isDrained() {
       return done;
     }
 
@@ -114,7 +114,7 @@
             });
       }
       a.ready = true;
-      a.context.post(a.context::changed);
+      a.context.post(a.context::stateChanged);
       while (!client.ask("").get(0).startsWith("I")) {
         Thread.onSpinWait();
       }
@@ -122,11 +122,11 @@
       gateway.reload(() -> again);
       gateway.stop();
       CountDownLatch waited = new CountDownLatch(1);
-      b.context.post(() -> b.context.at(b.context.now().plusMillis(1500), waited::countDown));
+      b.context.post(() -> b.context.schedule(b.context.now().plusMillis(1500), waited::countDown));
       assertTrue(waited.await(20, TimeUnit.SECONDS));
       assertFalse(status.isDone(), "it waits for the extension that is not done");
       b.done = true;
-      b.context.post(b.context::changed);
+      b.context.post(b.context::stateChanged);
       assertEquals(0, status.get(20, TimeUnit.SECONDS));
     }
     assertEquals(
