--- a/gateway/src/main/java/weldcross/control/ClusterStatus.java
+++ b/gateway/src/main/java/weldcross/control/ClusterStatus.java
@@ -20,16 +20,16 @@
 import weldcross.mesh.net.MeshExtension;
 
 /**
- * The status of the cluster as this gateway knows it: for each gateway the connection, the state
- * detected and the membership agreed on, side by side. The keys of the JSON are part of the control
- * endpoint's interface.
+ * The status of the cluster from the point of view of this gateway: for each gateway, its
+ * connection, the state that the failure detector reports and its entry in the membership view. The
+ * JSON keys are part of the control endpoint's interface.
  */
 final class ClusterStatus {
 
-  /** The state that the JSON gives for the gateway that is asked. */
+  /** The state reported for this gateway itself. */
   private static final String SELF_STATE = "SELF";
 
-  /** In place of a duration that is not known. */
+  /** Reported for an unknown duration. */
   private static final long UNKNOWN_MILLIS = -1;
 
   private final MeshExtension mesh;
@@ -48,37 +48,37 @@
     this.config = config;
   }
 
-  /** The status as a JSON object; called on the gateway's thread. */
+  /** Returns the status as a JSON object; must be called on the gateway's thread. */
   String toJson(Duration now) {
     return ControlJson.object(json -> write(json, now));
   }
 
   private void write(JsonGenerator json, Duration now) throws IOException {
-    MembershipViewClient agreed = consensus.service().viewClient();
-    MembershipView view = agreed.view();
+    MembershipViewClient viewClient = consensus.service().viewClient();
+    MembershipView view = viewClient.view();
     json.writeStringField("self", config.self().name());
     json.writeStringField("group", config.group());
     json.writeNumberField("view", view.number());
-    json.writeStringField("phase", agreed.phase().name());
-    json.writeStringField("leader", agreed.leader().map(PeerName::name).orElse(""));
-    json.writeNumberField("leader_age_ms", millis(agreed.leaderAge(now)));
-    json.writeNumberField("share", agreed.share());
+    json.writeStringField("phase", viewClient.phase().name());
+    json.writeStringField("leader", viewClient.leader().map(PeerName::name).orElse(""));
+    json.writeNumberField("leader_age_ms", millis(viewClient.leaderAge(now)));
+    json.writeNumberField("share", viewClient.share());
     json.writeStringField("voter", voterPhase());
     json.writeStringField("disk", mesh.diskFailure().orElse(""));
     json.writeArrayFieldStart("gateways");
-    for (PeerName name : names(view)) {
+    for (PeerName name : allNames(view)) {
       writeGateway(json, name, Optional.ofNullable(view.members().get(name)), now);
     }
     json.writeEndArray();
   }
 
-  /** The phase of this gateway's voter; empty where it has none. */
+  /** Returns the phase of this gateway's voter; empty if it has none. */
   private String voterPhase() {
     return consensus.service().voter().map(voter -> voter.phase().name()).orElse("");
   }
 
-  /** All gateways that are configured, detected or agreed on, by name. */
-  private SortedSet<PeerName> names(MembershipView view) {
+  /** Returns the names of all gateways that are configured, detected or in the view. */
+  private SortedSet<PeerName> allNames(MembershipView view) {
     SortedSet<PeerName> names = new TreeSet<>(view.members().keySet());
     membership.failureDetector().members().forEach(update -> names.add(update.member()));
     names.addAll(mesh.connections().peers());
@@ -90,13 +90,13 @@
       JsonGenerator json, PeerName name, Optional<Member> member, Duration now) throws IOException {
     FailureDetector detector = membership.failureDetector();
     PeerConnectionManager connections = mesh.connections();
-    boolean self = name.equals(config.self());
-    Optional<MembershipUpdate> known = self ? detector.self() : detector.find(name);
-    Optional<Duration> heardAt = self ? Optional.empty() : connections.lastHeardAt(name);
+    boolean isSelf = name.equals(config.self());
+    Optional<MembershipUpdate> known = isSelf ? detector.self() : detector.find(name);
+    Optional<Duration> heardAt = isSelf ? Optional.empty() : connections.lastHeardAt(name);
     json.writeStartObject();
     json.writeStringField("name", name.name());
     json.writeStringField(
-        "seen", self ? SELF_STATE : MemberStateNames.nameOf(detector.stateOf(name)));
+        "seen", isSelf ? SELF_STATE : MemberStateNames.nameOf(detector.stateOf(name)));
     json.writeNumberField("life", known.map(MembershipUpdate::incarnation).orElse(0L));
     json.writeNumberField("agreed", member.map(Member::incarnation).orElse(0L));
     json.writeStringField(
@@ -105,7 +105,7 @@
         "part",
         member.map(Member::weight).or(() -> known.map(MembershipUpdate::trafficWeight)).orElse(0));
     json.writeNumberField("heard_ms", millis(heardAt.map(now::minus)));
-    json.writeStringField("link", self ? "" : connections.isUp(name) ? "up" : "down");
+    json.writeStringField("link", isSelf ? "" : connections.isUp(name) ? "up" : "down");
     json.writeBooleanField("votes", config.voters().contains(name));
     json.writeEndObject();
   }
--- a/gateway/src/main/java/weldcross/control/ControlExtension.java
+++ b/gateway/src/main/java/weldcross/control/ControlExtension.java
@@ -24,34 +24,34 @@
 import weldcross.mesh.net.MeshExtension;
 
 /**
- * The control endpoint as an extension of a gateway: an operator on this machine asks for the
- * status of the cluster, and decides what only a person may decide. HTTP and JSON on the loopback;
- * {@code weldcross cluster} is its client.
+ * The control endpoint of a gateway: an HTTP and JSON interface on the loopback address through
+ * which an operator on this machine queries the cluster status and makes the membership decisions
+ * that are not automated. Its client is {@code weldcross cluster}.
  */
 public final class ControlExtension implements GatewayExtension {
 
   private static final Logger LOG = Logger.getLogger(ControlExtension.class.getName());
   private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(5);
-  private static final int THREADS = 2;
+  private static final int HTTP_THREADS = 2;
 
   private final InetSocketAddress listenAddress;
   private final ConsensusExtension consensus;
   private final ConsensusConfig config;
   private final ClusterStatus status;
 
-  /** Requests to forget a gateway that wait for a decision, by the name of that gateway. */
+  /** Forget requests that await a decision, by the name of the gateway to forget. */
   private final Map<PeerName, List<CompletableFuture<String>>> pendingForgets = new TreeMap<>();
 
-  private final ExecutorService threads =
-      Executors.newFixedThreadPool(THREADS, ControlExtension::newThread);
+  private final ExecutorService httpThreads =
+      Executors.newFixedThreadPool(HTTP_THREADS, ControlExtension::newThread);
   private ExtensionContext context;
   private HttpServer server;
 
   /**
-   * Creates the extension, without any socket.
+   * Creates the extension without opening a socket.
    *
-   * @param listenAddress on the loopback: whoever reaches it may do all that an operator may
-   * @param config of the consensus extension
+   * @param listenAddress loopback address; access to it grants all rights of an operator
+   * @param config configuration of the consensus extension
    */
   public ControlExtension(
       InetSocketAddress listenAddress,
@@ -87,7 +87,7 @@
     } catch (IOException e) {
       throw new IllegalStateException("control.listen " + listenAddress + ": " + e.getMessage(), e);
     }
-    server.setExecutor(threads);
+    server.setExecutor(httpThreads);
     addHandler("/cluster", "GET", this::status);
     addHandler("/cluster/forget", "POST", this::forget);
     addHandler("/cluster/leave", "POST", this::leave);
@@ -104,7 +104,7 @@
   @Override
   public void stop() {
     server.stop(0);
-    threads.shutdown();
+    httpThreads.shutdown();
   }
 
   @Override
@@ -112,7 +112,7 @@
     return "control: pendingForgets=" + pendingForgets.size();
   }
 
-  // ---- Requests, on the gateway's thread
+  // ---- Requests; run on the gateway's thread
 
   private void status(Optional<PeerName> name, CompletableFuture<String> response) {
     response.complete(status.toJson(context.now()));
@@ -121,7 +121,7 @@
   private void forget(Optional<PeerName> name, CompletableFuture<String> response) {
     if (name.isEmpty() || name.get().equals(config.self())) {
       response.completeExceptionally(
-          new IllegalArgumentException("forget wants the name of another gateway"));
+          new IllegalArgumentException("forget requires the name of another gateway"));
       return;
     }
     pendingForgets.computeIfAbsent(name.get(), forgotten -> new ArrayList<>()).add(response);
@@ -138,15 +138,15 @@
 
   private void leave(Optional<PeerName> name, CompletableFuture<String> response) {
     consensus.service().leave(RESPONSE_TIMEOUT);
-    replyPhase(response);
+    completeWithPhase(response);
   }
 
   private void join(Optional<PeerName> name, CompletableFuture<String> response) {
     consensus.service().join();
-    replyPhase(response);
+    completeWithPhase(response);
   }
 
-  private void replyPhase(CompletableFuture<String> response) {
+  private void completeWithPhase(CompletableFuture<String> response) {
     String phase = consensus.service().viewClient().phase().name();
     response.complete(ControlJson.object("phase", phase));
   }
--- a/gateway/src/main/java/weldcross/control/ControlJson.java
+++ b/gateway/src/main/java/weldcross/control/ControlJson.java
@@ -7,19 +7,19 @@
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 
-/** Writes the JSON bodies of the control endpoint. */
+/** Writes the JSON response bodies of the control endpoint. */
 final class ControlJson {
 
   private static final JsonFactory JSON = new JsonFactory();
 
   private ControlJson() {}
 
-  /** Writes the fields of an object. */
+  /** Writes the fields of a JSON object. */
   interface Fields {
     void writeTo(JsonGenerator json) throws IOException;
   }
 
-  /** One object with the given fields. */
+  /** Returns a JSON object with the given fields. */
   static String object(Fields fields) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator json = JSON.createGenerator(bytes)) {
@@ -27,19 +27,19 @@
       fields.writeTo(json);
       json.writeEndObject();
     } catch (IOException e) {
-      // Only a fault of the code that writes: nothing here does I/O.
+      // Only a bug in the caller can cause this: writing to memory does no I/O.
       throw new UncheckedIOException(e);
     }
     return bytes.toString(StandardCharsets.UTF_8);
   }
 
-  /** One object with one text field. */
+  /** Returns a JSON object with one text field. */
   static String object(String key, String value) {
     return object(json -> json.writeStringField(key, value));
   }
 
-  /** The body of a request that failed. */
-  static String fault(String message) {
+  /** Returns the response body of a failed request. */
+  static String error(String message) {
     return object("fault", message);
   }
 }
--- a/gateway/src/main/java/weldcross/control/ControlRequestHandler.java
+++ b/gateway/src/main/java/weldcross/control/ControlRequestHandler.java
@@ -15,22 +15,22 @@
 import weldcross.mesh.PeerName;
 
 /**
- * Answers the requests of one path: has the action run on the gateway's thread, and waits for its
+ * Handles the requests for one path: runs the action on the gateway's thread and waits for its
  * result on a thread of the HTTP server.
  */
 final class ControlRequestHandler implements HttpHandler {
 
-  /** What a request asks for. */
+  /** The operation that a request performs. */
   interface Action {
 
     /**
-     * Begins the action, on the gateway's thread.
+     * Starts the action, on the gateway's thread.
      *
-     * @param name the gateway that the request names; empty where it names none
-     * @param response to be completed with the JSON body, at once or later; if exceptionally, the
-     *     message is the fault in the reply
+     * @param name the gateway named in the request; empty if none is named
+     * @param response to be completed with the JSON response body, immediately or later; the
+     *     message of an exceptional completion becomes the error message of the response
      */
-    void begin(Optional<PeerName> name, CompletableFuture<String> response);
+    void start(Optional<PeerName> name, CompletableFuture<String> response);
   }
 
   private static final int OK = 200;
@@ -47,8 +47,8 @@
   /**
    * Creates a handler.
    *
-   * @param method the only HTTP method that is answered
-   * @param timeout how long a request waits for its result
+   * @param method the only HTTP method accepted
+   * @param timeout maximum time to wait for the result of an action
    */
   ControlRequestHandler(String method, ExtensionContext context, Duration timeout, Action action) {
     this.method = method;
@@ -61,12 +61,12 @@
   public void handle(HttpExchange exchange) throws IOException {
     try (exchange) {
       if (!exchange.getRequestMethod().equals(method)) {
-        reply(exchange, NOT_FOUND, ControlJson.fault(method + " is wanted here"));
+        reply(exchange, NOT_FOUND, ControlJson.error("unsupported method; use " + method));
         return;
       }
       Optional<PeerName> name = parseName(exchange.getRequestURI().getRawQuery());
       CompletableFuture<String> response = new CompletableFuture<>();
-      context.post(() -> action.begin(name, response));
+      context.post(() -> action.start(name, response));
       awaitAndReply(exchange, response);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -79,12 +79,13 @@
       reply(exchange, OK, response.get(timeout.toMillis(), TimeUnit.MILLISECONDS));
     } catch (TimeoutException e) {
       String message =
-          "no answer in "
+          "no result within "
               + timeout.toSeconds()
-              + " s: no leader, or this gateway is cut off; it may still be done";
-      reply(exchange, GATEWAY_TIMEOUT, ControlJson.fault(message));
+              + " s: there is no leader, or this gateway is partitioned from it;"
+              + " the request may still take effect";
+      reply(exchange, GATEWAY_TIMEOUT, ControlJson.error(message));
     } catch (ExecutionException e) {
-      reply(exchange, BAD_REQUEST, ControlJson.fault(e.getCause().getMessage()));
+      reply(exchange, BAD_REQUEST, ControlJson.error(e.getCause().getMessage()));
     }
   }
 
--- a/gateway/src/main/java/weldcross/control/package-info.java
+++ b/gateway/src/main/java/weldcross/control/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The control endpoint: HTTP and JSON on the loopback, by which an operator on this machine asks
- * what the gateway knows of the others and decides on members.
+ * The control endpoint: an HTTP and JSON interface on the loopback address through which an
+ * operator on this machine queries the cluster status and manages its members.
  */
 package weldcross.control;
--- a/gateway/src/test/java/weldcross/control/ControlRequestHandlerTest.java
+++ b/gateway/src/test/java/weldcross/control/ControlRequestHandlerTest.java
@@ -93,8 +93,8 @@
         post(
             "",
             (name, response) ->
-                response.completeExceptionally(new IllegalArgumentException("a name is wanted")));
-    assertReply(400, "{\"fault\":\"a name is wanted\"}", reply);
+                response.completeExceptionally(new IllegalArgumentException("a name is required")));
+    assertReply(400, "{\"fault\":\"a name is required\"}", reply);
   }
 
   @Test
@@ -108,7 +108,7 @@
             (name, response) -> {
               throw new AssertionError("must not run");
             }));
-    assertReply(404, "{\"fault\":\"POST is wanted here\"}", send("GET", ""));
+    assertReply(404, "{\"fault\":\"unsupported method; use POST\"}", send("GET", ""));
   }
 
   @Test
@@ -116,8 +116,8 @@
     HttpResponse<String> reply = post("", (name, response) -> {});
     assertReply(
         504,
-        "{\"fault\":\"no answer in 1 s: no leader, or this gateway is cut off;"
-            + " it may still be done\"}",
+        "{\"fault\":\"no result within 1 s: there is no leader, or this gateway is partitioned from"
+            + " it; the request may still take effect\"}",
         reply);
   }
 }
