--- a/gateway/src/main/java/weldcross/membership/FailureDetector.java
+++ b/gateway/src/main/java/weldcross/membership/FailureDetector.java
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Announces to several members that this gateway shuts down; they gossip the update further. The
-   * detector sends no messages and sets no timers afterwards.
+   * Announces to several members that this gateway shuts down; they gossip the update further.
+   * Pings, ping requests and timers are ignored afterwards.
    */
   public void leave() {
     leaving = true;
--- a/gateway/src/test/java/weldcross/membership/FailureDetectorMeasurements.java
+++ b/gateway/src/test/java/weldcross/membership/FailureDetectorMeasurements.java
@@ -46,7 +46,7 @@
       falsePositives += simulation.falsePositives;
     }
     System.out.printf(
-        "30 gateways, %.0f%% of messages lost, %s: " + "%.3f false positives per gateway hour%n",
+        "30 gateways, %.0f%% of messages lost, %s: %.3f false positives per gateway hour%n",
         lossRate * 100,
         lossRate > 0 ? "delay 100 to 200 ms" : "delay 1 to 2 ms",
         falsePositives * 3.0 / SEEDS / 30);
