--- a/gateway/src/main/java/weldcross/gateway/ExtensionHost.java
+++ b/gateway/src/main/java/weldcross/gateway/ExtensionHost.java
@@ -31,12 +31,12 @@
       }
 
       @Override
-      public void at(Duration when, Runnable task) {
+      public void schedule(Duration when, Runnable task) {
         gateway.schedule(when, task);
       }
 
       @Override
-      public void soon(Runnable task) {
+      public void defer(Runnable task) {
         gateway.defer(task);
       }
 
@@ -46,7 +46,7 @@
       }
 
       @Override
-      public void changed() {
+      public void stateChanged() {
         gateway.extensionStateChanged();
       }
 
@@ -66,7 +66,7 @@
   }
 
   void reloaded() {
-    extensions.forEach(GatewayExtension::reloaded);
+    extensions.forEach(GatewayExtension::configReloaded);
   }
 
   /** Whether all extensions are ready. */
@@ -76,7 +76,7 @@
 
   /** Whether all extensions allow the gateway to stop. */
   boolean isDone() {
-    return extensions.stream().allMatch(GatewayExtension::isDone);
+    return extensions.stream().allMatch(GatewayExtension::isDrained);
   }
 
   /** Stops all extensions in reverse order. */
--- a/gateway/src/test/java/weldcross/gateway/ExtensionHostTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ExtensionHostTest.java
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public void reloaded() {
+    public void configReloaded() {
       calls.add(name + " reloaded");
     }
 
@@ -73,7 +73,7 @@
     }
 
     @Override
-    public boolean isDone() {
+    public boolean isDrained() {
       return done;
     }
 
@@ -118,7 +118,7 @@
             });
       }
       first.ready = true;
-      first.context.post(first.context::changed);
+      first.context.post(first.context::stateChanged);
       while (!client.query("").get(0).startsWith("I")) {
         Thread.onSpinWait();
       }
@@ -127,11 +127,11 @@
       gateway.stop();
       CountDownLatch waited = new CountDownLatch(1);
       second.context.post(
-          () -> second.context.at(second.context.now().plusMillis(1500), waited::countDown));
+          () -> second.context.schedule(second.context.now().plusMillis(1500), waited::countDown));
       assertTrue(waited.await(20, TimeUnit.SECONDS));
       assertFalse(status.isDone(), "it waits for the extension that is not done");
       second.done = true;
-      second.context.post(second.context::changed);
+      second.context.post(second.context::stateChanged);
       assertEquals(0, status.get(20, TimeUnit.SECONDS));
     }
     assertEquals(
