--- a/benchmarks/src/main/java/weldcross/benchmarks/RecordLogBenchmark.java
+++ b/benchmarks/src/main/java/weldcross/benchmarks/RecordLogBenchmark.java
@@ -35,7 +35,7 @@
   private static final class NullDirectory implements StorageDirectory {
 
     @Override
-    public SortedSet<String> names() {
+    public SortedSet<String> fileNames() {
       return new TreeSet<>();
     }
 
@@ -73,7 +73,7 @@
     public void delete(String name) {}
 
     @Override
-    public void forceNames() {}
+    public void forceDirectory() {}
 
     @Override
     public void close() {}
--- a/benchmarks/src/main/java/weldcross/benchmarks/StorageMeasurements.java
+++ b/benchmarks/src/main/java/weldcross/benchmarks/StorageMeasurements.java
@@ -64,7 +64,7 @@
   }
 
   private static void measureCommits(Path path, int batch) throws IOException {
-    try (StorageDirectory directory = FileStorageDirectory.at(path);
+    try (StorageDirectory directory = FileStorageDirectory.openDirectory(path);
         RecordLog log = open(directory, new RecordCounter())) {
       Histogram micros =
           measure(
@@ -80,7 +80,7 @@
   }
 
   private static void measureReading(Path path) throws IOException {
-    try (StorageDirectory directory = FileStorageDirectory.at(path);
+    try (StorageDirectory directory = FileStorageDirectory.openDirectory(path);
         RecordLog log = open(directory, new RecordCounter())) {
       for (int k = 1; k <= MANY_RECORDS; k++) {
         log.append(ByteBuffer.allocate(RECORD_BYTES).putInt(0, k));
@@ -91,7 +91,7 @@
     }
     RecordCounter counter = new RecordCounter();
     long began = System.nanoTime();
-    try (StorageDirectory directory = FileStorageDirectory.at(path)) {
+    try (StorageDirectory directory = FileStorageDirectory.openDirectory(path)) {
       RecordLog log = open(directory, counter);
       long millis = (System.nanoTime() - began) / 1_000_000;
       System.out.printf(
--- a/chaos/src/main/java/weldcross/chaos/agent/LyingStorageDirectory.java
+++ b/chaos/src/main/java/weldcross/chaos/agent/LyingStorageDirectory.java
@@ -39,8 +39,8 @@
   /** How far a misdirected write is off. */
   private static final int MISDIRECTION_BYTES = 16;
 
-  /** A higher rank than that of the default factory. */
-  private static final int RANK = 10;
+  /** A higher priority than that of the default factory. */
+  private static final int PRIORITY = 10;
 
   private static final long POLL_INTERVAL_NANOS = 5_000_000;
 
@@ -48,14 +48,15 @@
   public static final class Factory implements StorageDirectory.Factory {
 
     @Override
-    public int rank() {
-      return RANK;
+    public int priority() {
+      return PRIORITY;
     }
 
     @Override
     public StorageDirectory open(Path directory) throws IOException {
       return new LyingStorageDirectory(
-          new FileStorageDirectory.Plain().open(directory), System.getProperty(FAULTS_FILE));
+          new FileStorageDirectory.DefaultFactory().open(directory),
+          System.getProperty(FAULTS_FILE));
     }
   }
 
@@ -72,7 +73,7 @@
   LyingStorageDirectory(StorageDirectory real, String faultsFile) throws IOException {
     this.real = real;
     this.faultsFile = faultsFile == null ? null : Path.of(faultsFile);
-    for (String name : real.names()) {
+    for (String name : real.fileNames()) {
       files.put(name, new StoredFile(name));
     }
   }
@@ -102,7 +103,7 @@
   }
 
   @Override
-  public SortedSet<String> names() {
+  public SortedSet<String> fileNames() {
     return new TreeSet<>(files.keySet());
   }
 
@@ -138,7 +139,7 @@
    * lies.
    */
   @Override
-  public void forceNames() throws IOException {
+  public void forceDirectory() throws IOException {
     Set<String> faults = faults();
     applyDelays(faults);
     if (faults.contains("lie")) {
@@ -148,12 +149,12 @@
       StoredFile file = files.get(name);
       if (file != null) {
         file.place(name, faults);
-      } else if (real.names().contains(name)) {
+      } else if (real.fileNames().contains(name)) {
         real.delete(name);
       }
     }
     unforced.clear();
-    real.forceNames();
+    real.forceDirectory();
   }
 
   @Override
@@ -174,7 +175,7 @@
     void load() throws IOException {
       if (current == null) {
         current = new byte[0];
-        if (real.names().contains(name)) {
+        if (real.fileNames().contains(name)) {
           try (File file = real.open(name)) {
             ByteBuffer all = ByteBuffer.allocate((int) file.size());
             file.read(0, all);
--- a/chaos/src/test/java/weldcross/chaos/LyingStorageDirectoryTest.java
+++ b/chaos/src/test/java/weldcross/chaos/LyingStorageDirectoryTest.java
@@ -51,7 +51,7 @@
   }
 
   private final class ProcessRun {
-    final StorageDirectory disk = FileStorageDirectory.at(folder.resolve("log"));
+    final StorageDirectory disk = FileStorageDirectory.openDirectory(folder.resolve("log"));
     final RecordLog log;
 
     ProcessRun() throws IOException {
--- a/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
+++ b/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
@@ -192,7 +192,7 @@
 
     @Override
     public StorageDirectory openDirectory() throws IOException {
-      return FileStorageDirectory.at(directory.resolve(DIRECTORY));
+      return FileStorageDirectory.openDirectory(directory.resolve(DIRECTORY));
     }
 
     @Override
--- a/gateway/src/main/java/weldcross/consensus/raft/PersistentRaftStore.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/PersistentRaftStore.java
@@ -74,10 +74,10 @@
 
   /** Deletes everything that is stored, and opens an empty store. */
   static PersistentRaftStore recreate(StorageDirectory directory) throws IOException {
-    for (String name : List.copyOf(directory.names())) {
+    for (String name : List.copyOf(directory.fileNames())) {
       directory.delete(name);
     }
-    directory.forceNames();
+    directory.forceDirectory();
     return open(directory);
   }
 
--- a/gateway/src/main/java/weldcross/mesh/net/IncarnationStore.java
+++ b/gateway/src/main/java/weldcross/mesh/net/IncarnationStore.java
@@ -70,7 +70,7 @@
 
   /** Writes that wait for the disk. */
   int pendingWrites() {
-    return log.queued();
+    return log.queuedWrites();
   }
 
   @Override
--- a/gateway/src/main/java/weldcross/storage/AsyncRecordLog.java
+++ b/gateway/src/main/java/weldcross/storage/AsyncRecordLog.java
@@ -10,15 +10,16 @@
 import java.util.function.Consumer;
 
 /**
- * A {@link RecordLog} on a thread of its own, for an event loop that must not wait.
+ * Runs a {@link RecordLog} on a dedicated thread, for use from an event loop that must not block.
  *
- * <p>Writes are queued, and their outcome is reported by a listener on the event loop. Records that
- * are queued while storage is busy are committed together. Storage that is stuck delays this log
- * alone; {@link #queued} tells how much waits for it. All methods are called on the event loop.
+ * <p>Writes are queued, and their outcome is reported to a listener on the event loop. Records that
+ * are queued while storage is busy are committed together. Blocked storage delays only this log;
+ * {@link #queuedWrites} returns the length of its backlog. All methods must be called on the event
+ * loop.
  */
 public final class AsyncRecordLog implements AutoCloseable {
 
-  /** Takes what a log holds once it is opened, all in one task on the event loop. */
+  /** Receives the contents of a log when it is opened, in a single task on the event loop. */
   public interface OpenListener extends RecordLog.Reader {
 
     @Override
@@ -27,37 +28,37 @@
     @Override
     void record(long number, ByteBuffer content);
 
-    /** The snapshot and all records have been passed; from now on writes are taken. */
+    /** Called after the snapshot and all records; writes are accepted from then on. */
     void opened(RecordLog.Recovered recovered);
 
     /**
-     * The log could not be opened.
+     * Called if the log could not be opened.
      *
-     * @param reason a {@link CorruptLogException} where opening it again does not help
+     * @param reason a {@link CorruptLogException} if retrying cannot succeed
      */
     void failed(IOException reason);
   }
 
-  /** Takes the outcome of a write, on the event loop. */
+  /** Receives the outcome of a write on the event loop. */
   public interface WriteListener {
 
     /**
-     * The record or snapshot is durable.
+     * Called when the record or snapshot is durable.
      *
-     * @param number of the record, or of the last record that the snapshot replaces
+     * @param number number of the record, or of the last record that the snapshot replaces
      */
     void durable(long number);
 
     /**
-     * The write failed.
+     * Called if the write failed.
      *
-     * @param reason a {@link WriteRejectedException} where nothing was stored; else that is
-     *     unknown, and every write fails until the log is opened again
+     * @param reason a {@link WriteRejectedException} if nothing was stored; for any other exception
+     *     it is unknown what was stored, and all writes fail until the log is reopened
      */
     void failed(IOException reason);
   }
 
-  /** A queued record, or snapshot if {@code snapshotUpTo} is not {@link #NO_SNAPSHOT}. */
+  /** A queued record, or a snapshot if {@code snapshotUpTo} is not {@link #NO_SNAPSHOT}. */
   private record Write(ByteBuffer content, long snapshotUpTo, WriteListener listener) {
 
     boolean isSnapshot() {
@@ -65,7 +66,7 @@
     }
   }
 
-  /** Writes a batch, and returns the number of its first record, or of its snapshot. */
+  /** Writes a batch; returns the number of its first record or of its snapshot. */
   private interface BatchWrite {
     long run() throws IOException;
   }
@@ -74,35 +75,36 @@
 
   private final Path path;
   private final long segmentBytes;
-  private final int maxQueued;
+  private final int maxQueuedWrites;
   private final Consumer<Runnable> eventLoop;
   private final LinkedBlockingQueue<Runnable> tasks = new LinkedBlockingQueue<>();
   private final LinkedBlockingQueue<Write> writes = new LinkedBlockingQueue<>();
-  private final AtomicInteger queued = new AtomicInteger();
+  private final AtomicInteger queuedWrites = new AtomicInteger();
 
-  // Used by the log's thread alone.
+  // Used only by the log's thread.
   private StorageDirectory directory;
   private RecordLog log;
 
   /**
    * Starts the log's thread; {@link #open} opens the log.
    *
-   * @param path of the log's directory, which is created if absent
-   * @param segmentBytes length in bytes beyond which a segment is followed by another
-   * @param maxQueued records and snapshots that may be queued
+   * @param path path of the log's directory, which is created if absent
+   * @param segmentBytes segment size in bytes beyond which a new segment is started
+   * @param maxQueuedWrites maximum number of queued records and snapshots
    * @param eventLoop runs the listeners
    */
-  public AsyncRecordLog(Path path, long segmentBytes, int maxQueued, Consumer<Runnable> eventLoop) {
+  public AsyncRecordLog(
+      Path path, long segmentBytes, int maxQueuedWrites, Consumer<Runnable> eventLoop) {
     this.path = path;
     this.segmentBytes = segmentBytes;
-    this.maxQueued = maxQueued;
+    this.maxQueuedWrites = maxQueuedWrites;
     this.eventLoop = eventLoop;
     Thread thread = new Thread(this::runTasks, "disk " + path.getFileName());
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Opens the log, or opens it again after a failure. */
+  /** Opens the log, or reopens it after a failure. */
   public void open(OpenListener listener) {
     tasks.add(
         () -> {
@@ -120,7 +122,7 @@
 
   private void reopen(OpenListener listener, List<Runnable> events) throws IOException {
     closeLog();
-    directory = FileStorageDirectory.at(path);
+    directory = FileStorageDirectory.openDirectory(path);
     log =
         RecordLog.open(
             directory,
@@ -143,7 +145,7 @@
   /**
    * Queues a record.
    *
-   * @return false where too much is queued already; the listener is not called then
+   * @return false if the queue is full; the listener is not called in that case
    */
   public boolean append(ByteBuffer content, WriteListener listener) {
     return enqueue(new Write(content, NO_SNAPSHOT, listener));
@@ -152,29 +154,29 @@
   /**
    * Queues a snapshot.
    *
-   * @param upTo number of a durable record, the last that the snapshot replaces
-   * @return false where too much is queued already; the listener is not called then
+   * @param upTo number of the last record that the snapshot replaces, which must be durable
+   * @return false if the queue is full; the listener is not called in that case
    */
   public boolean snapshot(long upTo, ByteBuffer content, WriteListener listener) {
     return enqueue(new Write(content, upTo, listener));
   }
 
   private boolean enqueue(Write write) {
-    if (queued.get() >= maxQueued) {
+    if (queuedWrites.get() >= maxQueuedWrites) {
       return false;
     }
-    queued.incrementAndGet();
+    queuedWrites.incrementAndGet();
     writes.add(write);
     tasks.add(this::writeQueued);
     return true;
   }
 
-  /** Number of records and snapshots that are queued or being written. */
-  public int queued() {
-    return queued.get();
+  /** Returns the number of records and snapshots that are queued or being written. */
+  public int queuedWrites() {
+    return queuedWrites.get();
   }
 
-  /** Closes the log once the tasks queued so far are done, without waiting for that. */
+  /** Closes the log after the tasks queued so far, without waiting for them. */
   @Override
   public void close() {
     tasks.add(
@@ -190,11 +192,11 @@
         tasks.take().run();
       }
     } catch (InterruptedException e) {
-      // Closed: nobody waits for anything more.
+      // Interrupted by close(): no listener expects another outcome.
     }
   }
 
-  /** Writes all queued records by one commit, or one snapshot where that is next. */
+  /** Writes all records at the head of the queue in one commit, or the snapshot at its head. */
   private void writeQueued() {
     List<Write> records = new ArrayList<>();
     while (!writes.isEmpty() && !writes.peek().isSnapshot()) {
@@ -233,7 +235,7 @@
     } catch (IOException e) {
       outcome = () -> batch.forEach(write -> write.listener().failed(e));
     }
-    queued.addAndGet(-batch.size());
+    queuedWrites.addAndGet(-batch.size());
     eventLoop.accept(outcome);
   }
 
@@ -247,7 +249,7 @@
     try {
       closeLog();
     } catch (IOException e) {
-      // Durable records stay so, and nothing more is written.
+      // Durable records are not affected, and nothing more is written.
     }
   }
 
--- a/gateway/src/main/java/weldcross/storage/DirectoryInUseException.java
+++ b/gateway/src/main/java/weldcross/storage/DirectoryInUseException.java
@@ -2,16 +2,16 @@
 
 import java.io.IOException;
 
-/** A storage directory is already open, in this process or another. */
+/** Thrown if a storage directory is already open, in this process or another. */
 public final class DirectoryInUseException extends IOException {
   private static final long serialVersionUID = 1;
 
   /**
-   * Names the directory.
+   * Creates an exception for a directory.
    *
-   * @param directory its path
+   * @param directory path of the directory
    */
   public DirectoryInUseException(String directory) {
-    super("in use by another process: " + directory);
+    super("storage directory is already in use: " + directory);
   }
 }
--- a/gateway/src/main/java/weldcross/storage/FileStorageDirectory.java
+++ b/gateway/src/main/java/weldcross/storage/FileStorageDirectory.java
@@ -18,8 +18,8 @@
 import java.util.stream.Stream;
 
 /**
- * A directory of the file system. A lock file keeps other processes out; it is no stored data and
- * not among the names.
+ * A directory of the file system. A lock file gives one process exclusive access; it is not part of
+ * the stored data and is not listed among the file names.
  */
 public final class FileStorageDirectory implements StorageDirectory {
 
@@ -52,25 +52,25 @@
   }
 
   /**
-   * Opens a directory by the registered factory of the highest rank.
+   * Opens a directory with the registered factory of the highest priority.
    *
-   * @param directory created if absent, with its parents
-   * @throws DirectoryInUseException where it is already open, in this process or another
-   * @throws IOException where it cannot be created, read or written
+   * @param directory path of the directory, which is created with its parents if absent
+   * @throws DirectoryInUseException if it is already open, in this process or another
+   * @throws IOException if it cannot be created, read or written
    */
-  public static StorageDirectory at(Path directory) throws IOException {
+  public static StorageDirectory openDirectory(Path directory) throws IOException {
     return ServiceLoader.load(Factory.class).stream()
         .map(ServiceLoader.Provider::get)
-        .max(Comparator.comparingInt(Factory::rank))
-        .orElseGet(Plain::new)
+        .max(Comparator.comparingInt(Factory::priority))
+        .orElseGet(DefaultFactory::new)
         .open(directory);
   }
 
-  /** The default factory, of rank zero. */
-  public static final class Plain implements Factory {
+  /** The default factory, of priority zero. */
+  public static final class DefaultFactory implements Factory {
 
     @Override
-    public int rank() {
+    public int priority() {
       return 0;
     }
 
@@ -81,9 +81,10 @@
   }
 
   @Override
-  public SortedSet<String> names() throws IOException {
-    try (Stream<Path> all = Files.list(directory)) {
-      return all.map(path -> path.getFileName().toString())
+  public SortedSet<String> fileNames() throws IOException {
+    try (Stream<Path> files = Files.list(directory)) {
+      return files
+          .map(path -> path.getFileName().toString())
           .filter(name -> !name.equals(LOCK_FILE))
           .collect(Collectors.toCollection(TreeSet::new));
     }
@@ -111,9 +112,9 @@
   }
 
   @Override
-  public void forceNames() throws IOException {
-    try (FileChannel names = FileChannel.open(directory, StandardOpenOption.READ)) {
-      names.force(true);
+  public void forceDirectory() throws IOException {
+    try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
+      channel.force(true);
     }
   }
 
--- a/gateway/src/main/java/weldcross/storage/LogFormat.java
+++ b/gateway/src/main/java/weldcross/storage/LogFormat.java
@@ -8,19 +8,19 @@
 import java.util.zip.CRC32C;
 
 /**
- * The form of a record log's files; stored data depends on it. Numbers are big-endian.
+ * The file format of a record log. Existing log directories depend on it. Numbers are big-endian.
  *
  * <ul>
- *   <li>A segment {@code log-N}, N being the number of its first record in 16 hexadecimal digits:
+ *   <li>Segment {@code log-N}, where N is the number of its first record in 16 hexadecimal digits:
  *       magic (4 bytes), version (4), first record (8), then frames.
- *   <li>A frame, which is what one commit wrote: length of what follows the checksum (4), CRC32C of
- *       it (4), frame number (8), first record (8), record count (4), and the records, each after
- *       its length (4).
- *   <li>A snapshot {@code snapshot-N}, N being the last record that it replaces: CRC32C of the rest
- *       (4), magic (4), version (4), last record (8), content.
+ *   <li>Frame, written by one commit: length of the body (4), CRC32C of the body (4), and the body:
+ *       frame number (8), first record (8), record count (4), and the records, each preceded by its
+ *       length (4).
+ *   <li>Snapshot {@code snapshot-N}, where N is the number of the last record that it replaces:
+ *       CRC32C of the rest (4), magic (4), version (4), last record (8), content.
  * </ul>
  *
- * <p>A name with {@link #TEMPORARY_SUFFIX} is a file that is being written.
+ * <p>A file whose name ends with {@link #TEMPORARY_SUFFIX} is still being written.
  */
 final class LogFormat {
 
@@ -28,21 +28,21 @@
   static final String SNAPSHOT_PREFIX = "snapshot-";
   static final String TEMPORARY_SUFFIX = ".half";
 
-  /** Length of a segment's header in bytes. */
+  /** Length of a segment header in bytes. */
   static final int SEGMENT_HEADER_BYTES = 16;
 
-  /** Length of a frame before its first record, in bytes. */
+  /** Length of a frame before its first record, in bytes: length, checksum and body header. */
   static final int FRAME_HEADER_BYTES = 28;
 
   private static final int FRAME_CHECKSUM_OFFSET = 4;
 
-  /** Where the part of a frame begins that its checksum covers. */
+  /** Offset of the frame body, which the checksum covers. */
   private static final int FRAME_BODY_OFFSET = 8;
 
-  /** Length of the checksum at the start of a snapshot, in bytes. */
+  /** Length in bytes of the checksum at the start of a snapshot. */
   static final int SNAPSHOT_CHECKSUM_BYTES = 4;
 
-  /** Length of a snapshot's header behind the checksum, in bytes. */
+  /** Length in bytes of the snapshot header that follows the checksum. */
   private static final int SNAPSHOT_HEADER_BYTES = 16;
 
   private static final int SEGMENT_MAGIC = 0x57584C47;
@@ -50,12 +50,12 @@
   private static final int VERSION = 1;
 
   /**
-   * A frame that was read.
+   * A decoded frame.
    *
-   * @param number of the frame
-   * @param firstRecord number of its first record
-   * @param records their contents, read-only
-   * @param end position behind the frame
+   * @param number frame number
+   * @param firstRecord number of the first record
+   * @param records contents of the records, read-only
+   * @param end position of the first byte after the frame
    */
   record Frame(long number, long firstRecord, List<ByteBuffer> records, int end) {}
 
@@ -74,15 +74,15 @@
   }
 
   /**
-   * The number in a file's name.
+   * Parses the number in a file name.
    *
-   * @throws CorruptLogException where there is none
+   * @throws CorruptLogException if the name contains no number
    */
   static long parseNumber(String prefix, String name) throws CorruptLogException {
     try {
       return Long.parseUnsignedLong(name.substring(prefix.length()), 16);
     } catch (NumberFormatException e) {
-      throw new CorruptLogException(name, 0, "not a file name of this log");
+      throw new CorruptLogException(name, 0, "file name contains no valid record number");
     }
   }
 
@@ -99,23 +99,23 @@
         && segment.slice(0, SEGMENT_HEADER_BYTES).equals(segmentHeader(firstRecord));
   }
 
-  /** A frame of records, which stay as they are. */
+  /** Encodes records as a frame; the positions of their buffers do not change. */
   static ByteBuffer encodeFrame(long number, long firstRecord, List<ByteBuffer> records) {
     int recordBytes = 0;
-    for (ByteBuffer each : records) {
-      recordBytes += Integer.BYTES + each.remaining();
+    for (ByteBuffer record : records) {
+      recordBytes += Integer.BYTES + record.remaining();
     }
     ByteBuffer frame = ByteBuffer.allocate(FRAME_HEADER_BYTES + recordBytes);
     int bodyBytes = frame.capacity() - FRAME_BODY_OFFSET;
     frame.putInt(bodyBytes).putInt(0).putLong(number).putLong(firstRecord).putInt(records.size());
-    for (ByteBuffer each : records) {
-      frame.putInt(each.remaining()).put(each.duplicate());
+    for (ByteBuffer record : records) {
+      frame.putInt(record.remaining()).put(record.duplicate());
     }
     frame.putInt(FRAME_CHECKSUM_OFFSET, checksum(frame.slice(FRAME_BODY_OFFSET, bodyBytes)));
     return frame.flip();
   }
 
-  /** The frame at a position; empty where there is none whose checksum holds. */
+  /** Decodes the frame at a position; empty if there is none with a matching checksum. */
   static Optional<Frame> decodeFrame(ByteBuffer segment, int position) {
     OptionalInt end = frameEnd(segment, position);
     if (end.isEmpty()) {
@@ -150,21 +150,21 @@
         : OptionalInt.empty();
   }
 
-  /** Whether a frame's header fits between a position and the end of the segment. */
+  /** Returns whether a frame header fits between a position and the end of the segment. */
   static boolean canHoldFrame(ByteBuffer segment, int position) {
     return position + FRAME_HEADER_BYTES <= segment.limit();
   }
 
   /**
-   * Whether an intact frame begins at a position whose number is within a range; cheap where the
-   * number is not.
+   * Returns whether an intact frame with a number in the given range begins at a position. The
+   * checksum is computed only if the number is in the range.
    */
   static boolean hasFrame(ByteBuffer segment, int position, long minNumber, long maxNumber) {
     long number = segment.getLong(position + FRAME_BODY_OFFSET);
     return number >= minNumber && number <= maxNumber && frameEnd(segment, position).isPresent();
   }
 
-  /** The part of a snapshot that its checksum covers. */
+  /** Encodes the part of a snapshot that its checksum covers. */
   static ByteBuffer encodeSnapshotBody(long lastRecord, ByteBuffer content) {
     return ByteBuffer.allocate(SNAPSHOT_HEADER_BYTES + content.remaining())
         .putInt(SNAPSHOT_MAGIC)
@@ -179,23 +179,23 @@
   }
 
   /**
-   * The content of a snapshot.
+   * Decodes the content of a snapshot.
    *
-   * @param name of its file
-   * @param file its whole content
-   * @throws CorruptLogException where it is not what was written
+   * @param name file name of the snapshot
+   * @param file complete content of the file
+   * @throws CorruptLogException if the file is truncated or its checksum or header does not match
    */
   static ByteBuffer decodeSnapshot(String name, ByteBuffer file, long lastRecord)
       throws CorruptLogException {
     if (file.remaining() < SNAPSHOT_CHECKSUM_BYTES + SNAPSHOT_HEADER_BYTES) {
-      throw new CorruptLogException(name, 0, "cut short");
+      throw new CorruptLogException(name, 0, "snapshot is truncated");
     }
     int stored = file.getInt();
     if (stored != checksum(file)
         || file.getInt() != SNAPSHOT_MAGIC
         || file.getInt() != VERSION
         || file.getLong() != lastRecord) {
-      throw new CorruptLogException(name, 0, "not what was written");
+      throw new CorruptLogException(name, 0, "snapshot checksum or header does not match");
     }
     return file;
   }
--- a/gateway/src/main/java/weldcross/storage/RecordLog.java
+++ b/gateway/src/main/java/weldcross/storage/RecordLog.java
@@ -8,71 +8,74 @@
 import java.util.NavigableMap;
 
 /**
- * A log of records that survives the loss of the process and of power, in the order in which they
- * were appended.
+ * A durable, append-only log of records that survives process crashes and power failures.
  *
- * <p>{@link #append} takes a record, {@link #commit} makes all that were appended durable by one
- * write and one force. A {@link #snapshot} replaces all records up to one of them, which are then
- * deleted. Records are numbered from one, without gaps. Used by one thread at a time, which waits
- * for storage; {@link AsyncRecordLog} is for callers that must not wait. {@link LogFormat}
- * describes the files.
+ * <p>{@link #append} adds a record to the next commit, and {@link #commit} makes all appended
+ * records durable with one write and one force. A {@link #snapshot} replaces all records up to a
+ * given number, which are then deleted. Records are numbered from one, without gaps.
+ *
+ * <p>Not thread-safe. Methods block on storage; {@link AsyncRecordLog} is for callers that must not
+ * block. {@link LogFormat} describes the files.
  */
 public final class RecordLog implements Closeable {
 
   /** The states of a log. */
   public enum State {
-    /** Records and snapshots are taken. */
+    /** Records and snapshots are accepted. */
     OPEN,
-    /** A force failed, so what is durable is unknown until the log is opened again. */
+    /** A force failed, so it is unknown what is durable until the log is reopened. */
     FAILED,
     /** The log has been closed. */
     CLOSED
   }
 
   /**
-   * What was found when the log was opened.
+   * The state that was recovered when the log was opened.
    *
-   * @param snapshotUpTo number of the last record that the snapshot replaces; zero where there is
-   *     no snapshot
-   * @param lastRecord number of the last record; zero where there is none
-   * @param tornBytes length of an unfinished write that was cut from the end
+   * @param snapshotUpTo number of the last record that the snapshot replaces; zero if there is no
+   *     snapshot
+   * @param lastRecord number of the last record; zero if there is none
+   * @param tornBytes length in bytes of an incomplete write that was truncated from the end
    */
   public record Recovered(long snapshotUpTo, long lastRecord, long tornBytes) {}
 
-  /** Takes what a log holds when it is opened: at most one snapshot, then the records behind it. */
+  /**
+   * Receives the contents of a log when it is opened: at most one snapshot, then the records that
+   * follow it.
+   */
   public interface Reader {
 
     /**
-     * Takes the snapshot.
+     * Receives the snapshot.
      *
      * @param upTo number of the last record that it replaces
-     * @throws IOException which {@link RecordLog#open} throws in turn
+     * @throws IOException if the snapshot cannot be used; propagated by {@link RecordLog#open}
      */
     void snapshot(long upTo, ByteBuffer content) throws IOException;
 
     /**
-     * Takes the next record.
+     * Receives the next record.
      *
-     * @param content read-only
-     * @throws IOException which {@link RecordLog#open} throws in turn
+     * @param content content of the record, read-only
+     * @throws IOException if the record cannot be used; propagated by {@link RecordLog#open}
      */
     void record(long number, ByteBuffer content) throws IOException;
   }
 
-  /** Maximum length of a record and of a snapshot, in bytes. */
+  /** Maximum length in bytes of a record or a snapshot. */
   public static final int MAX_RECORD_BYTES = 16 << 20;
 
   private final StorageDirectory directory;
   private final long segmentBytes;
   private final Recovered recovered;
 
-  /** Names of the segments by their first records. */
+  /** File names of the segments by the numbers of their first records. */
   private final NavigableMap<Long, String> segments;
 
   private final List<ByteBuffer> pending = new ArrayList<>();
   private State state = State.OPEN;
 
-  /** The last segment, which is written to. */
+  /** The last segment, to which commits are written. */
   private SegmentFile segment;
 
   private long lastFrame;
@@ -95,29 +98,29 @@
   }
 
   /**
-   * Opens a log, passes what it holds to a reader and cuts a torn end.
+   * Opens a log, passes its contents to a reader and truncates a torn write at its end.
    *
-   * @param directory used by this log alone, and not closed with it
-   * @param segmentBytes length in bytes beyond which a segment is followed by another
-   * @throws CorruptLogException where something durable cannot be read; nothing is changed then
-   * @throws IOException where the directory cannot be read or written, or the reader throws
+   * @param directory the log's directory, which nothing else may use; the log does not close it
+   * @param segmentBytes segment size in bytes beyond which a new segment is started
+   * @throws CorruptLogException if durable data is unreadable; nothing is changed in that case
+   * @throws IOException if the directory cannot be read or written, or the reader throws
    */
   public static RecordLog open(StorageDirectory directory, long segmentBytes, Reader reader)
       throws IOException {
     return new RecordLog(directory, segmentBytes, RecordLogRecovery.run(directory, reader));
   }
 
-  /** The state of the log. */
+  /** Returns the state of the log. */
   public State state() {
     return state;
   }
 
-  /** What was found when the log was opened. */
+  /** Returns the state that was recovered when the log was opened. */
   public Recovered recovered() {
     return recovered;
   }
 
-  /** Number of the last durable record; zero where there is none. */
+  /** Returns the number of the last durable record; zero if there is none. */
   public long lastRecord() {
     return lastRecord;
   }
@@ -125,25 +128,26 @@
   /**
    * Appends a copy of a record to the next commit.
    *
-   * @param content at most {@link #MAX_RECORD_BYTES}
-   * @return the number that the record has if the commit succeeds
-   * @throws IllegalArgumentException where the content is too long
+   * @param content at most {@link #MAX_RECORD_BYTES} bytes
+   * @return the number that the record will have if the commit succeeds
+   * @throws IllegalArgumentException if the content is too long
    */
   public long append(ByteBuffer content) {
     if (content.remaining() > MAX_RECORD_BYTES) {
       throw new IllegalArgumentException(
-          "a record of " + content.remaining() + " bytes, more than " + MAX_RECORD_BYTES);
+          "record of " + content.remaining() + " bytes exceeds the maximum of " + MAX_RECORD_BYTES);
     }
     pending.add(ByteBuffer.allocate(content.remaining()).put(content.duplicate()).flip());
     return lastRecord + pending.size();
   }
 
   /**
-   * Returns once all appended records are durable.
+   * Makes all appended records durable.
    *
-   * @throws WriteRejectedException where none of them is, as on full storage; they are dropped and
-   *     the log stays open
-   * @throws IOException where that is unknown; the log has failed, and only opening it again tells
+   * @throws WriteRejectedException if none of them was stored, for example because storage is full;
+   *     the records are dropped and the log stays open
+   * @throws IOException if it is unknown whether they are durable; the log is then in state {@link
+   *     State#FAILED} and must be reopened
    */
   public void commit() throws IOException {
     ensureOpen();
@@ -189,7 +193,7 @@
     }
   }
 
-  /** Begins the next segment; the one before it is whole and durable by then. */
+  /** Starts the next segment; the previous one must be complete and durable. */
   private void startSegment() throws IOException {
     long firstRecord = lastRecord + 1;
     SegmentFile next = SegmentFile.create(directory, firstRecord);
@@ -201,28 +205,30 @@
   }
 
   /**
-   * Replaces all records up to one by a snapshot; returns once the snapshot is durable and records
-   * that are no longer needed are deleted.
+   * Replaces all records up to a given number by a snapshot. Returns when the snapshot is durable
+   * and segments that are no longer needed have been deleted.
    *
-   * @param upTo from the last snapshot's number to {@link #lastRecord()}
-   * @param content at most {@link #MAX_RECORD_BYTES}
-   * @throws IllegalArgumentException where the number or the content is out of range
-   * @throws IOException where it fails; the snapshot before it, or this one, is in force
+   * @param upTo number of the last record that the snapshot replaces, at least that of the previous
+   *     snapshot and at most {@link #lastRecord()}
+   * @param content at most {@link #MAX_RECORD_BYTES} bytes
+   * @throws IllegalArgumentException if the number or the length of the content is out of range
+   * @throws IOException if the snapshot fails; either it or the previous one is then in effect
    */
   public void snapshot(long upTo, ByteBuffer content) throws IOException {
     ensureOpen();
     if (upTo < snapshotUpTo || upTo > lastRecord || content.remaining() > MAX_RECORD_BYTES) {
       throw new IllegalArgumentException(
-          "a snapshot up to "
+          "invalid snapshot up to record "
               + upTo
-              + ", not from "
+              + " (allowed: "
               + snapshotUpTo
               + " to "
               + lastRecord
-              + ", or "
+              + ") of "
               + content.remaining()
-              + " bytes, more than "
-              + MAX_RECORD_BYTES);
+              + " bytes (maximum: "
+              + MAX_RECORD_BYTES
+              + ")");
     }
     writeSnapshot(upTo, content);
     if (snapshotUpTo > 0 && snapshotUpTo < upTo) {
@@ -242,10 +248,10 @@
       file.force();
     }
     directory.rename(name + LogFormat.TEMPORARY_SUFFIX, name);
-    directory.forceNames();
+    directory.forceDirectory();
   }
 
-  /** Deletes each segment whose successor begins no later than the first record still needed. */
+  /** Deletes the segments all of whose records the snapshot replaces. */
   private void deleteReplacedSegments() throws IOException {
     long firstNeeded = snapshotUpTo + 1;
     while (segments.size() > 1 && segments.higherKey(segments.firstKey()) <= firstNeeded) {
@@ -255,11 +261,11 @@
 
   private void ensureOpen() throws IOException {
     if (state != State.OPEN) {
-      throw new IOException("the log is " + state);
+      throw new IOException("record log is " + state);
     }
   }
 
-  /** Closes the log; records that were appended and not committed are dropped. */
+  /** Closes the log; records that were appended but not committed are dropped. */
   @Override
   public void close() throws IOException {
     state = State.CLOSED;
--- a/gateway/src/main/java/weldcross/storage/RecordLogRecovery.java
+++ b/gateway/src/main/java/weldcross/storage/RecordLogRecovery.java
@@ -8,11 +8,12 @@
 import java.util.TreeMap;
 
 /**
- * Reads a record log when it is opened, cuts its torn end, and distinguishes that from corruption.
+ * Reads a record log when it is opened and truncates a torn write at its end, which it
+ * distinguishes from corruption.
  *
- * <p>A frame is begun only once the one before it is durable. So a place that cannot be read is the
- * torn end, which was never reported as durable, unless an intact frame of a higher number follows
- * it, or a later segment exists: then it was durable, and is corrupt.
+ * <p>A frame is written only after the previous frame is durable. Unreadable data is therefore a
+ * torn write that was never reported as durable, unless a later segment or an intact frame with a
+ * higher number follows: in that case the data was durable and is corrupt.
  */
 final class RecordLogRecovery {
 
@@ -31,9 +32,9 @@
   }
 
   /**
-   * Reads the log, and passes the snapshot and the records behind it to the reader.
+   * Reads the log and passes the snapshot and the records that follow it to the reader.
    *
-   * @throws CorruptLogException where something durable cannot be read
+   * @throws CorruptLogException if durable data is unreadable
    */
   static RecordLogRecovery run(StorageDirectory directory, RecordLog.Reader reader)
       throws IOException {
@@ -44,28 +45,28 @@
     return recovery;
   }
 
-  /** Names of the segments by their first records. */
+  /** Returns the file names of the segments by the numbers of their first records. */
   NavigableMap<Long, String> segments() {
     return segments;
   }
 
-  /** What was found. */
+  /** Returns the state that was recovered. */
   RecordLog.Recovered recovered() {
     return new RecordLog.Recovered(snapshotUpTo, lastRecord, tornBytes);
   }
 
-  /** Number of the last frame; zero where there is none. */
+  /** Returns the number of the last frame; zero if there is none. */
   long lastFrame() {
     return lastFrame;
   }
 
-  /** The last segment, opened for writing; empty where there is no segment. */
+  /** Returns the last segment, opened for writing; empty if there is no segment. */
   Optional<SegmentFile> lastSegment() {
     return Optional.ofNullable(lastSegment);
   }
 
   private void listFiles() throws IOException {
-    for (String name : directory.names()) {
+    for (String name : directory.fileNames()) {
       if (name.endsWith(LogFormat.TEMPORARY_SUFFIX)) {
         directory.delete(name);
       } else if (name.startsWith(LogFormat.SNAPSHOT_PREFIX)) {
@@ -94,12 +95,14 @@
     }
     if (lastRecord < snapshotUpTo) {
       throw new CorruptLogException(
-          LogFormat.snapshotName(snapshotUpTo), 0, "records up to it are missing from the log");
+          LogFormat.snapshotName(snapshotUpTo),
+          0,
+          "records before the end of the snapshot are missing from the log");
     }
   }
 
   private static CorruptLogException missingRecords(String file, long from) {
-    return new CorruptLogException(file, 0, "records from " + from + " on are missing");
+    return new CorruptLogException(file, 0, "records are missing, starting with record " + from);
   }
 
   private void readSegment(long firstRecord, boolean isLast) throws IOException {
@@ -108,17 +111,18 @@
     int size = segment.limit();
     int intactBytes = 0;
     if (!LogFormat.hasSegmentHeader(segment, firstRecord)) {
-      checkTorn(name, segment, 0, isLast, lastFrame + 1);
+      requireTornWrite(name, segment, 0, isLast, lastFrame + 1);
     } else if (firstRecord != lastRecord + 1) {
       throw missingRecords(name, lastRecord + 1);
     } else {
       intactBytes = readFrames(segment);
       if (intactBytes < size) {
-        checkTorn(name, segment, intactBytes, isLast, lastFrame + 2);
+        requireTornWrite(name, segment, intactBytes, isLast, lastFrame + 2);
       }
     }
     if (intactBytes < size && !readFile(name).equals(segment.slice(0, size))) {
-      throw new CorruptLogException(name, intactBytes, "reads differently each time");
+      throw new CorruptLogException(
+          name, intactBytes, "two reads of the segment returned different content");
     }
     if (isLast) {
       lastSegment = SegmentFile.rewrite(directory, firstRecord, segment.slice(0, intactBytes));
@@ -126,7 +130,7 @@
     tornBytes = (long) size - intactBytes;
   }
 
-  /** Reads all frames that follow on what was read, and returns where the last of them ends. */
+  /** Reads all consecutive frames of a segment; returns the position after the last of them. */
   private int readFrames(ByteBuffer segment) throws IOException {
     int end = LogFormat.SEGMENT_HEADER_BYTES;
     Optional<LogFormat.Frame> next = nextFrame(segment, end);
@@ -155,24 +159,24 @@
   }
 
   /**
-   * Checks that a place which cannot be read is a torn end.
+   * Throws unless unreadable data at a position is a torn write.
    *
-   * @param laterFrame the lowest number of a frame that was begun only once this place was durable
-   * @throws CorruptLogException where it is not
+   * @param laterFrame lowest number of a frame that is written only after the data at the position
+   *     is durable
+   * @throws CorruptLogException if the data was durable
    */
-  private static void checkTorn(
+  private static void requireTornWrite(
       String name, ByteBuffer segment, int position, boolean isLast, long laterFrame)
       throws CorruptLogException {
     if (!isLast) {
-      throw new CorruptLogException(
-          name, position, "cannot be read, though a later segment was begun");
+      throw new CorruptLogException(name, position, "unreadable, but a later segment exists");
     }
-    // Each frame takes more than a byte, which bounds the numbers that this segment can hold.
+    // A frame is longer than one byte, which bounds the frame numbers in this segment.
     long maxFrame = laterFrame + segment.limit() - 1;
     for (int at = position + 1; LogFormat.canHoldFrame(segment, at); at++) {
       if (LogFormat.hasFrame(segment, at, laterFrame, maxFrame)) {
         throw new CorruptLogException(
-            name, position, "cannot be read, though a later frame can at byte " + at);
+            name, position, "unreadable, but a later frame at byte " + at + " is intact");
       }
     }
   }
@@ -180,7 +184,7 @@
   private ByteBuffer readFile(String name) throws IOException {
     try (StorageDirectory.File file = directory.open(name)) {
       if (file.size() > Integer.MAX_VALUE - 8) {
-        throw new CorruptLogException(name, 0, "longer than any that is written");
+        throw new CorruptLogException(name, 0, "file is larger than any that the log writes");
       }
       ByteBuffer content = ByteBuffer.allocate((int) file.size());
       file.read(0, content);
--- a/gateway/src/main/java/weldcross/storage/SegmentFile.java
+++ b/gateway/src/main/java/weldcross/storage/SegmentFile.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** The segment that a log writes to. */
+/** The segment to which a log writes. */
 final class SegmentFile implements Closeable {
 
   private final StorageDirectory.File file;
@@ -18,7 +18,7 @@
   /**
    * Creates a durable segment without frames.
    *
-   * @throws IOException where that fails; there is no such segment then
+   * @throws IOException if that fails; the segment does not exist in that case
    */
   static SegmentFile create(StorageDirectory directory, long firstRecord) throws IOException {
     String name = LogFormat.segmentName(firstRecord);
@@ -27,7 +27,7 @@
       file.truncate(0);
       file.write(0, LogFormat.segmentHeader(firstRecord));
       file.force();
-      directory.forceNames();
+      directory.forceDirectory();
     } catch (IOException e) {
       file.close();
       directory.delete(name);
@@ -37,10 +37,10 @@
   }
 
   /**
-   * Replaces a segment by its intact part, written and forced anew: what a failed force has left in
-   * memory may read as written without being durable.
+   * Replaces a segment by its intact part, which is written to a new file and forced. Data that a
+   * failed force left in the page cache can be read, but may not be durable.
    *
-   * @param intact the header and all intact frames; shorter than a header where not even that is
+   * @param intact header and all intact frames; shorter than a header if the header is torn
    */
   static SegmentFile rewrite(StorageDirectory directory, long firstRecord, ByteBuffer intact)
       throws IOException {
@@ -55,26 +55,26 @@
             : intact);
     file.force();
     directory.rename(name + LogFormat.TEMPORARY_SUFFIX, name);
-    directory.forceNames();
+    directory.forceDirectory();
     return new SegmentFile(file, size);
   }
 
-  /** Length in bytes of the header and all committed frames. */
+  /** Returns the length in bytes of the header and all committed frames. */
   long size() {
     return size;
   }
 
-  /** Writes a frame behind the committed ones. */
+  /** Writes a frame after the committed frames. */
   void write(ByteBuffer frame) throws IOException {
     file.write(size, frame);
   }
 
-  /** Removes what was written and not committed. */
+  /** Truncates data that was written but not committed. */
   void rollBack() throws IOException {
     file.truncate(size);
   }
 
-  /** Makes what was written durable, and counts it as committed. */
+  /** Makes the written frame durable and marks it as committed. */
   void commit(int frameBytes) throws IOException {
     file.force();
     size += frameBytes;
--- a/gateway/src/main/java/weldcross/storage/StorageDirectory.java
+++ b/gateway/src/main/java/weldcross/storage/StorageDirectory.java
@@ -7,73 +7,74 @@
 import java.util.SortedSet;
 
 /**
- * The operations on files that a log needs, in one directory that has one user at a time.
+ * The file operations that a log needs, within one directory that has a single user at a time.
  *
- * <p>Implementations are found by {@link java.util.ServiceLoader} through {@link Factory}, so that
- * one that injects faults can be put on the class path; the gateway itself has {@link
- * FileStorageDirectory} alone. Used by one thread at a time.
+ * <p>Implementations are discovered by {@link java.util.ServiceLoader} through {@link Factory}, so
+ * that tests can add one to the class path that injects faults; the gateway itself contains only
+ * {@link FileStorageDirectory}. Not thread-safe.
  */
 public interface StorageDirectory extends Closeable {
 
-  /** Opens storage directories; registered as a service. */
+  /** Opens storage directories; registered as a service provider. */
   interface Factory {
 
-    /** Of several factories the one of the highest rank is used; the default one has zero. */
-    int rank();
+    /** Returns the priority; the factory with the highest one is used, the default has zero. */
+    int priority();
 
     /**
      * Opens a directory.
      *
-     * @param directory created if absent, with its parents
-     * @throws DirectoryInUseException where it is already open, in this process or another
-     * @throws IOException where it cannot be created, read or written
+     * @param directory path of the directory, which is created with its parents if absent
+     * @throws DirectoryInUseException if it is already open, in this process or another
+     * @throws IOException if it cannot be created, read or written
      */
     StorageDirectory open(Path directory) throws IOException;
   }
 
-  /** The names of all files, in their natural order. */
-  SortedSet<String> names() throws IOException;
+  /** Returns the names of all files in natural order. */
+  SortedSet<String> fileNames() throws IOException;
 
   /**
    * Opens a file, which is created if absent.
    *
-   * @param name without path
+   * @param name file name without a path
    */
   File open(String name) throws IOException;
 
-  /** Renames a file in one step, replacing one that has the new name. */
+  /** Renames a file atomically, replacing any existing file with the new name. */
   void rename(String from, String to) throws IOException;
 
-  /** Deletes a file, which must exist. */
+  /** Deletes an existing file. */
   void delete(String name) throws IOException;
 
-  /** Returns once created, renamed and deleted names are durable. */
-  void forceNames() throws IOException;
+  /** Makes the creation, renaming and deletion of files durable. */
+  void forceDirectory() throws IOException;
 
   /** An open file. */
   interface File extends Closeable {
 
-    /** The file's length in bytes. */
+    /** Returns the length of the file in bytes. */
     long size() throws IOException;
 
     /**
-     * Fills the buffer from a position on; it has bytes remaining only where the file ends.
+     * Reads into the buffer until it is full or the end of the file is reached.
      *
-     * @param position in bytes from the file's start
+     * @param position byte offset in the file
      */
     void read(long position, ByteBuffer into) throws IOException;
 
     /**
-     * Writes all remaining bytes of the buffer. Where it throws, any part may have been written.
+     * Writes all remaining bytes of the buffer. If it throws, any part of them may have been
+     * written.
      *
-     * @param position in bytes from the file's start
+     * @param position byte offset in the file
      */
     void write(long position, ByteBuffer from) throws IOException;
 
-    /** Cuts the file at a length in bytes; a shorter file stays as it is. */
+    /** Truncates the file to a length in bytes; a shorter file is not changed. */
     void truncate(long size) throws IOException;
 
-    /** Returns once everything written is durable; where it throws, nothing is known of it. */
+    /** Makes all written data durable; if it throws, it is unknown which data is durable. */
     void force() throws IOException;
   }
 }
--- a/gateway/src/main/java/weldcross/storage/package-info.java
+++ b/gateway/src/main/java/weldcross/storage/package-info.java
@@ -1,10 +1,10 @@
 /**
- * Durable records: a log of records in a directory of its own, which survives the loss of the
- * process and of power.
+ * Durable storage: a log of records, kept in a dedicated directory, that survives process crashes
+ * and power failures.
  *
- * <p>{@link weldcross.storage.RecordLog} is the log, used by one thread that may wait; {@link
- * weldcross.storage.AsyncRecordLog} runs one on a thread of its own for callers that must not wait.
- * Both access files through {@link weldcross.storage.StorageDirectory} only, so that faults of
- * storage can be injected. See {@code docs/storage.md}.
+ * <p>{@link weldcross.storage.RecordLog} is the log and blocks on storage; {@link
+ * weldcross.storage.AsyncRecordLog} runs a log on a dedicated thread for callers that must not
+ * block. Both access files only through {@link weldcross.storage.StorageDirectory}, so that storage
+ * faults can be injected. See {@code docs/storage.md}.
  */
 package weldcross.storage;
--- a/gateway/src/test/java/weldcross/consensus/net/ConsensusSimulation.java
+++ b/gateway/src/test/java/weldcross/consensus/net/ConsensusSimulation.java
@@ -120,7 +120,7 @@
     void kill() {
       process++;
       alive = false;
-      directory.loseBuffers();
+      directory.simulatePowerLoss();
     }
 
     void resume() {
@@ -367,8 +367,8 @@
     cutPairs.clear();
     for (Node node : allNodes) {
       node.partition = 0;
-      node.directory.forceLies = false;
-      node.directory.forceFails = false;
+      node.directory.ignoreForce = false;
+      node.directory.failForce = false;
       if (!node.alive) {
         node.start();
       } else if (node.paused) {
--- a/gateway/src/test/java/weldcross/consensus/net/ConsensusTest.java
+++ b/gateway/src/test/java/weldcross/consensus/net/ConsensusTest.java
@@ -224,12 +224,12 @@
   void voterThatLostAcknowledgedEntriesTakesANewIdentity() {
     ConsensusSimulation simulation = start(4, 3, 9);
     ConsensusSimulation.Node faulty = simulation.node(1);
-    faulty.directory.forceLies = true;
+    faulty.directory.ignoreForce = true;
     simulation.node(3).kill();
     simulation.node(3).start();
     assertWithin(simulation, MINUTE, simulation::allAgree);
     faulty.kill();
-    faulty.directory.forceLies = false;
+    faulty.directory.ignoreForce = false;
     faulty.start();
     assertWithin(
         simulation,
@@ -272,7 +272,7 @@
     ConsensusSimulation simulation = start(4, 3, 11);
     for (int k = 0; k < 2; k++) {
       simulation.node(k).kill();
-      simulation.node(k).directory.wipe();
+      simulation.node(k).directory.clear();
       simulation.node(k).start();
     }
     long before = simulation.committedViews.lastKey();
@@ -292,8 +292,8 @@
     for (int k = 0; k < 3; k++) {
       simulation.node(k).kill();
     }
-    simulation.node(0).directory.wipe();
-    simulation.node(1).directory.wipe();
+    simulation.node(0).directory.clear();
+    simulation.node(1).directory.clear();
     corruptLog(simulation.node(2));
     for (int k = 0; k < 3; k++) {
       simulation.node(k).start();
@@ -309,17 +309,20 @@
 
   private static void corruptLog(ConsensusSimulation.Node node) {
     String log =
-        node.directory.names().stream().filter(n -> n.startsWith("log-")).findFirst().orElseThrow();
-    byte[] bytes = node.directory.bytes(log).clone();
+        node.directory.fileNames().stream()
+            .filter(n -> n.startsWith("log-"))
+            .findFirst()
+            .orElseThrow();
+    byte[] bytes = node.directory.visibleBytes(log).clone();
     bytes[bytes.length / 3] ^= 4;
-    node.directory.set(log, bytes);
+    node.directory.putDurable(log, bytes);
   }
 
   @Test
   void voterWithFailingStorageDoesNotVoteUntilItWorks() {
     ConsensusSimulation simulation = start(3, 3, 12);
     ConsensusSimulation.Node faulty = simulation.node(1);
-    faulty.directory.forceFails = true;
+    faulty.directory.failForce = true;
     ConsensusSimulation.Node dead = simulation.node(0);
     dead.kill();
     simulation.run(Duration.ofSeconds(10));
@@ -349,8 +352,8 @@
     }
     assertTrue(simulation.committedViews.lastKey() > 290);
     assertTrue(
-        simulation.node(0).directory.names().stream().anyMatch(n -> n.startsWith("snapshot-")),
-        simulation.node(0).directory.names().toString());
+        simulation.node(0).directory.fileNames().stream().anyMatch(n -> n.startsWith("snapshot-")),
+        simulation.node(0).directory.fileNames().toString());
     assertHeals(simulation);
   }
 
@@ -386,7 +389,7 @@
     } else if (kind <= 11) {
       changeNetwork(simulation, node, other, kind);
     } else if (kind == 12) {
-      faulty.directory.forceLies = !faulty.directory.forceLies;
+      faulty.directory.ignoreForce = !faulty.directory.ignoreForce;
     } else if (!other.alive && node.alive && !node.paused) {
       node.service.memberDied(other.name, other.incarnation);
     }
--- a/gateway/src/test/java/weldcross/consensus/raft/StoredDataCompatibilityTest.java
+++ b/gateway/src/test/java/weldcross/consensus/raft/StoredDataCompatibilityTest.java
@@ -77,7 +77,7 @@
       throws IOException {
     Path directory =
         StoredDataFixture.copy("/weldcross/consensus/" + fixture, scratch.resolve(fixture));
-    StorageDirectory storage = FileStorageDirectory.at(directory);
+    StorageDirectory storage = FileStorageDirectory.openDirectory(directory);
     PersistentRaftStore store = PersistentRaftStore.open(storage);
     try {
       assertEquals(0, store.tornBytes());
--- a/gateway/src/test/java/weldcross/storage/AsyncRecordLogTest.java
+++ b/gateway/src/test/java/weldcross/storage/AsyncRecordLogTest.java
@@ -19,11 +19,11 @@
 @Timeout(60)
 class AsyncRecordLogTest {
 
-  private final LinkedBlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
+  private final LinkedBlockingQueue<Runnable> eventLoopTasks = new LinkedBlockingQueue<>();
   private final List<String> events = new ArrayList<>();
-  @TempDir private Path folder;
+  @TempDir private Path directory;
 
-  private final AsyncRecordLog.OpenListener opened =
+  private final AsyncRecordLog.OpenListener openListener =
       new AsyncRecordLog.OpenListener() {
         @Override
         public void snapshot(long upTo, ByteBuffer content) {
@@ -46,68 +46,69 @@
         }
       };
 
-  private AsyncRecordLog.WriteListener listener(String what) {
+  private AsyncRecordLog.WriteListener listener(String write) {
     return new AsyncRecordLog.WriteListener() {
       @Override
       public void durable(long number) {
-        events.add(what + " durable " + number);
+        events.add(write + " durable " + number);
       }
 
       @Override
       public void failed(IOException reason) {
-        events.add(what + " failed");
+        events.add(write + " failed");
       }
     };
   }
 
-  private void await(int count) throws InterruptedException {
+  private void awaitEvents(int count) throws InterruptedException {
     while (events.size() < count) {
-      Runnable next = posted.poll(20, TimeUnit.SECONDS);
-      assertTrue(next != null, "nothing came after " + events);
-      next.run();
+      Runnable task = eventLoopTasks.poll(20, TimeUnit.SECONDS);
+      assertTrue(task != null, "no event within 20 s after " + events);
+      task.run();
     }
   }
 
-  private static ByteBuffer one(int value) {
+  private static ByteBuffer oneByte(int value) {
     return ByteBuffer.wrap(new byte[] {(byte) value});
   }
 
   @Test
-  void durableRecordsAreReadOnceTheLogIsOpenedAgain() throws Exception {
-    AsyncRecordLog log = new AsyncRecordLog(folder.resolve("a"), 100, 50, posted::add);
-    log.open(opened);
+  void durableRecordsAreReadAfterReopening() throws Exception {
+    AsyncRecordLog log = new AsyncRecordLog(directory.resolve("a"), 100, 50, eventLoopTasks::add);
+    log.open(openListener);
     for (int k = 1; k <= 3; k++) {
-      assertTrue(log.append(one(k), listener("r" + k)));
+      assertTrue(log.append(oneByte(k), listener("r" + k)));
     }
-    await(4);
-    log.snapshot(2, one(9), listener("s"));
-    await(5);
+    awaitEvents(4);
+    log.snapshot(2, oneByte(9), listener("s"));
+    awaitEvents(5);
     assertEquals(
         List.of("opened 0", "r1 durable 1", "r2 durable 2", "r3 durable 3", "s durable 2"), events);
-    assertEquals(0, log.queued());
+    assertEquals(0, log.queuedWrites());
     events.clear();
-    AsyncRecordLog second = new AsyncRecordLog(folder.resolve("a"), 100, 50, posted::add);
-    second.open(opened);
-    await(1);
+    AsyncRecordLog second =
+        new AsyncRecordLog(directory.resolve("a"), 100, 50, eventLoopTasks::add);
+    second.open(openListener);
+    awaitEvents(1);
     assertEquals(List.of("failed DirectoryInUseException"), events);
-    log.open(opened);
-    await(4);
+    log.open(openListener);
+    awaitEvents(4);
     assertEquals(
         List.of("failed DirectoryInUseException", "snapshot 2", "record 3 3", "opened 3"), events);
     log.close();
     second.close();
   }
 
-  /** The event loop never waits, and learns at once of a write that is not queued. */
+  /** The event loop must never block; a write that exceeds the queue is rejected immediately. */
   @Test
-  void writesFailWithoutAnOpenLogAndAreRejectedBeyondTheQueue() throws Exception {
-    AsyncRecordLog log = new AsyncRecordLog(folder.resolve("b"), 100, 2, posted::add);
-    assertTrue(log.append(one(1), listener("early")));
-    await(1);
+  void writesFailWithoutOpenLogAndAreRejectedWhenQueueIsFull() throws Exception {
+    AsyncRecordLog log = new AsyncRecordLog(directory.resolve("b"), 100, 2, eventLoopTasks::add);
+    assertTrue(log.append(oneByte(1), listener("early")));
+    awaitEvents(1);
     assertEquals(List.of("early failed"), events);
-    AsyncRecordLog held =
+    AsyncRecordLog blockedLog =
         new AsyncRecordLog(
-            folder.resolve("c"),
+            directory.resolve("c"),
             100,
             2,
             event -> {
@@ -118,18 +119,18 @@
               } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
               }
-              posted.add(event);
+              eventLoopTasks.add(event);
             });
-    held.open(opened);
-    assertTrue(held.append(one(1), listener("x")));
-    assertTrue(held.append(one(2), listener("y")));
-    assertFalse(held.append(one(3), listener("z")), "two wait already");
-    events.add("go on");
-    await(5);
+    blockedLog.open(openListener);
+    assertTrue(blockedLog.append(oneByte(1), listener("x")));
+    assertTrue(blockedLog.append(oneByte(2), listener("y")));
+    assertFalse(blockedLog.append(oneByte(3), listener("z")), "queue limit of two reached");
+    events.add("unblocked");
+    awaitEvents(5);
     assertInstanceOf(String.class, events.get(4));
     assertEquals(
-        List.of("early failed", "go on", "opened 0", "x durable 1", "y durable 2"), events);
-    held.close();
+        List.of("early failed", "unblocked", "opened 0", "x durable 1", "y durable 2"), events);
+    blockedLog.close();
     log.close();
   }
 }
--- a/gateway/src/test/java/weldcross/storage/FaultyStorageDirectory.java
+++ b/gateway/src/test/java/weldcross/storage/FaultyStorageDirectory.java
@@ -10,14 +10,14 @@
 import java.util.TreeSet;
 
 /**
- * A storage directory in memory that tells durable content from content that a loss of power may
- * take, and injects the faults of real storage.
+ * An in-memory storage directory that distinguishes durable content from content that a power
+ * failure may lose, and injects storage faults.
  */
 public class FaultyStorageDirectory implements StorageDirectory {
 
-  private static final int SECTOR = 64;
+  private static final int SECTOR_BYTES = 64;
 
-  /** A file's content as the process sees it, and as it was last forced. */
+  /** Content of a file as the process sees it, and as of the last force. */
   private static final class Content {
     byte[] visible = new byte[0];
     byte[] durable = new byte[0];
@@ -27,36 +27,39 @@
   private TreeMap<String, Content> visible = new TreeMap<>();
   private TreeMap<String, Content> durable = new TreeMap<>();
 
-  /** Free space: writes fail once they have written this many bytes altogether. */
+  /** Free space in bytes; a write that exceeds it is partial and fails. */
   public long remainingBytes = Long.MAX_VALUE;
 
-  /** Whether each force throws. */
-  public boolean forceFails;
+  /** Whether each force of a file throws. */
+  public boolean failForce;
 
-  /** Whether each force returns and makes nothing durable. */
-  public boolean forceLies;
+  /** Whether each force succeeds without making anything durable. */
+  public boolean ignoreForce;
 
-  /** Whether each read has one bit flipped. */
-  public boolean readFlips;
+  /** Whether one bit is flipped in each read. */
+  public boolean flipBitsOnRead;
 
-  /** Whether files can neither be created nor written. */
+  /** Whether creating and writing files fails. */
   public boolean readOnly;
 
-  /** Number of further steps that write, after which each throws. */
-  public int failsAfter = Integer.MAX_VALUE;
+  /** Number of further modifying operations that succeed, after which each throws. */
+  public int operationsBeforeFailure = Integer.MAX_VALUE;
 
   /**
    * Creates an empty directory.
    *
-   * @param seed of what a loss of power takes and which bits are flipped
+   * @param seed seed of the choice of lost sectors and flipped bits
    */
   public FaultyStorageDirectory(long seed) {
     random = new SplittableRandom(seed);
   }
 
-  /** Loses power: names are as last forced, and any sectors of what was not forced may be lost. */
-  public void loseBuffers() {
-    TreeMap<String, Content> left = new TreeMap<>();
+  /**
+   * Restores the file names as of the last force of the directory; of content that was not forced,
+   * a random set of sectors is lost.
+   */
+  public void simulatePowerLoss() {
+    TreeMap<String, Content> surviving = new TreeMap<>();
     durable.forEach(
         (name, content) -> {
           byte[] bytes =
@@ -65,8 +68,8 @@
                   Math.max(
                       content.durable.length,
                       random.nextBoolean() ? content.visible.length : content.durable.length));
-          for (int at = 0; at < bytes.length; at += SECTOR) {
-            int end = Math.min(at + SECTOR, Math.min(bytes.length, content.visible.length));
+          for (int at = 0; at < bytes.length; at += SECTOR_BYTES) {
+            int end = Math.min(at + SECTOR_BYTES, Math.min(bytes.length, content.visible.length));
             if (end > at && random.nextBoolean()) {
               System.arraycopy(content.visible, at, bytes, at, end - at);
             }
@@ -74,19 +77,19 @@
           Content after = new Content();
           after.visible = bytes;
           after.durable = bytes.clone();
-          left.put(name, after);
+          surviving.put(name, after);
         });
-    visible = left;
-    durable = new TreeMap<>(left);
+    visible = surviving;
+    durable = new TreeMap<>(surviving);
   }
 
-  /** The content of a file as the process sees it. */
-  public byte[] bytes(String name) {
+  /** Returns the content of a file as the process sees it. */
+  public byte[] visibleBytes(String name) {
     return visible.get(name).visible;
   }
 
-  /** Replaces a file by durable content. */
-  public void set(String name, byte[] bytes) {
+  /** Creates or replaces a file with durable content. */
+  public void putDurable(String name, byte[] bytes) {
     Content content = new Content();
     content.visible = bytes.clone();
     content.durable = bytes.clone();
@@ -94,27 +97,27 @@
     durable.put(name, content);
   }
 
-  /** Replaces the storage by an empty one. */
-  public void wipe() {
+  /** Removes all files durably. */
+  public void clear() {
     visible = new TreeMap<>();
     durable = new TreeMap<>();
   }
 
   FaultyStorageDirectory copy() {
     FaultyStorageDirectory copy = new FaultyStorageDirectory(1);
-    visible.forEach((name, content) -> copy.set(name, content.visible));
+    visible.forEach((name, content) -> copy.putDurable(name, content.visible));
     return copy;
   }
 
   @Override
-  public SortedSet<String> names() {
+  public SortedSet<String> fileNames() {
     return new TreeSet<>(visible.keySet());
   }
 
-  /** Counts a call that writes, and throws where it is to fail. */
-  private void step() throws IOException {
-    if (--failsAfter < 0) {
-      throw new IOException("failed");
+  /** Counts a modifying operation; throws if it is to fail. */
+  private void countOperation() throws IOException {
+    if (--operationsBeforeFailure < 0) {
+      throw new IOException("injected failure");
     }
   }
 
@@ -129,20 +132,20 @@
 
   @Override
   public void rename(String from, String to) throws IOException {
-    step();
+    countOperation();
     visible.put(to, visible.remove(from));
   }
 
   @Override
   public void delete(String name) throws IOException {
-    step();
+    countOperation();
     visible.remove(name);
   }
 
   @Override
-  public void forceNames() throws IOException {
-    step();
-    if (!forceLies) {
+  public void forceDirectory() throws IOException {
+    countOperation();
+    if (!ignoreForce) {
       durable = new TreeMap<>(visible);
     }
   }
@@ -150,7 +153,6 @@
   @Override
   public void close() {}
 
-  /** One open file. */
   private final class FaultyFile implements File {
     private final String name;
     private final Content content;
@@ -170,9 +172,9 @@
       int count = Math.min(into.remaining(), content.visible.length - (int) position);
       int from = into.position();
       into.put(content.visible, (int) position, count);
-      if (readFlips && count > 0) {
-        int where = from + random.nextInt(count);
-        into.put(where, (byte) (into.get(where) ^ 1 << random.nextInt(8)));
+      if (flipBitsOnRead && count > 0) {
+        int index = from + random.nextInt(count);
+        into.put(index, (byte) (into.get(index) ^ 1 << random.nextInt(8)));
       }
     }
 
@@ -181,15 +183,15 @@
       if (readOnly) {
         throw new AccessDeniedException(name);
       }
-      step();
+      countOperation();
       int count = (int) Math.min(from.remaining(), remainingBytes);
       remainingBytes -= count;
-      byte[] grown =
+      byte[] extended =
           Arrays.copyOf(content.visible, Math.max(content.visible.length, (int) position + count));
-      from.get(grown, (int) position, count);
-      content.visible = grown;
+      from.get(extended, (int) position, count);
+      content.visible = extended;
       if (from.hasRemaining()) {
-        throw new IOException("full");
+        throw new IOException("injected: storage is full");
       }
     }
 
@@ -201,11 +203,11 @@
 
     @Override
     public void force() throws IOException {
-      step();
-      if (forceFails) {
-        throw new IOException("force failed");
+      countOperation();
+      if (failForce) {
+        throw new IOException("injected: force failed");
       }
-      if (!forceLies) {
+      if (!ignoreForce) {
         content.durable = content.visible.clone();
       }
     }
--- a/gateway/src/test/java/weldcross/storage/LogFormatTest.java
+++ b/gateway/src/test/java/weldcross/storage/LogFormatTest.java
@@ -16,7 +16,7 @@
       List.of(ByteBuffer.wrap(new byte[] {1, 2, 3}), ByteBuffer.allocate(0));
 
   @Test
-  void namesHoldTheNumberInSixteenHexadecimalDigits() throws CorruptLogException {
+  void fileNamesContainTheNumberInSixteenHexadecimalDigits() throws CorruptLogException {
     assertEquals("log-000000000000002a", LogFormat.segmentName(42));
     assertEquals("snapshot-000000000000002a", LogFormat.snapshotName(42));
     assertEquals(42, LogFormat.parseNumber(LogFormat.SEGMENT_PREFIX, LogFormat.segmentName(42)));
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void encodedFrameIsDecodedAgain() {
+  void encodedFrameIsDecoded() {
     ByteBuffer frame = LogFormat.encodeFrame(7, 11, RECORDS);
     assertEquals(
         Optional.of(new LogFormat.Frame(7, 11, RECORDS, frame.limit())),
@@ -37,15 +37,15 @@
   @Test
   void frameWithAnyByteFlippedIsNotDecoded() {
     ByteBuffer frame = LogFormat.encodeFrame(7, 11, RECORDS);
-    for (int at = 0; at < frame.limit(); at++) {
-      frame.put(at, (byte) (frame.get(at) ^ 0x10));
-      assertEquals(Optional.empty(), LogFormat.decodeFrame(frame, 0), "byte " + at);
-      frame.put(at, (byte) (frame.get(at) ^ 0x10));
+    for (int index = 0; index < frame.limit(); index++) {
+      frame.put(index, (byte) (frame.get(index) ^ 0x10));
+      assertEquals(Optional.empty(), LogFormat.decodeFrame(frame, 0), "byte " + index);
+      frame.put(index, (byte) (frame.get(index) ^ 0x10));
     }
   }
 
   @Test
-  void segmentHeaderNamesItsFirstRecord() {
+  void segmentHeaderContainsItsFirstRecord() {
     assertTrue(LogFormat.hasSegmentHeader(LogFormat.segmentHeader(5), 5));
     assertFalse(LogFormat.hasSegmentHeader(LogFormat.segmentHeader(5), 6));
     assertFalse(LogFormat.hasSegmentHeader(ByteBuffer.allocate(3), 5));
--- a/gateway/src/test/java/weldcross/storage/RecordLogTest.java
+++ b/gateway/src/test/java/weldcross/storage/RecordLogTest.java
@@ -21,8 +21,8 @@
   private static final int SEGMENT_BYTES = 400;
 
   /**
-   * What a log yielded when it was opened; a record's content is its number, repeated a number of
-   * times that depends on it.
+   * Checks the contents that a log returns when it is opened. The content of a record is its
+   * number, repeated a number of times that depends on it.
    */
   private static final class Contents implements RecordLog.Reader {
     long first = 1;
@@ -37,7 +37,7 @@
 
     @Override
     public void record(long number, ByteBuffer content) {
-      assertEquals(++last, number, "in order, without gaps");
+      assertEquals(++last, number, "records are in order, without gaps");
       assertEquals(content(number), content);
     }
   }
@@ -50,7 +50,7 @@
     return bytes.flip();
   }
 
-  /** Adds and commits that many, as one frame. */
+  /** Appends and commits the given number of records as one frame. */
   private static void commit(RecordLog log, int records) throws IOException {
     for (int k = 1; k <= records; k++) {
       log.append(content(log.lastRecord() + k));
@@ -63,7 +63,8 @@
   }
 
   /**
-   * Everything durable is read again, other records that were appended may be, and nothing else is.
+   * After a crash, all durable records are read, followed by any number of the records that were
+   * appended but not confirmed, and nothing else.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
@@ -75,16 +76,18 @@
     assertTrue(crashing.crashes > 50 && crashing.durable > 500);
   }
 
-  /** A log that is written, loses power and is opened again, at random. */
+  /** A log with random writes, snapshots, faults and power failures. */
   private static final class CrashingLog {
     private final SplittableRandom random;
     private final FaultyStorageDirectory directory;
     private RecordLog log;
 
-    /** The last record that was reported as durable, and the last that was ever appended. */
+    /** Number of the last record that was reported as durable. */
     private long durable;
 
+    /** Number of the last record that was ever appended. */
     private long appended;
+
     private int crashes;
 
     CrashingLog(long seed) throws IOException {
@@ -94,24 +97,24 @@
     }
 
     void step() throws IOException {
-      int kind = random.nextInt(100);
-      if (kind < 70) {
-        commitRecords(kind == 0, kind == 1);
-      } else if (kind < 80 && log.state() == RecordLog.State.OPEN && log.lastRecord() > 0) {
+      int action = random.nextInt(100);
+      if (action < 70) {
+        commitRecords(action == 0, action == 1);
+      } else if (action < 80 && log.state() == RecordLog.State.OPEN && log.lastRecord() > 0) {
         takeSnapshot();
       }
-      if (log.state() == RecordLog.State.FAILED || kind >= 92) {
-        if (kind % 2 == 0) {
+      if (log.state() == RecordLog.State.FAILED || action >= 92) {
+        if (action % 2 == 0) {
           appendWithoutForce();
         }
         crash();
       }
     }
 
-    private void commitRecords(boolean forceFails, boolean isAlmostFull) throws IOException {
+    private void commitRecords(boolean failForce, boolean isAlmostFull) throws IOException {
       int records = 1 + random.nextInt(6);
       appended = Math.max(appended, log.lastRecord() + records);
-      directory.forceFails = forceFails;
+      directory.failForce = failForce;
       directory.remainingBytes = isAlmostFull ? random.nextInt(200) : Long.MAX_VALUE;
       try {
         commit(log, records);
@@ -122,7 +125,7 @@
       } catch (IOException e) {
         assertEquals(RecordLog.State.FAILED, log.state());
       }
-      directory.forceFails = false;
+      directory.failForce = false;
       directory.remainingBytes = Long.MAX_VALUE;
     }
 
@@ -131,151 +134,159 @@
       try {
         log.snapshot(upTo, ByteBuffer.allocate(8).putLong(upTo).flip());
       } catch (IllegalArgumentException e) {
-        assertTrue(e.getMessage().contains("a snapshot up to"), "a later one was taken");
+        assertTrue(
+            e.getMessage().contains("invalid snapshot up to record"), "a later snapshot exists");
       }
     }
 
-    /** Appends records that are perhaps written, and not forced. */
+    /** Appends records that may be written but are not forced. */
     private void appendWithoutForce() {
-      directory.forceFails = true;
+      directory.failForce = true;
       appended = Math.max(appended, log.lastRecord() + 3);
       if (log.state() == RecordLog.State.OPEN) {
         assertThrows(IOException.class, () -> commit(log, 3));
       }
-      directory.forceFails = false;
+      directory.failForce = false;
     }
 
     private void crash() throws IOException {
       crashes++;
-      directory.loseBuffers();
+      directory.simulatePowerLoss();
       Contents contents = new Contents();
       log = open(directory, contents);
       assertTrue(
           contents.last >= durable,
-          "lost: durable up to " + durable + ", read up to " + contents.last);
-      assertTrue(contents.last <= appended, "more than was appended");
+          "durable records lost: expected at least " + durable + ", read up to " + contents.last);
+      assertTrue(contents.last <= appended, "records were read that were never appended");
       assertEquals(contents.last, log.lastRecord());
       durable = log.lastRecord();
     }
   }
 
-  /** The process ends at any byte of its last write. */
+  /** The process may end after any byte of its last write. */
   @Test
-  void logCutAtAnyByteIsReadUpToItsLastWholeFrame() throws IOException {
+  void logTruncatedAtAnyByteIsReadUpToItsLastCompleteFrame() throws IOException {
     FaultyStorageDirectory directory = new FaultyStorageDirectory(1);
     RecordLog log = RecordLog.open(directory, 10 * SEGMENT_BYTES, new Contents());
-    List<Integer> ends = new ArrayList<>(List.of(bytesOf(directory).length));
+    List<Integer> ends = new ArrayList<>(List.of(lastFileBytes(directory).length));
     for (int k = 0; k < 4; k++) {
       commit(log, 3);
-      ends.add(bytesOf(directory).length);
+      ends.add(lastFileBytes(directory).length);
     }
-    byte[] whole = bytesOf(directory);
+    byte[] whole = lastFileBytes(directory);
     for (int length = 0; length <= whole.length; length++) {
-      FaultyStorageDirectory cut = directory.copy();
-      cut.set(cut.names().last(), Arrays.copyOf(whole, length));
+      FaultyStorageDirectory truncated = directory.copy();
+      truncated.putDurable(truncated.fileNames().last(), Arrays.copyOf(whole, length));
       Contents contents = new Contents();
       int upTo = length;
       long frames = ends.stream().skip(1).filter(e -> e <= upTo).count();
-      RecordLog again = open(cut, contents);
-      assertEquals(3 * frames, contents.last, "cut at " + length);
-      commit(again, 2);
-      assertEquals(contents.last + 2, reopened(cut).last);
+      RecordLog reopenedLog = open(truncated, contents);
+      assertEquals(3 * frames, contents.last, "truncated to " + length + " bytes");
+      commit(reopenedLog, 2);
+      assertEquals(contents.last + 2, reopened(truncated).last);
     }
   }
 
   /**
-   * Any stored byte may be flipped: the log is reported as corrupt or its end is cut, and no other
-   * content is ever read.
+   * With a bit flipped in any stored byte, either the log is reported as corrupt or the last frame
+   * is truncated; altered content is never read.
    */
   @Test
-  void flippedByteIsCorruptOrTornAndNeverReadAsARecord() throws IOException {
+  void flippedBitIsCorruptOrTornAndNeverReadAsARecord() throws IOException {
     FaultyStorageDirectory directory = new FaultyStorageDirectory(1);
     RecordLog log = open(directory, new Contents());
     List<Integer> ends = new ArrayList<>();
     for (int k = 0; k < 3; k++) {
       commit(log, 2);
-      ends.add(bytesOf(directory).length);
+      ends.add(lastFileBytes(directory).length);
     }
-    byte[] whole = bytesOf(directory);
+    byte[] whole = lastFileBytes(directory);
     int corrupt = 0;
     for (int at = 0; at < whole.length; at++) {
-      FaultyStorageDirectory wrong = directory.copy();
+      FaultyStorageDirectory altered = directory.copy();
       byte[] bytes = whole.clone();
       bytes[at] ^= 0x10;
-      wrong.set(wrong.names().last(), bytes);
+      altered.putDurable(altered.fileNames().last(), bytes);
       Contents contents = new Contents();
       try {
-        open(wrong, contents);
-        assertTrue(at >= ends.get(1), "byte " + at + " was durable, and skipped");
+        open(altered, contents);
+        assertTrue(
+            at >= ends.get(1), "byte " + at + " belongs to a durable frame, which was skipped");
         assertEquals(4, contents.last);
       } catch (CorruptLogException e) {
         corrupt++;
-        assertEquals(whole.length, wrong.bytes(wrong.names().last()).length, "nothing is written");
+        assertEquals(
+            whole.length,
+            altered.visibleBytes(altered.fileNames().last()).length,
+            "the file is not modified");
       }
     }
-    assertEquals(ends.get(1), corrupt, "everything before the last frame");
+    assertEquals(ends.get(1), corrupt, "every byte before the last frame");
   }
 
   @Test
-  void missingOrCutSegmentIsCorrupt() throws IOException {
+  void missingOrTruncatedSegmentIsCorrupt() throws IOException {
     FaultyStorageDirectory directory = new FaultyStorageDirectory(1);
     RecordLog log = open(directory, new Contents());
     for (int k = 0; k < 30; k++) {
       commit(log, 2);
     }
-    List<String> names = List.copyOf(directory.names());
+    List<String> names = List.copyOf(directory.fileNames());
     assertTrue(names.size() > 4);
     for (String name : names.subList(0, names.size() - 1)) {
       FaultyStorageDirectory missing = directory.copy();
       missing.delete(name);
       assertThrows(CorruptLogException.class, () -> open(missing, new Contents()), name);
-      FaultyStorageDirectory cut = directory.copy();
-      cut.set(name, Arrays.copyOf(directory.bytes(name), directory.bytes(name).length - 1));
-      assertThrows(CorruptLogException.class, () -> open(cut, new Contents()), name);
+      FaultyStorageDirectory truncated = directory.copy();
+      truncated.putDurable(
+          name,
+          Arrays.copyOf(directory.visibleBytes(name), directory.visibleBytes(name).length - 1));
+      assertThrows(CorruptLogException.class, () -> open(truncated, new Contents()), name);
     }
   }
 
-  /** Storage that loses what it reported as durable: a gap in the log is always reported. */
+  /** Storage may lose data that it reported as durable; a gap in the log is always reported. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void lyingForceLosesTheEndOrIsCorrupt(long seed) throws IOException {
+  void ignoredForceLosesTheEndOrIsCorrupt(long seed) throws IOException {
     FaultyStorageDirectory directory = new FaultyStorageDirectory(seed);
     RecordLog log = open(directory, new Contents());
     for (int k = 0; k < 20; k++) {
       commit(log, 2);
     }
-    directory.forceLies = true;
+    directory.ignoreForce = true;
     for (int k = 0; k < 20; k++) {
       commit(log, 2);
     }
-    directory.forceLies = false;
-    directory.loseBuffers();
+    directory.ignoreForce = false;
+    directory.simulatePowerLoss();
     Contents contents = new Contents();
     try {
       long last = open(directory, contents).lastRecord();
       assertEquals(contents.last, last);
-      assertTrue(last < log.lastRecord(), "the lie took effect, and the end is lost");
+      assertTrue(last < log.lastRecord(), "the records whose force was ignored are lost");
     } catch (CorruptLogException e) {
       assertTrue(
-          contents.last < log.lastRecord(), "reported, and what was read up to there is right");
+          contents.last < log.lastRecord(), "corruption is reported before the first lost record");
     }
   }
 
   /**
-   * A bit that is wrong only while it is read is reported, and nothing is written from that read.
+   * A bit that is flipped only during a read is reported, and the faulty content is not written
+   * back.
    */
   @Test
-  void bitFlippedWhileReadingIsCorruptAndChangesNothing() throws IOException {
+  void bitFlippedDuringReadIsCorruptAndChangesNothing() throws IOException {
     FaultyStorageDirectory directory = new FaultyStorageDirectory(5);
     RecordLog log = open(directory, new Contents());
     commit(log, 5);
-    final byte[] before = bytesOf(directory);
-    directory.readFlips = true;
+    final byte[] before = lastFileBytes(directory);
+    directory.flipBitsOnRead = true;
     for (int k = 0; k < 40; k++) {
       assertThrows(CorruptLogException.class, () -> open(directory, new Contents()));
     }
-    directory.readFlips = false;
-    assertTrue(Arrays.equals(before, bytesOf(directory)));
+    directory.flipBitsOnRead = false;
+    assertTrue(Arrays.equals(before, lastFileBytes(directory)));
     assertEquals(5, reopened(directory).last);
   }
 
@@ -284,18 +295,18 @@
     FaultyStorageDirectory directory = new FaultyStorageDirectory(1);
     RecordLog log = open(directory, new Contents());
     commit(log, 2);
-    directory.forceFails = true;
+    directory.failForce = true;
     assertThrows(IOException.class, () -> commit(log, 1));
-    directory.forceFails = false;
+    directory.failForce = false;
     assertThrows(IOException.class, () -> commit(log, 1));
     assertThrows(
         IOException.class, () -> log.snapshot(2, ByteBuffer.allocate(8).putLong(2).flip()));
-    assertEquals(2, log.lastRecord(), "durable records stay");
+    assertEquals(2, log.lastRecord(), "number of durable records is unchanged");
     assertTrue(reopened(directory).last >= 2);
   }
 
   @Test
-  void fullStorageRejectsCommitAndTakesTheNextOnceThereIsRoom() throws IOException {
+  void fullStorageRejectsCommitsUntilSpaceIsAvailable() throws IOException {
     FaultyStorageDirectory directory = new FaultyStorageDirectory(1);
     RecordLog log = open(directory, new Contents());
     commit(log, 2);
@@ -313,72 +324,72 @@
     for (int k = 0; k < 30; k++) {
       commit(log, 2);
     }
-    final int filesBefore = directory.names().size();
+    final int filesBefore = directory.fileNames().size();
     log.snapshot(50, ByteBuffer.allocate(8).putLong(50).flip());
-    assertTrue(directory.names().size() < filesBefore);
-    directory.loseBuffers();
+    assertTrue(directory.fileNames().size() < filesBefore);
+    directory.simulatePowerLoss();
     Contents contents = reopened(directory);
     assertEquals(51, contents.first);
     assertEquals(60, contents.last);
   }
 
   /**
-   * The records that it replaced are deleted, so a snapshot that cannot be read may not be skipped.
+   * The records that a snapshot replaces are deleted, so an unreadable snapshot must not be
+   * skipped.
    */
   @Test
-  void flippedOrMissingByteInSnapshotIsCorrupt() throws IOException {
+  void alteredOrTruncatedSnapshotIsCorrupt() throws IOException {
     FaultyStorageDirectory directory = new FaultyStorageDirectory(1);
     RecordLog log = open(directory, new Contents());
     commit(log, 3);
     log.snapshot(2, ByteBuffer.allocate(8).putLong(2).flip());
-    String name = directory.names().last();
-    byte[] whole = directory.bytes(name);
+    String name = directory.fileNames().last();
+    byte[] whole = directory.visibleBytes(name);
     for (int at = 0; at < whole.length; at++) {
       byte[] bytes = whole.clone();
       bytes[at] ^= 0x10;
-      FaultyStorageDirectory wrong = directory.copy();
-      wrong.set(name, bytes);
-      assertThrows(CorruptLogException.class, () -> open(wrong, new Contents()));
-      FaultyStorageDirectory cut = directory.copy();
-      cut.set(name, Arrays.copyOf(whole, at));
-      assertThrows(CorruptLogException.class, () -> open(cut, new Contents()));
+      FaultyStorageDirectory altered = directory.copy();
+      altered.putDurable(name, bytes);
+      assertThrows(CorruptLogException.class, () -> open(altered, new Contents()));
+      FaultyStorageDirectory truncated = directory.copy();
+      truncated.putDurable(name, Arrays.copyOf(whole, at));
+      assertThrows(CorruptLogException.class, () -> open(truncated, new Contents()));
     }
     assertEquals(3, reopened(directory).last);
   }
 
   /**
-   * Storage fails at any step of a snapshot: all durable records are there, by the old snapshot or
-   * the new one.
+   * Whichever operation of a snapshot fails, all durable records remain available through either
+   * the old snapshot or the new one.
    */
   @Test
-  void failureAtAnyStepOfASnapshotLosesNothing() throws IOException {
-    int steps = 0;
-    for (boolean failed = true; failed; steps++) {
-      FaultyStorageDirectory directory = new FaultyStorageDirectory(steps);
+  void failureAtAnyOperationOfSnapshotLosesNothing() throws IOException {
+    int operations = 0;
+    for (boolean failed = true; failed; operations++) {
+      FaultyStorageDirectory directory = new FaultyStorageDirectory(operations);
       RecordLog log = open(directory, new Contents());
       for (int k = 0; k < 30; k++) {
         commit(log, 2);
       }
       log.snapshot(20, ByteBuffer.allocate(8).putLong(20).flip());
-      directory.failsAfter = steps;
+      directory.operationsBeforeFailure = operations;
       try {
         log.snapshot(50, ByteBuffer.allocate(8).putLong(50).flip());
         failed = false;
       } catch (IOException e) {
-        // Either snapshot may be in force.
+        // Either snapshot may be in effect.
       }
-      directory.failsAfter = Integer.MAX_VALUE;
-      directory.loseBuffers();
+      directory.operationsBeforeFailure = Integer.MAX_VALUE;
+      directory.simulatePowerLoss();
       Contents contents = reopened(directory);
       assertTrue(
           contents.first == 21 || contents.first == 51,
-          "step " + steps + ": from " + contents.first);
-      assertEquals(60, contents.last, "step " + steps);
+          "first record after failure at operation " + operations + ": " + contents.first);
+      assertEquals(60, contents.last, "failure at operation " + operations);
     }
-    assertTrue(steps > 5, "steps of a snapshot: " + steps);
+    assertTrue(operations > 5, "operations of a snapshot: " + operations);
   }
 
-  /** Nothing is written, and stored records stay as they are. */
   @Test
   void readOnlyDirectoryRejectsWritesAndKeepsRecords() throws IOException {
     FaultyStorageDirectory directory = new FaultyStorageDirectory(1);
@@ -403,10 +414,10 @@
   }
 
   @Test
-  void openDirectoryCannotBeOpenedAgain(@TempDir Path parent) throws IOException {
+  void directoryInUseCannotBeOpened(@TempDir Path parent) throws IOException {
     Path path = parent.resolve("a").resolve("b");
-    try (StorageDirectory directory = FileStorageDirectory.at(path)) {
-      assertThrows(DirectoryInUseException.class, () -> FileStorageDirectory.at(path));
+    try (StorageDirectory directory = FileStorageDirectory.openDirectory(path)) {
+      assertThrows(DirectoryInUseException.class, () -> FileStorageDirectory.openDirectory(path));
       try (RecordLog log = open(directory, new Contents())) {
         for (int k = 0; k < 40; k++) {
           commit(log, 3);
@@ -414,13 +425,13 @@
         log.snapshot(100, ByteBuffer.allocate(8).putLong(100).flip());
       }
     }
-    try (StorageDirectory directory = FileStorageDirectory.at(path)) {
+    try (StorageDirectory directory = FileStorageDirectory.openDirectory(path)) {
       assertEquals(120, reopened(directory).last);
     }
   }
 
-  private static byte[] bytesOf(FaultyStorageDirectory directory) {
-    return directory.bytes(directory.names().last());
+  private static byte[] lastFileBytes(FaultyStorageDirectory directory) {
+    return directory.visibleBytes(directory.fileNames().last());
   }
 
   private static Contents reopened(StorageDirectory directory) throws IOException {
--- a/gateway/src/test/java/weldcross/storage/StoredDataCompatibilityTest.java
+++ b/gateway/src/test/java/weldcross/storage/StoredDataCompatibilityTest.java
@@ -12,12 +12,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Reads a record log that commit e72908e wrote. */
+/** Checks that a record log written by commit e72908e can still be read. */
 class StoredDataCompatibilityTest {
 
   private static final int SEGMENT_BYTES = 64;
 
-  /** Collects what a log yields when it is opened. */
+  /** Collects the contents that a log returns when it is opened. */
   private static final class Contents implements RecordLog.Reader {
     final SortedMap<Long, ByteBuffer> snapshots = new TreeMap<>();
     final SortedMap<Long, ByteBuffer> records = new TreeMap<>();
@@ -34,8 +34,7 @@
   }
 
   @Test
-  void logOfEarlierBuildYieldsSnapshotAndEveryRecordBehindIt(@TempDir Path scratch)
-      throws IOException {
+  void logOfEarlierBuildYieldsSnapshotAndAllLaterRecords(@TempDir Path scratch) throws IOException {
     Path directory =
         StoredDataFixture.copy("/weldcross/storage/record-log", scratch.resolve("record-log"));
     for (int opened = 0; opened < 2; opened++) {
@@ -45,7 +44,7 @@
 
   private static void assertContents(Path directory) throws IOException {
     Contents contents = new Contents();
-    try (StorageDirectory storage = FileStorageDirectory.at(directory);
+    try (StorageDirectory storage = FileStorageDirectory.openDirectory(directory);
         RecordLog log = RecordLog.open(storage, SEGMENT_BYTES, contents)) {
       assertEquals(new RecordLog.Recovered(2, 8, 0), log.recovered());
       assertEquals(8, log.lastRecord());
@@ -57,7 +56,7 @@
               "log-0000000000000007",
               "log-0000000000000008",
               "snapshot-0000000000000002"),
-          List.copyOf(storage.names()));
+          List.copyOf(storage.fileNames()));
     }
     SortedMap<Long, ByteBuffer> snapshots = new TreeMap<>();
     snapshots.put(2L, text("stands for first and second"));
@@ -67,7 +66,7 @@
     records.put(4L, text("fourth, which makes the segment longer than 64 bytes"));
     records.put(5L, text("fifth"));
     records.put(6L, text("sixth: \u00e4\u20ac"));
-    records.put(7L, everyByte());
+    records.put(7L, everyByteValue());
     records.put(8L, text("eighth"));
     assertEquals(records, contents.records);
   }
@@ -76,7 +75,7 @@
     return ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  private static ByteBuffer everyByte() {
+  private static ByteBuffer everyByteValue() {
     ByteBuffer bytes = ByteBuffer.allocate(256);
     for (int value = 0; value < 256; value++) {
       bytes.put((byte) value);
