--- a/chaos/src/main/java/weldcross/chaos/scenario/ScenarioReader.java
+++ b/chaos/src/main/java/weldcross/chaos/scenario/ScenarioReader.java
@@ -65,7 +65,7 @@
   private Scenario scenario() {
     List<Fault> faults = new ArrayList<>();
     for (int index = 0; index < values.count("fault"); index++) {
-      faults.add(fault(values.under("fault." + index)));
+      faults.add(fault(values.subtree("fault." + index)));
     }
     List<Fault.Kind> drawn = new ArrayList<>();
     for (String kind : values.list("nemesis.kinds")) {
--- a/chaos/src/test/java/weldcross/chaos/ScenarioTest.java
+++ b/chaos/src/test/java/weldcross/chaos/ScenarioTest.java
@@ -63,7 +63,7 @@
         "on = \"n1\" | on = \"n5\" | "
             + "fault.0.on (line 7): found 'n5', allowed is a host of the trial, n0 to n1",
         "gateways = 2 | gateways = 99 | gateways (line 2): found '99'",
-        "for_ms = 10 | for = 10 | fault.0.for (line 5): found a key that nobody reads",
+        "for_ms = 10 | for = 10 | fault.0.for (line 5): found an unknown key",
         "at_ms = 10 | at_ms = 99000 | "
             + "fault.0.at_ms (line 4): found '99000', allowed is a time within the trial"
       })
--- a/gateway/src/main/java/weldcross/cli/ClusterStatusTable.java
+++ b/gateway/src/main/java/weldcross/cli/ClusterStatusTable.java
@@ -68,7 +68,7 @@
     table.addRowValues(
         "gateway", "seen", "life", "agreed", "zone", "part", "heard", "link", "votes");
     for (int index = 0; index < status.count("gateways"); index++) {
-      table.addRowValues(row(status.under("gateways." + index)));
+      table.addRowValues(row(status.subtree("gateways." + index)));
     }
     return table;
   }
--- a/gateway/src/main/java/weldcross/config/ConfigValues.java
+++ b/gateway/src/main/java/weldcross/config/ConfigValues.java
@@ -9,17 +9,19 @@
 import java.util.Map;
 
 /**
- * Text values by dotted keys, with typed and checked access. JSON and TOML are flattened to this
- * form, in which a simulator sends its settings, so that one set of checks reads all three: a list
- * of plain values is joined by commas, a list of objects has its length under {@code .count} and
- * its items under {@code .0}, {@code .1} and so on.
+ * Configuration values by dotted keys, with typed and validated access.
  *
- * <p>Every getter throws {@link InvalidConfigException} with the full key if the value is not of
- * the type, and takes the value for an absent key as {@code defaultValue}.
+ * <p>JSON and TOML documents are flattened to the form in which the simulator sends its settings,
+ * so that all three are validated by the same code: a list of scalars is joined by commas; the
+ * length of a list is stored under {@code .count}, and its items that are not scalars under {@code
+ * .0}, {@code .1} and so on.
+ *
+ * <p>Every getter throws {@link InvalidConfigException} with the full key if the value has the
+ * wrong type, and returns {@code defaultValue} if the key is absent.
  */
 public final class ConfigValues {
 
-  /** Ends the key under which the length of a list stands. */
+  /** Suffix of the key that holds the length of a list. */
   static final String COUNT_SUFFIX = ".count";
 
   private static final int PORT_LIMIT = 1 << 16;
@@ -27,10 +29,10 @@
 
   private final Map<String, String> values;
 
-  /** Put before every key that is asked for; empty, or ends with a dot. */
+  /** Prepended to every requested key; empty, or ends with a dot. */
   private final String prefix;
 
-  /** Line of each key in its document; empty if lines are not known. */
+  /** Line of each key in its document; empty if lines are unknown. */
   private final Map<String, Integer> lines;
 
   private ConfigValues(Map<String, String> values, String prefix, Map<String, Integer> lines) {
@@ -39,26 +41,26 @@
     this.lines = lines;
   }
 
-  /** Returns values whose messages name the line of a key. */
+  /** Returns values whose error messages contain the line of a key. */
   static ConfigValues withLines(Map<String, String> values, Map<String, Integer> lines) {
     return new ConfigValues(values, "", lines);
   }
 
   /**
-   * Parses parts of the form {@code key=value}.
+   * Parses fields of the form {@code key=value}.
    *
-   * @param parts the parts of a line
-   * @param from index of the first one to parse
-   * @throws InvalidConfigException if a part has no key or no equals sign
+   * @param fields the fields of a line
+   * @param from index of the first field to parse
+   * @throws InvalidConfigException if a field has no key or no equals sign
    */
-  public static ConfigValues ofPairs(String[] parts, int from) {
+  public static ConfigValues ofPairs(String[] fields, int from) {
     Map<String, String> values = new HashMap<>();
-    for (int index = from; index < parts.length; index++) {
-      int separator = parts[index].indexOf('=');
+    for (int index = from; index < fields.length; index++) {
+      int separator = fields[index].indexOf('=');
       if (separator <= 0) {
-        throw new InvalidConfigException(parts[index], "no '='", "key=value");
+        throw new InvalidConfigException(fields[index], "no '='", "key=value");
       }
-      values.put(parts[index].substring(0, separator), parts[index].substring(separator + 1));
+      values.put(fields[index].substring(0, separator), fields[index].substring(separator + 1));
     }
     return new ConfigValues(values, "", Map.of());
   }
@@ -67,21 +69,21 @@
    * Parses a JSON object.
    *
    * @param text the document in UTF-8
-   * @throws InvalidConfigException if the text is no single JSON object
+   * @throws InvalidConfigException if the text is not a single JSON object
    */
   public static ConfigValues ofJson(byte[] text) {
     return new ConfigValues(JsonConfigParser.parse(text), "", Map.of());
   }
 
-  /** Returns these values, with the given defaults for keys that are absent. */
-  public ConfigValues orElse(Map<String, String> defaults) {
+  /** Returns these values with the given defaults for absent keys. */
+  public ConfigValues withDefaults(Map<String, String> defaults) {
     Map<String, String> merged = new HashMap<>(defaults);
     merged.putAll(values);
     return new ConfigValues(merged, prefix, lines);
   }
 
-  /** Returns a view of the values below a path; messages still name keys in full. */
-  public ConfigValues under(String path) {
+  /** Returns a view of the values below a path; error messages still contain the full key. */
+  public ConfigValues subtree(String path) {
     return new ConfigValues(values, prefix + path + ".", lines);
   }
 
@@ -90,12 +92,12 @@
     return values.containsKey(prefix + key);
   }
 
-  /** Returns the value as written, which may be empty. */
+  /** Returns the value, which may be empty. */
   public String text(String key, String defaultValue) {
     return values.getOrDefault(prefix + key, defaultValue);
   }
 
-  /** Returns the value as written; throws if it is absent or empty. */
+  /** Returns the value; throws if it is absent or empty. */
   public String text(String key) {
     String value = values.get(prefix + key);
     if (value == null || value.isEmpty()) {
@@ -117,7 +119,7 @@
     };
   }
 
-  /** Returns one of the allowed values; the first one if the key is absent. */
+  /** Returns the value, which must be one of those allowed; the first of them if it is absent. */
   public String oneOf(String key, String... allowed) {
     String value = values.getOrDefault(prefix + key, allowed[0]);
     if (!List.of(allowed).contains(value)) {
@@ -130,26 +132,26 @@
   public double decimal(String key, double defaultValue, double min) {
     BigDecimal value = number(key);
     if (value != null && value.doubleValue() < min) {
-      throw invalid(key, "a number from " + min + " on");
+      throw invalid(key, "a number of at least " + min);
     }
     return value == null ? defaultValue : value.doubleValue();
   }
 
-  /** Returns a number of at least {@code min}, without its fraction. */
+  /** Returns a number of at least {@code min}, truncated to an integer. */
   public long integer(String key, long defaultValue, long min) {
     BigDecimal value = number(key);
     if (value != null && value.compareTo(BigDecimal.valueOf(min)) < 0) {
-      throw invalid(key, "a number from " + min + " on");
+      throw invalid(key, "a number of at least " + min);
     }
     return value == null ? defaultValue : value.longValue();
   }
 
-  /** Returns a time that is written in milliseconds, of at least {@code min} of them. */
+  /** Returns a duration given in milliseconds, of at least {@code min} milliseconds. */
   public Duration millis(String key, Duration defaultValue, long min) {
     return Duration.ofMillis(integer(key, defaultValue.toMillis(), min));
   }
 
-  /** Returns a time that is written in microseconds; throws if it is negative. */
+  /** Returns a duration given in microseconds; throws if it is negative. */
   public Duration micros(String key, Duration defaultValue) {
     BigDecimal value = number(key);
     if (value == null) {
@@ -162,7 +164,7 @@
     return Duration.ofNanos(value.longValue() * NANOS_PER_MICRO);
   }
 
-  /** Returns the items of a list of plain values; empty if the key is absent. */
+  /** Returns the items of a list of scalars; empty if the key is absent. */
   public List<String> list(String key) {
     String value = values.get(prefix + key);
     return value == null || value.isEmpty() ? List.of() : List.of(value.split(",", -1));
@@ -173,7 +175,7 @@
     return (int) integer(key + COUNT_SUFFIX, 0, 0);
   }
 
-  /** Returns an IP address with its port; host names are rejected, as none is ever resolved. */
+  /** Returns an IP address and port; host names are rejected because none are ever resolved. */
   public InetSocketAddress address(String key) {
     String value = text(key);
     int colon = value.lastIndexOf(':');
@@ -184,15 +186,15 @@
         return new InetSocketAddress(host, port);
       }
     } catch (IllegalArgumentException e) {
-      // Reported below, like any other text that is not an address.
+      // Reported below, like any other invalid address.
     }
     throw invalid(key, "an address such as 127.0.0.1:6543");
   }
 
   /**
-   * Throws for the first key, by line and name, that is not among the known ones.
+   * Throws if a key is unknown; reports the first unknown key by line and name.
    *
-   * @param knownKeys full keys, with {@code *} in place of the index of a list
+   * @param knownKeys full keys, with {@code *} in place of list indexes
    */
   public void rejectUnknownKeys(List<String> knownKeys) {
     values.keySet().stream()
@@ -202,11 +204,11 @@
         .ifPresent(
             key -> {
               throw new InvalidConfigException(
-                  withLine(key), "a key that nobody reads", String.join(", ", knownKeys));
+                  withLine(key), "an unknown key", String.join(", ", knownKeys));
             });
   }
 
-  /** Returns the exception for the value of a key, to be thrown by the caller. */
+  /** Creates an exception for the value of a key, for the caller to throw. */
   public InvalidConfigException invalid(String key, String allowed) {
     String value = values.get(prefix + key);
     return new InvalidConfigException(
@@ -217,7 +219,7 @@
     return lines.getOrDefault(key, 0);
   }
 
-  /** Returns the full key with its line, or with the line of the nearest table around it. */
+  /** Returns the full key with its line or, if unknown, that of the innermost enclosing table. */
   private String withLine(String key) {
     for (String path = key;
         !path.isEmpty();
--- a/gateway/src/main/java/weldcross/config/ExtensionsConfig.java
+++ b/gateway/src/main/java/weldcross/config/ExtensionsConfig.java
@@ -9,14 +9,14 @@
 import weldcross.mesh.PeerAddresses;
 
 /**
- * Configuration of the extensions of a gateway, read from a TOML file of its own. A table that is
- * absent is an extension that is not loaded.
+ * Configuration of the extensions of a gateway, read from a separate TOML file. An extension whose
+ * table is absent is not loaded.
  *
- * @param directory where extensions store what must survive a restart, each in its own folder
+ * @param directory directory of the extensions' persistent data; each extension has a subdirectory
  * @param mesh connections between gateways
- * @param failureDetector failure detection, which needs the mesh
- * @param consensus the replicated membership view, which needs the failure detector
- * @param controlAddress loopback address of the operator's endpoint, which needs consensus
+ * @param failureDetector failure detection, which requires the mesh
+ * @param consensus the replicated membership view, which requires the failure detector
+ * @param controlAddress loopback address of the control endpoint, which requires consensus
  */
 public record ExtensionsConfig(
     Path directory,
@@ -29,7 +29,7 @@
    * Configuration of the mesh.
    *
    * @param config limits and intervals
-   * @param addresses of this gateway and its peers
+   * @param addresses addresses of this gateway and its peers
    */
   public record Mesh(MeshConfig config, PeerAddresses addresses) {}
 
@@ -37,14 +37,14 @@
    * Reads a file.
    *
    * @param file path of a TOML document
-   * @param gateway the gateway, whose name is the default name in the mesh
-   * @throws InvalidConfigException if a value cannot be used; names the key and its line
+   * @param gateway configuration of the gateway, whose name is the default name in the mesh
+   * @throws InvalidConfigException if a value is invalid; the message contains the key and its line
    */
   public static ExtensionsConfig read(String file, GatewayConfig gateway) {
     return new ExtensionsConfigReader(TomlConfigParser.read(file), gateway.name()).read();
   }
 
-  /** Returns a description for an operator, one line an extension. */
+  /** Returns a description for operators with one line for each extension. */
   public String describe() {
     return "  data directory "
         + directory
@@ -64,7 +64,7 @@
         + describe(mesh.addresses().listenAddress())
         + ", "
         + config.peers().size()
-        + " peers, a heartbeat each "
+        + " peers, heartbeat every "
         + config.heartbeatInterval().toMillis()
         + " ms, stalled after "
         + config.heartbeatTimeout().toMillis()
@@ -75,7 +75,7 @@
     return "\n  membership: "
         + (config.zone().isEmpty() ? "" : "zone " + config.zone() + ", ")
         + config.trafficWeight()
-        + " thousandths of the traffic, a health check each "
+        + " thousandths of the traffic, health check every "
         + config.probeInterval().toMillis()
         + " ms";
   }
--- a/gateway/src/main/java/weldcross/config/ExtensionsConfigReader.java
+++ b/gateway/src/main/java/weldcross/config/ExtensionsConfigReader.java
@@ -17,12 +17,12 @@
 import weldcross.mesh.PeerAddresses;
 import weldcross.mesh.PeerName;
 
-/** Maps the keys of the extensions' file to {@link ExtensionsConfig}. */
+/** Maps the keys of the extensions file to {@link ExtensionsConfig}. */
 final class ExtensionsConfigReader {
 
   /**
-   * Every key that the file may have, with {@code *} for an index. Other keys are rejected: a
-   * misspelt key would silently leave its default in force.
+   * All keys that the file may contain, with {@code *} for list indexes. Other keys are rejected,
+   * because a misspelt key would otherwise silently keep its default.
    */
   private static final List<String> KEYS =
       List.of(
@@ -55,15 +55,18 @@
           "control.listen");
 
   private static final Duration DEFAULT_HEARTBEAT_INTERVAL = Duration.ofMillis(250);
-  private static final int DEFAULT_HEARTBEATS_UNTIL_STALLED = 6;
-  private static final int MIN_HEARTBEATS_UNTIL_STALLED = 2;
+  private static final int DEFAULT_HEARTBEATS_UNTIL_TIMEOUT = 6;
+  private static final int MIN_HEARTBEATS_UNTIL_TIMEOUT = 2;
   private static final Duration DEFAULT_MIN_BACKOFF = Duration.ofMillis(100);
   private static final Duration DEFAULT_MAX_BACKOFF = Duration.ofSeconds(5);
   private static final Duration DEFAULT_CONNECT_TIMEOUT = Duration.ofSeconds(1);
   private static final Duration DEFAULT_VIEW_POLL_INTERVAL = Duration.ofSeconds(1);
   private static final Duration DEFAULT_QUOTA_RAISE_DELAY = Duration.ofSeconds(30);
   private static final int MAX_VOTERS = 7;
-  private static final int DEFAULT_TRAFFIC_PER_MILLE = 1000;
+
+  /** In thousandths. */
+  private static final int DEFAULT_TRAFFIC_WEIGHT = 1000;
+
   private static final int DEFAULT_MAX_QUEUED = 4096;
   private static final int DEFAULT_MAX_QUEUED_KIBIBYTES = 4096;
   private static final int MAX_KIBIBYTES = Integer.MAX_VALUE >> 10;
@@ -72,17 +75,17 @@
   private final ConfigValues link;
   private final String gatewayName;
 
-  /** In the order of the file. */
+  /** Peers in the order of the file. */
   private final List<PeerName> peers = new ArrayList<>();
 
   private final Map<PeerName, InetSocketAddress> connectAddresses = new TreeMap<>();
 
-  /** Only of peers that receive datagrams. */
+  /** Datagram addresses of the peers that have one. */
   private final Map<PeerName, InetSocketAddress> gossipAddresses = new TreeMap<>();
 
   ExtensionsConfigReader(ConfigValues values, String gatewayName) {
     this.values = values;
-    this.link = values.under("link");
+    this.link = values.subtree("link");
     this.gatewayName = gatewayName;
   }
 
@@ -116,19 +119,19 @@
 
   private void rejectTablesThatNeedMesh() {
     if (values.has("membership.part") || values.has("membership.period_ms")) {
-      throw values.invalid("link.cluster", "a link, by which gateways are seen");
+      throw values.invalid("link.cluster", "a value, because [membership] requires [link]");
     }
     if (values.has("agreement.voters")) {
-      throw values.invalid("link.cluster", "a link, by which gateways agree");
+      throw values.invalid("link.cluster", "a value, because [agreement] requires [link]");
     }
   }
 
   private void readPeers(PeerName self) {
     for (int index = 0; index < link.count("peers"); index++) {
-      ConfigValues peer = link.under("peers." + index);
+      ConfigValues peer = link.subtree("peers." + index);
       PeerName name = new PeerName(peer.text("name"));
       if (name.equals(self) || peers.contains(name)) {
-        throw peer.invalid("name", "a name that no other gateway has");
+        throw peer.invalid("name", "a name that is unique among the gateways");
       }
       peers.add(name);
       connectAddresses.put(name, peer.address("call"));
@@ -140,17 +143,17 @@
 
   private ExtensionsConfig.Mesh mesh(PeerName self) {
     Duration heartbeat = link.millis("beat_ms", DEFAULT_HEARTBEAT_INTERVAL, 10);
-    Duration stalledAfter =
+    Duration heartbeatTimeout =
         link.millis(
-            "stalled_after_ms", heartbeat.multipliedBy(DEFAULT_HEARTBEATS_UNTIL_STALLED), 10);
-    if (stalledAfter.compareTo(heartbeat.multipliedBy(MIN_HEARTBEATS_UNTIL_STALLED)) < 0) {
+            "stalled_after_ms", heartbeat.multipliedBy(DEFAULT_HEARTBEATS_UNTIL_TIMEOUT), 10);
+    if (heartbeatTimeout.compareTo(heartbeat.multipliedBy(MIN_HEARTBEATS_UNTIL_TIMEOUT)) < 0) {
       throw link.invalid(
-          "stalled_after_ms", "at least twice beat_ms, as one sign of life may be late");
+          "stalled_after_ms", "at least twice beat_ms, because one heartbeat may be late");
     }
     Duration minBackoff = link.millis("shortest_rest_ms", DEFAULT_MIN_BACKOFF, 1);
     Duration maxBackoff = link.millis("longest_rest_ms", DEFAULT_MAX_BACKOFF, 1);
     if (maxBackoff.compareTo(minBackoff) < 0) {
-      throw link.invalid("longest_rest_ms", "no less than shortest_rest_ms");
+      throw link.invalid("longest_rest_ms", "at least shortest_rest_ms");
     }
     MeshConfig config =
         new MeshConfig(
@@ -158,7 +161,7 @@
             self,
             List.copyOf(peers),
             heartbeat,
-            stalledAfter,
+            heartbeatTimeout,
             link.millis("dial_within_ms", DEFAULT_CONNECT_TIMEOUT, 10),
             minBackoff,
             maxBackoff,
@@ -181,25 +184,25 @@
   }
 
   private Optional<FailureDetectorConfig> failureDetector(PeerName self) {
-    ConfigValues membership = values.under("membership");
+    ConfigValues membership = values.subtree("membership");
     if (!membership.has("part")) {
       return Optional.empty();
     }
     if (gossipAddresses.size() < peers.size()) {
-      throw membership.invalid("part", "only with an address to tell for each of link.peers");
+      throw membership.invalid("part", "only if each of link.peers has a tell address");
     }
     FailureDetectorConfig defaults =
         FailureDetectorConfig.defaults(
             self,
             List.copyOf(peers),
             membership.text("zone", ""),
-            (int) membership.integer("part", DEFAULT_TRAFFIC_PER_MILLE, 0));
-    Duration period = membership.millis("period_ms", defaults.probeInterval(), 50);
-    Duration answerWithin =
-        membership.millis("answer_within_ms", period.multipliedBy(2).dividedBy(5), 10);
-    if (answerWithin.compareTo(period) >= 0) {
+            (int) membership.integer("part", DEFAULT_TRAFFIC_WEIGHT, 0));
+    Duration probeInterval = membership.millis("period_ms", defaults.probeInterval(), 50);
+    Duration probeTimeout =
+        membership.millis("answer_within_ms", probeInterval.multipliedBy(2).dividedBy(5), 10);
+    if (probeTimeout.compareTo(probeInterval) >= 0) {
       throw membership.invalid(
-          "answer_within_ms", "less than period_ms, so that others can still be asked to try");
+          "answer_within_ms", "less than period_ms, which leaves time for indirect probes");
     }
     return Optional.of(
         new FailureDetectorConfig(
@@ -207,8 +210,8 @@
             defaults.peers(),
             defaults.zone(),
             defaults.trafficWeight(),
-            period,
-            answerWithin,
+            probeInterval,
+            probeTimeout,
             defaults.indirectProbes(),
             defaults.minSuspicion(),
             defaults.maxSuspicionFactor(),
@@ -225,8 +228,9 @@
         failureDetector.orElseThrow(
             () ->
                 values.invalid(
-                    "agreement.voters", "only with a [membership], by which proof of ends comes"));
-    ConfigValues agreement = values.under("agreement");
+                    "agreement.voters",
+                    "only with a [membership] table, which detects ended gateways"));
+    ConfigValues agreement = values.subtree("agreement");
     List<PeerName> voters = voters(agreement, self);
     long heartbeatSeconds = agreement.integer("heartbeat_s", 1, 1);
     long electionTimeoutSeconds = agreement.integer("silence_s", 2, 2);
@@ -247,19 +251,20 @@
             Duration.ofSeconds(electionTimeoutSeconds)));
   }
 
-  /** Returns the voters sorted, so that all gateways have them in one order. */
+  /** Returns the voters sorted, so that all gateways use the same order. */
   private List<PeerName> voters(ConfigValues agreement, PeerName self) {
     List<PeerName> voters = new ArrayList<>();
-    for (String each : agreement.list("voters")) {
-      PeerName name = new PeerName(each);
+    for (String text : agreement.list("voters")) {
+      PeerName name = new PeerName(text);
       if (voters.contains(name) || (!name.equals(self) && !peers.contains(name))) {
-        throw agreement.invalid("voters", "this gateway and those of link.peers, each once");
+        throw agreement.invalid(
+            "voters", "names of this gateway and of link.peers, each at most once");
       }
       voters.add(name);
     }
     if (voters.size() % 2 == 0 || voters.size() > MAX_VOTERS) {
       throw agreement.invalid(
-          "voters", "1, 3, 5 or 7 of them, as an even number bears no more losses");
+          "voters", "1, 3, 5 or 7 voters, because an even number tolerates no more failures");
     }
     Collections.sort(voters);
     return List.copyOf(voters);
@@ -271,18 +276,21 @@
         + voters.stream().map(PeerName::name).collect(Collectors.joining(","));
   }
 
-  /** Requires a loopback address: whoever reaches it may do all that an operator may. */
+  /**
+   * Requires a loopback address, because the endpoint gives operator access without authentication.
+   */
   private Optional<InetSocketAddress> controlAddress() {
     if (!values.has("control.listen")) {
       return Optional.empty();
     }
     if (!values.has("agreement.voters")) {
-      throw values.invalid("control.listen", "only with an [agreement], of which it tells");
+      throw values.invalid(
+          "control.listen", "only with an [agreement] table, whose state it reports");
     }
     InetSocketAddress address = values.address("control.listen");
     if (!address.getAddress().isLoopbackAddress()) {
       throw values.invalid(
-          "control.listen", "an address of the loopback, as it asks nobody who they are");
+          "control.listen", "a loopback address, because requests are not authenticated");
     }
     return Optional.of(address);
   }
--- a/gateway/src/main/java/weldcross/config/GatewayConfig.java
+++ b/gateway/src/main/java/weldcross/config/GatewayConfig.java
@@ -15,21 +15,21 @@
  * Configuration of one gateway.
  *
  * @param name the gateway's name, unique among gateways
- * @param listenAddress where clients connect
- * @param discoveryAddress where the endpoint list comes from
+ * @param listenAddress address on which clients connect
+ * @param discoveryAddress address of the discovery, which provides the endpoint list
  * @param seed seed of all random decisions
- * @param maxDescriptors file descriptors that the process may hold, at least 64
+ * @param maxDescriptors maximum number of open file descriptors, at least 64
  * @param routing configuration of the router
  * @param requestClassNames names of the request classes, in the order of {@link
  *     RoutingConfig#requestClasses}
- * @param tenants names of the tenants that are served; empty for any
- * @param zones names of the zones, in the order of their numbers
- * @param gossipListenAddress where datagrams of other gateways arrive; null without gossip
- * @param gossipTargetAddress where datagrams reach all other gateways; null without gossip
- * @param serverIdleTimeout idle time after which a server closes a connection
- * @param connectTimeout limit for a connection to a server to come up
- * @param drainGracePeriod time after the notice of a drain by which requests to that server end
- * @param healthCheckReportsLoad whether the answer to a health check is a load report
+ * @param tenants names of the tenants that are served; empty for all tenants
+ * @param zones names of the zones in the order of their numbers
+ * @param gossipListenAddress address on which gossip datagrams are received; null without gossip
+ * @param gossipTargetAddress address that reaches all other gateways; null without gossip
+ * @param serverIdleTimeout idle timeout after which a server closes a connection
+ * @param connectTimeout timeout for connecting to a server
+ * @param drainGracePeriod time within which requests to a draining server must end
+ * @param healthCheckReportsLoad whether the response to a health check is a load report
  * @param lastKnownEndpoints the endpoint list of the previous run; empty if there was none
  */
 public record GatewayConfig(
@@ -51,11 +51,11 @@
     ConfigValues lastKnownEndpoints) {
 
   /**
-   * Reads the file that {@code NODE_CONFIG} names; {@code NODE_NAME}, {@code NODE_LISTEN} and
-   * {@code NODE_DISCOVERY} are defaults for its absent keys.
+   * Reads the file named by {@code NODE_CONFIG}; {@code NODE_NAME}, {@code NODE_LISTEN} and {@code
+   * NODE_DISCOVERY} provide defaults for its absent keys.
    *
-   * @param environment the variables of the process
-   * @throws InvalidConfigException if the file or a value in it cannot be used
+   * @param environment the environment variables of the process
+   * @throws InvalidConfigException if the file cannot be read or contains an invalid value
    */
   public static GatewayConfig read(Map<String, String> environment) {
     return GatewayConfigReader.fromEnvironment(environment);
@@ -65,24 +65,24 @@
    * Reads a file.
    *
    * @param file path of a JSON document
-   * @throws InvalidConfigException if the file or a value in it cannot be used
+   * @throws InvalidConfigException if the file cannot be read or contains an invalid value
    */
   public static GatewayConfig read(String file) {
     return GatewayConfigReader.fromFile(file);
   }
 
   /**
-   * Reads the configuration from values that are parsed already.
+   * Reads the configuration from parsed values.
    *
-   * @throws InvalidConfigException if a value cannot be used
+   * @throws InvalidConfigException if a value is invalid
    */
   public static GatewayConfig of(ConfigValues values) {
     return GatewayConfigReader.fromValues(values);
   }
 
   /**
-   * Returns this configuration on loopback ports that the system picks, with another discovery and
-   * one group of known servers.
+   * Returns a copy of this configuration with ephemeral loopback ports, the given discovery, and
+   * the given servers as one replica group.
    *
    * @param discoveryPort loopback port of the discovery
    * @param serverPorts loopback ports of the servers
@@ -126,10 +126,10 @@
   }
 
   /**
-   * Returns the keys whose values differ and take effect only by a restart. The seed and the last
-   * known endpoints are read once at the start and not compared.
+   * Returns the keys whose values differ and take effect only after a restart. The seed and the
+   * last known endpoints are not compared, because they are used only at startup.
    *
-   * @param next the configuration as it is read now
+   * @param next the newly read configuration
    */
   public List<String> keysThatNeedRestart(GatewayConfig next) {
     List<String> keys = new ArrayList<>();
@@ -160,7 +160,7 @@
     }
   }
 
-  /** Returns a description for an operator: one line for the gateway, one a request class. */
+  /** Returns a description for operators: one line for the gateway and one per request class. */
   public String describe() {
     StringBuilder text =
         new StringBuilder("gateway ")
--- a/gateway/src/main/java/weldcross/config/GatewayConfigReader.java
+++ b/gateway/src/main/java/weldcross/config/GatewayConfigReader.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import weldcross.routing.RoutingConfig;
 
-/** Maps the environment and the JSON file of a gateway to {@link GatewayConfig}. */
+/** Maps the environment variables and the JSON file of a gateway to {@link GatewayConfig}. */
 final class GatewayConfigReader {
 
   private static final String CONFIG_VARIABLE = "NODE_CONFIG";
@@ -19,14 +19,14 @@
   private static final Duration DEFAULT_SERVER_IDLE_TIMEOUT = Duration.ofSeconds(30);
   private static final Duration DEFAULT_CONNECT_TIMEOUT = Duration.ofMillis(250);
   private static final Duration DEFAULT_DRAIN_GRACE_PERIOD = Duration.ofSeconds(2);
-  private static final int HEX = 16;
+  private static final int SEED_RADIX = 16;
 
   private GatewayConfigReader() {}
 
   static GatewayConfig fromEnvironment(Map<String, String> environment) {
     ConfigValues values = readFile(environment.getOrDefault(CONFIG_VARIABLE, ""));
     return fromValues(
-        values.orElse(
+        values.withDefaults(
             Map.of(
                 "name", environment.getOrDefault("NODE_NAME", ""),
                 "listen", environment.getOrDefault("NODE_LISTEN", ""),
@@ -38,14 +38,14 @@
   }
 
   static GatewayConfig fromValues(ConfigValues values) {
-    ConfigValues settings = values.under("settings");
-    RoutingConfig routing = ConfigReader.routing(settings);
+    ConfigValues settings = values.subtree("settings");
+    RoutingConfig routing = RoutingConfigReader.read(settings);
     if (routing.requestClasses().isEmpty()) {
-      throw settings.invalid("categories", "a list of methods");
+      throw settings.invalid("categories", "a list of request classes");
     }
     List<String> requestClassNames = names(settings, "categories");
     List<String> tenants = names(settings, "tenants");
-    boolean gossips = routing.gossip() && values.has("peer_listen");
+    boolean gossipEnabled = routing.gossip() && values.has("peer_listen");
     boolean healthCheckReportsLoad =
         settings.oneOf("report.source", "none", "probe", "answers").equals("probe");
     return new GatewayConfig(
@@ -58,18 +58,19 @@
         requestClassNames,
         tenants,
         settings.list("zones"),
-        gossips ? values.address("peer_listen") : null,
-        gossips ? values.address("peers_all") : null,
+        gossipEnabled ? values.address("peer_listen") : null,
+        gossipEnabled ? values.address("peers_all") : null,
         settings.micros("bounds.idleClose", DEFAULT_SERVER_IDLE_TIMEOUT),
         settings.micros("bounds.connectTimeout", DEFAULT_CONNECT_TIMEOUT),
         settings.micros("invariants.stopSendingWithin", DEFAULT_DRAIN_GRACE_PERIOD),
         healthCheckReportsLoad,
-        values.under("known"));
+        values.subtree("known"));
   }
 
   private static ConfigValues readFile(String file) {
     if (file.isEmpty()) {
-      throw new InvalidConfigException(CONFIG_VARIABLE, "nothing", "the path of the configuration");
+      throw new InvalidConfigException(
+          CONFIG_VARIABLE, "nothing", "the path of the configuration file");
     }
     try {
       return ConfigValues.ofJson(Files.readAllBytes(Path.of(file)));
@@ -94,7 +95,7 @@
 
   private static long seed(ConfigValues values) {
     try {
-      return Long.parseUnsignedLong(values.text("seed"), HEX);
+      return Long.parseUnsignedLong(values.text("seed"), SEED_RADIX);
     } catch (NumberFormatException e) {
       throw values.invalid("seed", "up to 16 hex digits");
     }
--- a/gateway/src/main/java/weldcross/config/InvalidConfigException.java
+++ b/gateway/src/main/java/weldcross/config/InvalidConfigException.java
@@ -1,15 +1,15 @@
 package weldcross.config;
 
-/** Thrown for a configured value that cannot be used; the message names its key as written. */
+/** Thrown if a configured value is invalid; the message contains its key. */
 public final class InvalidConfigException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
   /**
    * Creates an exception for one key.
    *
-   * @param key the full key, or the file or variable that has the value
-   * @param found the value as written, or what is wrong with it
-   * @param allowed the values that are allowed
+   * @param key full key, file name or environment variable
+   * @param found the value, or a description of the problem
+   * @param allowed description of the allowed values
    */
   public InvalidConfigException(String key, String found, String allowed) {
     super(key + ": found " + found + ", allowed is " + allowed);
@@ -18,7 +18,7 @@
   /**
    * Creates an exception for a document that cannot be parsed.
    *
-   * @param message what is wrong with the document
+   * @param message description of the problem
    */
   InvalidConfigException(String message) {
     super(message);
--- a/gateway/src/main/java/weldcross/config/JsonConfigParser.java
+++ b/gateway/src/main/java/weldcross/config/JsonConfigParser.java
@@ -23,7 +23,7 @@
    * Parses a document.
    *
    * @return the values by their dotted keys
-   * @throws InvalidConfigException if the text is no single JSON object
+   * @throws InvalidConfigException if the text is not a single JSON object
    */
   static Map<String, String> parse(byte[] text) {
     try (JsonParser parser = JSON.createParser(text)) {
@@ -40,7 +40,7 @@
     }
     addObject("");
     if (parser.nextToken() != null) {
-      throw new InvalidConfigException("not JSON: more after its end");
+      throw new InvalidConfigException("not JSON: unexpected content after the end of the object");
     }
     return values;
   }
--- a/gateway/src/main/java/weldcross/config/LoadReport.java
+++ b/gateway/src/main/java/weldcross/config/LoadReport.java
@@ -3,10 +3,11 @@
 import java.math.BigDecimal;
 
 /**
- * Load report of one server, limited to the values that routing reads.
+ * Load report of one server, limited to the values that routing uses.
  *
- * @param position replication position in seconds; null if the report does not have it
- * @param primary whether the server is the primary of its group; null if the report does not say
+ * @param position replication position in seconds; null if the report does not contain it
+ * @param primary whether the server is the primary of its group; null if the report does not
+ *     contain it
  */
 public record LoadReport(BigDecimal position, Boolean primary) {
 
@@ -17,11 +18,11 @@
   private static final int MAX_INTEGER_DIGITS = 11;
 
   /**
-   * Parses a report of comma-separated pairs; unknown names are skipped.
+   * Parses a report of comma-separated pairs; unknown names are ignored.
    *
-   * @param pairs the report as the server sent it
+   * @param pairs the report as sent by the server
    * @param separator the character between a name and its value
-   * @throws NumberFormatException if a value that is read is no number of a plausible size
+   * @throws NumberFormatException if a used value is not a number or exceeds the size limits
    */
   public static LoadReport read(String pairs, char separator) {
     BigDecimal position = null;
@@ -38,14 +39,18 @@
     return new LoadReport(position, primary);
   }
 
-  /** Limits the size: with an exponent a short text becomes a number that fills the heap. */
+  /**
+   * Parses a number of limited size: with a large exponent, even a short text becomes a number
+   * whose expansion exhausts the heap.
+   */
   private static BigDecimal number(String text) {
     BigDecimal value = new BigDecimal(text);
     int integerDigits = value.precision() - value.scale();
     if (text.length() > MAX_NUMBER_LENGTH
         || integerDigits > MAX_INTEGER_DIGITS
         || integerDigits < -MAX_NUMBER_LENGTH) {
-      throw new NumberFormatException("no number of a report: " + text.length() + " characters");
+      throw new NumberFormatException(
+          "number in load report exceeds the size limits: " + text.length() + " characters");
     }
     return value;
   }
--- a/gateway/src/main/java/weldcross/config/ConfigReader.java
+++ b/gateway/src/main/java/weldcross/config/RoutingConfigReader.java
@@ -12,24 +12,24 @@
 import weldcross.routing.ZoneId;
 
 /**
- * Maps the keys of the settings, which the configuration file and the simulator share, to {@link
- * RoutingConfig}, with the defaults of absent keys.
+ * Maps the settings that the configuration file and the simulator share to {@link RoutingConfig},
+ * and applies the defaults of absent keys.
  */
-public final class ConfigReader {
+public final class RoutingConfigReader {
 
-  private static final String FRESHNESS = "familyInfo.freshness";
-  private static final String LAG_ALLOWED = "familyInfo.lagAllowed";
+  private static final String CONSISTENCY_KEY = "familyInfo.freshness";
+  private static final String STALENESS_BOUND_KEY = "familyInfo.lagAllowed";
   private static final Duration DEFAULT_MAX_POLL_INTERVAL = Duration.ofSeconds(10);
   private static final long NANOS_PER_MICRO = 1000;
 
-  private ConfigReader() {}
+  private RoutingConfigReader() {}
 
   /**
-   * Reads what the router is configured with.
+   * Reads the configuration of the router.
    *
    * @throws InvalidConfigException if a value cannot be used
    */
-  public static RoutingConfig routing(ConfigValues settings) {
+  public static RoutingConfig read(ConfigValues settings) {
     boolean sendsRetryAfter = settings.flag("bounds.retryAfter", false);
     boolean polls = settings.oneOf("discovery", "pushed", "on_request").equals("on_request");
     boolean tokensCarried =
@@ -55,17 +55,19 @@
         settings.micros("invariants.fall", Duration.ZERO));
   }
 
-  /** Returns the Unix time, in microseconds, from which a simulator counts positions. */
+  /**
+   * Returns the Unix time in microseconds from which the simulator counts replication positions.
+   */
   public static long originMicros(ConfigValues settings) {
     return settings.integer("familyInfo.originTime", 0, Long.MIN_VALUE);
   }
 
   private static List<RequestClass> requestClasses(ConfigValues settings) {
-    List<String> consistencies = settings.list(FRESHNESS);
-    List<String> stalenessBounds = settings.list(LAG_ALLOWED);
+    List<String> consistencies = settings.list(CONSISTENCY_KEY);
+    List<String> stalenessBounds = settings.list(STALENESS_BOUND_KEY);
     List<RequestClass> classes = new ArrayList<>();
     for (int index = 0; index < settings.count("categories"); index++) {
-      ConfigValues category = settings.under("categories." + index);
+      ConfigValues category = settings.subtree("categories." + index);
       classes.add(
           new RequestClass(
               index < consistencies.size()
@@ -92,7 +94,8 @@
       case "bounded" -> Consistency.BOUNDED;
       case "any" -> Consistency.ANY;
       default ->
-          throw settings.invalid(FRESHNESS, "write, fresh, session, bounded or any for each");
+          throw settings.invalid(
+              CONSISTENCY_KEY, "write, fresh, session, bounded or any for each category");
     };
   }
 
@@ -102,7 +105,7 @@
           ? Duration.ZERO
           : Duration.ofNanos(new BigDecimal(micros).longValue() * NANOS_PER_MICRO);
     } catch (NumberFormatException e) {
-      throw settings.invalid(LAG_ALLOWED, "a time in microseconds for each");
+      throw settings.invalid(STALENESS_BOUND_KEY, "a time in microseconds for each category");
     }
   }
 
--- a/gateway/src/main/java/weldcross/config/TomlConfigParser.java
+++ b/gateway/src/main/java/weldcross/config/TomlConfigParser.java
@@ -13,7 +13,7 @@
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 
-/** Flattens a TOML document to {@link ConfigValues}, whose messages then name lines as well. */
+/** Flattens a TOML document to {@link ConfigValues} whose error messages contain line numbers. */
 public final class TomlConfigParser {
 
   private final Map<String, String> values = new HashMap<>();
@@ -24,8 +24,9 @@
   /**
    * Parses a file.
    *
-   * @param file its path, as the operator gave it
-   * @throws InvalidConfigException if the file cannot be read or is not TOML; names file and line
+   * @param file path of the file, used in error messages
+   * @throws InvalidConfigException if the file cannot be read or is not TOML; the message contains
+   *     the path and, for a syntax error, the line
    */
   public static ConfigValues read(String file) {
     TomlParseResult document;
--- a/gateway/src/main/java/weldcross/discovery/DiscoveredEndpoint.java
+++ b/gateway/src/main/java/weldcross/discovery/DiscoveredEndpoint.java
@@ -36,7 +36,7 @@
   public static List<DiscoveredEndpoint> read(ConfigValues list, List<String> zones) {
     List<DiscoveredEndpoint> endpoints = new ArrayList<>();
     for (int index = 0; index < list.count("members"); index++) {
-      endpoints.add(readEntry(list.under("members." + index), zones));
+      endpoints.add(readEntry(list.subtree("members." + index), zones));
     }
     return endpoints;
   }
--- a/gateway/src/main/java/weldcross/simulator/SimulatedGateway.java
+++ b/gateway/src/main/java/weldcross/simulator/SimulatedGateway.java
@@ -3,9 +3,9 @@
 import java.math.RoundingMode;
 import java.time.Duration;
 import java.util.List;
-import weldcross.config.ConfigReader;
 import weldcross.config.ConfigValues;
 import weldcross.config.LoadReport;
+import weldcross.config.RoutingConfigReader;
 import weldcross.routing.AttemptOutcome;
 import weldcross.routing.AttemptResult;
 import weldcross.routing.ListedEndpoint;
@@ -37,7 +37,7 @@
   }
 
   void start(SimulatorActions actions, ConfigValues config, long seed) {
-    router = new Router(actions, ConfigReader.routing(config), seed);
+    router = new Router(actions, RoutingConfigReader.read(config), seed);
   }
 
   boolean hasFailed() {
--- a/gateway/src/main/java/weldcross/simulator/SimulatorMessageParser.java
+++ b/gateway/src/main/java/weldcross/simulator/SimulatorMessageParser.java
@@ -2,9 +2,9 @@
 
 import java.time.Duration;
 import java.util.HexFormat;
-import weldcross.config.ConfigReader;
 import weldcross.config.ConfigValues;
 import weldcross.config.LoadReport;
+import weldcross.config.RoutingConfigReader;
 import weldcross.gossip.GossipMessage;
 import weldcross.routing.AttemptOutcome;
 import weldcross.routing.EndpointStatus;
@@ -75,7 +75,7 @@
     try {
       ConfigValues config = ConfigValues.ofPairs(line.fields(), CONFIG_FIELD);
       return new SimulatorMessage.Start(
-          line.integer(1), line.unsignedLong(2), ConfigReader.originMicros(config), config);
+          line.integer(1), line.unsignedLong(2), RoutingConfigReader.originMicros(config), config);
     } catch (NumberFormatException | ArrayIndexOutOfBoundsException e) {
       throw line.fault("malformed settings, " + e.getMessage());
     }
--- a/gateway/src/test/java/weldcross/cli/WeldcrossCommandTest.java
+++ b/gateway/src/test/java/weldcross/cli/WeldcrossCommandTest.java
@@ -60,7 +60,7 @@
             .replace("\"tryLimit\": 10", "\"tryLimit\": 0"));
     assertEquals(ExitStatus.INVALID_CONFIG, WeldcrossCommand.run("check", file.toString()));
     assertEquals(
-        "weldcross: settings.bounds.tryLimit: found '0', allowed is a number from 1 on\n",
+        "weldcross: settings.bounds.tryLimit: found '0', allowed is a number of at least 1\n",
         standardError.toString(StandardCharsets.UTF_8));
   }
 
--- a/gateway/src/test/java/weldcross/config/ExtensionsConfigTest.java
+++ b/gateway/src/test/java/weldcross/config/ExtensionsConfigTest.java
@@ -50,10 +50,10 @@
             listen = "127.0.0.1:7100"
             """;
 
-  @TempDir private Path folder;
+  @TempDir private Path directory;
 
   private ExtensionsConfig read(String text) throws IOException {
-    Path file = folder.resolve("parts.toml");
+    Path file = directory.resolve("parts.toml");
     Files.writeString(file, text);
     return ExtensionsConfig.read(file.toString(), GatewayConfig.read("deploy/example.json"));
   }
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void absentTableLeavesExtensionOut() throws IOException {
+  void extensionOfAbsentTableIsNotLoaded() throws IOException {
     assertEquals(Optional.empty(), read("directory = 'var'").mesh());
   }
 
@@ -85,15 +85,14 @@
       delimiter = '|',
       value = {
         "beat_ms = 100 | beat_ms = 5 |"
-            + " link.beat_ms (line 6): found '5', allowed is a number from 10 on",
-        "cluster = \"here\" | colour = 1 | link.colour (line 4): found a key that nobody reads",
+            + " link.beat_ms (line 6): found '5', allowed is a number of at least 10",
+        "cluster = \"here\" | colour = 1 | link.colour (line 4): found an unknown key",
         "7002\" | 7002x\" |"
             + " link.peers.1.call (line 14): found '127.0.0.1:7002x', allowed is an address",
         "\"n2\" | \"n1\" |"
-            + " link.peers.1.name (line 13): found 'n1', allowed is a name that no other "
-            + "gateway has",
-        "name = \"n2\" | nome = \"n2\" |"
-            + " link.peers.1.nome (line 13): found a key that nobody reads",
+            + " link.peers.1.name (line 13): found 'n1', allowed is a name that is unique "
+            + "among the gateways",
+        "name = \"n2\" | nome = \"n2\" |" + " link.peers.1.nome (line 13): found an unknown key",
         "directory = | directory | (line 1)",
         "beat_ms = 100 | stalled_after_ms = 100 |"
             + " link.stalled_after_ms (line 6): found '100', allowed is at least"
@@ -121,14 +120,14 @@
         "\"n2\", \"n0\", | \"n2\", |"
             + " agreement.voters (line 22): found 'n2,n1', allowed is 1, 3, 5 or 7",
         "\"n0\", \"n1\"] | \"n0\", \"n9\"] |"
-            + " allowed is this gateway and those of link.peers, each once",
+            + " allowed is names of this gateway and of link.peers, each at most once",
         "silence_s = 3 | silence_s = 0 | agreement.silence_s (line 23): found '0'",
         "silence_s = 3 | heartbeat_s = 2 | agreement.silence_s",
         "part = 300 | |"
             + " agreement.voters (line 22): found 'n2,n0,n1', allowed is only with a "
             + "[membership]",
         "127.0.0.1:7100 | 10.0.0.1:7100 |"
-            + " control.listen (line 26): found '10.0.0.1:7100', allowed is an address of the"
+            + " control.listen (line 26): found '10.0.0.1:7100', allowed is a loopback address"
       })
   void invalidConsensusValueIsReportedWithKeyAndLine(String from, String to, String expected) {
     String message =
--- a/gateway/src/test/java/weldcross/config/ConfigReaderTest.java
+++ b/gateway/src/test/java/weldcross/config/GatewayConfigTest.java
@@ -20,15 +20,15 @@
 import weldcross.routing.RequestClass.Effect;
 import weldcross.routing.RoutingConfig;
 
-class ConfigReaderTest {
+class GatewayConfigTest {
 
-  @TempDir private Path folder;
+  @TempDir private Path directory;
 
   @Test
-  void jsonAndSimulatorPairsGiveTheSameConfig() throws IOException {
+  void jsonAndSimulatorSettingsGiveTheSameConfig() throws IOException {
     RoutingConfig fromJson =
         GatewayConfig.of(ConfigValues.ofJson(example().getBytes(StandardCharsets.UTF_8))).routing();
-    String wire =
+    String simulatorLine =
         "INIT 3 17 nInstances=1 myZone=0 discovery=pushed categories.count=2 "
             + "categories.0.effect=idempotent "
             + "categories.0.target=300000 categories.0.worth=1 categories.0.lateWorth=0.2 "
@@ -40,7 +40,8 @@
             + "bounds.parallelTries=true bounds.retryAfter=true bounds.maxRetryAfter=500000 "
             + "invariants.mustAskIn=10000000 invariants.coldFrom=0.3 invariants.cold=17000000 "
             + "invariants.fallMultiple=2 invariants.fall=1000000";
-    assertEquals(fromJson, ConfigReader.routing(ConfigValues.ofPairs(wire.split(" "), 3)));
+    assertEquals(
+        fromJson, RoutingConfigReader.read(ConfigValues.ofPairs(simulatorLine.split(" "), 3)));
     assertEquals(
         List.of(Consistency.SESSION, Consistency.WRITE),
         fromJson.requestClasses().stream().map(m -> m.consistency()).toList());
@@ -61,7 +62,7 @@
         "\"tryLimit\": 10|\"tryLimit\": \"ten\"|"
             + "settings.bounds.tryLimit: found 'ten', allowed is a number",
         "\"tryLimit\": 10|\"tryLimit\": 0|"
-            + "settings.bounds.tryLimit: found '0', allowed is a number from 1 on",
+            + "settings.bounds.tryLimit: found '0', allowed is a number of at least 1",
         "\"cancel\": true|\"cancel\": \"perhaps\"|"
             + "settings.bounds.cancel: found 'perhaps', allowed is "
             + "true or false",
@@ -75,56 +76,56 @@
         "\"worth\": 3.0|\"worth\": -3|settings.categories.1.worth: found '-3'",
         "\"name\": \"entry-write\", ||settings.categories.1.name: found nothing",
         "\"categories\"|\"methods\"|"
-            + "settings.categories: found nothing, allowed is a list of methods",
+            + "settings.categories: found nothing, allowed is a list of request classes",
         "\"source\": \"probe\"|\"source\": \"rumour\"|settings.report.source: found 'rumour'",
         "\"pushed\"|\"shouted\"|settings.discovery: found 'shouted'",
         "{\"name\": \"acme\"}|{\"label\": \"acme\"}|settings.tenants.0.name: found nothing"
       })
-  void invalidValueIsReportedWithKeyAsWritten(String part, String replacement, String message)
+  void invalidValueIsReportedWithItsKey(String part, String replacement, String message)
       throws IOException {
     String text = example();
-    assertTrue(text.contains(part), "no such part: " + part);
-    byte[] faulty =
+    assertTrue(text.contains(part), "part not found in the example: " + part);
+    byte[] invalid =
         text.replace(part, replacement == null ? "" : replacement).getBytes(StandardCharsets.UTF_8);
-    InvalidConfigException fault =
+    InvalidConfigException exception =
         assertThrows(
-            InvalidConfigException.class, () -> GatewayConfig.of(ConfigValues.ofJson(faulty)));
-    assertTrue(fault.getMessage().startsWith(message), fault.getMessage());
+            InvalidConfigException.class, () -> GatewayConfig.of(ConfigValues.ofJson(invalid)));
+    assertTrue(exception.getMessage().startsWith(message), exception.getMessage());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "[]", "{\"a\":", "{} {}", "{'a': 1}", "nonsense"})
-  void textThatIsNoJsonObjectIsRejected(String text) {
-    InvalidConfigException fault =
+  void textThatIsNotJsonObjectIsRejected(String text) {
+    InvalidConfigException exception =
         assertThrows(
             InvalidConfigException.class,
             () -> ConfigValues.ofJson(text.getBytes(StandardCharsets.UTF_8)));
-    assertTrue(fault.getMessage().startsWith("not "), fault.getMessage());
+    assertTrue(exception.getMessage().startsWith("not "), exception.getMessage());
   }
 
   @Test
-  void environmentNamesFileAndGivesDefaultsForAbsentKeys() throws IOException {
-    Path file = folder.resolve("config.json");
+  void environmentProvidesFilePathAndDefaultsOfAbsentKeys() throws IOException {
+    Path file = directory.resolve("config.json");
     Files.writeString(file, example().replace("\"name\": \"n0\",", ""));
     assertEquals(
         "n7", GatewayConfig.read(Map.of("NODE_CONFIG", file.toString(), "NODE_NAME", "n7")).name());
-    for (String path : List.of("", folder.resolve("absent").toString(), folder.toString())) {
-      InvalidConfigException fault =
+    for (String path : List.of("", directory.resolve("absent").toString(), directory.toString())) {
+      InvalidConfigException exception =
           assertThrows(
               InvalidConfigException.class, () -> GatewayConfig.read(Map.of("NODE_CONFIG", path)));
-      assertTrue(fault.getMessage().startsWith("NODE_CONFIG: found "), fault.getMessage());
+      assertTrue(exception.getMessage().startsWith("NODE_CONFIG: found "), exception.getMessage());
     }
   }
 
   @Test
   void unknownKeysAreIgnored() throws IOException {
-    String more =
+    String extended =
         example()
             .replace(
                 "\"nInstances\"", "\"colour\": {\"of\": [1, null, {\"x\": []}]}, \"nInstances\"");
     assertEquals(
         2,
-        GatewayConfig.of(ConfigValues.ofJson(more.getBytes(StandardCharsets.UTF_8)))
+        GatewayConfig.of(ConfigValues.ofJson(extended.getBytes(StandardCharsets.UTF_8)))
             .requestClassNames()
             .size());
   }
--- a/gateway/src/test/java/weldcross/config/StoredConfigFilesTest.java
+++ b/gateway/src/test/java/weldcross/config/StoredConfigFilesTest.java
@@ -24,7 +24,7 @@
 import weldcross.routing.RoutingConfig;
 import weldcross.routing.ZoneId;
 
-/** Reads files as they were written for the build of commit e72908e, whose keys stay valid. */
+/** Checks that configuration files written for the build of commit e72908e are still read. */
 class StoredConfigFilesTest {
 
   private GatewayConfig gateway;
@@ -104,7 +104,7 @@
   }
 
   @Test
-  void extensionsFileGivesMeshAlone() throws URISyntaxException {
+  void extensionsFileGivesOnlyTheMesh() throws URISyntaxException {
     ExtensionsConfig extensions =
         ExtensionsConfig.read(fixture("extensions-e72908e.toml"), gateway);
     PeerName peer = new PeerName("n1");
@@ -124,12 +124,12 @@
             4096 << 10),
         mesh.config());
     PeerAddresses addresses = mesh.addresses();
-    InetSocketAddress own = loopback(7000);
-    InetSocketAddress others = loopback(7001);
-    assertEquals(own, addresses.listenAddress());
-    assertEquals(Optional.of(own), addresses.datagramListenAddress());
-    assertEquals(others, addresses.connectAddresses().get(peer));
-    assertEquals(others, addresses.datagramAddresses().get(peer));
+    InetSocketAddress ownAddress = loopback(7000);
+    InetSocketAddress peerAddress = loopback(7001);
+    assertEquals(ownAddress, addresses.listenAddress());
+    assertEquals(Optional.of(ownAddress), addresses.datagramListenAddress());
+    assertEquals(peerAddress, addresses.connectAddresses().get(peer));
+    assertEquals(peerAddress, addresses.datagramAddresses().get(peer));
     assertFalse(extensions.failureDetector().isPresent());
     assertEquals(Optional.empty(), extensions.consensus());
     assertEquals(Optional.empty(), extensions.controlAddress());
