--- a/gateway/src/main/java/weldcross/simulator/WireLine.java
+++ b/gateway/src/main/java/weldcross/simulator/ProtocolLine.java
@@ -4,8 +4,11 @@
 import java.math.RoundingMode;
 import java.time.Duration;
 
-/** One line of the simulator's wire: fields between single spaces, the first of them a word. */
-final class WireLine {
+/**
+ * A line of the simulator protocol: fields separated by single spaces, the first of which is the
+ * message type.
+ */
+final class ProtocolLine {
 
   private static final char SEPARATOR = ' ';
   private static final String ABSENT = "-";
@@ -14,7 +17,7 @@
   private final String text;
   private final String[] fields;
 
-  WireLine(String text) {
+  ProtocolLine(String text) {
     this.text = text;
     this.fields = split(text);
   }
@@ -25,17 +28,16 @@
       count++;
     }
     String[] fields = new String[count];
-    int from = 0;
+    int start = 0;
     for (int index = 0; index < count; index++) {
-      int to = index == count - 1 ? text.length() : text.indexOf(SEPARATOR, from);
-      fields[index] = text.substring(from, to);
-      from = to + 1;
+      int end = index == count - 1 ? text.length() : text.indexOf(SEPARATOR, start);
+      fields[index] = text.substring(start, end);
+      start = end + 1;
     }
     return fields;
   }
 
-  /** Returns the first field, which says what the line is. */
-  String word() {
+  String messageType() {
     return fields[0];
   }
 
@@ -46,17 +48,17 @@
 
   String field(int index) {
     if (index >= fields.length) {
-      throw fault("malformed line, field " + index + " is missing");
+      throw error("malformed line: field " + index + " is missing");
     }
     return fields[index];
   }
 
-  /** Whether the field holds the mark of a value that is not given. */
+  /** Returns whether the field is the placeholder of an absent value. */
   boolean isAbsent(int index) {
     return field(index).equals(ABSENT);
   }
 
-  boolean isOne(int index) {
+  boolean flag(int index) {
     return field(index).equals("1");
   }
 
@@ -84,8 +86,8 @@
     }
   }
 
-  /** Returns the whole part of a number that may have a fraction. */
-  int wholePart(int index) {
+  /** Returns the integer part of a number that may have a fraction. */
+  int integerPart(int index) {
     try {
       return new BigDecimal(field(index)).intValue();
     } catch (NumberFormatException e) {
@@ -96,7 +98,7 @@
   /**
    * Returns a duration, rounded down to whole microseconds.
    *
-   * @param unitMicros the unit of the field in microseconds
+   * @param unitMicros unit of the field in microseconds
    */
   Duration duration(int index, int unitMicros) {
     String value = field(index);
@@ -111,12 +113,12 @@
     }
   }
 
-  /** Returns the exception for a fault of this line. */
-  SimulatorProtocolException fault(String fault) {
-    return new SimulatorProtocolException(fault, text);
+  /** Creates an exception for an error in this line. */
+  SimulatorProtocolException error(String error) {
+    return new SimulatorProtocolException(error, text);
   }
 
   private SimulatorProtocolException notNumber(int index) {
-    return fault("malformed line, field " + index + " is no such number, " + fields[index]);
+    return error("malformed line: field " + index + " is not a valid number: " + fields[index]);
   }
 }
--- a/gateway/src/main/java/weldcross/simulator/SimulatedGateway.java
+++ b/gateway/src/main/java/weldcross/simulator/SimulatedGateway.java
@@ -13,7 +13,7 @@
 import weldcross.routing.Router;
 import weldcross.routing.ServerId;
 
-/** One simulated gateway: a router, and the times on the simulator's clock that it counts from. */
+/** A simulated gateway: a router and the offsets of its times on the simulator's clock. */
 final class SimulatedGateway {
 
   private static final int NANOS_PER_MICRO = 1000;
@@ -26,10 +26,10 @@
   private boolean failed;
 
   /**
-   * Creates a gateway that has no router yet.
+   * Creates a gateway without a router.
    *
-   * @param startMicros when it starts
-   * @param originMicros what positions count from
+   * @param startMicros start time of the gateway on the simulator's clock
+   * @param originMicros time on the simulator's clock from which replication positions count
    */
   SimulatedGateway(long startMicros, long originMicros) {
     this.startMicros = startMicros;
@@ -44,16 +44,16 @@
     return failed;
   }
 
-  /** Sets that its router has thrown; it gets no events from now on. */
-  void setFailed() {
+  /** Marks the gateway as failed because its router has thrown; it gets no further events. */
+  void markFailed() {
     failed = true;
   }
 
-  /** Hands a list, or its changes, to the router; rows are parsed one by one on the way. */
-  void receiveEndpointList(long clockMicros, boolean complete, List<WireLine> rows) {
+  /** Passes an endpoint list, or changes of it, to the router; each row is parsed on demand. */
+  void receiveEndpointList(long clockMicros, boolean complete, List<ProtocolLine> rows) {
     Duration now = sinceStart(clockMicros);
     router.beginEndpointList(now, complete);
-    for (WireLine line : rows) {
+    for (ProtocolLine line : rows) {
       SimulatorMessage.EndpointRow row = SimulatorMessageParser.parseRow(line);
       router.endpointListed(
           now,
@@ -68,7 +68,7 @@
     router.endEndpointList(now);
   }
 
-  /** Hands to the router any event but starts, stops and received lists. */
+  /** Passes an event to the router; starts, stops and endpoint lists are handled elsewhere. */
   void handle(long clockMicros, SimulatorMessage.InstanceEvent event) {
     Duration now = sinceStart(clockMicros);
     if (event instanceof SimulatorMessage.RequestArrival arrival) {
@@ -89,7 +89,7 @@
     } else if (event instanceof SimulatorMessage.EndpointListFailed) {
       router.endpointListFailed(now);
     } else if (!(event instanceof SimulatorMessage.Ignored)) {
-      throw new IllegalArgumentException("not for a router: " + event);
+      throw new IllegalArgumentException("not a router event: " + event);
     }
   }
 
@@ -107,8 +107,8 @@
   }
 
   private void attemptEnded(Duration now, SimulatorMessage.AttemptEnd end) {
-    // An error may come for a write of a process that has died, so it does not show a live one.
-    boolean alive =
+    // An error may be returned for a write to a crashed process, so it does not prove liveness.
+    boolean serverAlive =
         end.outcome() == AttemptOutcome.OK || end.outcome() == AttemptOutcome.INELIGIBLE;
     Duration position =
         end.positionMillis() == 0
@@ -121,7 +121,7 @@
             end.attempt(),
             end.outcome(),
             end.took(),
-            alive ? now.minus(end.took()) : null,
+            serverAlive ? now.minus(end.took()) : null,
             end.primary(),
             position,
             end.answered()));
--- a/gateway/src/main/java/weldcross/simulator/SimulatorActions.java
+++ b/gateway/src/main/java/weldcross/simulator/SimulatorActions.java
@@ -7,14 +7,14 @@
 import weldcross.routing.RouterActions;
 import weldcross.routing.ServerId;
 
-/** Writes the actions of one instance as lines of the simulator's wire. */
+/** Writes the actions of one instance as lines of the simulator protocol. */
 final class SimulatorActions implements RouterActions {
 
-  /** The name under which the wire keeps the periodic timer. */
-  static final String TICK = "timer";
+  /** Name of the periodic timer in the protocol. */
+  static final String TICK_NAME = "timer";
 
-  /** The name under which the wire keeps the one-shot timer. */
-  private static final String TIMER = "due";
+  /** Name of the one-shot timer in the protocol. */
+  private static final String TIMER_NAME = "due";
 
   private static final int NANOS_PER_MICRO = 1000;
 
@@ -25,8 +25,8 @@
   /**
    * Creates the actions of an instance.
    *
-   * @param reply where the lines are appended
-   * @param startMicros the start of the instance on the simulator's clock
+   * @param reply the reply to which the lines are appended
+   * @param startMicros start time of the instance on the simulator's clock
    */
   SimulatorActions(StringBuilder reply, int instance, long startMicros) {
     this.reply = reply;
@@ -39,7 +39,7 @@
     reply.append("YIELD\n");
   }
 
-  /** Appends that the instance has thrown. */
+  /** Appends a line that reports an exception of an instance. */
   static void reportFailure(StringBuilder reply, int instance, RuntimeException failure) {
     StackTraceElement[] trace = failure.getStackTrace();
     reply
@@ -54,7 +54,7 @@
 
   @Override
   public void sendAttempt(RequestId request, ServerId server, Duration expiresAt) {
-    begin("CALL_OUT")
+    beginLine("CALL_OUT")
         .append(request.name())
         .append(' ')
         .append(server.name())
@@ -65,12 +65,12 @@
 
   @Override
   public void cancel(RequestId request, int attempt) {
-    begin("ABORT_ATTEMPT").append(request.name()).append(' ').append(attempt).append('\n');
+    beginLine("ABORT_ATTEMPT").append(request.name()).append(' ').append(attempt).append('\n');
   }
 
   @Override
   public void reject(RequestId request, Duration retryAfter) {
-    begin("SHED")
+    beginLine("SHED")
         .append(request.name())
         .append(' ')
         .append(retryAfter.toNanos() / NANOS_PER_MICRO)
@@ -79,17 +79,17 @@
 
   @Override
   public void fail(RequestId request) {
-    begin("END_FAILED").append(request.name()).append('\n');
+    beginLine("END_FAILED").append(request.name()).append('\n');
   }
 
   @Override
   public void sendHealthCheck(ServerId server) {
-    begin("POLL").append(server.name()).append('\n');
+    beginLine("POLL").append(server.name()).append('\n');
   }
 
   @Override
   public void gossipUnreachable(ServerId server) {
-    begin("TELL")
+    beginLine("TELL")
         .append("all ")
         .append(HexFormat.of().formatHex(GossipMessage.encode(server)))
         .append('\n');
@@ -97,32 +97,32 @@
 
   @Override
   public void endpointRemoved(ServerId server) {
-    // The simulator keeps the connections.
+    // The simulator manages the connections.
   }
 
   @Override
   public void watchEndpointList() {
-    begin("OBSERVE").append("1\n");
+    beginLine("OBSERVE").append("1\n");
   }
 
   @Override
   public void scheduleTick(Duration at) {
-    schedule(TICK, at);
+    schedule(TICK_NAME, at);
   }
 
   @Override
   public void scheduleTimer(Duration at) {
-    schedule(TIMER, at);
+    schedule(TIMER_NAME, at);
   }
 
-  /** Rounds up, as a timer must not fire early and the wire counts in whole microseconds. */
-  private void schedule(String timer, Duration at) {
+  /** Rounds up to whole microseconds, the unit of the protocol, so that no timer fires early. */
+  private void schedule(String timerName, Duration at) {
     long roundedUp = clockMicros(at.plusNanos(NANOS_PER_MICRO - 1));
-    begin("WAKE_ME").append(timer).append(' ').append(roundedUp).append('\n');
+    beginLine("WAKE_ME").append(timerName).append(' ').append(roundedUp).append('\n');
   }
 
-  private StringBuilder begin(String word) {
-    return reply.append(word).append(' ').append(instance).append(' ');
+  private StringBuilder beginLine(String action) {
+    return reply.append(action).append(' ').append(instance).append(' ');
   }
 
   private long clockMicros(Duration sinceStart) {
--- a/gateway/src/main/java/weldcross/simulator/SimulatorMessage.java
+++ b/gateway/src/main/java/weldcross/simulator/SimulatorMessage.java
@@ -10,16 +10,16 @@
 import weldcross.routing.SessionId;
 import weldcross.routing.ZoneId;
 
-/** What the simulator sends. Times are in microseconds on its clock. */
+/** A message from the simulator. Times are in microseconds on the simulator's clock. */
 sealed interface SimulatorMessage {
 
-  /** A batch of events begins, all of which happen at the same time. */
+  /** Starts a batch of events that happen at the same time. */
   record BatchStart(long clockMicros) implements SimulatorMessage {}
 
-  /** The batch is complete and a reply is due. */
+  /** Ends a batch; the simulator waits for a reply. */
   record BatchEnd() implements SimulatorMessage {}
 
-  /** An endpoint page begins, whose rows follow; it replaces the one of the same number. */
+  /** Starts an endpoint page, whose rows follow; it replaces any page with the same number. */
   record PageStart(int page, int rows) implements SimulatorMessage {}
 
   /** An event at one instance. */
@@ -28,9 +28,9 @@
   }
 
   /**
-   * The instance starts, without any state.
+   * The instance starts without any state.
    *
-   * @param originMicros what positions count from
+   * @param originMicros time from which replication positions count
    */
   record Start(int instance, long seed, long originMicros, ConfigValues config)
       implements InstanceEvent {}
@@ -38,21 +38,21 @@
   /** The instance is killed. */
   record Stop(int instance) implements InstanceEvent {}
 
-  /** A call for the endpoint list failed. */
+  /** A request for the endpoint list failed. */
   record EndpointListFailed(int instance) implements InstanceEvent {}
 
   /**
-   * The endpoint list, or changes of it.
+   * The endpoint list, or changes of it, was received.
    *
-   * @param complete whether servers that it does not name are removed
+   * @param complete whether servers that are not in the list are removed
    */
   record EndpointListReceived(int instance, boolean complete, int page) implements InstanceEvent {}
 
   /**
    * A client sent a request.
    *
-   * @param session null where it has none
-   * @param sinceWrite how long ago the session's last write was committed; zero if there was none
+   * @param session session of the request; null if it has none
+   * @param sinceWrite time since the session's last write was committed; zero if there was none
    */
   record RequestArrival(
       int instance,
@@ -68,10 +68,10 @@
   /**
    * An attempt ended.
    *
-   * @param primary whether the server said it is the primary; null where it did not say
-   * @param positionMillis the position that it named, in ms from the origin; 0 where it named none
-   * @param answered whether the client has its final answer by this
-   * @param report the load report, see {@link SimulatorMessageParser#report}; null where none came
+   * @param primary whether the server reported that it is the primary; null if it reported no role
+   * @param positionMillis reported replication position in ms from the origin; 0 if there is none
+   * @param answered whether the client has received its final response
+   * @param report load report, see {@link SimulatorMessageParser#report}; null if there is none
    */
   record AttemptEnd(
       int instance,
@@ -89,12 +89,12 @@
   /**
    * A health check ended.
    *
-   * @param report as for {@link AttemptEnd}
+   * @param report load report as in {@link AttemptEnd}
    */
   record HealthCheckEnd(int instance, ServerId server, AttemptOutcome outcome, String report)
       implements InstanceEvent {}
 
-  /** The client of the request does not wait any longer. */
+  /** The client of the request has disconnected. */
   record ClientDisconnect(int instance, RequestId request) implements InstanceEvent {}
 
   /** The periodic timer is due. */
@@ -103,16 +103,16 @@
   /** The one-shot timer is due. */
   record TimerDue(int instance) implements InstanceEvent {}
 
-  /** Another instance could not reach the server. */
+  /** Another instance reports that it could not reach the server. */
   record GossipReceived(int instance, ServerId server) implements InstanceEvent {}
 
-  /** An event that the routers take no notice of. */
+  /** An event that routers ignore. */
   record Ignored(int instance) implements InstanceEvent {}
 
   /**
-   * One row of an endpoint page.
+   * A row of an endpoint page.
    *
-   * @param startedMicros when its process started; 0 where that is not known
+   * @param startedMicros start time of the server process; 0 if unknown
    */
   record EndpointRow(
       ServerId server,
--- a/gateway/src/main/java/weldcross/simulator/SimulatorMessageParser.java
+++ b/gateway/src/main/java/weldcross/simulator/SimulatorMessageParser.java
@@ -14,15 +14,15 @@
 import weldcross.routing.SessionId;
 import weldcross.routing.ZoneId;
 
-/** Maps lines of the simulator's wire to messages. */
+/** Parses lines of the simulator protocol. */
 final class SimulatorMessageParser {
 
   private static final int CONFIG_FIELD = 3;
-  private static final int MICROS = 1;
+  private static final int ONE_MICRO = 1;
   private static final int MICROS_PER_MILLI = 1000;
   private static final int CLIENT_RETRY_BIT = 2;
 
-  /** The low bits of a note name the role of the server, the others its position. */
+  /** The low bits of the server state hold the role of the server, the others its position. */
   private static final int ROLE_MASK = 3;
 
   private static final int ROLE_PRIMARY = 1;
@@ -30,26 +30,26 @@
 
   private SimulatorMessageParser() {}
 
-  /** Returns the instance that an event is for, or null for a message that is no event. */
-  static Integer instance(WireLine line) {
-    return switch (line.word()) {
+  /** Returns the instance to which an event is addressed; null if the message is not an event. */
+  static Integer targetInstance(ProtocolLine line) {
+    return switch (line.messageType()) {
       case "BATCH", "YOUR_TURN", "ROSTER" -> null;
       default -> line.integer(1);
     };
   }
 
-  /** Whether the line starts an instance. */
-  static boolean isStart(WireLine line) {
-    return line.word().equals("INIT");
+  /** Returns whether the line starts an instance. */
+  static boolean isStart(ProtocolLine line) {
+    return line.messageType().equals("INIT");
   }
 
   /**
-   * Parses any line but a row.
+   * Parses a line that is not a row of an endpoint page.
    *
-   * @throws SimulatorProtocolException if it is malformed or of an unknown kind
+   * @throws SimulatorProtocolException if the line is malformed or its message type is unknown
    */
-  static SimulatorMessage parse(WireLine line) {
-    return switch (line.word()) {
+  static SimulatorMessage parse(ProtocolLine line) {
+    return switch (line.messageType()) {
       case "BATCH" -> new SimulatorMessage.BatchStart(line.longInteger(1));
       case "YOUR_TURN" -> new SimulatorMessage.BatchEnd();
       case "ROSTER" -> new SimulatorMessage.PageStart(line.integer(1), line.integer(2));
@@ -62,26 +62,26 @@
       case "CLIENT_LEFT" ->
           new SimulatorMessage.ClientDisconnect(line.integer(1), new RequestId(line.field(2)));
       case "ALARM" ->
-          line.field(2).equals(SimulatorActions.TICK)
+          line.field(2).equals(SimulatorActions.TICK_NAME)
               ? new SimulatorMessage.Tick(line.integer(1))
               : new SimulatorMessage.TimerDue(line.integer(1));
       case "INBOX" -> gossip(line);
       case "UNDER_WAY" -> new SimulatorMessage.Ignored(line.integer(1));
-      default -> throw line.fault("unknown message");
+      default -> throw line.error("unknown message type");
     };
   }
 
-  private static SimulatorMessage start(WireLine line) {
+  private static SimulatorMessage start(ProtocolLine line) {
     try {
       ConfigValues config = ConfigValues.ofPairs(line.fields(), CONFIG_FIELD);
       return new SimulatorMessage.Start(
           line.integer(1), line.unsignedLong(2), RoutingConfigReader.originMicros(config), config);
     } catch (NumberFormatException | ArrayIndexOutOfBoundsException e) {
-      throw line.fault("malformed settings, " + e.getMessage());
+      throw line.error("malformed settings: " + e.getMessage());
     }
   }
 
-  private static SimulatorMessage endpointList(WireLine line) {
+  private static SimulatorMessage endpointList(ProtocolLine line) {
     return switch (line.field(2)) {
       case "failed" -> new SimulatorMessage.EndpointListFailed(line.integer(1));
       case "delta" ->
@@ -90,37 +90,37 @@
     };
   }
 
-  private static SimulatorMessage requestArrival(WireLine line) {
+  private static SimulatorMessage requestArrival(ProtocolLine line) {
     int flags = line.isAbsent(10) ? 0 : line.integer(10);
     return new SimulatorMessage.RequestArrival(
         line.integer(1),
         new RequestId(line.field(2)),
         line.integer(5),
-        new GroupId(line.wholePart(8)),
+        new GroupId(line.integerPart(8)),
         line.isAbsent(7) ? null : new SessionId(line.field(7)),
         line.isAbsent(3) ? Duration.ZERO : line.duration(3, MICROS_PER_MILLI),
-        line.duration(6, MICROS),
+        line.duration(6, ONE_MICRO),
         (flags & CLIENT_RETRY_BIT) != 0);
   }
 
-  private static SimulatorMessage attemptEnd(WireLine line) {
-    long note = line.isAbsent(5) ? 0 : line.longInteger(5);
-    Boolean primary =
-        (note & ROLE_MASK) == 0 ? null : Boolean.valueOf((note & ROLE_MASK) == ROLE_PRIMARY);
+  private static SimulatorMessage attemptEnd(ProtocolLine line) {
+    long serverState = line.isAbsent(5) ? 0 : line.longInteger(5);
+    long role = serverState & ROLE_MASK;
+    Boolean primary = role == 0 ? null : Boolean.valueOf(role == ROLE_PRIMARY);
     return new SimulatorMessage.AttemptEnd(
         line.integer(1),
         new RequestId(line.field(2)),
         line.integer(7),
         new ServerId(line.field(3)),
         outcome(line, 6),
-        line.duration(4, MICROS),
+        line.duration(4, ONE_MICRO),
         primary,
-        note >> ROLE_BITS,
-        line.isOne(8),
+        serverState >> ROLE_BITS,
+        line.flag(8),
         line.isAbsent(9) ? null : line.field(9));
   }
 
-  private static SimulatorMessage healthCheckEnd(WireLine line) {
+  private static SimulatorMessage healthCheckEnd(ProtocolLine line) {
     AttemptOutcome outcome =
         line.field(3).equals("pass") ? AttemptOutcome.OK : AttemptOutcome.TIMED_OUT;
     return new SimulatorMessage.HealthCheckEnd(
@@ -130,14 +130,14 @@
         line.isAbsent(5) ? null : line.field(5));
   }
 
-  private static SimulatorMessage gossip(WireLine line) {
+  private static SimulatorMessage gossip(ProtocolLine line) {
     ServerId server = gossipedServer(line.field(3));
     return server == null
         ? new SimulatorMessage.Ignored(line.integer(1))
         : new SimulatorMessage.GossipReceived(line.integer(1), server);
   }
 
-  /** Returns null for a message that is not of this program. */
+  /** Decodes a gossip message; returns null if it is not a message of this program. */
   private static ServerId gossipedServer(String hex) {
     try {
       return GossipMessage.decode(HexFormat.of().parseHex(hex));
@@ -146,7 +146,7 @@
     }
   }
 
-  private static AttemptOutcome outcome(WireLine line, int index) {
+  private static AttemptOutcome outcome(ProtocolLine line, int index) {
     return switch (line.field(index)) {
       case "pass" -> AttemptOutcome.OK;
       case "fault" -> AttemptOutcome.ERROR;
@@ -157,11 +157,11 @@
       case "undone" -> AttemptOutcome.CANCELLED;
       case "stale_send" -> AttemptOutcome.NOT_SENT;
       case "none_here" -> AttemptOutcome.INELIGIBLE;
-      default -> throw line.fault("unknown outcome, " + line.field(index));
+      default -> throw line.error("unknown outcome: " + line.field(index));
     };
   }
 
-  /** Whether the line is a row of an endpoint page. */
+  /** Returns whether the line is a row of an endpoint page. */
   static boolean isRow(String line) {
     return line != null && line.startsWith("ROW ");
   }
@@ -169,26 +169,26 @@
   /**
    * Parses a row of an endpoint page.
    *
-   * @throws SimulatorProtocolException if it is malformed
+   * @throws SimulatorProtocolException if the row is malformed
    */
-  static SimulatorMessage.EndpointRow parseRow(WireLine row) {
+  static SimulatorMessage.EndpointRow parseRow(ProtocolLine row) {
     EndpointStatus status =
         switch (row.field(5)) {
           case "on" -> EndpointStatus.ACTIVE;
           case "fading" -> EndpointStatus.DRAINING;
           case "off" -> EndpointStatus.REMOVED;
-          default -> throw row.fault("unknown status, " + row.field(5));
+          default -> throw row.error("unknown status: " + row.field(5));
         };
     return new SimulatorMessage.EndpointRow(
         new ServerId(row.field(1)),
         new ZoneId(row.integer(2)),
-        new GroupId(row.wholePart(4)),
+        new GroupId(row.integerPart(4)),
         status,
         row.isAbsent(7) ? 0 : row.longInteger(7),
-        row.isOne(8));
+        row.flag(8));
   }
 
-  /** Parses the load report that came with an answer or a health check. */
+  /** Parses the load report of a response or a health check. */
   static LoadReport report(String text) {
     return LoadReport.read(text, ':');
   }
--- a/gateway/src/main/java/weldcross/simulator/SimulatorProtocolException.java
+++ b/gateway/src/main/java/weldcross/simulator/SimulatorProtocolException.java
@@ -1,6 +1,6 @@
 package weldcross.simulator;
 
-/** Input that does not follow the simulator's wire. */
+/** Thrown if the input violates the simulator protocol. */
 public final class SimulatorProtocolException extends RuntimeException {
 
   private static final long serialVersionUID = 1;
@@ -8,10 +8,10 @@
   /**
    * Creates an exception.
    *
-   * @param fault what is wrong, with the value at fault
-   * @param line where: the text of the line; null at the end of the input
+   * @param error description of the error, including the invalid value
+   * @param line text of the line; null at the end of the input
    */
-  SimulatorProtocolException(String fault, String line) {
-    super(line == null ? fault : fault + ": " + line);
+  SimulatorProtocolException(String error, String line) {
+    super(line == null ? error : error + ": " + line);
   }
 }
--- a/gateway/src/main/java/weldcross/simulator/SimulatorSession.java
+++ b/gateway/src/main/java/weldcross/simulator/SimulatorSession.java
@@ -11,7 +11,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the simulator's batches, hands events to the instances and writes one reply per batch. */
+/**
+ * Reads batches of events from the simulator, dispatches the events to the instances and writes one
+ * reply per batch.
+ */
 public final class SimulatorSession {
 
   private static final int INPUT_BUFFER_CHARS = 1 << 16;
@@ -20,15 +23,15 @@
   private final OutputStream output;
   private final StringBuilder reply = new StringBuilder();
   private final Map<Integer, SimulatedGateway> instances = new HashMap<>();
-  private final Map<Integer, List<WireLine>> pages = new HashMap<>();
+  private final Map<Integer, List<ProtocolLine>> pages = new HashMap<>();
   private boolean inBatch;
   private long clockMicros;
 
   /**
-   * Creates a session; it closes neither stream.
+   * Creates a session, which closes neither stream.
    *
-   * @param input the simulator's lines
-   * @param output where replies go
+   * @param input stream of messages from the simulator
+   * @param output stream to which replies are written
    */
   public SimulatorSession(InputStream input, OutputStream output) {
     this.input =
@@ -38,14 +41,14 @@
   }
 
   /**
-   * Answers batches until the input ends.
+   * Processes batches until the input ends.
    *
-   * @throws SimulatorProtocolException if the input does not follow the wire
+   * @throws SimulatorProtocolException if the input violates the protocol
    */
   public void run() throws IOException {
     for (String text = input.readLine(); text != null; text = input.readLine()) {
       if (inBatch || !text.isEmpty()) {
-        read(new WireLine(text));
+        process(new ProtocolLine(text));
       }
     }
     if (inBatch) {
@@ -53,10 +56,10 @@
     }
   }
 
-  private void read(WireLine line) throws IOException {
-    Integer instance = SimulatorMessageParser.instance(line);
+  private void process(ProtocolLine line) throws IOException {
+    Integer instance = SimulatorMessageParser.targetInstance(line);
     if (instance != null && inBatch) {
-      event(instance, line);
+      dispatch(instance, line);
       return;
     }
     SimulatorMessage message = SimulatorMessageParser.parse(line);
@@ -64,7 +67,7 @@
       clockMicros = start.clockMicros();
       inBatch = true;
     } else if (!inBatch) {
-      throw line.fault("outside a batch");
+      throw line.error("message outside a batch");
     } else if (message instanceof SimulatorMessage.PageStart page) {
       pages.put(page.page(), readRows(page.rows()));
     } else {
@@ -72,14 +75,14 @@
     }
   }
 
-  private List<WireLine> readRows(int count) throws IOException {
-    List<WireLine> rows = new ArrayList<>(count);
+  private List<ProtocolLine> readRows(int count) throws IOException {
+    List<ProtocolLine> rows = new ArrayList<>(count);
     for (int row = 0; row < count; row++) {
       String text = input.readLine();
       if (!SimulatorMessageParser.isRow(text)) {
-        throw new SimulatorProtocolException("a row of an endpoint page was expected", text);
+        throw new SimulatorProtocolException("expected a row of an endpoint page", text);
       }
-      rows.add(new WireLine(text));
+      rows.add(new ProtocolLine(text));
     }
     return rows;
   }
@@ -92,11 +95,11 @@
     inBatch = false;
   }
 
-  /** Events for an instance that is not there, or that has failed, are left unread. */
-  private void event(int instance, WireLine line) {
+  /** Dispatches an event; one for an instance that is absent or has failed is skipped unparsed. */
+  private void dispatch(int instance, ProtocolLine line) {
     SimulatedGateway gateway = instances.get(instance);
-    boolean runs = gateway != null && !gateway.hasFailed();
-    if (!runs && !SimulatorMessageParser.isStart(line)) {
+    boolean running = gateway != null && !gateway.hasFailed();
+    if (!running && !SimulatorMessageParser.isStart(line)) {
       return;
     }
     SimulatorMessage message = SimulatorMessageParser.parse(line);
@@ -104,32 +107,33 @@
       SimulatedGateway started = new SimulatedGateway(clockMicros, start.originMicros());
       instances.put(instance, started);
       SimulatorActions actions = new SimulatorActions(reply, instance, clockMicros);
-      guard(instance, started, () -> started.start(actions, start.config(), start.seed()));
+      runOrMarkFailed(
+          instance, started, () -> started.start(actions, start.config(), start.seed()));
     } else if (message instanceof SimulatorMessage.Stop) {
       instances.remove(instance);
     } else if (message instanceof SimulatorMessage.EndpointListReceived list) {
-      List<WireLine> rows = page(list.page(), line);
-      guard(
+      List<ProtocolLine> rows = page(list.page(), line);
+      runOrMarkFailed(
           instance, gateway, () -> gateway.receiveEndpointList(clockMicros, list.complete(), rows));
     } else if (message instanceof SimulatorMessage.InstanceEvent event) {
-      guard(instance, gateway, () -> gateway.handle(clockMicros, event));
+      runOrMarkFailed(instance, gateway, () -> gateway.handle(clockMicros, event));
     }
   }
 
-  private List<WireLine> page(int page, WireLine line) {
-    List<WireLine> rows = pages.get(page);
+  private List<ProtocolLine> page(int page, ProtocolLine line) {
+    List<ProtocolLine> rows = pages.get(page);
     if (rows == null) {
-      throw line.fault("no such endpoint page, " + page);
+      throw line.error("unknown endpoint page: " + page);
     }
     return rows;
   }
 
-  /** Runs the call; an instance that throws is reported and gets no more events. */
-  private void guard(int instance, SimulatedGateway gateway, Runnable call) {
+  /** Runs a call; if it throws, the instance is reported as failed and gets no further events. */
+  private void runOrMarkFailed(int instance, SimulatedGateway gateway, Runnable call) {
     try {
       call.run();
     } catch (RuntimeException e) {
-      gateway.setFailed();
+      gateway.markFailed();
       SimulatorActions.reportFailure(reply, instance, e);
       e.printStackTrace();
     }
--- a/gateway/src/test/java/weldcross/simulator/SimulatorMessageParserTest.java
+++ b/gateway/src/test/java/weldcross/simulator/SimulatorMessageParserTest.java
@@ -21,11 +21,11 @@
 class SimulatorMessageParserTest {
 
   private static SimulatorMessage parse(String text) {
-    return SimulatorMessageParser.parse(new WireLine(text));
+    return SimulatorMessageParser.parse(new ProtocolLine(text));
   }
 
   @Test
-  void arrivalIsParsedWithItsSessionAndRetryFlag() {
+  void arrivalIsParsedWithSessionAndRetryFlag() {
     assertEquals(
         new SimulatorMessage.RequestArrival(
             3,
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void attemptEndIsParsedWithRoleAndPositionOfItsNote() {
+  void attemptEndIsParsedWithServerRoleAndPosition() {
     assertEquals(
         new SimulatorMessage.AttemptEnd(
             3,
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void attemptEndWithoutNoteNamesNeitherRoleNorPosition() {
+  void attemptEndWithoutServerStateHasNoRoleOrPosition() {
     SimulatorMessage.AttemptEnd end =
         (SimulatorMessage.AttemptEnd) parse("SETTLED 3 c:b server_a 18500 - cut 2 0 x0:1.5,x1:1");
     assertNull(end.primary());
@@ -93,44 +93,44 @@
     "stale_send, NOT_SENT",
     "none_here, INELIGIBLE"
   })
-  void outcomeIsMappedFromItsWord(String word, AttemptOutcome outcome) {
+  void outcomeIsParsedFromItsProtocolName(String name, AttemptOutcome outcome) {
     SimulatorMessage.AttemptEnd end =
-        (SimulatorMessage.AttemptEnd) parse("SETTLED 3 c:b server_a 1 - " + word + " 0 1 -");
+        (SimulatorMessage.AttemptEnd) parse("SETTLED 3 c:b server_a 1 - " + name + " 0 1 -");
     assertEquals(outcome, end.outcome());
   }
 
   @ParameterizedTest
   @CsvSource({"on, ACTIVE", "fading, DRAINING", "off, REMOVED"})
-  void rowIsMappedWithTheStatusOfItsWord(String word, EndpointStatus status) {
+  void endpointStatusIsParsedFromItsProtocolName(String name, EndpointStatus status) {
     assertEquals(
         new SimulatorMessage.EndpointRow(
             new ServerId("server_a"), new ZoneId(1), new GroupId(11), status, 6_100_000, true),
         SimulatorMessageParser.parseRow(
-            new WireLine("ROW server_a 1 0 11 " + word + " 1.5 6100000 1")));
+            new ProtocolLine("ROW server_a 1 0 11 " + name + " 1.5 6100000 1")));
   }
 
   @ParameterizedTest
   @CsvSource({"cached, true", "delta, false"})
-  void endpointListIsCompleteUnlessItHoldsChanges(String kind, boolean complete) {
+  void endpointListIsCompleteUnlessItIsDelta(String kind, boolean complete) {
     assertEquals(
         new SimulatorMessage.EndpointListReceived(3, complete, 2),
         parse("DIRECTORY_UPDATE 3 " + kind + " 41 2"));
   }
 
   @Test
-  void failedEndpointListNamesNoPage() {
+  void failedEndpointListHasNoPage() {
     assertEquals(
         new SimulatorMessage.EndpointListFailed(3), parse("DIRECTORY_UPDATE 3 failed 41 -"));
   }
 
   @Test
-  void alarmsAreToldApartByTheirNames() {
+  void timersAreDistinguishedByName() {
     assertEquals(new SimulatorMessage.Tick(3), parse("ALARM 3 timer"));
     assertEquals(new SimulatorMessage.TimerDue(3), parse("ALARM 3 due"));
   }
 
   @Test
-  void gossipThatIsNoMessageIsIgnored() {
+  void invalidGossipIsIgnored() {
     assertEquals(new SimulatorMessage.GossipReceived(3, new ServerId("a")), parse("INBOX 3 1 61"));
     assertEquals(new SimulatorMessage.Ignored(3), parse("INBOX 3 1 xyz"));
     assertEquals(new SimulatorMessage.Ignored(3), parse("UNDER_WAY 3 c:b"));
@@ -149,8 +149,8 @@
         "BATCH now"
       })
   void malformedLineIsReportedWithItsText(String text) {
-    SimulatorProtocolException fault =
+    SimulatorProtocolException exception =
         assertThrows(SimulatorProtocolException.class, () -> parse(text));
-    assertTrue(fault.getMessage().endsWith(": " + text), fault.getMessage());
+    assertTrue(exception.getMessage().endsWith(": " + text), exception.getMessage());
   }
 }
--- a/gateway/src/test/java/weldcross/simulator/SimulatorSessionTest.java
+++ b/gateway/src/test/java/weldcross/simulator/SimulatorSessionTest.java
@@ -23,17 +23,17 @@
   }
 
   @Test
-  void eachBatchIsAnsweredByOneReply() throws IOException {
+  void eachBatchGetsOneReply() throws IOException {
     assertEquals("YIELD\nYIELD\n", run("BATCH 1", "YOUR_TURN", "", "BATCH 2", "YOUR_TURN"));
   }
 
   @Test
-  void eventsForInstancesThatAreNotThereAreLeftUnread() throws IOException {
+  void eventsForAbsentInstancesAreSkipped() throws IOException {
     assertEquals("YIELD\n", run("BATCH 1", "ALARM 3 timer", "ARRIVAL 4", "YOUR_TURN"));
   }
 
   @Test
-  void instanceThatThrowsIsReportedAndGetsNoMoreEvents() throws IOException {
+  void failedInstanceIsReportedAndGetsNoFurtherEvents() throws IOException {
     String reply =
         run(
             "BATCH 1",
@@ -55,7 +55,7 @@
         "BATCH 1\nROSTER 0 2\nROW a 0 0 1 on 1 - 1\nYOUR_TURN",
         "BATCH 1\nALARM\nYOUR_TURN"
       })
-  void inputThatDoesNotFollowTheWireEndsTheSession(String input) {
+  void protocolViolationEndsTheSession(String input) {
     assertThrows(SimulatorProtocolException.class, () -> run(input));
   }
 }
