--- a/gateway/src/main/java/weldcross/Main.java
+++ b/gateway/src/main/java/weldcross/Main.java
@@ -5,18 +5,18 @@
 import weldcross.cli.ServeCommand;
 import weldcross.cli.WeldcrossCommand;
 
-/** The entry point; {@link WeldcrossCommand} has the commands. */
+/** The entry point; {@link WeldcrossCommand} defines the commands. */
 public final class Main {
 
   private Main() {}
 
-  /** Runs the command that the arguments name, and exits with its status. */
+  /** Runs the command given by the arguments and exits with its status. */
   public static void main(String[] args) throws IOException {
-    // Loading picocli takes some 0.2 s of one core, during which a restarted gateway serves nobody.
+    // Loading picocli takes about 0.2 s on one core, which would delay every gateway restart.
     if (args.length == 1 && args[0].equals("serve")) {
       System.exit(ServeCommand.run(Level.INFO));
     }
-    // The build archives the classes that the self-test loads; they must be those of plain serve.
+    // The build archives the classes that the self-test loads, which must match those of serve.
     if (args.length == 2 && (args[0].equals("self-test") || args[0].equals("rehearse"))) {
       System.exit(ServeCommand.selfTest(args[1]));
     }
--- a/gateway/src/main/java/weldcross/cli/ClusterCommand.java
+++ b/gateway/src/main/java/weldcross/cli/ClusterCommand.java
@@ -18,10 +18,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Commands for an operator, carried out by the control endpoint of a gateway. */
+/** Operator commands that the control endpoint of a gateway executes. */
 @Command(
     name = "cluster",
-    description = "Shows what a gateway knows of the others, and changes who is a member.",
+    description = "Shows the cluster as a gateway sees it, and changes its membership.",
     mixinStandardHelpOptions = true,
     synopsisSubcommandLabel = "COMMAND",
     subcommands = {
@@ -42,14 +42,14 @@
     throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
   }
 
-  /** A command that needs the control endpoint; a request that fails ends it. */
+  /** A command that uses the control endpoint; a failed request ends the command. */
   abstract static class ControlCommand implements Callable<Integer> {
 
     @Option(
         names = "--at",
         paramLabel = "HOST:PORT",
         required = true,
-        description = "The gateway's control address, as its extensions' file has it.")
+        description = "Control address of the gateway, as in its extensions file.")
     private String address;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -64,7 +64,7 @@
       }
     }
 
-    /** Carries out the command; returns the exit status. */
+    /** Executes the command; returns the exit status. */
     abstract int run(ControlClient client)
         throws ControlClient.RequestFailedException, IOException, InterruptedException;
 
@@ -80,10 +80,11 @@
   @Command(
       name = "status",
       mixinStandardHelpOptions = true,
-      description = "A table: each gateway as it is seen, and as the agreed view has it.")
+      description =
+          "Prints a table of the gateways: their observed state and their agreed membership.")
   static final class Status extends ControlCommand {
 
-    @Option(names = "--json", description = "Prints the gateway's answer as it is.")
+    @Option(names = "--json", description = "Prints the JSON response of the gateway.")
     private boolean json;
 
     @Override
@@ -98,13 +99,13 @@
   @Command(
       name = "watch",
       mixinStandardHelpOptions = true,
-      description = "The same table, kept up to date.")
+      description = "Prints the status table and updates it every second.")
   static final class Watch extends ControlCommand {
 
     @Option(
         names = "--times",
         paramLabel = "N",
-        description = "Ends after so many updates (default: goes on).")
+        description = "Number of updates (default: unlimited).")
     private long times = Long.MAX_VALUE;
 
     @Override
@@ -138,21 +139,21 @@
       name = "forget",
       mixinStandardHelpOptions = true,
       description = {
-        "Takes a gateway out of the agreed view, on your word that it does nothing more.",
-        "If it still runs, requests in progress may be done twice: once by it, once by who takes",
-        "over. A gateway of which there is proof that it ended goes by itself; only a silent one",
-        "needs this."
+        "Removes a gateway from the agreed view on your confirmation that it has ended.",
+        "If it is still running, requests in progress may be executed twice: by it and by the",
+        "gateway that takes over. A gateway that is proven to have ended is removed automatically;",
+        "this command is needed only for an unreachable one."
       })
   static final class Forget extends ControlCommand {
 
-    @Parameters(paramLabel = "NAME", description = "The gateway.")
+    @Parameters(paramLabel = "NAME", description = "Name of the gateway.")
     private String name;
 
     @Option(
         names = "--it-has-ended",
         required = true,
-        description = "Says that you looked: its process is gone.")
-    @SuppressWarnings("UnusedVariable") // Required as a confirmation; its value says no more.
+        description = "Confirms that you checked that the process of the gateway has ended.")
+    @SuppressWarnings("UnusedVariable") // Only the presence of the option matters.
     private boolean hasEnded;
 
     @Override
@@ -164,9 +165,10 @@
       out()
           .println(
               switch (verdict) {
-                case "DONE" -> name + " is a member no more";
-                case "CHANGED" -> "the view has changed meanwhile, nothing is done: look again";
-                case "UNKNOWN" -> name + " is no member";
+                case "DONE" -> name + " is no longer a member";
+                case "CHANGED" ->
+                    "the view has changed in the meantime, nothing was done: check the status";
+                case "UNKNOWN" -> name + " is not a member";
                 default -> verdict;
               });
       return verdict.equals("DONE") ? ExitStatus.OK : ExitStatus.FAILED;
@@ -177,7 +179,7 @@
       name = "leave",
       mixinStandardHelpOptions = true,
       description =
-          "Has the gateway leave the agreed view; it serves on, and counts in nothing agreed.")
+          "Removes the gateway from the agreed view; it keeps serving clients as a non-member.")
   static final class Leave extends ControlCommand {
 
     @Override
@@ -192,7 +194,7 @@
   @Command(
       name = "join",
       mixinStandardHelpOptions = true,
-      description = "Has a gateway that has left be a member again, in a later incarnation.")
+      description = "Makes a gateway that has left a member again, with a new incarnation.")
   static final class Join extends ControlCommand {
 
     @Override
--- a/gateway/src/main/java/weldcross/cli/ClusterStatusTable.java
+++ b/gateway/src/main/java/weldcross/cli/ClusterStatusTable.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Help.TextTable;
 import weldcross.config.ConfigValues;
 
-/** Renders the cluster status of a gateway as text; columns have the names of the JSON's keys. */
+/** Renders the cluster status of a gateway as text; columns are named after the JSON keys. */
 final class ClusterStatusTable {
 
   private static final String ABSENT = "-";
@@ -18,7 +18,7 @@
   /**
    * Returns the lines of a status.
    *
-   * @param status the answer of the control endpoint, parsed
+   * @param status parsed response of the control endpoint
    */
   static List<String> lines(ConfigValues status) {
     List<String> lines = new ArrayList<>();
@@ -48,7 +48,7 @@
   private static String leader(ConfigValues status) {
     long ageMillis = status.integer("leader_age_ms", -1, -1);
     return ageMillis < 0
-        ? "no leader heard of"
+        ? "no known leader"
         : "leader " + status.text("leader", "?") + " as of " + ageMillis + " ms ago";
   }
 
--- a/gateway/src/main/java/weldcross/cli/ControlClient.java
+++ b/gateway/src/main/java/weldcross/cli/ControlClient.java
@@ -15,7 +15,7 @@
   private static final Duration TIMEOUT = Duration.ofSeconds(10);
   private static final int HTTP_OK = 200;
 
-  /** Thrown if the gateway does not answer, or rejects the request; the message says which. */
+  /** Thrown if the gateway does not respond or rejects the request; the message says which. */
   static final class RequestFailedException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -33,7 +33,7 @@
   /**
    * Creates a client.
    *
-   * @param address host and port of the endpoint
+   * @param address host and port of the control endpoint
    */
   ControlClient(String address) {
     this.address = address;
@@ -42,15 +42,15 @@
   /**
    * Sends a request without a body.
    *
-   * @return the body of the answer, a JSON object
-   * @throws RequestFailedException if there is no answer, or its status is not 200
+   * @return the response body, a JSON object
+   * @throws RequestFailedException if there is no response or its status is not 200
    */
   String request(String method, String path) throws RequestFailedException, InterruptedException {
     HttpResponse<String> response;
     try {
       response = send(method, path);
     } catch (IOException | IllegalArgumentException e) {
-      throw new RequestFailedException(address + " does not answer: " + e, e);
+      throw new RequestFailedException("no response from " + address + ": " + e, e);
     }
     if (response.statusCode() != HTTP_OK) {
       throw new RequestFailedException(parse(response.body()).text("fault", response.body()));
@@ -71,7 +71,7 @@
             HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8));
   }
 
-  /** Parses the body of an answer. */
+  /** Parses a response body. */
   static ConfigValues parse(String json) {
     return ConfigValues.ofJson(json.getBytes(StandardCharsets.UTF_8));
   }
--- a/gateway/src/main/java/weldcross/cli/ExtensionLoader.java
+++ b/gateway/src/main/java/weldcross/cli/ExtensionLoader.java
@@ -15,17 +15,17 @@
 import weldcross.membership.net.MembershipExtension;
 import weldcross.mesh.net.MeshExtension;
 
-/** Creates the extensions that a configuration file names; loaded only if there is such a file. */
+/** Creates the extensions that are configured by a file; loaded only if there is such a file. */
 final class ExtensionLoader {
 
   private ExtensionLoader() {}
 
   /**
-   * Creates the extensions of a file, in the order in which they start.
+   * Creates the extensions of a file in the order in which they start.
    *
    * @param file path of the extensions' TOML file
    * @param gateway configuration of the gateway
-   * @throws weldcross.config.InvalidConfigException if a value of the file cannot be used
+   * @throws weldcross.config.InvalidConfigException if a value of the file is invalid
    */
   static List<GatewayExtension> load(String file, GatewayConfig gateway) {
     ExtensionsConfig config = ExtensionsConfig.read(file, gateway);
@@ -65,8 +65,8 @@
   }
 
   /**
-   * Returns the wall clock: the system's, unless the class path provides another {@link
-   * InstantSource}, such as one with a clock error for a test.
+   * Returns the wall clock: the system clock, unless the class path provides another {@link
+   * InstantSource}, for example one that simulates a clock error in a test.
    */
   static Supplier<Instant> wallClock() {
     return ServiceLoader.load(InstantSource.class).findFirst().orElse(InstantSource.system())
--- a/gateway/src/main/java/weldcross/cli/LogFormatter.java
+++ b/gateway/src/main/java/weldcross/cli/LogFormatter.java
@@ -11,13 +11,13 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Formats a log record as one line, with the stack trace of an exception below it. */
+/** Formats a log record as one line, followed by the stack trace of its exception. */
 final class LogFormatter extends Formatter {
 
-  /** Referenced from here, as a logger that nothing references may lose its level. */
+  /** Strong reference: a logger that is garbage-collected loses its level. */
   private static final Logger MINA = Logger.getLogger("org.apache.mina");
 
-  /** Logs to standard error, in this format, from a level on. */
+  /** Configures logging to standard error in this format, at the given level and above. */
   static void install(Level level) {
     Logger root = Logger.getLogger("");
     for (Handler handler : root.getHandlers()) {
@@ -28,7 +28,7 @@
     handler.setFormatter(new LogFormatter());
     root.addHandler(handler);
     root.setLevel(level);
-    // MINA warns of every connection that is reset, which is ordinary here.
+    // MINA logs a warning for every connection reset, which is normal for a gateway.
     MINA.setLevel(Level.SEVERE);
   }
 
--- a/gateway/src/main/java/weldcross/cli/ServeCommand.java
+++ b/gateway/src/main/java/weldcross/cli/ServeCommand.java
@@ -7,15 +7,15 @@
 import weldcross.gateway.GatewayProcess;
 import weldcross.gateway.SelfTest;
 
-/** Runs a gateway in this process; loads no class of the command line's parser. */
+/** Runs a gateway in this process without loading classes of the command-line parser. */
 public final class ServeCommand {
 
   private ServeCommand() {}
 
   /**
-   * Serves, without extensions, as configured by the file that {@code NODE_CONFIG} names.
+   * Runs a gateway without extensions, configured by the file that {@code NODE_CONFIG} names.
    *
-   * @param logLevel the least severe level that is logged
+   * @param logLevel minimum level of logged messages
    * @return the exit status, once the gateway has stopped
    */
   public static int run(Level logLevel) {
@@ -28,9 +28,9 @@
   }
 
   /**
-   * Serves with extensions.
+   * Runs a gateway with extensions.
    *
-   * @param logLevel the least severe level that is logged
+   * @param logLevel minimum level of logged messages
    * @param extensionsFile path of the extensions' TOML file
    * @return the exit status, once the gateway has stopped
    */
@@ -48,7 +48,7 @@
   }
 
   /**
-   * Runs a gateway against fake servers, as {@link SelfTest} says.
+   * Runs a gateway against fake servers, as described in {@link SelfTest}.
    *
    * @param configFile path of the gateway's JSON file
    * @return the exit status
@@ -63,9 +63,9 @@
     }
   }
 
-  /** Prints what is wrong, in one line; returns the exit status. */
-  static int reportInvalid(Exception invalid) {
-    System.err.println("weldcross: " + invalid.getMessage());
+  /** Prints an error in one line; returns the exit status. */
+  static int reportInvalid(Exception error) {
+    System.err.println("weldcross: " + error.getMessage());
     return ExitStatus.INVALID_CONFIG;
   }
 }
--- a/gateway/src/main/java/weldcross/cli/WeldcrossCommand.java
+++ b/gateway/src/main/java/weldcross/cli/WeldcrossCommand.java
@@ -15,7 +15,7 @@
 import weldcross.simulator.SimulatorProtocolException;
 import weldcross.simulator.SimulatorSession;
 
-/** The command line; each way to run the program is a subcommand. */
+/** The command-line interface; each mode of the program is a subcommand. */
 @Command(
     name = "weldcross",
     description = "Routes reads and writes in a replicated store.",
@@ -26,9 +26,9 @@
       WeldcrossCommand.Serve.class,
       WeldcrossCommand.Check.class,
       WeldcrossCommand.SelfTest.class,
-      WeldcrossCommand.Rehearse.class,
+      WeldcrossCommand.SelfTestAlias.class,
       WeldcrossCommand.Simulate.class,
-      WeldcrossCommand.WireHost.class,
+      WeldcrossCommand.SimulateAlias.class,
       ClusterCommand.class,
       WeldcrossCommand.Version.class
     })
@@ -36,7 +36,7 @@
 
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-  /** Runs the command that the arguments name; returns the exit status. */
+  /** Runs the command given by the arguments; returns the exit status. */
   public static int run(String... args) {
     return new CommandLine(new WeldcrossCommand())
         .setExecutionExceptionHandler(
@@ -65,20 +65,20 @@
   @Command(
       name = "serve",
       mixinStandardHelpOptions = true,
-      description = "Serves as one gateway, configured by the file that NODE_CONFIG names.")
+      description = "Runs a gateway, configured by the file that NODE_CONFIG names.")
   static final class Serve implements Callable<Integer> {
 
     @Option(
         names = "--log",
         paramLabel = "LEVEL",
         defaultValue = "INFO",
-        description = "How much to log: SEVERE, WARNING, INFO, FINE (default: ${DEFAULT-VALUE}).")
+        description = "Log level: SEVERE, WARNING, INFO, FINE (default: ${DEFAULT-VALUE}).")
     private String level;
 
     @Option(
         names = "--with",
         paramLabel = "FILE",
-        description = "Configuration (TOML) of the extensions to load.")
+        description = "Configuration file (TOML) of the extensions to load.")
     private String extensionsFile;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -90,7 +90,7 @@
         parsed = Level.parse(level);
       } catch (IllegalArgumentException e) {
         throw new CommandLine.ParameterException(
-            spec.commandLine(), "--log: no such level: " + level);
+            spec.commandLine(), "--log: unknown level: " + level);
       }
       return extensionsFile == null
           ? ServeCommand.run(parsed)
@@ -102,20 +102,20 @@
       name = "check",
       mixinStandardHelpOptions = true,
       description =
-          "Reads a gateway's configuration and prints what it would serve, or which key is "
-              + "invalid.")
+          "Validates the configuration of a gateway and prints a summary, or the first invalid "
+              + "key.")
   static final class Check implements Callable<Integer> {
 
     @CommandLine.Parameters(
         arity = "0..1",
         paramLabel = "FILE",
-        description = "The configuration (default: the file that NODE_CONFIG names).")
+        description = "Configuration file (default: the file that NODE_CONFIG names).")
     private String configFile;
 
     @Option(
         names = "--with",
         paramLabel = "FILE",
-        description = "Configuration (TOML) of the extensions that would be loaded.")
+        description = "Configuration file (TOML) of the extensions to validate.")
     private String extensionsFile;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -137,11 +137,11 @@
       name = "self-test",
       mixinStandardHelpOptions = true,
       description =
-          "Starts a gateway on a loopback port of its own with fake servers, sends it a few "
-              + "requests, stops it.")
+          "Starts a gateway on a loopback port with fake servers, sends it a few requests and "
+              + "stops it.")
   static class SelfTest implements Callable<Integer> {
 
-    @CommandLine.Parameters(arity = "1", paramLabel = "FILE", description = "The configuration.")
+    @CommandLine.Parameters(arity = "1", paramLabel = "FILE", description = "Configuration file.")
     private String configFile;
 
     @Override
@@ -150,15 +150,14 @@
     }
   }
 
-  /** The former name of {@code self-test}. */
+  /** Deprecated name of {@code self-test}. */
   @Command(name = "rehearse", hidden = true)
-  static final class Rehearse extends SelfTest {}
+  static final class SelfTestAlias extends SelfTest {}
 
   @Command(
       name = "simulate",
       mixinStandardHelpOptions = true,
-      description =
-          "Runs many simulated gateways, driven by a simulator on standard input and output.")
+      description = "Runs simulated gateways, driven by a simulator on standard input and output.")
   static class Simulate implements Callable<Integer> {
 
     @Override
@@ -168,9 +167,9 @@
     }
   }
 
-  /** The former name of {@code simulate}. */
+  /** Deprecated name of {@code simulate}. */
   @Command(name = "wirehost", hidden = true)
-  static final class WireHost extends Simulate {}
+  static final class SimulateAlias extends Simulate {}
 
   @Command(name = "version", mixinStandardHelpOptions = true, description = "Prints the version.")
   static final class Version implements Callable<Integer> {
@@ -184,7 +183,7 @@
     }
   }
 
-  /** Provides the version that the build wrote to the jar. */
+  /** Provides the version that the build stored in the jar. */
   static final class BuildVersion implements IVersionProvider {
 
     @Override
@@ -192,7 +191,7 @@
       return new String[] {line()};
     }
 
-    /** Returns the program's name and version. */
+    /** Returns the name and version of the program. */
     static String line() {
       Properties build = new Properties();
       try (InputStream in =
--- a/gateway/src/main/java/weldcross/cli/package-info.java
+++ b/gateway/src/main/java/weldcross/cli/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The command line. Plain {@code serve} and {@code self-test FILE} are run by {@link
- * weldcross.cli.ServeCommand} without picocli, whose classes take time to load; everything else
- * goes through {@link weldcross.cli.WeldcrossCommand}.
+ * The command-line interface. {@code serve} without options and {@code self-test FILE} are run by
+ * {@link weldcross.cli.ServeCommand} without picocli, whose classes take time to load; all other
+ * commands are run by {@link weldcross.cli.WeldcrossCommand}.
  */
 package weldcross.cli;
--- a/gateway/src/main/java/weldcross/package-info.java
+++ b/gateway/src/main/java/weldcross/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A gateway that routes reads and writes of a replicated PostgreSQL-like store to its servers. This
- * package holds the entry point of the program; {@code docs/architecture.md} describes the others.
+ * A gateway that routes reads and writes to the servers of a replicated PostgreSQL-like store. This
+ * package contains the entry point; {@code docs/architecture.md} describes the other packages.
  */
 package weldcross;
--- a/gateway/src/test/java/weldcross/cli/ClusterStatusTableTest.java
+++ b/gateway/src/test/java/weldcross/cli/ClusterStatusTableTest.java
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void statusIsOneSummaryLineAndOneRowForEachGateway() {
+  void statusHasSummaryLineAndOneRowPerGateway() {
     assertEquals(
         List.of(
             "n0 of here/n0,n1: view 4, MEMBER, leader n1 as of 120 ms ago, share 0.5, "
@@ -37,16 +37,16 @@
   }
 
   @Test
-  void failedDiskHasItsOwnLine() {
+  void diskFailureHasItsOwnLine() {
     assertEquals(
         "disk: full", lines(STATUS.replace("\"disk\": \"\"", "\"disk\": \"full\"")).get(1));
   }
 
   @Test
-  void missingLeaderIsSaid() {
+  void unknownLeaderIsShownInSummary() {
     String summary =
         lines(STATUS.replace("\"leader_age_ms\": 120", "\"leader_age_ms\": -1")).get(0);
     assertEquals(
-        "n0 of here/n0,n1: view 4, MEMBER, no leader heard of, share 0.5, voter FOLLOWER", summary);
+        "n0 of here/n0,n1: view 4, MEMBER, no known leader, share 0.5, voter FOLLOWER", summary);
   }
 }
--- a/gateway/src/test/java/weldcross/cli/WeldcrossCommandTest.java
+++ b/gateway/src/test/java/weldcross/cli/WeldcrossCommandTest.java
@@ -23,9 +23,9 @@
 
 class WeldcrossCommandTest {
 
-  private final PrintStream out = System.out;
-  private final PrintStream err = System.err;
-  private final InputStream in = System.in;
+  private final PrintStream originalOut = System.out;
+  private final PrintStream originalErr = System.err;
+  private final InputStream originalIn = System.in;
   private final ByteArrayOutputStream standardOutput = new ByteArrayOutputStream();
   private final ByteArrayOutputStream standardError = new ByteArrayOutputStream();
 
@@ -37,13 +37,13 @@
 
   @AfterEach
   void restoreStreams() {
-    System.setOut(out);
-    System.setErr(err);
-    System.setIn(in);
+    System.setOut(originalOut);
+    System.setErr(originalErr);
+    System.setIn(originalIn);
   }
 
   @Test
-  void checkPrintsWhatWouldBeServed() {
+  void checkPrintsConfigurationSummary() {
     assertEquals(ExitStatus.OK, WeldcrossCommand.run("check", "deploy/example.json"));
     String text = standardOutput.toString(StandardCharsets.UTF_8);
     assertTrue(
@@ -52,8 +52,8 @@
   }
 
   @Test
-  void checkReportsInvalidKeyInOneLine(@TempDir Path folder) throws Exception {
-    Path file = folder.resolve("c.json");
+  void checkReportsInvalidKeyInOneLine(@TempDir Path directory) throws Exception {
+    Path file = directory.resolve("c.json");
     Files.writeString(
         file,
         Files.readString(Path.of("deploy/example.json"))
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void serveWithoutConfigurationFails() {
+  void serveWithoutConfigurationFileFails() {
     assertEquals(ExitStatus.INVALID_CONFIG, WeldcrossCommand.run("serve"));
     assertTrue(
         standardError.toString(StandardCharsets.UTF_8).contains("NODE_CONFIG: found nothing"));
@@ -79,7 +79,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"simulate", "wirehost"})
-  void simulatorIsAnsweredUnderBothNames(String command) {
+  void simulateSucceedsUnderBothNames(String command) {
     System.setIn(new ByteArrayInputStream("BATCH 1\nYOUR_TURN\n".getBytes(StandardCharsets.UTF_8)));
     assertEquals(ExitStatus.OK, WeldcrossCommand.run(command));
     assertEquals("YIELD\n", standardOutput.toString(StandardCharsets.UTF_8));
@@ -139,7 +139,7 @@
   }
 
   @Test
-  void usageHidesFormerCommandNames() {
+  void usageHidesDeprecatedCommandNames() {
     assertEquals(ExitStatus.OK, WeldcrossCommand.run("--help"));
     String usage = standardOutput.toString(StandardCharsets.UTF_8);
     assertTrue(usage.contains("self-test") && usage.contains("simulate"), usage);
