--- a/gateway/src/main/java/weldcross/config/ExtensionsConfigReader.java
+++ b/gateway/src/main/java/weldcross/config/ExtensionsConfigReader.java
@@ -258,7 +258,7 @@
       PeerName name = new PeerName(text);
       if (voters.contains(name) || (!name.equals(self) && !peers.contains(name))) {
         throw agreement.invalid(
-            "voters", "names of this gateway and of link.peers, each at most once");
+            "voters", "a list of distinct names of this gateway and of link.peers");
       }
       voters.add(name);
     }
--- a/gateway/src/test/java/weldcross/config/ExtensionsConfigTest.java
+++ b/gateway/src/test/java/weldcross/config/ExtensionsConfigTest.java
@@ -120,7 +120,7 @@
         "\"n2\", \"n0\", | \"n2\", |"
             + " agreement.voters (line 22): found 'n2,n1', allowed is 1, 3, 5 or 7",
         "\"n0\", \"n1\"] | \"n0\", \"n9\"] |"
-            + " allowed is names of this gateway and of link.peers, each at most once",
+            + " allowed is a list of distinct names of this gateway and of link.peers",
         "silence_s = 3 | silence_s = 0 | agreement.silence_s (line 23): found '0'",
         "silence_s = 3 | heartbeat_s = 2 | agreement.silence_s",
         "part = 300 | |"
