--- a/gateway/src/main/java/weldcross/mesh/net/IncarnationStore.java
+++ b/gateway/src/main/java/weldcross/mesh/net/IncarnationStore.java
@@ -73,7 +73,7 @@
 
   /** The number of writes that are not durable yet. */
   int pendingWrites() {
-    return log.queued();
+    return log.queuedWrites();
   }
 
   @Override
