--- a/chaos/src/main/java/weldcross/chaos/ChaosCluster.java
+++ b/chaos/src/main/java/weldcross/chaos/ChaosCluster.java
@@ -22,9 +22,10 @@
 import weldcross.fakes.ReplicatedStoreModel;
 
 /**
- * The hosts of one run: gateways as processes with directories and addresses of their own, fake
- * servers and discovery, and between all of them the proxy. Hosts are named n0, n1 (gateways), s0,
- * s1 (servers), {@code clients} and {@code discovery}.
+ * The hosts of one run: gateway processes, each with its own directory and address, fake servers,
+ * fake discovery, and a fault proxy on every network path between them. Gateways are named n0, n1,
+ * and so on, servers s0, s1, and so on; the other two hosts are {@code clients} and {@code
+ * discovery}.
  */
 public final class ChaosCluster implements AutoCloseable {
 
@@ -60,21 +61,21 @@
           });
 
   /**
-   * Creates the hosts of a run; starts all but the gateways.
+   * Creates the hosts of a run and starts all but the gateways.
    *
-   * @param scenario what is run
-   * @param seed of the proxy's losses
-   * @param directory of this run alone, created if absent
-   * @throws IOException if an address or a file cannot be had
+   * @param scenario the scenario to run
+   * @param seed seed of the proxy's random losses
+   * @param directory directory of this run, not shared with another; created if absent
+   * @throws IOException if an address cannot be bound or a file cannot be written
    */
   public ChaosCluster(Scenario scenario, long seed, Path directory) throws IOException {
     this(scenario, seed, directory, false);
   }
 
   /**
-   * Creates the hosts of a run; starts all but the gateways.
+   * Creates the hosts of a run and starts all but the gateways.
    *
-   * @param trustDisks whether voters are told that disks never lose what was forced
+   * @param trustDisks whether voters are configured to assume that disks never lose synced data
    */
   ChaosCluster(Scenario scenario, long seed, Path directory, boolean trustDisks)
       throws IOException {
@@ -91,7 +92,7 @@
     GatewayConfigWriter configs = new GatewayConfigWriter(scenario, trustDisks, proxy, gateways);
     for (GatewayNode gateway : gateways) {
       configs.writeConfig(gateway, startDiscovery(gateway).hostPort());
-      if (scenario.linked()) {
+      if (scenario.meshEnabled()) {
         configs.writeExtensions(gateway);
       }
     }
@@ -104,8 +105,8 @@
             "s" + number,
             number / scenario.serversPerGroup(),
             primary,
-            scenario.lag(),
-            scenario.service(),
+            scenario.replicaLag(),
+            scenario.serviceTime(),
             SERVER_WORKERS,
             subnet.host(SERVER_HOST),
             store,
@@ -125,7 +126,10 @@
         new GatewayNode(number, home, target.getAddress(), clientRoute, scenario, processes));
   }
 
-  /** Starts discovery as one gateway sees it; returns the route to it. */
+  /**
+   * Starts a discovery server for one gateway, which lists servers at the addresses of that
+   * gateway's routes through the proxy; returns the route to it.
+   */
   private Route startDiscovery(GatewayNode gateway) throws IOException {
     Map<String, Route> routes = new HashMap<>();
     for (FakePostgresServer server : servers.values()) {
@@ -138,12 +142,12 @@
     return proxy.openRoute(gateway.name(), DISCOVERY, discovery.address());
   }
 
-  /** Publishes a server in the endpoint list as it is now. */
+  /** Publishes the current state of a server in the endpoint list, as active. */
   void publish(FakePostgresServer server) {
     publishAs("active", server);
   }
 
-  /** Publishes that a server drains. */
+  /** Publishes a server in the endpoint list as draining. */
   void publishDraining(FakePostgresServer server) {
     publishAs("leaving", server);
   }
@@ -157,7 +161,7 @@
   /**
    * Starts all gateways and waits until they are ready.
    *
-   * @throws IOException if one is not ready in time
+   * @throws IOException if a gateway is not ready in time
    */
   public void start() throws IOException {
     for (GatewayNode gateway : gateways) {
@@ -169,9 +173,9 @@
   }
 
   /**
-   * Returns whether all gateways hold one membership view that names all of them.
+   * Returns whether all gateways have the same membership view and it contains all of them.
    *
-   * @return by the logs of their current processes
+   * @return true if the logs of their current processes show this
    */
   public boolean hasConverged() {
     List<String> views = gateways.stream().map(GatewayNode::lastView).distinct().toList();
@@ -181,9 +185,9 @@
   }
 
   /**
-   * Returns all gateways.
+   * Returns the gateways.
    *
-   * @return in the order of their numbers
+   * @return the gateways in order of their numbers
    */
   public List<GatewayNode> gateways() {
     return gateways;
@@ -192,7 +196,7 @@
   /**
    * Returns one gateway.
    *
-   * @param name "n" and its number
+   * @param name "n" followed by the gateway number
    * @return the gateway of that name
    */
   public GatewayNode gateway(String name) {
@@ -202,7 +206,7 @@
   /**
    * Returns one server.
    *
-   * @param name "s" and its number
+   * @param name "s" followed by the server number
    * @return the server of that name; null if there is none
    */
   public FakePostgresServer server(String name) {
@@ -219,7 +223,7 @@
   }
 
   /**
-   * Returns the data of all groups.
+   * Returns the data of all replica groups.
    *
    * @return the store that all servers share
    */
@@ -237,10 +241,10 @@
   }
 
   /**
-   * Returns all hosts but one.
+   * Returns the names of all hosts except one.
    *
-   * @param host the one that is left out
-   * @return the names of hosts that packets of this one may reach
+   * @param host the host to leave out
+   * @return the possible peers of this host
    */
   public List<String> hostsOtherThan(String host) {
     List<String> hosts = new ArrayList<>(servers.keySet());
--- a/chaos/src/main/java/weldcross/chaos/ChaosRun.java
+++ b/chaos/src/main/java/weldcross/chaos/ChaosRun.java
@@ -21,30 +21,32 @@
 import weldcross.chaos.scenario.Scenario;
 import weldcross.fakes.ReplicatedStoreModel;
 
-/** One run of a scenario: load, faults at their times, healing, and the history of all of it. */
+/** Runs a scenario: generates load, injects and heals faults on schedule, records the history. */
 public final class ChaosRun {
 
-  /** After a process is ready or a path open again, calls that were held are still answered. */
-  private static final Duration AFTERMATH = Duration.ofSeconds(3);
+  /** After healing, requests that were held back may still be answered late for this long. */
+  private static final Duration RECOVERY_PERIOD = Duration.ofSeconds(3);
 
   private static final Duration CONVERGENCE_TIMEOUT = Duration.ofSeconds(30);
   private static final long MIN_WAIT_NANOS = TimeUnit.MICROSECONDS.toNanos(100);
   private static final long MAX_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-  /** The end of a fault that is not healed yet. */
+  /**
+   * End of a fault that is not healed yet; half the range, so that adding a period cannot overflow.
+   */
   private static final long UNHEALED = Long.MAX_VALUE / 2;
 
-  /** A fault begins or ends. */
-  private record Step(Duration at, boolean begins, Fault fault) {}
+  /** The scheduled injection or healing of a fault. */
+  private record Event(Duration at, boolean injects, Fault fault) {}
 
   private final Scenario scenario;
   private final ChaosCluster cluster;
   private final FaultInjector injector;
   private final LoadGenerator load;
   private final long startNanos;
-  private final List<CompletableFuture<Void>> healing = new ArrayList<>();
+  private final List<CompletableFuture<Void>> healingTasks = new ArrayList<>();
 
-  /** Guards {@link #faults} and {@link #restarts}, which healing tasks write. */
+  /** Guards {@link #faults} and {@link #restarts}, which asynchronous healing tasks modify. */
   private final Object lock = new Object();
 
   private final List<History.FaultInterval> faults = new ArrayList<>();
@@ -59,20 +61,21 @@
   }
 
   /**
-   * Runs a scenario; its schedule is written to the directory before it begins, to be run again.
+   * Runs a scenario. Before the start, the schedule with all random faults is written to the
+   * directory, so that the run can be repeated.
    *
-   * @param scenario what to run
-   * @param seed of the faults drawn, the load and the proxy's losses
-   * @param directory of this run alone, created if absent
-   * @param progress is given how many seconds are over
-   * @return its history, checked against all rules
-   * @throws IOException if a gateway doesn't start, or is not there at the end
+   * @param scenario the scenario to run
+   * @param seed seed of the random faults, the load and the proxy's losses
+   * @param directory directory of this run, not shared with another; created if absent
+   * @param progress receives the number of elapsed seconds
+   * @return the history, checked against all rules
+   * @throws IOException if a gateway does not start or is not running at the end
    * @throws InterruptedException if the calling thread is interrupted
    */
   public static ChaosRunResult run(
       Scenario scenario, long seed, Path directory, IntConsumer progress)
       throws IOException, InterruptedException {
-    Scenario scheduled = scenario.with(new Nemesis(scenario, seed).faults());
+    Scenario scheduled = scenario.withFaults(new Nemesis(scenario, seed).faults());
     Files.createDirectories(directory);
     Files.writeString(
         directory.resolve("schedule.toml"), "# seed " + seed + "\n" + scheduled.toml());
@@ -104,12 +107,12 @@
   private History record(IntConsumer progress) throws IOException, InterruptedException {
     load.start(scenario.rate());
     runSchedule(progress);
-    for (CompletableFuture<Void> each : healing) {
-      each.join();
+    for (CompletableFuture<Void> task : healingTasks) {
+      task.join();
     }
     Long convergedAfterMillis = scenario.voters() == 0 ? null : awaitConvergence();
     load.stop();
-    requireAllAlive();
+    requireAllRunning();
     return new History(
         load.operations(),
         load.unexpectedMessages(),
@@ -120,34 +123,34 @@
         convergedAfterMillis);
   }
 
-  private List<Step> schedule() {
-    List<Step> steps = new ArrayList<>();
+  private List<Event> schedule() {
+    List<Event> events = new ArrayList<>();
     for (Fault fault : scenario.faults()) {
-      steps.add(new Step(fault.at(), true, fault));
-      steps.add(new Step(fault.until(), false, fault));
+      events.add(new Event(fault.at(), true, fault));
+      events.add(new Event(fault.healedAt(), false, fault));
     }
-    steps.sort(Comparator.comparing(Step::at));
-    return steps;
+    events.sort(Comparator.comparing(Event::at));
+    return events;
   }
 
   private void runSchedule(IntConsumer progress) throws IOException {
-    List<Step> steps = schedule();
-    long end = scenario.lasting().toNanos();
+    List<Event> events = schedule();
+    long end = scenario.duration().toNanos();
     int reportedSeconds = -1;
     for (long now = 0; now < end; now = elapsedNanos()) {
-      while (!steps.isEmpty() && steps.get(0).at().toNanos() <= now) {
-        take(steps.remove(0));
+      while (!events.isEmpty() && events.get(0).at().toNanos() <= now) {
+        process(events.remove(0));
       }
       int seconds = (int) TimeUnit.NANOSECONDS.toSeconds(now);
       if (seconds > reportedSeconds) {
         reportedSeconds = seconds;
         progress.accept(seconds);
       }
-      long next = steps.isEmpty() ? end : steps.get(0).at().toNanos();
+      long next = events.isEmpty() ? end : events.get(0).at().toNanos();
       LockSupport.parkNanos(Math.max(MIN_WAIT_NANOS, Math.min(next - now, MAX_WAIT_NANOS)));
     }
-    for (Step step : steps) {
-      take(step);
+    for (Event event : events) {
+      process(event);
     }
   }
 
@@ -155,24 +158,24 @@
     return cluster.clock().nanos() - startNanos;
   }
 
-  private void take(Step step) throws IOException {
-    if (step.begins()) {
-      begin(step.fault());
+  private void process(Event event) throws IOException {
+    if (event.injects()) {
+      inject(event.fault());
     } else {
-      // A process that stops or starts takes its time; other faults go on meanwhile.
-      healing.add(CompletableFuture.runAsync(() -> heal(step.fault())));
+      // Asynchronous, because a process restart takes seconds and must not delay other faults.
+      healingTasks.add(CompletableFuture.runAsync(() -> heal(event.fault())));
     }
   }
 
-  private void begin(Fault fault) throws IOException {
+  private void inject(Fault fault) throws IOException {
     long from = elapsedNanos();
-    injector.begin(fault);
+    injector.inject(fault);
     synchronized (lock) {
       faults.add(
           new History.FaultInterval(
               from,
               UNHEALED,
-              injector.excusedGateways(fault),
+              injector.unresponsiveGateways(fault),
               FaultInjector.closingGateways(fault),
               fault.describe()));
     }
@@ -180,7 +183,7 @@
 
   private void heal(Fault fault) {
     try {
-      injector.end(fault, scenario.lag());
+      injector.heal(fault, scenario.replicaLag());
       if (fault.kind().isOnGateway() && fault.kind() != Fault.Kind.DISK) {
         awaitRestart(fault);
       }
@@ -191,7 +194,7 @@
   }
 
   private void awaitRestart(Fault fault) throws IOException {
-    GatewayNode gateway = cluster.gateway(fault.on());
+    GatewayNode gateway = cluster.gateway(fault.host());
     gateway.awaitReady();
     long millis = TimeUnit.NANOSECONDS.toMillis(elapsedNanos());
     synchronized (lock) {
@@ -208,9 +211,9 @@
               index,
               new History.FaultInterval(
                   interval.from(),
-                  at + AFTERMATH.toNanos(),
-                  interval.hosts(),
-                  interval.closing(),
+                  at + RECOVERY_PERIOD.toNanos(),
+                  interval.unresponsiveGateways(),
+                  interval.closingGateways(),
                   interval.description()));
           return;
         }
@@ -218,23 +221,26 @@
     }
   }
 
-  /** Milliseconds from now until all gateways hold one view of all; -1 if that does not come. */
+  /**
+   * Waits until all gateways have the same membership view; returns milliseconds, -1 on time-out.
+   */
   private long awaitConvergence() {
     long from = System.nanoTime();
     try {
-      Await.until("all hold one view of all", CONVERGENCE_TIMEOUT, cluster::hasConverged);
+      Await.until(
+          "all gateways have the same membership view", CONVERGENCE_TIMEOUT, cluster::hasConverged);
       return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
     } catch (IOException e) {
       return -1;
     }
   }
 
-  private void requireAllAlive() throws IOException {
+  private void requireAllRunning() throws IOException {
     for (GatewayNode gateway : cluster.gateways()) {
       if (!gateway.process().isAlive()) {
         throw new IOException(
             gateway.name()
-                + " is not there at the end, status "
+                + " is not running at the end, exit status "
                 + gateway.process().exitStatus()
                 + ", see "
                 + gateway.log());
@@ -242,7 +248,7 @@
     }
   }
 
-  /** Returns all writes of a store, their times counted from the start of the load. */
+  /** Returns all writes of a store, with times relative to the start of the load. */
   static List<ReplicatedStoreModel.Commit> commitsSinceStart(
       ReplicatedStoreModel store, long startNanos) {
     return store.commits().stream()
@@ -260,7 +266,7 @@
         .toList();
   }
 
-  /** Returns all reads of a store, their times counted from the start of the load. */
+  /** Returns all reads of a store, with times relative to the start of the load. */
   static List<ReplicatedStoreModel.Read> readsSinceStart(
       ReplicatedStoreModel store, long startNanos) {
     return store.reads().stream()
--- a/chaos/src/main/java/weldcross/chaos/Directories.java
+++ b/chaos/src/main/java/weldcross/chaos/Directories.java
@@ -7,22 +7,22 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Copies and deletes directories with all they hold. */
+/** Copies and deletes directories recursively. */
 final class Directories {
 
   private Directories() {}
 
-  /** Replaces a directory by a copy of another; deletes it if there is no other. */
-  static void copy(Path from, Path to) throws IOException {
-    delete(to);
-    if (Files.exists(from)) {
-      for (Path path : walk(from)) {
-        Files.copy(path, to.resolve(from.relativize(path).toString()));
+  /** Replaces the target with a copy of the source; deletes it if the source does not exist. */
+  static void copy(Path source, Path target) throws IOException {
+    delete(target);
+    if (Files.exists(source)) {
+      for (Path path : walk(source)) {
+        Files.copy(path, target.resolve(source.relativize(path).toString()));
       }
     }
   }
 
-  /** Deletes a directory, if it exists. */
+  /** Deletes a directory with all its contents, if it exists. */
   static void delete(Path directory) throws IOException {
     if (Files.exists(directory)) {
       for (Path path : walk(directory).stream().sorted(Comparator.reverseOrder()).toList()) {
--- a/chaos/src/main/java/weldcross/chaos/FaultInjector.java
+++ b/chaos/src/main/java/weldcross/chaos/FaultInjector.java
@@ -9,7 +9,7 @@
 import weldcross.chaos.scenario.Fault;
 import weldcross.fakes.FakePostgresServer;
 
-/** Makes faults act on a cluster, and heals them. */
+/** Injects faults into a cluster and heals them. */
 final class FaultInjector {
 
   private static final Duration TERMINATION_TIMEOUT = Duration.ofSeconds(10);
@@ -22,37 +22,37 @@
   }
 
   /**
-   * Returns the gateways whose clients may get no answer because of a fault: their process dies or
-   * stands still, or nothing passes between it and them. All other faults a gateway has to answer
-   * for, in time.
+   * Returns the gateways whose clients may get no answer because of a fault: the gateway process is
+   * killed or paused, or the network path between it and its clients fails. Under all other faults
+   * a gateway must still answer in time.
    */
-  List<String> excusedGateways(Fault fault) {
+  List<String> unresponsiveGateways(Fault fault) {
     return switch (fault.kind()) {
-      case KILL, CLOCK, PAUSE -> List.of(fault.on());
+      case KILL, CLOCK, PAUSE -> List.of(fault.host());
       case TERM, DISK, SPLIT, SERVER_KILL, LAG, SERVER_STALL, ANSWERS_LOST -> List.of();
-      default -> excusedByNetworkFault(fault);
+      default -> gatewaysCutOffFromClients(fault);
     };
   }
 
-  /** Returns the gateways that close their connections in order because of a fault. */
+  /** Returns the gateways that close their connections gracefully because of a fault. */
   static List<String> closingGateways(Fault fault) {
-    return fault.kind() == Fault.Kind.TERM ? List.of(fault.on()) : List.of();
+    return fault.kind() == Fault.Kind.TERM ? List.of(fault.host()) : List.of();
   }
 
-  private List<String> excusedByNetworkFault(Fault fault) {
-    if (fault.on().equals(CLIENTS)) {
+  private List<String> gatewaysCutOffFromClients(Fault fault) {
+    if (fault.host().equals(CLIENTS)) {
       return peersOf(fault).stream().filter(host -> host.startsWith("n")).toList();
     }
-    return peersOf(fault).contains(CLIENTS) ? List.of(fault.on()) : List.of();
+    return peersOf(fault).contains(CLIENTS) ? List.of(fault.host()) : List.of();
   }
 
-  /** Begins a fault; returns once it acts. */
-  void begin(Fault fault) throws IOException {
+  /** Injects a fault; returns once it is in effect. */
+  void inject(Fault fault) throws IOException {
     switch (fault.kind()) {
       case KILL, CLOCK -> gateway(fault).process().kill();
       case TERM -> gateway(fault).process().terminate();
       case PAUSE -> gateway(fault).process().pause();
-      case DISK -> gateway(fault).setDiskFaults(fault.how());
+      case DISK -> gateway(fault).setDiskFaults(fault.details());
       case STALL -> changeBothWays(fault, path -> path.withHeld(true));
       case STALL_ONE_WAY -> changeOneWay(fault, path -> path.withHeld(true));
       case CUT -> changeBothWays(fault, path -> path.withCut(true));
@@ -60,34 +60,34 @@
       case RESET -> resetConnections(fault);
       case REFUSE -> refuseConnections(fault, true);
       case DELAY -> {
-        Duration delay = Duration.ofMillis(Long.parseLong(fault.how()));
+        Duration delay = Duration.ofMillis(Long.parseLong(fault.details()));
         changeBothWays(fault, path -> path.withImpairment(delay, 0, 0, 0));
       }
       case LOSS -> {
-        double share = Double.parseDouble(fault.how());
+        double ratio = Double.parseDouble(fault.details());
         changeBothWays(
-            fault, path -> path.withImpairment(Duration.ZERO, share, share / 2, share / 2));
+            fault, path -> path.withImpairment(Duration.ZERO, ratio, ratio / 2, ratio / 2));
       }
-      case SPLIT -> split(fault, true);
+      case SPLIT -> setPartition(fault, true);
       case SERVER_KILL -> server(fault).kill();
-      case LAG -> server(fault).setLag(Duration.ofMillis(Long.parseLong(fault.how())));
+      case LAG -> server(fault).setLag(Duration.ofMillis(Long.parseLong(fault.details())));
       case SERVER_STALL -> server(fault).setStalled(true);
       case ANSWERS_LOST -> server(fault).setLosingAnswers(true);
     }
   }
 
   /**
-   * Heals a fault; returns once that is begun, while processes may still be starting.
+   * Heals a fault. Does not wait until restarted processes are ready.
    *
-   * @param usualLag the lag of replicas without a fault
+   * @param normalLag the lag of replicas without a fault
    */
-  void end(Fault fault, Duration usualLag) throws IOException {
+  void heal(Fault fault, Duration normalLag) throws IOException {
     switch (fault.kind()) {
       case KILL -> {
-        gateway(fault).restoreRecords(fault.how());
+        gateway(fault).restoreRecords(fault.details());
         gateway(fault).start();
       }
-      case CLOCK -> startWithClockOffset(gateway(fault), Long.parseLong(fault.how()));
+      case CLOCK -> startWithClockOffset(gateway(fault), Long.parseLong(fault.details()));
       case TERM -> {
         gateway(fault).process().awaitExit(TERMINATION_TIMEOUT);
         gateway(fault).process().kill();
@@ -102,26 +102,26 @@
       case REFUSE -> refuseConnections(fault, false);
       case DELAY, LOSS ->
           changeBothWays(fault, path -> path.withImpairment(Duration.ZERO, 0, 0, 0));
-      case SPLIT -> split(fault, false);
+      case SPLIT -> setPartition(fault, false);
       case SERVER_KILL -> {
         server(fault).start();
         cluster.publish(server(fault));
       }
-      case LAG -> server(fault).setLag(usualLag);
+      case LAG -> server(fault).setLag(normalLag);
       case SERVER_STALL -> server(fault).setStalled(false);
       case ANSWERS_LOST -> server(fault).setLosingAnswers(false);
       case RESET -> {
-        // It acts in an instant and needs no healing.
+        // Instantaneous, nothing to heal.
       }
     }
   }
 
   private GatewayNode gateway(Fault fault) {
-    return cluster.gateway(fault.on());
+    return cluster.gateway(fault.host());
   }
 
   private FakePostgresServer server(Fault fault) {
-    return cluster.server(fault.on());
+    return cluster.server(fault.host());
   }
 
   private static void startWithClockOffset(GatewayNode gateway, long offsetMillis)
@@ -131,33 +131,33 @@
     gateway.setClockOffsetMillis(0);
   }
 
-  /** The hosts at the other end of a network fault. */
+  /** Returns the hosts at the other end of a network fault. */
   private List<String> peersOf(Fault fault) {
-    return fault.to().equals("*") ? cluster.hostsOtherThan(fault.on()) : List.of(fault.to());
+    return fault.peer().equals("*") ? cluster.hostsOtherThan(fault.host()) : List.of(fault.peer());
   }
 
   private void resetConnections(Fault fault) {
     for (String peer : peersOf(fault)) {
-      cluster.proxy().resetConnections(fault.on(), peer);
+      cluster.proxy().resetConnections(fault.host(), peer);
     }
   }
 
-  private void refuseConnections(Fault fault, boolean on) {
+  private void refuseConnections(Fault fault, boolean refuse) {
     for (String peer : peersOf(fault)) {
-      cluster.proxy().refuseConnections(fault.on(), peer, on);
+      cluster.proxy().refuseConnections(fault.host(), peer, refuse);
     }
   }
 
   private void changeOneWay(Fault fault, UnaryOperator<NetworkPath> change) {
     for (String peer : peersOf(fault)) {
-      changePath(fault.on(), peer, change);
+      changePath(fault.host(), peer, change);
     }
   }
 
   private void changeBothWays(Fault fault, UnaryOperator<NetworkPath> change) {
     for (String peer : peersOf(fault)) {
-      changePath(fault.on(), peer, change);
-      changePath(peer, fault.on(), change);
+      changePath(fault.host(), peer, change);
+      changePath(peer, fault.host(), change);
     }
   }
 
@@ -165,27 +165,30 @@
     cluster.proxy().setPath(from, to, change.apply(cluster.proxy().path(from, to)));
   }
 
-  /** Cuts gateways off that share no side; a name may stand on several sides. */
-  private void split(Fault fault, boolean on) {
+  /**
+   * Cuts or restores the paths between gateways that have no side of the partition in common. A
+   * gateway may be on several sides.
+   */
+  private void setPartition(Fault fault, boolean cut) {
     List<List<String>> sides = new ArrayList<>();
-    for (String side : fault.how().split("\\|", -1)) {
+    for (String side : fault.details().split("\\|", -1)) {
       sides.add(List.of(side.split(",", -1)));
     }
     for (GatewayNode gateway : cluster.gateways()) {
       for (GatewayNode peer : cluster.gateways()) {
-        if (gateway != peer && areApart(sides, gateway.name(), peer.name())) {
-          changePath(gateway.name(), peer.name(), path -> path.withCut(on));
+        if (gateway != peer && arePartitioned(sides, gateway.name(), peer.name())) {
+          changePath(gateway.name(), peer.name(), path -> path.withCut(cut));
         }
       }
     }
   }
 
-  private static boolean areApart(List<List<String>> sides, String gateway, String peer) {
-    boolean bothNamed =
+  private static boolean arePartitioned(List<List<String>> sides, String gateway, String peer) {
+    boolean bothListed =
         sides.stream().anyMatch(side -> side.contains(gateway))
             && sides.stream().anyMatch(side -> side.contains(peer));
-    boolean together =
+    boolean onSameSide =
         sides.stream().anyMatch(side -> side.contains(gateway) && side.contains(peer));
-    return bothNamed && !together;
+    return bothListed && !onSameSide;
   }
 }
--- a/chaos/src/main/java/weldcross/chaos/GatewayConfigWriter.java
+++ b/chaos/src/main/java/weldcross/chaos/GatewayConfigWriter.java
@@ -10,12 +10,12 @@
 import weldcross.chaos.proxy.FaultProxy;
 import weldcross.chaos.scenario.Scenario;
 
-/** Writes the configuration of the gateways of a run. */
+/** Writes the configuration files of the gateways of a run. */
 final class GatewayConfigWriter {
 
   private static final String CLUSTER = "trial";
 
-  /** What a gateway's weights add up to over all gateways. */
+  /** Sum of the traffic weights of all gateways. */
   private static final int TOTAL_WEIGHT = 1000;
 
   private final Scenario scenario;
@@ -26,9 +26,9 @@
   /**
    * Creates a writer.
    *
-   * @param scenario what is run
-   * @param trustDisks whether voters are told that disks never lose what was forced
-   * @param proxy between the gateways
+   * @param scenario the scenario to run
+   * @param trustDisks whether voters are configured to assume that disks never lose synced data
+   * @param proxy the proxy between the gateways
    * @param gateways all gateways of the run
    */
   GatewayConfigWriter(
@@ -39,8 +39,8 @@
     this.gateways = gateways;
   }
 
-  /** Writes the configuration of a gateway that finds discovery at an address. */
-  void writeConfig(GatewayNode gateway, String discovery) throws IOException {
+  /** Writes the main configuration of a gateway, with the address of its discovery server. */
+  void writeConfig(GatewayNode gateway, String discoveryAddress) throws IOException {
     List<RequestType> types = List.of(RequestType.values());
     String config =
         String.format(
@@ -61,7 +61,7 @@
             gateway.name(),
             gateway.host().getHostAddress(),
             GatewayNode.CLIENT_PORT,
-            discovery,
+            discoveryAddress,
             7919L * (gateway.number() + 1),
             scenario.gateways(),
             join(types.stream().map(GatewayConfigWriter::category).toList()),
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Writes the extensions of a gateway: its mesh, with a route of its own to each other gateway,
-   * membership, and consensus if the scenario has voters.
+   * Writes the extension configuration of a gateway: the mesh, with a separate proxy route to each
+   * peer, membership, and consensus if the scenario has voters.
    */
   void writeExtensions(GatewayNode gateway) throws IOException {
     StringBuilder toml = new StringBuilder();
--- a/chaos/src/main/java/weldcross/chaos/GatewayNode.java
+++ b/chaos/src/main/java/weldcross/chaos/GatewayNode.java
@@ -5,6 +5,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.net.URISyntaxException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -27,7 +28,10 @@
 import weldcross.chaos.proxy.Route;
 import weldcross.chaos.scenario.Scenario;
 
-/** One gateway of a run, through all its processes: its home directory, its log and its records. */
+/**
+ * One gateway of a run. The home directory, the log and the stored records outlive its processes,
+ * which are started one after another.
+ */
 public final class GatewayNode {
 
   static final int CLIENT_PORT = 6543;
@@ -36,13 +40,13 @@
   private static final Duration READY_TIMEOUT = Duration.ofSeconds(30);
   private static final int CONNECT_TIMEOUT_MILLIS = 200;
 
-  /** The line with which the log of each process begins. */
+  /** The first phase change, which each process logs exactly once. */
   private static final String FIRST_PHASE_CHANGE = "STARTING to LISTENING";
 
   private static final Pattern VIEW_LINE =
       Pattern.compile("consensus: view in force: view=(\\d+) members=\\[(.*)\\]");
 
-  /** The system property that names another build of the gateway. */
+  /** System property with the path of the gateway JAR, if it is not the default one. */
   static final String JAR_PROPERTY = "weldcross.jar";
 
   private static final String DEFAULT_JAR = "gateway/target/weldcross.jar";
@@ -62,14 +66,14 @@
   private long clockOffsetMillis;
 
   /**
-   * Creates a node whose process is not started.
+   * Creates a node without starting its process.
    *
-   * @param number from 0; its name is "n" and this number
-   * @param home its directory, which exists
-   * @param host the address it listens on
-   * @param clientRoute the route by which clients reach it
-   * @param scenario what is run
-   * @param processes where its processes are started
+   * @param number number of the gateway, from 0; its name is "n" followed by the number
+   * @param home existing home directory
+   * @param host address on which the gateway listens
+   * @param clientRoute proxy route from clients to the gateway
+   * @param scenario the scenario to run
+   * @param processes starts the gateway processes
    */
   GatewayNode(
       int number,
@@ -92,9 +96,9 @@
   }
 
   /**
-   * Returns its name.
+   * Returns the name of the gateway.
    *
-   * @return "n" and its number
+   * @return "n" followed by the gateway number
    */
   public String name() {
     return name;
@@ -117,16 +121,16 @@
   }
 
   /**
-   * Returns its current process.
+   * Returns the current process.
    *
-   * @return the process started last; null before the first start
+   * @return the most recently started process; null before the first start
    */
   public ManagedProcess process() {
     return process;
   }
 
   /**
-   * Returns its log, which all its processes share.
+   * Returns the log file, to which all processes of this gateway append.
    *
    * @return a file that may not exist yet
    */
@@ -135,7 +139,7 @@
   }
 
   /**
-   * Returns the directory in which its extensions keep their records.
+   * Returns the directory in which the gateway's extensions store their records.
    *
    * @return a directory that may not exist yet
    */
@@ -144,10 +148,10 @@
   }
 
   /**
-   * Sets the faults of its disk from now on.
+   * Sets the disk faults of the gateway, with immediate effect.
    *
-   * @param faults words of {@link LyingStorageDirectory}; empty for none
-   * @throws IOException if they cannot be written
+   * @param faults fault names as defined by {@link LyingStorageDirectory}; empty for none
+   * @throws IOException if the fault file cannot be written
    */
   public void setDiskFaults(String faults) throws IOException {
     Path next = home.resolve(DISK_FAULTS_FILE + ".next");
@@ -156,16 +160,16 @@
   }
 
   /**
-   * Sets how far the wall clock of its next process is off.
+   * Sets the wall clock offset of processes started from now on.
    *
-   * @param millis above zero for a clock that is fast
+   * @param millis offset; positive if the clock is ahead
    */
   public void setClockOffsetMillis(long millis) {
     clockOffsetMillis = millis;
   }
 
   /**
-   * Returns where clients connect to it.
+   * Returns the address to which clients connect.
    *
    * @return an address of the proxy
    */
@@ -173,22 +177,22 @@
     return clientRoute.address();
   }
 
-  /** Returns where it listens for clients itself, past the proxy. */
+  /** Returns the client address of the gateway itself, which bypasses the proxy. */
   InetSocketAddress directAddress() {
     return new InetSocketAddress(host, CLIENT_PORT);
   }
 
   /**
-   * Returns its control endpoint.
+   * Returns the address of the control endpoint.
    *
-   * @return host and port, with a colon between
+   * @return host and port, separated by a colon
    */
   public String controlAddress() {
     return host.getHostAddress() + ":" + CONTROL_PORT;
   }
 
   /**
-   * Returns how often its process was started.
+   * Returns how many processes of this gateway were started.
    *
    * @return zero before the first start
    */
@@ -197,9 +201,9 @@
   }
 
   /**
-   * Starts its process.
+   * Starts a process.
    *
-   * @throws IOException if it cannot be started
+   * @throws IOException if the process cannot be started
    */
   public void start() throws IOException {
     startCount++;
@@ -218,24 +222,24 @@
     command.add("-Xss256k");
     command.add("-Djdk.nio.maxCachedBufferSize=262144");
     command.add("-Dslf4j.provider=org.slf4j.jul.JULServiceProvider");
-    if (scenario.linked()) {
+    if (scenario.meshEnabled()) {
       command.add("-D" + LyingStorageDirectory.FAULTS_FILE + "=" + home.resolve(DISK_FAULTS_FILE));
       command.add("-D" + ShiftedClock.OFFSET_MILLIS + "=" + clockOffsetMillis);
       command.add("-cp");
-      command.add(jar() + ":" + ownClasses());
+      command.add(jar() + ":" + agentClassPath());
       command.add("weldcross.Main");
       command.add("serve");
       command.add("--log");
-      command.add(scenario.log());
+      command.add(scenario.logLevel());
       command.add("--with");
       command.add(extensionsFile().toString());
     } else {
       command.add("-jar");
       command.add(jar());
       command.add("serve");
-      if (!scenario.log().equals("INFO")) {
+      if (!scenario.logLevel().equals("INFO")) {
         command.add("--log");
-        command.add(scenario.log());
+        command.add(scenario.logLevel());
       }
     }
     return command;
@@ -245,21 +249,21 @@
     return Path.of(System.getProperty(JAR_PROPERTY, DEFAULT_JAR)).toAbsolutePath().toString();
   }
 
-  /** The classes of this module, for what works within a gateway. */
-  private static String ownClasses() {
+  /** Returns the class path of this module, whose agent classes run inside the gateway process. */
+  private static String agentClassPath() {
     try {
       return Path.of(GatewayNode.class.getProtectionDomain().getCodeSource().getLocation().toURI())
           .toString();
-    } catch (java.net.URISyntaxException e) {
+    } catch (URISyntaxException e) {
       throw new IllegalStateException(e);
     }
   }
 
   /**
-   * Waits until it is ready.
+   * Waits until the gateway is ready.
    *
    * @throws IOException if it is not ready in time
-   * @throws IllegalStateException if its process ends before
+   * @throws IllegalStateException if its process ends first
    */
   public void awaitReady() throws IOException {
     ManagedProcess awaited = process;
@@ -269,16 +273,20 @@
         () -> {
           if (!awaited.isAlive()) {
             throw new IllegalStateException(
-                name + " ended with " + awaited.exitStatus() + ", see " + log());
+                name
+                    + " exited before it was ready, status "
+                    + awaited.exitStatus()
+                    + ", see "
+                    + log());
           }
           return isReady();
         });
   }
 
   /**
-   * Asks it at its own address, past the proxy.
+   * Checks readiness with an empty query, sent to the gateway directly and not through the proxy.
    *
-   * @return whether it answers an empty query
+   * @return whether the gateway answers the query
    */
   public boolean isReady() {
     try (Socket socket = new Socket()) {
@@ -313,9 +321,9 @@
   }
 
   /**
-   * Returns the view that its current process logged last.
+   * Returns the latest membership view in the log of the current process.
    *
-   * @return its number and members; empty if the process has logged none
+   * @return number and members of the view; empty if the process has logged none
    */
   String lastView() {
     List<History.ReportedView> views = views();
@@ -334,7 +342,7 @@
     }
   }
 
-  /** Returns all views that it has logged. */
+  /** Returns all membership views in the log, in order. */
   List<History.ReportedView> views() {
     List<History.ReportedView> views = new ArrayList<>();
     int processNumber = 0;
@@ -348,26 +356,26 @@
         }
       }
     } catch (IOException e) {
-      // It has not logged anything yet.
+      // The log does not exist yet.
     }
     return views;
   }
 
   /**
-   * Copies its records, to be gone back to.
+   * Copies the stored records, so that they can be restored later.
    *
-   * @throws IOException if they cannot be copied
+   * @throws IOException if the records cannot be copied
    */
   public void copyRecords() throws IOException {
     Directories.copy(records(), home.resolve(RECORDS_COPY));
   }
 
   /**
-   * Sets what its next process finds of its records.
+   * Prepares the stored records that the next process will find.
    *
-   * @param age {@code old} or empty for as they are, {@code earlier} for as they were copied,
-   *     anything else for none
-   * @throws IOException if they cannot be replaced
+   * @param age {@code old} or an empty string to leave them unchanged, {@code earlier} to restore
+   *     the last copy, anything else to delete them
+   * @throws IOException if the records cannot be replaced
    */
   public void restoreRecords(String age) throws IOException {
     if (age.equals("old") || age.isEmpty()) {
--- a/chaos/src/main/java/weldcross/chaos/GatewayStopper.java
+++ b/chaos/src/main/java/weldcross/chaos/GatewayStopper.java
@@ -12,18 +12,19 @@
 import weldcross.chaos.soak.ProcessExit;
 
 /**
- * Stops gateways as a platform does: SIGTERM, for a moment more new connections, SIGKILL at the
- * earliest moment that the protocol page allows.
+ * Stops gateways as a platform does: sends SIGTERM, keeps opening new connections for a moment, and
+ * sends SIGKILL at the end of the shortest grace period that the protocol allows.
  */
 final class GatewayStopper {
 
-  /** The longest deadline counts as this long where it is longer. */
+  /** Upper limit of the request deadline that the grace period takes into account. */
   private static final Duration MAX_COUNTED_DEADLINE = Duration.ofSeconds(3);
 
+  /** Part of the grace period that is added to the longest deadline. */
   private static final Duration AFTER_DEADLINE = Duration.ofMillis(700);
 
-  /** How long after SIGTERM new connections keep coming. */
-  private static final Duration CONNECTING_TIME = Duration.ofMillis(300);
+  /** How long clients keep opening connections after SIGTERM. */
+  private static final Duration NEW_CONNECTIONS_PERIOD = Duration.ofMillis(300);
 
   private final PersistentClients clients;
   private final LongSupplier clock;
@@ -31,15 +32,16 @@
   /**
    * Creates a stopper.
    *
-   * @param clock nanoseconds since the load began
+   * @param clients the clients of the gateways
+   * @param clock nanoseconds since the start of the load
    */
   GatewayStopper(PersistentClients clients, LongSupplier clock) {
     this.clients = clients;
     this.clock = clock;
   }
 
-  /** Returns the time from SIGTERM to the earliest SIGKILL. */
-  static Duration killDelay() {
+  /** Returns the grace period: the time from SIGTERM to the earliest SIGKILL. */
+  static Duration gracePeriod() {
     Duration longest =
         Stream.of(RequestType.values()).map(RequestType::deadline).max(Duration::compareTo).get();
     Duration counted = longest.compareTo(MAX_COUNTED_DEADLINE) < 0 ? longest : MAX_COUNTED_DEADLINE;
@@ -47,19 +49,20 @@
   }
 
   /**
-   * Stops a process; returns when it has ended.
+   * Stops the current process of a gateway and waits until it has ended.
    *
-   * @param pauses before each SIGTERM
-   * @param reload whether each SIGTERM has a SIGHUP just before it
+   * @param gateway the gateway to stop
+   * @param pauses the pause before each SIGTERM, one for each signal
+   * @param reload whether to send SIGHUP immediately before each SIGTERM
    * @param starting whether the process may not be ready yet
    */
   ProcessExit stop(GatewayNode gateway, List<Duration> pauses, boolean reload, boolean starting)
       throws IOException {
     ManagedProcess process = gateway.process();
-    Duration termAt = null;
+    Duration sigtermAt = null;
     for (Duration pause : pauses) {
       LockSupport.parkNanos(pause.toNanos());
-      if (termAt == null && !process.isAlive()) {
+      if (sigtermAt == null && !process.isAlive()) {
         return new ProcessExit(
             gateway.name(), null, now(), false, process.exitStatus().orElse(-1), starting);
       }
@@ -67,20 +70,20 @@
         process.hangUp();
       }
       process.terminate();
-      termAt = termAt == null ? now() : termAt;
+      sigtermAt = sigtermAt == null ? now() : sigtermAt;
     }
-    waitUntil(termAt.plus(CONNECTING_TIME));
+    waitUntil(sigtermAt.plus(NEW_CONNECTIONS_PERIOD));
     clients.forbidConnecting(gateway.number());
-    Duration left = termAt.plus(killDelay()).minus(now());
-    boolean ended = process.awaitExit(left.isNegative() ? Duration.ZERO : left);
+    Duration remaining = sigtermAt.plus(gracePeriod()).minus(now());
+    boolean ended = process.awaitExit(remaining.isNegative() ? Duration.ZERO : remaining);
     if (!ended) {
       process.kill();
     }
     int status = ended ? process.exitStatus().orElse(-1) : 0;
-    return new ProcessExit(gateway.name(), termAt, now(), !ended, status, starting);
+    return new ProcessExit(gateway.name(), sigtermAt, now(), !ended, status, starting);
   }
 
-  /** Starts a process; clients connect to it as soon as it listens. */
+  /** Starts a process of a gateway; clients connect to it as soon as it listens. */
   void start(GatewayNode gateway) throws IOException {
     gateway.start();
     clients.processStarted(gateway.number());
@@ -90,8 +93,8 @@
     return Duration.ofNanos(clock.getAsLong());
   }
 
-  private void waitUntil(Duration when) {
-    for (Duration left = when.minus(now()); !left.isNegative(); left = when.minus(now())) {
+  private void waitUntil(Duration time) {
+    for (Duration left = time.minus(now()); !left.isNegative(); left = time.minus(now())) {
       LockSupport.parkNanos(Math.max(1, left.toNanos()));
     }
   }
--- a/chaos/src/main/java/weldcross/chaos/Main.java
+++ b/chaos/src/main/java/weldcross/chaos/Main.java
@@ -10,7 +10,6 @@
 import java.time.format.DateTimeFormatter;
 import java.util.List;
 import java.util.concurrent.Callable;
-import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 import me.tongfei.progressbar.ProgressBar;
 import me.tongfei.progressbar.ProgressBarBuilder;
@@ -28,7 +27,7 @@
 import weldcross.chaos.scenario.Scenario;
 import weldcross.config.InvalidConfigException;
 
-/** The command line of the chaos runs. */
+/** Command line of the chaos test tool. */
 @Command(
     name = "weldcross-chaos",
     mixinStandardHelpOptions = true,
@@ -37,20 +36,20 @@
     synopsisSubcommandLabel = "COMMAND")
 public final class Main implements Runnable {
 
-  /** Exit status: all rules were kept. */
+  /** Exit status: no rule was violated. */
   static final int CLEAN = 0;
 
-  /** Exit status: a rule was broken. */
+  /** Exit status: a rule was violated. */
   static final int VIOLATION = 1;
 
-  /** Exit status: the command line or a scenario cannot be used. */
+  /** Exit status: the command line or a scenario is invalid. */
   static final int USAGE = 2;
 
   /** Exit status: the scenario could not be run. */
   static final int INTERNAL_ERROR = 70;
 
-  /** So many violations are printed with their log lines. */
-  private static final int MAX_PRINTED_VIOLATIONS = 5;
+  /** Number of violations that are printed, each with its log lines. */
+  static final int MAX_PRINTED_VIOLATIONS = 5;
 
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -89,7 +88,7 @@
   @Command(
       name = "run",
       mixinStandardHelpOptions = true,
-      description = "Runs a scenario; exits with 1 if a rule was broken.")
+      description = "Runs a scenario; exits with 1 if a rule was violated.")
   static final class Run implements Callable<Integer> {
 
     private static final DateTimeFormatter DIRECTORY_TIME =
@@ -98,36 +97,40 @@
     @Parameters(
         arity = "1",
         paramLabel = "SCENARIO",
-        description = "A TOML file, or a schedule written by a run.")
+        description = "A scenario file (TOML), or the schedule.toml of an earlier run.")
     private String file;
 
     @Option(
         names = "--seed",
         defaultValue = "1",
-        description = "Of the first run (default: ${DEFAULT-VALUE}).")
+        description = "Seed of the first run (default: ${DEFAULT-VALUE}).")
     private long seed;
 
-    @Option(names = "--times", defaultValue = "1", description = "Runs, each with the next seed.")
+    @Option(
+        names = "--times",
+        defaultValue = "1",
+        description = "Number of runs; each uses the next seed.")
     private int times;
 
-    @Option(names = "--seconds", description = "In place of the scenario's.")
+    @Option(names = "--seconds", description = "Duration of a run; overrides that of the scenario.")
     private Integer seconds;
 
     @Option(
         names = "--out",
         defaultValue = "target/trials",
-        description = "Where runs leave their directories.")
+        description = "Parent of the run directories (default: ${DEFAULT-VALUE}).")
     private Path out;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-      Scenario read = Scenario.read(file);
-      Scenario scenario = seconds == null ? read : read.lasting(Duration.ofSeconds(seconds));
+      Scenario fromFile = Scenario.read(file);
+      Scenario scenario =
+          seconds == null ? fromFile : fromFile.withDuration(Duration.ofSeconds(seconds));
       int status = CLEAN;
-      for (long next = seed; next < seed + times; next++) {
-        status = Math.max(status, runOnce(scenario, next));
+      for (long runSeed = seed; runSeed < seed + times; runSeed++) {
+        status = Math.max(status, runOnce(scenario, runSeed));
       }
       return status;
     }
@@ -152,10 +155,10 @@
 
     private static ProgressBar progressBar(Scenario scenario) {
       return new ProgressBarBuilder()
-          .setTaskName("runs")
+          .setTaskName("running")
           .setUnit(" s", 1)
           .setStyle(ProgressBarStyle.ASCII)
-          .setInitialMax(scenario.lasting().toSeconds())
+          .setInitialMax(scenario.duration().toSeconds())
           .setUpdateIntervalMillis(1000)
           .build();
     }
@@ -164,18 +167,11 @@
   private static void printViolations(ChaosRunResult result, Path directory, PrintWriter terminal)
       throws IOException {
     List<HistoryChecker.Violation> violations = result.violations();
-    terminal.println(violations.isEmpty() ? "no rule broken" : violations.size() + " VIOLATIONS");
+    terminal.println(violations.isEmpty() ? "no violations" : violations.size() + " violations");
     for (HistoryChecker.Violation violation :
         violations.subList(0, Math.min(MAX_PRINTED_VIOLATIONS, violations.size()))) {
-      terminal.println(
-          violation.rule().description()
-              + ": "
-              + violation.rpc()
-              + " at "
-              + TimeUnit.NANOSECONDS.toMillis(violation.at())
-              + " ms, "
-              + violation.description());
-      for (String line : GatewayLogs.linesOf(directory, violation.rpc())) {
+      terminal.println(violation.describe());
+      for (String line : GatewayLogs.linesFor(directory, violation.rpc())) {
         terminal.println("    " + line);
       }
     }
@@ -196,8 +192,9 @@
     @Override
     public Integer call() throws IOException {
       try (Stream<Path> files = Files.list(directory)) {
-        for (Path file : files.filter(f -> f.toString().endsWith(".toml")).sorted().toList()) {
-          print(file, Scenario.read(file.toString()));
+        for (Path path :
+            files.filter(file -> file.toString().endsWith(".toml")).sorted().toList()) {
+          print(path, Scenario.read(path.toString()));
         }
       }
       return CLEAN;
@@ -207,24 +204,24 @@
       spec.commandLine()
           .getOut()
           .printf(
-              "%-44s %4d s, %d gateways, %d servers, %d requests a second: %s%n",
+              "%-44s %4d s, %d gateways, %d servers, %d requests per second: %s%n",
               file,
-              scenario.lasting().toSeconds(),
+              scenario.duration().toSeconds(),
               scenario.gateways(),
               scenario.groups() * scenario.serversPerGroup(),
               scenario.rate(),
-              scenario.about());
+              scenario.description());
     }
   }
 
-  /** Checks the stored history of a run again. */
+  /** Checks the stored history of a run again and rewrites its report. */
   @Command(
       name = "report",
       mixinStandardHelpOptions = true,
-      description = "Checks the stored history of a run again and writes its report anew.")
+      description = "Checks the stored history of a run again and rewrites its report.")
   static final class Report implements Callable<Integer> {
 
-    @Parameters(arity = "1", paramLabel = "DIRECTORY", description = "Of a run.")
+    @Parameters(arity = "1", paramLabel = "DIRECTORY", description = "A run directory.")
     private Path directory;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
--- a/chaos/src/main/java/weldcross/chaos/SoakCommand.java
+++ b/chaos/src/main/java/weldcross/chaos/SoakCommand.java
@@ -12,37 +12,38 @@
 import weldcross.chaos.history.HistoryChecker.Violation;
 import weldcross.chaos.soak.SoakPlan;
 
-/** Runs soaks, each drawn by a seed. */
+/** Runs soak tests, each with a random plan generated from a seed. */
 @Command(
     name = "soak",
     mixinStandardHelpOptions = true,
-    description = "Runs gateways through series of signals and troubles that a seed draws.")
+    description = "Runs soak tests: random signals and faults, generated from a seed.")
 final class SoakCommand implements Callable<Integer> {
 
-  private static final int MAX_PRINTED_VIOLATIONS = 5;
-
   @Option(
       names = "--seed",
       defaultValue = "1",
-      description = "Of the first run (default: ${DEFAULT-VALUE}).")
+      description = "Seed of the first run (default: ${DEFAULT-VALUE}).")
   private long seed;
 
-  @Option(names = "--times", defaultValue = "1", description = "Runs, each with the next seed.")
+  @Option(
+      names = "--times",
+      defaultValue = "1",
+      description = "Number of runs; each uses the next seed.")
   private int times;
 
   @Option(
       names = "--seconds",
       defaultValue = "120",
-      description = "Of each run (default: ${DEFAULT-VALUE}).")
+      description = "Duration of each run (default: ${DEFAULT-VALUE}).")
   private int seconds;
 
   @Option(
       names = "--out",
       defaultValue = "target/soak",
-      description = "Where runs leave their directories.")
+      description = "Parent of the run directories (default: ${DEFAULT-VALUE}).")
   private Path out;
 
-  @Option(names = "--keep", description = "Keeps the directories of clean runs, too.")
+  @Option(names = "--keep", description = "Also keep the directories of runs without violations.")
   private boolean keep;
 
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -50,22 +51,23 @@
   @Override
   public Integer call() throws IOException, InterruptedException {
     int status = Main.CLEAN;
-    for (long next = seed; next < seed + times; next++) {
-      status = Math.max(status, runOnce(next));
+    for (long runSeed = seed; runSeed < seed + times; runSeed++) {
+      status = Math.max(status, runOnce(runSeed));
     }
     return status;
   }
 
-  private int runOnce(long next) throws IOException, InterruptedException {
-    Path directory = out.resolve("seed-" + next);
+  private int runOnce(long runSeed) throws IOException, InterruptedException {
+    Path directory = out.resolve("seed-" + runSeed);
     Directories.delete(directory);
-    SoakResult result = SoakRun.run(SoakPlan.draw(next, Duration.ofSeconds(seconds)), directory);
+    SoakResult result =
+        SoakRun.run(SoakPlan.generate(runSeed, Duration.ofSeconds(seconds)), directory);
     PrintWriter terminal = spec.commandLine().getOut();
     terminal.println(result.describe());
     for (Violation violation :
-        result.verdict().violations().stream().limit(MAX_PRINTED_VIOLATIONS).toList()) {
+        result.verdict().violations().stream().limit(Main.MAX_PRINTED_VIOLATIONS).toList()) {
       if (!violation.rpc().isEmpty()) {
-        GatewayLogs.linesOf(directory, violation.rpc())
+        GatewayLogs.linesFor(directory, violation.rpc())
             .forEach(line -> terminal.println("    " + line));
       }
     }
@@ -74,7 +76,7 @@
     if (clean && !keep) {
       Directories.delete(directory);
     } else {
-      terminal.println("kept: " + directory);
+      terminal.println("files kept in " + directory);
       terminal.flush();
     }
     return clean ? Main.CLEAN : Main.VIOLATION;
--- a/chaos/src/main/java/weldcross/chaos/SoakRun.java
+++ b/chaos/src/main/java/weldcross/chaos/SoakRun.java
@@ -26,21 +26,21 @@
 import weldcross.chaos.soak.SoakVerdict;
 import weldcross.fakes.ReplicatedStoreModel;
 
-/** Carries out a soak on processes of the program, and records what clients and servers saw. */
+/** Executes a soak test on gateway processes and records what clients and servers observe. */
 public final class SoakRun {
 
-  /** The file of a run's directory that has its plan. */
+  /** Name of the file in the run directory that contains the plan. */
   static final String PLAN_FILE = "plan.txt";
 
   private static final Duration REPLICA_LAG = Duration.ofMillis(30);
   private static final Duration SERVICE_TIME = Duration.ofMillis(4);
   private static final int CLIENTS_PER_GATEWAY = 12;
 
-  /** More than a gateway of this configuration accepts: 384 of its descriptors are for clients. */
-  private static final int CROWD_PER_GATEWAY = 450;
+  /** More than a gateway accepts, which reserves 384 descriptors for clients in this setup. */
+  private static final int IDLE_CONNECTIONS_PER_GATEWAY = 450;
 
-  /** Requests that were held while a process stood still are still answered for so long. */
-  private static final Duration PAUSE_AFTERMATH = Duration.ofSeconds(1);
+  /** After a pause, requests that were held back may still be answered late for this long. */
+  private static final Duration PAUSE_RECOVERY_PERIOD = Duration.ofSeconds(1);
 
   private final SoakPlan plan;
   private final ChaosCluster cluster;
@@ -50,16 +50,16 @@
   private final long startNanos;
   private final ExecutorService executor = Executors.newCachedThreadPool();
 
-  /** The last step of each lane; steps of one lane wait for those before them. */
-  private final Map<String, CompletableFuture<Void>> lanes = new TreeMap<>();
+  /** The last step of each queue; a step waits for the previous one in its queue. */
+  private final Map<String, CompletableFuture<Void>> queues = new TreeMap<>();
 
-  /** Guards the lists below, which steps write. */
+  /** Guards the lists below, which concurrent steps modify. */
   private final Object lock = new Object();
 
   private final List<ProcessExit> exits = new ArrayList<>();
-  private final List<SoakObservations.CloseWindow> closes = new ArrayList<>();
+  private final List<SoakObservations.CloseWindow> closeWindows = new ArrayList<>();
   private final List<SoakObservations.Drain> drains = new ArrayList<>();
-  private final List<History.FaultInterval> excuses = new ArrayList<>();
+  private final List<History.FaultInterval> longPauses = new ArrayList<>();
   private final Map<String, ProcessUsage> usageAtStart = new TreeMap<>();
   private final Map<String, ProcessUsage> usageAtEnd = new TreeMap<>();
 
@@ -73,11 +73,11 @@
   }
 
   /**
-   * Carries out a plan, which is written to the directory before it begins.
+   * Executes a plan. The plan is written to the directory before the start.
    *
-   * @param plan what to do
-   * @param directory of this run alone, created if absent
-   * @return what it showed
+   * @param plan the plan to execute
+   * @param directory directory of this run, not shared with another; created if absent
+   * @return the checked result
    * @throws IOException if a gateway is not ready in time
    * @throws InterruptedException if the calling thread is interrupted
    */
@@ -94,7 +94,7 @@
               CLIENTS_PER_GATEWAY,
               () -> cluster.clock().nanos() - startNanos,
               plan.seed())) {
-        return new SoakRun(plan, cluster, clients, startNanos).carryOut();
+        return new SoakRun(plan, cluster, clients, startNanos).execute();
       }
     }
   }
@@ -103,7 +103,7 @@
     return new Scenario(
         "soak",
         "",
-        plan.lasting(),
+        plan.duration(),
         1,
         plan.gateways(),
         1,
@@ -118,20 +118,20 @@
         0);
   }
 
-  private SoakResult carryOut() throws IOException, InterruptedException {
-    noteUsage(usageAtStart);
+  private SoakResult execute() throws IOException, InterruptedException {
+    recordUsage(usageAtStart);
     clients.start();
     for (SoakStep step : plan.steps()) {
       waitUntil(step.at());
-      CompletableFuture<Void> before =
-          lanes.getOrDefault(step.lane(), CompletableFuture.completedFuture(null));
-      lanes.put(step.lane(), before.thenRunAsync(() -> take(step), executor));
+      CompletableFuture<Void> previous =
+          queues.getOrDefault(step.queue(), CompletableFuture.completedFuture(null));
+      queues.put(step.queue(), previous.thenRunAsync(() -> executeStep(step), executor));
     }
-    waitUntil(plan.lasting());
-    lanes.values().forEach(CompletableFuture::join);
+    waitUntil(plan.duration());
+    queues.values().forEach(CompletableFuture::join);
     executor.shutdown();
     clients.stop();
-    noteUsage(usageAtEnd);
+    recordUsage(usageAtEnd);
     SoakVerdict verdict = SoakVerdict.of(observations());
     return new SoakResult(plan, verdict, List.copyOf(exits), usageAtStart, usageAtEnd);
   }
@@ -144,7 +144,7 @@
             clients.unexpectedMessages(),
             ChaosRun.commitsSinceStart(store, startNanos),
             ChaosRun.readsSinceStart(store, startNanos),
-            List.copyOf(excuses));
+            List.copyOf(longPauses));
     List<ReplicatedStoreModel.Arrival> arrivals =
         store.arrivals().stream()
             .map(
@@ -155,7 +155,7 @@
                         arrival.server(),
                         arrival.connection()))
             .toList();
-    return new SoakObservations(history, arrivals, exits, closes, drains);
+    return new SoakObservations(history, arrivals, exits, closeWindows, drains);
   }
 
   private long elapsedNanos() {
@@ -166,77 +166,76 @@
     return Duration.ofNanos(elapsedNanos());
   }
 
-  private void waitUntil(Duration when) {
-    for (Duration left = when.minus(now()); left.toNanos() > 0; left = when.minus(now())) {
+  private void waitUntil(Duration time) {
+    for (Duration left = time.minus(now()); left.toNanos() > 0; left = time.minus(now())) {
       LockSupport.parkNanos(left.toNanos());
     }
   }
 
-  /** Notes the usage of all processes; one that has ended by itself is noted as that. */
-  private void noteUsage(Map<String, ProcessUsage> usage) throws IOException {
+  /** Records the resource usage of running processes, and the exit of those that have ended. */
+  private void recordUsage(Map<String, ProcessUsage> usage) throws IOException {
     for (GatewayNode gateway : cluster.gateways()) {
       if (gateway.process().isAlive()) {
         usage.put(gateway.name(), ProcessUsage.of(gateway.process()));
       } else {
         int status = gateway.process().exitStatus().orElse(-1);
-        noteExit(new ProcessExit(gateway.name(), null, now(), false, status, false));
+        recordExit(new ProcessExit(gateway.name(), null, now(), false, status, false));
       }
     }
   }
 
-  private void noteExit(ProcessExit exit) {
+  private void recordExit(ProcessExit exit) {
     synchronized (lock) {
       exits.add(exit);
-      if (exit.termAt() != null) {
-        closes.add(new SoakObservations.CloseWindow(exit.gateway(), exit.termAt(), exit.at()));
+      if (exit.sigtermAt() != null) {
+        closeWindows.add(
+            new SoakObservations.CloseWindow(exit.gateway(), exit.sigtermAt(), exit.endedAt()));
       }
     }
   }
 
-  // ---- Steps
-
-  private void take(SoakStep step) {
+  private void executeStep(SoakStep step) {
     try {
       switch (step.kind()) {
-        case CROWD -> crowd(step);
-        case SERVER_HANGS, SERVER_RESTARTS, SERVER_LAGS -> faultAtServer(step);
-        case SERVER_DRAINS -> drain(step);
-        case DISCOVERY_DOWN, DISCOVERY_LATE -> faultAtDiscovery(step);
-        default -> signalAll(step);
+        case CROWD -> openIdleConnections(step);
+        case SERVER_HANGS, SERVER_RESTARTS, SERVER_LAGS -> injectServerFault(step);
+        case SERVER_DRAINS -> drainServers(step);
+        case DISCOVERY_DOWN, DISCOVERY_LATE -> injectDiscoveryFault(step);
+        default -> signalGateways(step);
       }
     } catch (IOException e) {
       throw new UncheckedIOException(step.describe(), e);
     }
   }
 
-  private void signalAll(SoakStep step) {
-    List<CompletableFuture<Void>> all = new ArrayList<>();
+  private void signalGateways(SoakStep step) {
+    List<CompletableFuture<Void>> tasks = new ArrayList<>();
     for (String name : step.hosts()) {
       GatewayNode gateway = cluster.gateway(name);
-      all.add(CompletableFuture.runAsync(() -> signal(step, gateway), executor));
+      tasks.add(CompletableFuture.runAsync(() -> signalGateway(step, gateway), executor));
     }
-    all.forEach(CompletableFuture::join);
+    tasks.forEach(CompletableFuture::join);
   }
 
-  private void signal(SoakStep step, GatewayNode gateway) {
+  private void signalGateway(SoakStep step, GatewayNode gateway) {
     try {
       switch (step.kind()) {
         case RELOAD -> reload(gateway, step.times());
         case PAUSE -> pause(gateway, step.times());
         case STOP_WHILE_STARTING -> {
-          noteExit(stopper.stop(gateway, List.of(Duration.ZERO), false, false));
+          recordExit(stopper.stop(gateway, List.of(Duration.ZERO), false, false));
           stopper.start(gateway);
-          restartAfter(stopper.stop(gateway, step.times(), false, true), gateway);
+          recordAndRestart(stopper.stop(gateway, step.times(), false, true), gateway);
         }
         case STOP_WHEN_READY -> {
-          noteExit(stopper.stop(gateway, step.times(), false, false));
+          recordExit(stopper.stop(gateway, step.times(), false, false));
           stopper.start(gateway);
           gateway.awaitReady();
-          restartAfter(stopper.stop(gateway, List.of(Duration.ZERO), false, false), gateway);
+          recordAndRestart(stopper.stop(gateway, List.of(Duration.ZERO), false, false), gateway);
         }
         default -> {
           boolean reload = step.kind() == SoakStep.Kind.RELOAD_AND_STOP;
-          restartAfter(stopper.stop(gateway, step.times(), reload, false), gateway);
+          recordAndRestart(stopper.stop(gateway, step.times(), reload, false), gateway);
         }
       }
     } catch (IOException e) {
@@ -244,8 +243,8 @@
     }
   }
 
-  private void restartAfter(ProcessExit exit, GatewayNode gateway) throws IOException {
-    noteExit(exit);
+  private void recordAndRestart(ProcessExit exit, GatewayNode gateway) throws IOException {
+    recordExit(exit);
     stopper.start(gateway);
     gateway.awaitReady();
   }
@@ -264,12 +263,12 @@
       LockSupport.parkNanos(time.toNanos());
       gateway.process().resume();
       long until = elapsedNanos();
-      if (until - from > SoakPlan.MAX_UNEXCUSED_PAUSE.toNanos()) {
+      if (until - from > SoakPlan.MAX_TOLERATED_PAUSE.toNanos()) {
         synchronized (lock) {
-          excuses.add(
+          longPauses.add(
               new History.FaultInterval(
                   from,
-                  until + PAUSE_AFTERMATH.toNanos(),
+                  until + PAUSE_RECOVERY_PERIOD.toNanos(),
                   List.of(gateway.name()),
                   "pause " + gateway.name()));
         }
@@ -278,49 +277,51 @@
     }
   }
 
-  private void crowd(SoakStep step) {
+  private void openIdleConnections(SoakStep step) {
     Duration from = now();
-    for (Duration stay : step.times()) {
+    for (Duration hold : step.times()) {
       try (IdleCrowd crowd = new IdleCrowd()) {
-        cluster.gateways().forEach(each -> crowd.join(each.directAddress(), CROWD_PER_GATEWAY));
-        LockSupport.parkNanos(stay.toNanos());
+        cluster
+            .gateways()
+            .forEach(gateway -> crowd.join(gateway.directAddress(), IDLE_CONNECTIONS_PER_GATEWAY));
+        LockSupport.parkNanos(hold.toNanos());
       }
     }
     synchronized (lock) {
       for (GatewayNode gateway : cluster.gateways()) {
-        closes.add(new SoakObservations.CloseWindow(gateway.name(), from, now()));
+        closeWindows.add(new SoakObservations.CloseWindow(gateway.name(), from, now()));
       }
     }
   }
 
-  private void faultAtServer(SoakStep step) throws IOException {
+  private void injectServerFault(SoakStep step) throws IOException {
     Fault.Kind kind =
         switch (step.kind()) {
           case SERVER_HANGS -> Fault.Kind.SERVER_STALL;
           case SERVER_LAGS -> Fault.Kind.LAG;
           default -> Fault.Kind.SERVER_KILL;
         };
-    boolean lags = kind == Fault.Kind.LAG;
-    String details = lags ? Long.toString(step.times().get(1).toMillis()) : "";
+    boolean lag = kind == Fault.Kind.LAG;
+    String details = lag ? Long.toString(step.times().get(1).toMillis()) : "";
     for (String server : step.hosts()) {
-      act(new Fault(step.at(), step.times().get(0), kind, server, "", details));
+      injectAndHeal(new Fault(step.at(), step.times().get(0), kind, server, "", details));
     }
   }
 
-  private void faultAtDiscovery(SoakStep step) throws IOException {
+  private void injectDiscoveryFault(SoakStep step) throws IOException {
     boolean down = step.kind() == SoakStep.Kind.DISCOVERY_DOWN;
     Fault.Kind kind = down ? Fault.Kind.STALL : Fault.Kind.DELAY;
     String delay = down ? "" : Long.toString(step.times().get(1).toMillis());
-    act(new Fault(step.at(), step.times().get(0), kind, "discovery", "*", delay));
+    injectAndHeal(new Fault(step.at(), step.times().get(0), kind, "discovery", "*", delay));
   }
 
-  private void act(Fault fault) throws IOException {
-    injector.begin(fault);
-    LockSupport.parkNanos(fault.lasting().toNanos());
-    injector.end(fault, REPLICA_LAG);
+  private void injectAndHeal(Fault fault) throws IOException {
+    injector.inject(fault);
+    LockSupport.parkNanos(fault.duration().toNanos());
+    injector.heal(fault, REPLICA_LAG);
   }
 
-  private void drain(SoakStep step) {
+  private void drainServers(SoakStep step) {
     for (String server : step.hosts()) {
       final Duration from = now();
       cluster.publishDraining(cluster.server(server));
--- a/chaos/src/main/java/weldcross/chaos/history/ChaosRunResult.java
+++ b/chaos/src/main/java/weldcross/chaos/history/ChaosRunResult.java
@@ -6,14 +6,14 @@
 import weldcross.chaos.scenario.Scenario;
 
 /**
- * What came of a run.
+ * Result of a chaos run.
  *
- * @param scenario the scenario with all its faults, also those drawn at random
- * @param seed by which it was run
- * @param history what was recorded
- * @param violations of the rules; empty if all were kept
- * @param restarts when each start of a gateway after the first was ready, for a reader
- * @param directory of the run
+ * @param scenario the scenario with all faults, including the random ones
+ * @param seed seed of the run
+ * @param history the recorded history
+ * @param violations violations of the rules; empty if there are none
+ * @param restarts one line for each gateway restart, with the time at which it was ready
+ * @param directory run directory
  */
 public record ChaosRunResult(
     @JsonProperty("played") Scenario scenario,
@@ -24,7 +24,7 @@
     @JsonProperty("where") String directory) {
 
   /**
-   * Returns whether all rules were kept.
+   * Returns whether no rule was violated.
    *
    * @return true if there is no violation
    */
--- a/chaos/src/main/java/weldcross/chaos/history/GatewayLogs.java
+++ b/chaos/src/main/java/weldcross/chaos/history/GatewayLogs.java
@@ -8,23 +8,23 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** The logs that the gateways of a run have written. */
+/** Reads the logs that the gateways of a run have written. */
 public final class GatewayLogs {
 
-  /** The name of the log in the home of a gateway. */
+  /** Name of the log file in the home directory of a gateway. */
   public static final String FILE_NAME = "log";
 
   private GatewayLogs() {}
 
   /**
-   * Finds the lines of all gateways that name a request.
+   * Finds all log lines about a request, in the logs of all gateways.
    *
-   * @param directory of the run
-   * @param requestId what a line must contain; empty for no line
-   * @return the lines in the order of their times, each with the gateway's name
+   * @param directory run directory
+   * @param requestId the request; an empty id matches no line
+   * @return the lines in order of time, each with the name of its gateway
    * @throws IOException if a log cannot be read
    */
-  public static List<String> linesOf(Path directory, String requestId) throws IOException {
+  public static List<String> linesFor(Path directory, String requestId) throws IOException {
     List<String> found = new ArrayList<>();
     if (requestId.isEmpty()) {
       return found;
--- a/chaos/src/main/java/weldcross/chaos/history/History.java
+++ b/chaos/src/main/java/weldcross/chaos/history/History.java
@@ -7,17 +7,18 @@
 import weldcross.fakes.ReplicatedStoreModel;
 
 /**
- * What a run recorded: what clients saw, what servers did, and when which host had a fault. All
- * times are nanoseconds since the load began.
+ * Recorded history of a run: what clients observed, what servers did, and which faults were in
+ * effect. Times are nanoseconds since the start of the load.
  *
- * @param operations what clients sent and got
- * @param unexpectedMessages what clients got that they had not asked for
- * @param commits all writes that servers applied
- * @param reads all reads that servers served
- * @param faults when hosts had faults
- * @param views the membership views that gateways logged
- * @param convergedAfterMillis from the end of all faults until all gateways held one view of all;
- *     below zero if that did not come, null if nothing is agreed on
+ * @param operations requests of clients with their outcomes
+ * @param unexpectedMessages messages that clients received without a matching request
+ * @param commits writes that servers applied
+ * @param reads reads that servers served
+ * @param faults periods in which faults were in effect
+ * @param views membership views that gateways logged; those of one gateway in log order
+ * @param convergedAfterMillis milliseconds from the end of the last fault until all gateways had
+ *     the same membership view of all gateways; negative if they did not converge in time, null
+ *     without consensus
  */
 public record History(
     @JsonProperty("asked") List<ClientOperation> operations,
@@ -31,11 +32,11 @@
   /**
    * Creates the history of a run without consensus.
    *
-   * @param operations what clients sent and got
-   * @param unexpectedMessages what clients got that they had not asked for
-   * @param commits all writes that servers applied
-   * @param reads all reads that servers served
-   * @param faults when hosts had faults
+   * @param operations requests of clients with their outcomes
+   * @param unexpectedMessages messages that clients received without a matching request
+   * @param commits writes that servers applied
+   * @param reads reads that servers served
+   * @param faults periods in which faults were in effect
    */
   public History(
       List<ClientOperation> operations,
@@ -47,69 +48,69 @@
   }
 
   /**
-   * A membership view that a gateway logged, in the order of its log.
+   * A membership view that a gateway logged.
    *
-   * @param gateway its name
-   * @param process which of the gateway's processes, from 1
-   * @param number the number of the view
-   * @param members as it logged them, with their incarnations
+   * @param gateway name of the gateway
+   * @param process number of the gateway's process that logged the view, from 1
+   * @param number number of the view
+   * @param members members with their incarnations, as logged
    */
   public record ReportedView(String gateway, int process, long number, String members) {}
 
   /**
-   * A time in which a scenario had a fault act, with its after-effects.
+   * A period in which a fault was in effect, including the recovery period after its healing.
    *
-   * @param from when it began
-   * @param until when it was healed and had been waited for
-   * @param hosts gateways whose clients may get no answer because of it
-   * @param closing gateways that close their connections in order because of it
-   * @param description what it was
+   * @param from start of the period
+   * @param until end of the period
+   * @param unresponsiveGateways gateways whose clients may get no answer because of the fault
+   * @param closingGateways gateways that close their connections gracefully because of the fault
+   * @param description kind, hosts and details of the fault
    */
   public record FaultInterval(
       long from,
       long until,
-      List<String> hosts,
-      List<String> closing,
+      @JsonProperty("hosts") List<String> unresponsiveGateways,
+      @JsonProperty("closing") List<String> closingGateways,
       @JsonProperty("what") String description) {
 
-    /** Takes what earlier versions stored, which had no closing gateways. */
+    /** Accepts histories stored by earlier versions, which had no closing gateways. */
     public FaultInterval {
-      closing = closing == null ? List.of() : closing;
+      closingGateways = closingGateways == null ? List.of() : closingGateways;
     }
 
     /**
-     * Creates the interval of a fault in which no gateway closes connections in order.
+     * Creates the period of a fault because of which no gateway closes connections gracefully.
      *
-     * @param from when it began
-     * @param until when it was healed and had been waited for
-     * @param hosts gateways whose clients may get no answer because of it
-     * @param description what it was
+     * @param from start of the period
+     * @param until end of the period
+     * @param unresponsiveGateways gateways whose clients may get no answer because of the fault
+     * @param description kind, hosts and details of the fault
      */
-    public FaultInterval(long from, long until, List<String> hosts, String description) {
-      this(from, until, hosts, List.of(), description);
+    public FaultInterval(
+        long from, long until, List<String> unresponsiveGateways, String description) {
+      this(from, until, unresponsiveGateways, List.of(), description);
     }
 
-    boolean closes(ClientOperation operation) {
-      return closing.contains(operation.gateway())
-          && from <= operation.ended()
-          && until >= operation.sent();
+    /** Whether the gateway may have closed the operation's connection gracefully. */
+    boolean mayCloseConnectionOf(ClientOperation operation) {
+      return closingGateways.contains(operation.gateway()) && overlaps(operation, 0);
     }
 
-    boolean excuses(ClientOperation operation) {
-      return hosts.contains(operation.gateway())
-          && from <= operation.ended()
-          && until >= operation.sent();
+    /** Whether the operation may stay unanswered because of the fault. */
+    boolean mayPreventAnswerTo(ClientOperation operation) {
+      return unresponsiveGateways.contains(operation.gateway()) && overlaps(operation, 0);
     }
 
-    boolean isNear(ClientOperation operation, long aftermathNanos) {
-      return from <= operation.ended() && until + aftermathNanos >= operation.sent();
+    /** Whether the operation was open during the fault or within some time after its end. */
+    boolean overlaps(ClientOperation operation, long extraNanos) {
+      return from <= operation.ended() && until + extraNanos >= operation.sent();
     }
   }
 
-  /** The fault that explains why a client got no answer. */
-  Optional<String> excuseFor(ClientOperation operation) {
+  /** Finds the fault because of which an operation may have stayed unanswered. */
+  Optional<String> faultPreventingAnswerTo(ClientOperation operation) {
     return faults.stream()
-        .filter(fault -> fault.excuses(operation))
+        .filter(fault -> fault.mayPreventAnswerTo(operation))
         .map(FaultInterval::description)
         .findFirst();
   }
--- a/chaos/src/main/java/weldcross/chaos/history/HistoryChecker.java
+++ b/chaos/src/main/java/weldcross/chaos/history/HistoryChecker.java
@@ -15,34 +15,34 @@
 import weldcross.fakes.ReplicatedStoreModel;
 
 /**
- * Checks the history of a run by the servers' own record and what clients saw; knows nothing of the
- * gateway. An unanswered request that a fault excuses is a loss, which the report counts; one that
- * nothing excuses is a violation.
+ * Checks the history of a run, using only the records of servers and the observations of clients.
+ * An unanswered request that a fault explains is a loss, which the report counts; any other
+ * unanswered request is a violation.
  */
 public final class HistoryChecker {
 
-  /** The rules that every run must keep. */
+  /** Rules that no run may violate. The names of the constants are part of stored runs. */
   public enum Rule {
-    /** Each request gets one answer in time. */
-    ONE_ANSWER("one final answer per RPC, in time, none after"),
+    /** Each request gets exactly one answer, in time. */
+    ONE_ANSWER("exactly one answer per request, in time"),
     /** No write is applied twice. */
-    ONE_EFFECT("no effect twice"),
-    /** An acknowledged write has been applied. */
-    EFFECT_THERE("what was answered as done is done"),
+    ONE_EFFECT("no write applied twice"),
+    /** Each acknowledged write has been applied. */
+    EFFECT_THERE("every acknowledged write applied"),
     /** A rejected write has not been applied. */
-    REFUSED_HARMLESS("what was refused has not run"),
-    /** No read is staler than its class allows. */
+    REFUSED_HARMLESS("no rejected write applied"),
+    /** No read is staler than its request class allows. */
     FRESH("no stale read"),
-    /** Nothing is sent to a server long after it began to drain. */
-    DRAINS_KEPT("nothing goes to a draining server"),
-    /** A gateway ends only when it is told to, and in order. */
-    PROCESS_RUNS("no process ends by itself or with a fault"),
-    /** Membership views of one number have the same members. */
-    ONE_VIEW("views of one number are one"),
-    /** Within one process membership views never go back. */
-    NO_VIEW_BACK("views never go back in one process"),
-    /** All gateways hold one view once all faults are healed. */
-    AGREES("all agree once all troubles are over");
+    /** No request is sent to a server long after it began to drain. */
+    DRAINS_KEPT("no request to a draining server"),
+    /** A gateway process ends only on a signal, and with a regular exit status. */
+    PROCESS_RUNS("no unexpected process exit"),
+    /** Membership views with the same number have the same members. */
+    ONE_VIEW("membership views with the same number are equal"),
+    /** Within a process, the numbers of membership views increase. */
+    NO_VIEW_BACK("view numbers increase within a process"),
+    /** All gateways have the same membership view after all faults are healed. */
+    AGREES("membership views converge after the last fault");
 
     private final String description;
 
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Describes the rule for a reader of the report.
+     * Returns the description of the rule in reports.
      *
      * @return one line
      */
@@ -61,24 +61,43 @@
   }
 
   /**
-   * A rule that was broken.
+   * A violation of a rule.
    *
-   * @param rule which one
-   * @param rpc the id of the request, or what else broke it; empty for none
-   * @param at when the request was sent, in nanoseconds since the load began
-   * @param description what was found
+   * @param rule the violated rule
+   * @param rpc id of the request, or another subject of the violation; empty if there is none
+   * @param at when the request was sent, in nanoseconds since the start of the load
+   * @param description what was observed
    */
   public record Violation(
-      Rule rule, String rpc, long at, @JsonProperty("what") String description) {}
+      Rule rule, String rpc, long at, @JsonProperty("what") String description) {
 
-  /** A server's clock may be a tick behind its client's. */
+    /**
+     * Formats the violation for a terminal.
+     *
+     * @return one line
+     */
+    public String describe() {
+      return rule.description()
+          + ": "
+          + rpc
+          + " at "
+          + TimeUnit.NANOSECONDS.toMillis(at)
+          + " ms, "
+          + description;
+    }
+  }
+
+  /** A server's clock may be one tick behind that of its client. */
   private static final long CLOCK_SLACK_NANOS = ClientOperation.DEADLINE_SLACK.toNanos();
 
-  /** After a fault calls may still be held, and servers ejected. */
-  private static final long AFTERMATH_NANOS = Duration.ofSeconds(3).toNanos();
+  /** After a fault, requests may still be held back and servers may still be ejected. */
+  private static final long RECOVERY_NANOS = Duration.ofSeconds(3).toNanos();
 
-  /** The way of a request and of the end of its connection, through the proxy of a busy machine. */
-  private static final long MAX_CROSSING_NANOS = Duration.ofMillis(100).toNanos();
+  /**
+   * Longest time from sending a request to seeing its connection closed, if the two crossed on the
+   * network: both pass through the proxy, which is slow on a busy machine.
+   */
+  private static final long MAX_CLOSE_RACE_NANOS = Duration.ofMillis(100).toNanos();
 
   private final History history;
   private final Map<String, List<ReplicatedStoreModel.Commit>> commitsByRequest = new HashMap<>();
@@ -100,8 +119,8 @@
   /**
    * Checks a history against all rules.
    *
-   * @param history of a whole run
-   * @return all violations, those of requests first and in their order
+   * @param history history of a complete run
+   * @return all violations; those of requests come first, in order of the requests
    */
   public static List<Violation> check(History history) {
     HistoryChecker checker = new HistoryChecker(history);
@@ -129,42 +148,44 @@
     boolean unanswered =
         operation.outcome() == Outcome.TIMED_OUT
             || operation.outcome() == Outcome.CONNECTION_CLOSED;
-    if (unanswered && history.excuseFor(operation).isEmpty() && !crossedClose(operation)) {
-      report(Rule.ONE_ANSWER, operation, "no answer, and no fault of its gateway explains it");
+    if (unanswered
+        && history.faultPreventingAnswerTo(operation).isEmpty()
+        && !racedWithClose(operation)) {
+      report(Rule.ONE_ANSWER, operation, "no answer, and no fault explains it");
     }
     if (operation.outcome() == Outcome.OK
         && operation.type().isWrite()
         && !operation.value().equals(operation.rpc())) {
-      report(Rule.ONE_ANSWER, operation, "another's value: " + operation.value());
+      report(Rule.ONE_ANSWER, operation, "got the value of another write: " + operation.value());
     }
   }
 
   /**
-   * Whether a request crossed the end of its connection in an orderly stop: the connection ended in
-   * order soon after the send, and no server has seen the request.
+   * Whether a request was sent while its gateway closed the connection in a graceful shutdown: the
+   * connection was closed gracefully soon after the send, and no server has seen the request.
    */
-  private boolean crossedClose(ClientOperation operation) {
+  private boolean racedWithClose(ClientOperation operation) {
     return operation.outcome() == Outcome.CONNECTION_CLOSED
         && operation.detail().equals(ClientOperation.ENDED_IN_ORDER)
-        && operation.durationNanos() <= MAX_CROSSING_NANOS
+        && operation.durationNanos() <= MAX_CLOSE_RACE_NANOS
         && !commitsByRequest.containsKey(operation.rpc())
         && !readsByRequest.containsKey(operation.rpc())
-        && history.faults().stream().anyMatch(fault -> fault.closes(operation));
+        && history.faults().stream().anyMatch(fault -> fault.mayCloseConnectionOf(operation));
   }
 
   private void checkCommits(ClientOperation operation) {
     List<ReplicatedStoreModel.Commit> commits =
         commitsByRequest.getOrDefault(operation.rpc(), List.of());
     if (commits.size() > 1) {
-      report(Rule.ONE_EFFECT, operation, commits.size() + " effects, at " + commits);
+      report(Rule.ONE_EFFECT, operation, "applied " + commits.size() + " times: " + commits);
     }
     if (operation.outcome() == Outcome.OK && operation.type().isWrite() && commits.isEmpty()) {
-      report(Rule.EFFECT_THERE, operation, "no server has it");
+      report(Rule.EFFECT_THERE, operation, "no server applied it");
     }
-    boolean promisedNoEffect =
+    boolean mustHaveNoEffect =
         operation.outcome() == Outcome.REJECTED || operation.outcome() == Outcome.NOT_SENT;
-    if (promisedNoEffect && !commits.isEmpty()) {
-      report(Rule.REFUSED_HARMLESS, operation, "it ran, at " + commits);
+    if (mustHaveNoEffect && !commits.isEmpty()) {
+      report(Rule.REFUSED_HARMLESS, operation, "applied: " + commits);
     }
   }
 
@@ -191,13 +212,14 @@
       report(
           Rule.FRESH,
           operation,
-          "saw commit " + seen + " of its key, its session had written " + written);
+          "read commit " + seen + " of its key after its session wrote commit " + written);
     }
   }
 
   /**
-   * The answer is that of one of the reads done for the request: the freshest that gave this value.
-   * The bound counts from the attempt's send, which is no earlier than the client's.
+   * Of the server reads of a request that returned the answered value, the freshest one counts. The
+   * staleness bound is relative to the send time of the attempt, which is not before that of the
+   * client's request.
    */
   private void checkBoundedRead(ClientOperation operation) {
     long seen = sequenceOf(operation.value());
@@ -210,7 +232,7 @@
     long bound = operation.type().stalenessBound().toNanos();
     if (freshest < operation.sent() - bound - CLOCK_SLACK_NANOS) {
       long age = TimeUnit.NANOSECONDS.toMillis(operation.sent() - freshest);
-      report(Rule.FRESH, operation, "data of " + age + " ms before it was sent");
+      report(Rule.FRESH, operation, "data " + age + " ms older than the request");
     }
   }
 
@@ -227,19 +249,19 @@
         String found = describe(first) + ", " + describe(view);
         violations.add(new Violation(Rule.ONE_VIEW, subject(view), 0, found));
       }
-      Long before = lastByProcess.put(view.gateway() + "/" + view.process(), view.number());
-      if (before != null && before >= view.number()) {
-        String found = view.gateway() + " had " + before + " before";
+      Long previous = lastByProcess.put(view.gateway() + "/" + view.process(), view.number());
+      if (previous != null && previous >= view.number()) {
+        String found = view.gateway() + " had view " + previous + " before";
         violations.add(new Violation(Rule.NO_VIEW_BACK, subject(view), 0, found));
       }
     }
     if (history.convergedAfterMillis() != null && history.convergedAfterMillis() < 0) {
-      violations.add(new Violation(Rule.AGREES, "", 0, "they did not"));
+      violations.add(new Violation(Rule.AGREES, "", 0, "gateways have different membership views"));
     }
   }
 
   private static String subject(History.ReportedView view) {
-    return "view " + view.number() + " is";
+    return "view " + view.number();
   }
 
   private static String describe(History.ReportedView view) {
@@ -249,7 +271,7 @@
   private void checkUnexpectedMessages() {
     for (String message : history.unexpectedMessages()) {
       String printable = message.replaceAll("[^ -~]", ".");
-      violations.add(new Violation(Rule.ONE_ANSWER, "", 0, "not asked for: " + printable));
+      violations.add(new Violation(Rule.ONE_ANSWER, "", 0, "unexpected message: " + printable));
     }
   }
 
@@ -258,7 +280,7 @@
         (id, commits) -> {
           if (!ids.contains(id)) {
             long at = commits.get(0).at();
-            violations.add(new Violation(Rule.ONE_EFFECT, id, at, "an effect of no request"));
+            violations.add(new Violation(Rule.ONE_EFFECT, id, at, "write without a request"));
           }
         });
   }
@@ -278,20 +300,20 @@
   }
 
   /**
-   * Finds the fault that explains why a request was not served: one that excuses it, or the last
-   * one that acted near it.
+   * Finds the fault that most likely caused a request not to be served: one that may have prevented
+   * the answer, or else the first one whose recovery period had not passed.
    *
-   * @param history of a whole run
-   * @param operation one of its operations
-   * @return the description of the fault; empty if there is none within its aftermath
+   * @param history history of a complete run
+   * @param operation an operation of the history
+   * @return the description of the fault; empty if there is none
    */
   public static Optional<String> likelyCause(History history, ClientOperation operation) {
-    Optional<String> excuse = history.excuseFor(operation);
-    if (excuse.isPresent()) {
-      return excuse;
+    Optional<String> preventing = history.faultPreventingAnswerTo(operation);
+    if (preventing.isPresent()) {
+      return preventing;
     }
     return history.faults().stream()
-        .filter(fault -> fault.isNear(operation, AFTERMATH_NANOS))
+        .filter(fault -> fault.overlaps(operation, RECOVERY_NANOS))
         .map(History.FaultInterval::description)
         .findFirst();
   }
--- a/chaos/src/main/java/weldcross/chaos/history/package-info.java
+++ b/chaos/src/main/java/weldcross/chaos/history/package-info.java
@@ -1,2 +1,5 @@
-/** What a chaos run records, and the rules it is checked by. Pure; knows nothing of the gateway. */
+/**
+ * Recorded history of a chaos run and the rules by which it is checked, independent of the
+ * gateway's code.
+ */
 package weldcross.chaos.history;
--- a/chaos/src/main/java/weldcross/chaos/package-info.java
+++ b/chaos/src/main/java/weldcross/chaos/package-info.java
@@ -1,2 +1,2 @@
-/** Runs several gateways as processes under faults and checks the recorded history. */
+/** Runs gateway processes under injected faults and checks the recorded history. */
 package weldcross.chaos;
--- a/chaos/src/main/java/weldcross/chaos/report/RunReport.java
+++ b/chaos/src/main/java/weldcross/chaos/report/RunReport.java
@@ -29,19 +29,19 @@
   private RunReport() {}
 
   /**
-   * Writes the report into the directory of its run.
+   * Writes the report into the run directory.
    *
-   * @param result of the run
-   * @param directory of the run, with the logs of its gateways
-   * @return the file written
-   * @throws IOException if it cannot be written
+   * @param result the result of the run
+   * @param directory run directory with the logs of the gateways
+   * @return the report file
+   * @throws IOException if the report cannot be written
    */
   public static Path write(ChaosRunResult result, Path directory) throws IOException {
     Path report = directory.resolve(FILE_NAME);
     try (Writer out = Files.newBufferedWriter(report, StandardCharsets.UTF_8)) {
       templates().getTemplate(TEMPLATE).process(model(result, directory), out);
     } catch (TemplateException e) {
-      throw new IOException("the report's template cannot be filled in", e);
+      throw new IOException("cannot render report template " + TEMPLATE, e);
     }
     return report;
   }
@@ -62,18 +62,18 @@
     Map<String, Object> model = new HashMap<>();
     model.put("statistics", new RunStatistics(result));
     model.put("name", result.scenario().name());
-    model.put("about", result.scenario().about());
+    model.put("about", result.scenario().description());
     model.put("seed", Long.toString(result.seed()));
     model.put("rate", result.scenario().rate());
     model.put("schedule", result.scenario().toml());
     model.put("restarts", result.restarts());
-    model.put("faults", result.history().faults().stream().map(RunReport::row).toList());
-    model.put("violations", rows(result.violations(), directory));
+    model.put("faults", result.history().faults().stream().map(RunReport::faultRow).toList());
+    model.put("violations", violationRows(result.violations(), directory));
     model.put("violationCount", result.violations().size());
     return model;
   }
 
-  private static List<Map<String, Object>> rows(
+  private static List<Map<String, Object>> violationRows(
       List<HistoryChecker.Violation> violations, Path directory) throws IOException {
     List<Map<String, Object>> rows = new ArrayList<>();
     for (HistoryChecker.Violation violation :
@@ -83,18 +83,18 @@
       row.put("request", violation.rpc());
       row.put("at", violation.at() / NANOS_PER_SECOND);
       row.put("description", violation.description());
-      row.put("lines", GatewayLogs.linesOf(directory, violation.rpc()));
+      row.put("lines", GatewayLogs.linesFor(directory, violation.rpc()));
       rows.add(row);
     }
     return rows;
   }
 
-  private static Map<String, Object> row(History.FaultInterval fault) {
+  private static Map<String, Object> faultRow(History.FaultInterval fault) {
     Map<String, Object> row = new HashMap<>();
     row.put("from", fault.from() / NANOS_PER_SECOND);
     row.put("until", fault.until() / NANOS_PER_SECOND);
     row.put("description", fault.description());
-    row.put("hosts", String.join(" ", fault.hosts()));
+    row.put("hosts", String.join(" ", fault.unresponsiveGateways()));
     return row;
   }
 }
--- a/chaos/src/main/java/weldcross/chaos/report/RunStatistics.java
+++ b/chaos/src/main/java/weldcross/chaos/report/RunStatistics.java
@@ -14,8 +14,8 @@
 import weldcross.chaos.load.RequestType;
 
 /**
- * Statistics of a run: outcomes by second, gateway and cause, and latencies by request class. Pure.
- * Its getters are named for the report's template.
+ * Statistics of a run: outcomes by second, gateway and fault, and latencies by request class.
+ * Getters follow the JavaBeans convention, because the report template accesses them as properties.
  */
 public final class RunStatistics {
 
@@ -23,7 +23,7 @@
   private static final int SIGNIFICANT_DIGITS = 3;
   private static final double MICROS_PER_MILLI = 1000.0;
 
-  /** Requests by their outcome. */
+  /** Number of requests by outcome. */
   public static final class OutcomeCounts {
     private int served;
     private int rejected;
@@ -40,45 +40,45 @@
     }
 
     /**
-     * Returns how many were served.
+     * Returns how many requests were served.
      *
-     * @return a count of requests
+     * @return number of requests
      */
     public int getServed() {
       return served;
     }
 
     /**
-     * Returns how many were rejected without an effect.
+     * Returns how many requests were rejected, which means without effect.
      *
-     * @return a count of requests
+     * @return number of requests
      */
     public int getRejected() {
       return rejected;
     }
 
     /**
-     * Returns how many failed and may have had their effect.
+     * Returns how many requests failed and may have taken effect.
      *
-     * @return a count of requests
+     * @return number of requests
      */
     public int getFailed() {
       return failed;
     }
 
     /**
-     * Returns how many got no answer.
+     * Returns how many requests got no answer.
      *
-     * @return a count of requests
+     * @return number of requests
      */
     public int getLost() {
       return lost;
     }
 
     /**
-     * Returns how many there were.
+     * Returns the total.
      *
-     * @return a count of requests
+     * @return number of requests
      */
     public int getAll() {
       return served + rejected + failed + lost;
@@ -105,23 +105,23 @@
     /**
      * Returns the request class.
      *
-     * @return its name in settings
+     * @return name of the class in the settings
      */
     public String getRequestClass() {
       return requestClass;
     }
 
     /**
-     * Returns how many were served.
+     * Returns how many requests were served.
      *
-     * @return a count of requests
+     * @return number of requests
      */
     public long getCount() {
       return micros.getTotalCount();
     }
 
     /**
-     * Returns the median.
+     * Returns the median latency.
      *
      * @return milliseconds
      */
@@ -130,7 +130,7 @@
     }
 
     /**
-     * Returns the 99th percentile.
+     * Returns the 99th percentile of the latency.
      *
      * @return milliseconds
      */
@@ -139,7 +139,7 @@
     }
 
     /**
-     * Returns the maximum.
+     * Returns the maximum latency.
      *
      * @return milliseconds
      */
@@ -148,7 +148,7 @@
     }
 
     /**
-     * Returns which share was served within the latency objective.
+     * Returns the ratio of requests that were served within the latency objective.
      *
      * @return 0 to 1
      */
@@ -167,12 +167,12 @@
   /**
    * Computes the statistics of a run.
    *
-   * @param result of the run
+   * @param result the result of the run
    */
   public RunStatistics(ChaosRunResult result) {
     History history = result.history();
-    consensus = consensus(history);
-    for (int second = 0; second < result.scenario().lasting().toSeconds(); second++) {
+    consensus = describeConsensus(history);
+    for (int second = 0; second < result.scenario().duration().toSeconds(); second++) {
       seconds.add(new OutcomeCounts());
     }
     for (ClientOperation operation : history.operations()) {
@@ -180,13 +180,13 @@
     }
   }
 
-  private static String consensus(History history) {
+  private static String describeConsensus(History history) {
     if (history.convergedAfterMillis() == null) {
       return "";
     }
     long views = history.views().stream().mapToLong(History.ReportedView::number).max().orElse(0);
     return views
-        + " membership views; all gateways held one of all of them "
+        + " membership views; all gateways converged "
         + history.convergedAfterMillis()
         + " ms after the last fault";
   }
@@ -203,20 +203,20 @@
           .computeIfAbsent(operation.type(), type -> new Latencies(type.className()))
           .add(operation);
     } else {
-      String cause = HistoryChecker.likelyCause(history, operation).orElse("no fault near");
+      String cause = HistoryChecker.likelyCause(history, operation).orElse("no fault");
       count(causes, cause, operation);
     }
   }
 
   private static void count(
       Map<String, OutcomeCounts> counts, String key, ClientOperation operation) {
-    counts.computeIfAbsent(key, k -> new OutcomeCounts()).add(operation.outcome());
+    counts.computeIfAbsent(key, name -> new OutcomeCounts()).add(operation.outcome());
   }
 
   /**
-   * Returns the outcomes of requests by the second in which they were sent.
+   * Returns the outcomes by the second in which requests were sent.
    *
-   * @return one entry a second of the run
+   * @return one entry for each second of the run
    */
   public List<OutcomeCounts> getSeconds() {
     return seconds;
@@ -225,16 +225,17 @@
   /**
    * Returns the outcomes by gateway.
    *
-   * @return by the names of the gateways
+   * @return the outcomes by gateway name
    */
   public Map<String, OutcomeCounts> getGateways() {
     return gateways;
   }
 
   /**
-   * Returns the outcomes of requests that were not served by the fault that explains them.
+   * Returns the outcomes of requests that were not served, by the fault that most likely caused
+   * them.
    *
-   * @return by the descriptions of the faults
+   * @return the outcomes by fault description
    */
   public Map<String, OutcomeCounts> getCauses() {
     return causes;
@@ -250,9 +251,9 @@
   }
 
   /**
-   * Describes the membership views of the run.
+   * Returns a summary of the membership views.
    *
-   * @return a sentence without its stop; empty if nothing was to be agreed on
+   * @return a sentence without its final stop; empty for a run without consensus
    */
   public String getConsensus() {
     return consensus;
@@ -261,14 +262,14 @@
   /**
    * Returns the outcomes of all requests.
    *
-   * @return their counts
+   * @return the outcomes of all requests
    */
   public OutcomeCounts getTotal() {
     return total;
   }
 
   /**
-   * Describes the run for a terminal.
+   * Formats the statistics for a terminal.
    *
    * @return several lines
    */
@@ -277,7 +278,7 @@
     lines.add(line("all", total));
     gateways.forEach((name, counts) -> lines.add(line(name, counts)));
     causes.forEach((cause, counts) -> lines.add(line("near " + cause, counts)));
-    latencies.values().forEach(each -> lines.add(line(each)));
+    latencies.values().forEach(latency -> lines.add(line(latency)));
     if (!consensus.isEmpty()) {
       lines.add(consensus);
     }
--- a/chaos/src/main/java/weldcross/chaos/report/RunStore.java
+++ b/chaos/src/main/java/weldcross/chaos/report/RunStore.java
@@ -12,7 +12,7 @@
 import java.time.Duration;
 import weldcross.chaos.history.ChaosRunResult;
 
-/** Stores the result of a run as JSON in its directory, so that it can be checked again. */
+/** Stores the result of a run as JSON in the run directory, so that it can be checked again. */
 public final class RunStore {
 
   private static final String FILE_NAME = "trial.json";
@@ -20,7 +20,7 @@
 
   private RunStore() {}
 
-  /** Reads a duration as ISO 8601 has it. */
+  /** Parses durations in ISO 8601 format. */
   private static final class DurationDeserializer extends FromStringDeserializer<Duration> {
     private static final long serialVersionUID = 1;
 
@@ -47,20 +47,20 @@
   /**
    * Writes a result.
    *
-   * @param result to store
-   * @param directory of the run, which exists
-   * @throws IOException if it cannot be written
+   * @param result the result to store
+   * @param directory existing run directory
+   * @throws IOException if the result cannot be written
    */
   public static void write(ChaosRunResult result, Path directory) throws IOException {
     MAPPER.writeValue(directory.resolve(FILE_NAME).toFile(), result);
   }
 
   /**
-   * Reads a result that this or an earlier version has written.
+   * Reads a result that this or an earlier version of the tool has written.
    *
-   * @param directory of the run
-   * @return the result as it was stored
-   * @throws IOException if there is none, or it cannot be read
+   * @param directory run directory
+   * @return the stored result
+   * @throws IOException if the result does not exist or cannot be read
    */
   public static ChaosRunResult read(Path directory) throws IOException {
     return MAPPER.readValue(directory.resolve(FILE_NAME).toFile(), ChaosRunResult.class);
--- a/chaos/src/main/java/weldcross/chaos/scenario/Fault.java
+++ b/chaos/src/main/java/weldcross/chaos/scenario/Fault.java
@@ -1,117 +1,124 @@
 package weldcross.chaos.scenario;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.time.Duration;
 import java.util.List;
+import java.util.Locale;
 
 /**
- * A fault that a scenario has act.
+ * A fault that a scenario injects. Component names in stored runs are those of scenario files.
  *
- * @param at since the load began
- * @param lasting until it is healed; zero for what happens in an instant
- * @param kind what goes wrong
- * @param on a gateway, a server, or the first of two hosts
- * @param to the second of two hosts; empty where there is none, {@code *} for all others
- * @param how details of the kind: the age of records, faults of a disk, sides of a split
+ * @param at when it is injected, since the start of the load
+ * @param duration from injection to healing; zero for an instantaneous fault
+ * @param kind the kind of fault
+ * @param host the affected gateway or server, or the first of two hosts
+ * @param peer the second of two hosts; empty if there is none, {@code *} for all other hosts
+ * @param details parameter of the kind: the age of the stored records, the disk faults, the sides
+ *     of a network partition, milliseconds, or a loss ratio
  */
-public record Fault(Duration at, Duration lasting, Kind kind, String on, String to, String how) {
+public record Fault(
+    Duration at,
+    @JsonProperty("lasting") Duration duration,
+    Kind kind,
+    @JsonProperty("on") String host,
+    @JsonProperty("to") String peer,
+    @JsonProperty("how") String details) {
 
   /** The kinds of faults. */
   public enum Kind {
     /**
-     * A gateway is killed and started again, with its directory {@code old}, {@code empty} or
-     * {@code earlier}.
+     * A gateway is killed and restarted; {@code details} selects its stored records: {@code old}
+     * (unchanged), {@code empty} or {@code earlier} (a previous copy).
      */
     KILL(false, true),
-    /** A gateway gets SIGTERM and is started again. */
+    /** A gateway receives SIGTERM and is restarted. */
     TERM(false, true),
-    /** A gateway is stopped by SIGSTOP, which it does not notice. */
+    /** A gateway is suspended by SIGSTOP, which the process cannot observe. */
     PAUSE(false, true),
-    /**
-     * A gateway is killed and started with a wall clock that is off by {@code how} milliseconds.
-     */
+    /** A gateway is killed and restarted with its wall clock off by {@code details} ms. */
     CLOCK(false, true),
-    /** A gateway's disk has the faults named in {@code how}. */
+    /** A gateway's disk has the faults listed in {@code details}. */
     DISK(false, true),
-    /** What is sent between two hosts waits, in both directions. */
+    /** Traffic between two hosts is held back in both directions. */
     STALL(true, false),
-    /** The same in one direction. */
+    /** Traffic from {@code host} to {@code peer} is held back. */
     STALL_ONE_WAY(true, false),
-    /** What is sent between two hosts vanishes, and connections never come up. */
+    /** Traffic between two hosts is dropped, and connection attempts time out. */
     CUT(true, false),
-    /** The same in one direction. */
+    /** Traffic from {@code host} to {@code peer} is dropped. */
     CUT_ONE_WAY(true, false),
-    /** Connections between two hosts are reset, at once. */
+    /** Open connections between two hosts are reset once. */
     RESET(true, false),
     /** Connections from one host to another are refused. */
     REFUSE(true, false),
-    /** What is sent between two hosts comes late, by {@code how} milliseconds. */
+    /** Traffic between two hosts is delayed by {@code details} ms. */
     DELAY(true, false),
     /**
-     * Datagrams between two hosts, and pieces of streams, are lost, repeated and overtaken; share
-     * in {@code how}.
+     * Datagrams between two hosts are lost, duplicated and reordered, and so are chunks of streams;
+     * {@code details} is the loss ratio.
      */
     LOSS(true, false),
     /**
-     * Gateways are cut off from each other: sides in {@code how} as {@code n0,n1|n2,n3}; a gateway
-     * on no side reaches all.
+     * Network partition between gateways: {@code details} lists its sides as {@code n0,n1|n2,n3}; a
+     * gateway on no side reaches all others.
      */
     SPLIT(false, false),
-    /** A server's process dies and starts again. */
+    /** A server is killed and restarted. */
     SERVER_KILL(false, false),
-    /** A server is behind by {@code how} milliseconds. */
+    /** The data of a server lag by {@code details} ms. */
     LAG(false, false),
-    /** Statements at a server wait. */
+    /** A server does not process statements. */
     SERVER_STALL(false, false),
-    /** A server's answers to writes get lost after their effect. */
+    /** A server applies writes, but its answers to them are lost. */
     ANSWERS_LOST(false, false);
 
-    private final boolean between;
+    private final boolean onNetworkPath;
     private final boolean onGateway;
 
-    Kind(boolean between, boolean onGateway) {
-      this.between = between;
+    Kind(boolean onNetworkPath, boolean onGateway) {
+      this.onNetworkPath = onNetworkPath;
       this.onGateway = onGateway;
     }
 
     /**
-     * Returns whether it acts on the network between two hosts.
+     * Returns whether the fault affects the network path between two hosts.
      *
-     * @return true for faults of a path
+     * @return true for network faults
      */
-    public boolean isBetween() {
-      return between;
+    public boolean isOnNetworkPath() {
+      return onNetworkPath;
     }
 
     /**
-     * Returns whether it acts on one gateway.
+     * Returns whether the fault affects a single gateway.
      *
-     * @return true for faults of a process or its disk
+     * @return true for faults of a gateway process or its disk
      */
     public boolean isOnGateway() {
       return onGateway;
     }
 
     /**
-     * Returns its name in scenario files.
+     * Returns the name of the kind in scenario files.
      *
      * @return in lower case, with hyphens
      */
-    public String word() {
-      return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
+    public String configName() {
+      return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
   }
 
   /**
-   * Returns when it is healed.
+   * Returns when the fault is healed.
    *
-   * @return time since the load began
+   * @return time since the start of the load
    */
-  public Duration until() {
-    return at.plus(lasting);
+  public Duration healedAt() {
+    return at.plus(duration);
   }
 
   /**
-   * Writes it as scenario files have it.
+   * Formats the fault for a scenario file.
    *
    * @return the lines of a {@code [[fault]]} table
    */
@@ -119,22 +126,22 @@
     return List.of(
         "[[fault]]",
         "at_ms = " + at.toMillis(),
-        "for_ms = " + lasting.toMillis(),
-        "kind = \"" + kind.word() + "\"",
-        "on = \"" + on + "\"",
-        "to = \"" + to + "\"",
-        "how = \"" + how + "\"");
+        "for_ms = " + duration.toMillis(),
+        "kind = \"" + kind.configName() + "\"",
+        "on = \"" + host + "\"",
+        "to = \"" + peer + "\"",
+        "how = \"" + details + "\"");
   }
 
   /**
-   * Describes it for a reader.
+   * Describes the fault in a report.
    *
-   * @return its kind, hosts and details in one line
+   * @return kind, hosts and details in one line
    */
   public String describe() {
-    return kind.word()
-        + (on.isEmpty() ? "" : " " + on)
-        + (to.isEmpty() ? "" : " " + to)
-        + (how.isEmpty() ? "" : " (" + how + ")");
+    return kind.configName()
+        + (host.isEmpty() ? "" : " " + host)
+        + (peer.isEmpty() ? "" : " " + peer)
+        + (details.isEmpty() ? "" : " (" + details + ")");
   }
 }
--- a/chaos/src/main/java/weldcross/chaos/scenario/Nemesis.java
+++ b/chaos/src/main/java/weldcross/chaos/scenario/Nemesis.java
@@ -6,12 +6,16 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Draws faults at random from the kinds of a scenario; a seed always draws the same. Pure. */
+/** Generates random faults of the kinds in a scenario; deterministic for a given seed. */
 public final class Nemesis {
 
-  /** Load comes up before the first fault, and all is healed for so long before the end. */
+  /** No fault begins before this time, so that the load reaches its full rate first. */
   private static final Duration QUIET_START = Duration.ofSeconds(3);
 
+  /**
+   * No fault begins in this period before the end, so that gateways recover within the run; also
+   * the minimum time between two faults of one process.
+   */
   private static final Duration QUIET_END = Duration.ofSeconds(6);
 
   private static final int MIN_FAULT_MILLIS = 200;
@@ -21,10 +25,10 @@
   private final Scenario scenario;
 
   /**
-   * Creates a source of faults.
+   * Creates a generator.
    *
-   * @param scenario with the kinds to draw from
-   * @param seed of all that is drawn
+   * @param scenario the scenario with the kinds of faults to generate
+   * @param seed seed of all random choices
    */
   public Nemesis(Scenario scenario, long seed) {
     this.scenario = scenario;
@@ -32,20 +36,22 @@
   }
 
   /**
-   * Returns the faults written in the scenario and those drawn; call it once.
+   * Returns the scenario's own faults and the generated ones. Each call advances the random state,
+   * so call it only once.
    *
-   * @return in the order of their times
+   * @return the faults in order of injection
    */
   public List<Fault> faults() {
     List<Fault> all = new ArrayList<>(scenario.faults());
-    long span = scenario.lasting().minus(QUIET_START).minus(QUIET_END).toMillis();
-    for (int k = 0; k < scenario.draws() && span > 0; k++) {
+    List<Fault.Kind> kinds = scenario.randomFaultKinds();
+    long spanMillis = scenario.duration().minus(QUIET_START).minus(QUIET_END).toMillis();
+    for (int drawn = 0; drawn < scenario.randomFaultCount() && spanMillis > 0; drawn++) {
       Fault fault =
           draw(
-              scenario.drawn().get(random.nextInt(scenario.drawn().size())),
-              QUIET_START.plusMillis(random.nextLong(span)),
+              kinds.get(random.nextInt(kinds.size())),
+              QUIET_START.plusMillis(random.nextLong(spanMillis)),
               Duration.ofMillis(random.nextLong(MIN_FAULT_MILLIS, MAX_FAULT_MILLIS)));
-      if (all.stream().noneMatch(other -> collide(fault, other))) {
+      if (all.stream().noneMatch(other -> overlap(fault, other))) {
         all.add(fault);
       }
     }
@@ -53,73 +59,74 @@
     return all;
   }
 
-  /** One process has one fault at a time: a paused one, for example, cannot be told to stop. */
-  private static boolean collide(Fault fault, Fault other) {
+  /** A process has one fault at a time: a paused one, for example, does not handle SIGTERM. */
+  private static boolean overlap(Fault fault, Fault other) {
     return fault.kind().isOnGateway()
         && other.kind().isOnGateway()
-        && fault.on().equals(other.on())
-        && other.at().compareTo(fault.until().plus(QUIET_END)) < 0
-        && fault.at().compareTo(other.until().plus(QUIET_END)) < 0;
+        && fault.host().equals(other.host())
+        && other.at().compareTo(fault.healedAt().plus(QUIET_END)) < 0
+        && fault.at().compareTo(other.healedAt().plus(QUIET_END)) < 0;
   }
 
-  private Fault draw(Fault.Kind kind, Duration at, Duration lasting) {
+  private Fault draw(Fault.Kind kind, Duration at, Duration duration) {
     String gateway = "n" + random.nextInt(scenario.gateways());
     String server = "s" + random.nextInt(scenario.groups() * scenario.serversPerGroup());
     return switch (kind) {
       case KILL ->
           new Fault(
               at,
-              lasting,
+              duration,
               kind,
               gateway,
               "",
               List.of("old", "empty", "earlier").get(random.nextInt(3)));
-      case TERM, PAUSE -> new Fault(at, lasting, kind, gateway, "", "");
+      case TERM, PAUSE -> new Fault(at, duration, kind, gateway, "", "");
       case CLOCK ->
-          new Fault(at, lasting, kind, gateway, "", random.nextBoolean() ? "5000" : "-5000");
+          new Fault(at, duration, kind, gateway, "", random.nextBoolean() ? "5000" : "-5000");
       case DISK ->
           new Fault(
               at,
-              lasting,
+              duration,
               kind,
               gateway,
               "",
               List.of("lie", "fail", "full", "slow=500", "stuck").get(random.nextInt(5)));
-      case SPLIT -> new Fault(at, lasting, kind, "", "", sides());
+      case SPLIT -> new Fault(at, duration, kind, "", "", drawPartition());
       case LAG ->
-          new Fault(at, lasting, kind, server, "", Integer.toString(random.nextInt(500, 3000)));
-      case SERVER_KILL, SERVER_STALL, ANSWERS_LOST -> new Fault(at, lasting, kind, server, "", "");
-      default -> between(kind, at, lasting, gateway, server);
+          new Fault(at, duration, kind, server, "", Integer.toString(random.nextInt(500, 3000)));
+      case SERVER_KILL, SERVER_STALL, ANSWERS_LOST -> new Fault(at, duration, kind, server, "", "");
+      default -> drawNetworkFault(kind, at, duration, gateway, server);
     };
   }
 
-  private Fault between(
-      Fault.Kind kind, Duration at, Duration lasting, String gateway, String server) {
-    String to =
+  private Fault drawNetworkFault(
+      Fault.Kind kind, Duration at, Duration duration, String gateway, String server) {
+    String peer =
         switch (random.nextInt(4)) {
           case 0 -> "clients";
-          case 1 -> other(gateway);
+          case 1 -> drawOtherHost(gateway);
           default -> server;
         };
-    String how =
+    String details =
         kind == Fault.Kind.DELAY
             ? Integer.toString(random.nextInt(20, 300))
             : kind == Fault.Kind.LOSS ? "0.3" : "";
-    boolean swapped = to.equals("clients") || (kind != Fault.Kind.REFUSE && random.nextBoolean());
-    return new Fault(at, lasting, kind, swapped ? to : gateway, swapped ? gateway : to, how);
+    boolean swapped = peer.equals("clients") || (kind != Fault.Kind.REFUSE && random.nextBoolean());
+    return new Fault(
+        at, duration, kind, swapped ? peer : gateway, swapped ? gateway : peer, details);
   }
 
-  private String other(String gateway) {
+  private String drawOtherHost(String gateway) {
     String other = "n" + random.nextInt(scenario.gateways());
     return other.equals(gateway) ? "discovery" : other;
   }
 
-  private String sides() {
-    List<String> one = new ArrayList<>();
-    List<String> two = new ArrayList<>();
-    for (int k = 0; k < scenario.gateways(); k++) {
-      (random.nextBoolean() ? one : two).add("n" + k);
+  private String drawPartition() {
+    List<String> firstSide = new ArrayList<>();
+    List<String> secondSide = new ArrayList<>();
+    for (int number = 0; number < scenario.gateways(); number++) {
+      (random.nextBoolean() ? firstSide : secondSide).add("n" + number);
     }
-    return String.join(",", one) + "|" + String.join(",", two);
+    return String.join(",", firstSide) + "|" + String.join(",", secondSide);
   }
 }
--- a/chaos/src/main/java/weldcross/chaos/scenario/ScenarioReader.java
+++ b/chaos/src/main/java/weldcross/chaos/scenario/ScenarioReader.java
@@ -8,17 +8,17 @@
 import weldcross.config.ConfigValues;
 import weldcross.config.TomlConfigParser;
 
-/** Reads scenario files; a value that cannot be used is reported with its key and line. */
+/** Reads scenario files. Errors name the key and line of the invalid value. */
 final class ScenarioReader {
 
   private static final int MAX_GATEWAYS = 40;
   private static final int MAX_GROUPS = 20;
   private static final int MAX_SERVERS_PER_GROUP = 9;
-  private static final int DEFAULT_DRAWS = 8;
-  private static final Duration DEFAULT_LAG = Duration.ofMillis(30);
-  private static final Duration DEFAULT_SERVICE = Duration.ofMillis(4);
+  private static final int DEFAULT_RANDOM_FAULTS = 8;
+  private static final Duration DEFAULT_REPLICA_LAG = Duration.ofMillis(30);
+  private static final Duration DEFAULT_SERVICE_TIME = Duration.ofMillis(4);
 
-  /** All keys that a scenario may have. */
+  /** All keys that a scenario file may contain. */
   private static final List<String> KEYS =
       List.of(
           "name",
@@ -47,7 +47,7 @@
   private final int gateways;
   private final int groups;
   private final int serversPerGroup;
-  private final Duration lasting;
+  private final Duration duration;
 
   private ScenarioReader(ConfigValues values) {
     this.values = values;
@@ -55,7 +55,7 @@
     gateways = integerUpTo("gateways", 5, MAX_GATEWAYS);
     groups = integerUpTo("groups", 3, MAX_GROUPS);
     serversPerGroup = integerUpTo("servers_per_group", 3, MAX_SERVERS_PER_GROUP);
-    lasting = Duration.ofSeconds(values.integer("seconds", 30, 1));
+    duration = Duration.ofSeconds(values.integer("seconds", 30, 1));
   }
 
   static Scenario read(String file) {
@@ -67,30 +67,32 @@
     for (int index = 0; index < values.count("fault"); index++) {
       faults.add(fault(values.under("fault." + index)));
     }
-    List<Fault.Kind> drawn = new ArrayList<>();
+    List<Fault.Kind> randomFaultKinds = new ArrayList<>();
     for (String kind : values.list("nemesis.kinds")) {
-      drawn.add(kind(values, "nemesis.kinds", kind));
+      randomFaultKinds.add(kind(values, "nemesis.kinds", kind));
     }
     return new Scenario(
         values.text("name"),
         values.text("about", ""),
-        lasting,
+        duration,
         (int) values.integer("rate", 200, 1),
         gateways,
         groups,
         serversPerGroup,
-        values.millis("lag_ms", DEFAULT_LAG, 0),
-        values.millis("service_ms", DEFAULT_SERVICE, 0),
+        values.millis("lag_ms", DEFAULT_REPLICA_LAG, 0),
+        values.millis("service_ms", DEFAULT_SERVICE_TIME, 0),
         values.flag("linked", false) || values.has("voters"),
         voters(),
         values.oneOf("log", "INFO", "FINE", "WARNING"),
         List.copyOf(faults),
-        List.copyOf(drawn),
-        (int) values.integer("nemesis.draws", drawn.isEmpty() ? 0 : DEFAULT_DRAWS, 0));
+        List.copyOf(randomFaultKinds),
+        (int)
+            values.integer(
+                "nemesis.draws", randomFaultKinds.isEmpty() ? 0 : DEFAULT_RANDOM_FAULTS, 0));
   }
 
-  private int integerUpTo(String key, int absent, int max) {
-    int value = (int) values.integer(key, absent, 1);
+  private int integerUpTo(String key, int defaultValue, int max) {
+    int value = (int) values.integer(key, defaultValue, 1);
     if (value > max) {
       throw values.invalid(key, "a number from 1 to " + max);
     }
@@ -100,7 +102,7 @@
   private int voters() {
     int voters = (int) values.integer("voters", 0, 0);
     if (voters > gateways || (voters > 0 && voters % 2 == 0)) {
-      throw values.invalid("voters", "an odd number of the gateways, or 0 for no agreement");
+      throw values.invalid("voters", "an odd number of gateways, or 0 to disable consensus");
     }
     return voters;
   }
@@ -108,40 +110,48 @@
   private Fault fault(ConfigValues table) {
     Fault.Kind kind = kind(table, "kind", table.text("kind"));
     Duration at = table.millis("at_ms", Duration.ZERO, 0);
-    if (at.compareTo(lasting) > 0) {
-      throw table.invalid("at_ms", "a time within the trial");
+    if (at.compareTo(duration) > 0) {
+      throw table.invalid("at_ms", "a time within the run");
     }
-    String on = table.text("on", "");
-    String to = table.text("to", "");
-    String how = table.text("how", "");
+    String host = table.text("on", "");
+    String peer = table.text("to", "");
+    String details = table.text("how", "");
     int servers = groups * serversPerGroup;
     if (kind.isOnGateway()) {
-      requireHost(table, "on", on, gateways, 0);
-    } else if (kind.isBetween()) {
-      requireHost(table, "on", on, gateways, servers);
-      if (!to.equals("*")) {
-        requireHost(table, "to", to, gateways, servers);
+      requireHost(table, "on", host, gateways, 0);
+    } else if (kind.isOnNetworkPath()) {
+      requireHost(table, "on", host, gateways, servers);
+      if (!peer.equals("*")) {
+        requireHost(table, "to", peer, gateways, servers);
       }
     } else if (kind != Fault.Kind.SPLIT) {
-      requireHost(table, "on", on, 0, servers);
-    } else if (!how.contains("|")) {
+      requireHost(table, "on", host, 0, servers);
+    } else if (!details.contains("|")) {
       throw table.invalid("how", "sides such as n0,n1|n2,n3");
     }
-    return new Fault(at, table.millis("for_ms", Duration.ZERO, 0), kind, on, to, how);
+    return new Fault(at, table.millis("for_ms", Duration.ZERO, 0), kind, host, peer, details);
   }
 
-  private static Fault.Kind kind(ConfigValues table, String key, String word) {
+  private static Fault.Kind kind(ConfigValues table, String key, String name) {
     for (Fault.Kind kind : Fault.Kind.values()) {
-      if (kind.word().equals(word)) {
+      if (kind.configName().equals(name)) {
         return kind;
       }
     }
     throw table.invalid(
         key,
-        Stream.of(Fault.Kind.values()).map(Fault.Kind::word).collect(Collectors.joining(", ")));
+        Stream.of(Fault.Kind.values())
+            .map(Fault.Kind::configName)
+            .collect(Collectors.joining(", ")));
   }
 
-  /** Requires a host of the run: one of some gateways or servers, clients or discovery. */
+  /**
+   * Requires that a host exists in the run.
+   *
+   * @param gateways number of gateways that are allowed, from n0; zero for none
+   * @param servers number of servers that are allowed, from s0; zero also rules out clients and
+   *     discovery
+   */
   private static void requireHost(
       ConfigValues table, String key, String host, int gateways, int servers) {
     boolean known = servers > 0 && (host.equals("clients") || host.equals("discovery"));
@@ -149,7 +159,7 @@
     if (!known) {
       throw table.invalid(
           key,
-          "a host of the trial"
+          "a host of the run"
               + (gateways > 0 ? ", n0 to n" + (gateways - 1) : "")
               + (servers > 0 ? ", s0 to s" + (servers - 1) : ""));
     }
--- a/chaos/src/main/java/weldcross/chaos/scenario/package-info.java
+++ b/chaos/src/main/java/weldcross/chaos/scenario/package-info.java
@@ -1,2 +1,2 @@
-/** What a chaos run plays: scenario files, faults and faults drawn at random. */
+/** Scenarios of chaos runs: scenario files, faults and the generator of random faults. */
 package weldcross.chaos.scenario;
--- a/chaos/src/main/java/weldcross/chaos/soak/ProcessExit.java
+++ b/chaos/src/main/java/weldcross/chaos/soak/ProcessExit.java
@@ -3,38 +3,44 @@
 import java.time.Duration;
 
 /**
- * How a process of a gateway ended. Times are since the load began.
+ * How a gateway process ended. Times are relative to the start of the load.
  *
- * @param gateway its name
- * @param termAt when it first got SIGTERM; null if it was never told to end
- * @param at when its end was seen
- * @param killed whether it had to be killed at SIGKILL's earliest
- * @param status its exit status; unused if it was killed
- * @param starting whether SIGTERM came before it was ready
+ * @param gateway name of the gateway
+ * @param sigtermAt when the process received its first SIGTERM; null if it received none
+ * @param endedAt when the exit was observed
+ * @param killed whether the process received SIGKILL after its grace period
+ * @param status exit status; unused if the process was killed
+ * @param starting whether SIGTERM was sent before the process was ready
  */
 public record ProcessExit(
-    String gateway, Duration termAt, Duration at, boolean killed, int status, boolean starting) {
+    String gateway,
+    Duration sigtermAt,
+    Duration endedAt,
+    boolean killed,
+    int status,
+    boolean starting) {
 
-  /** The exit status by which a JVM ends on SIGTERM before the program has taken over. */
-  private static final int TERMINATED = 128 + 15;
+  /** Exit status of a JVM that receives SIGTERM before the program has installed its handlers. */
+  private static final int DEFAULT_SIGTERM_STATUS = 128 + 15;
 
   /**
-   * Describes it for a reader.
+   * Formats the exit for a terminal.
    *
    * @return gateway and times
    */
   public String describe() {
     return gateway
         + ", SIGTERM at "
-        + (termAt == null ? "none" : termAt.toMillis() + " ms")
+        + (sigtermAt == null ? "none" : sigtermAt.toMillis() + " ms")
         + (starting ? " while starting" : "")
         + ", ended at "
-        + at.toMillis()
+        + endedAt.toMillis()
         + " ms";
   }
 
-  /** Whether it ended as it was told to, or had not ended by itself when it was killed. */
-  boolean isInOrder() {
-    return termAt != null && (killed || status == 0 || (starting && status == TERMINATED));
+  /** Whether the process ended after SIGTERM, regularly or by SIGKILL after its grace period. */
+  boolean isExpected() {
+    return sigtermAt != null
+        && (killed || status == 0 || (starting && status == DEFAULT_SIGTERM_STATUS));
   }
 }
--- a/chaos/src/main/java/weldcross/chaos/soak/SoakObservations.java
+++ b/chaos/src/main/java/weldcross/chaos/soak/SoakObservations.java
@@ -6,27 +6,27 @@
 import weldcross.fakes.ReplicatedStoreModel;
 
 /**
- * What a soak recorded. Times are since the load began.
+ * Recorded observations of a soak test. Times are relative to the start of the load.
  *
- * @param history what clients saw and what servers did
- * @param arrivals requests that reached servers, whatever became of them
- * @param exits how processes of gateways ended
- * @param closes when gateways may close connections that clients still use
- * @param drains when servers drained
+ * @param history what clients observed and what servers did
+ * @param arrivals requests that reached servers, regardless of their outcome
+ * @param exits how gateway processes ended
+ * @param closeWindows periods in which gateways may close connections that clients still use
+ * @param drains periods in which servers were draining
  */
 public record SoakObservations(
     History history,
     List<ReplicatedStoreModel.Arrival> arrivals,
     List<ProcessExit> exits,
-    List<CloseWindow> closes,
+    List<CloseWindow> closeWindows,
     List<Drain> drains) {
 
   /**
-   * A time in which a gateway may close a connection while its client sends.
+   * A period in which a gateway may close a connection while its client sends a request.
    *
-   * @param gateway its name
-   * @param from when it began to stop, or a crowd came
-   * @param until when the gateway had ended, or the crowd had gone
+   * @param gateway name of the gateway
+   * @param from start of the shutdown or of a burst of idle connections
+   * @param until exit of the gateway process or end of the burst
    */
   public record CloseWindow(String gateway, Duration from, Duration until) {
 
@@ -36,11 +36,11 @@
   }
 
   /**
-   * A time in which a server drained.
+   * A period in which a server was draining.
    *
-   * @param server its name
-   * @param from when discovery was told
-   * @param until when discovery was told that it is active again
+   * @param server name of the server
+   * @param from when discovery published the server as draining
+   * @param until when discovery published the server as active again
    */
   public record Drain(String server, Duration from, Duration until) {}
 }
--- a/chaos/src/main/java/weldcross/chaos/soak/SoakStep.java
+++ b/chaos/src/main/java/weldcross/chaos/soak/SoakStep.java
@@ -5,42 +5,43 @@
 import java.util.stream.Collectors;
 
 /**
- * One thing that a soak does.
+ * One step of a soak test.
  *
- * @param at since the load began
- * @param kind what is done
- * @param hosts the gateways or servers it is done to, all at once; empty for discovery and crowds
- * @param times as the kind says
+ * @param at when the step starts, since the start of the load
+ * @param kind kind of the step
+ * @param hosts affected gateways or servers, all at the same time; empty for steps on discovery and
+ *     bursts of idle connections
+ * @param times durations whose meaning depends on the kind
  */
 public record SoakStep(Duration at, Kind kind, List<String> hosts, List<Duration> times) {
 
-  /** The kinds of steps. */
+  /** The kinds of steps. The names of the constants are part of stored plans. */
   public enum Kind {
-    /** SIGTERM after each of the times; SIGKILL at its earliest; a new start. */
+    /** SIGTERM after each of the times, SIGKILL after the grace period, then a restart. */
     STOP(true),
-    /** A stop and a new start, which gets SIGTERM after the time; then another start. */
+    /** A stop and a restart; the new process gets SIGTERM after each of the times; a restart. */
     STOP_WHILE_STARTING(true),
-    /** A stop and a new start, which gets SIGTERM as soon as it is ready; then another start. */
+    /** A stop as above and a restart; the new process gets SIGTERM once ready; a restart. */
     STOP_WHEN_READY(true),
     /** SIGHUP after each of the times. */
     RELOAD(true),
-    /** SIGHUP and at once SIGTERM, and the same again after each of the times; a new start. */
+    /** SIGHUP immediately followed by SIGTERM, after each of the times; then a restart. */
     RELOAD_AND_STOP(true),
-    /** SIGSTOP and SIGCONT by turns, for each of the times. */
+    /** SIGSTOP, then SIGCONT after the time; for each of the times. */
     PAUSE(true),
-    /** A server's statements wait for the first of the times. */
+    /** A server does not process statements for the first of the times. */
     SERVER_HANGS(false),
-    /** A server dies, and is back, cold, after the first of the times. */
+    /** A server is killed; it restarts after the first of the times, with cold caches. */
     SERVER_RESTARTS(false),
-    /** A server drains for the first of the times. */
+    /** A server is draining for the first of the times. */
     SERVER_DRAINS(false),
-    /** A server's data are behind, for the first of the times, by the second. */
+    /** A server's data lag by the second of the times, for the first of the times. */
     SERVER_LAGS(false),
-    /** Discovery cannot be reached for the first of the times. */
+    /** Discovery is unreachable for the first of the times. */
     DISCOVERY_DOWN(false),
-    /** What discovery says comes late, for the first of the times, by the second. */
+    /** Messages of discovery are delayed by the second of the times, for the first of the times. */
     DISCOVERY_LATE(false),
-    /** Many clients connect, and leave together after each of the times. */
+    /** Many idle clients connect, and disconnect together after the time; for each of the times. */
     CROWD(false);
 
     private final boolean onGateway;
@@ -50,7 +51,7 @@
     }
 
     /**
-     * Returns whether it sends signals to gateways.
+     * Returns whether the step sends signals to gateways.
      *
      * @return true for steps whose hosts are gateways
      */
@@ -60,26 +61,27 @@
   }
 
   /**
-   * Returns which steps must not act at the same time.
+   * Returns the queue of the step. Steps of one queue run one after another.
    *
-   * @return a name that steps share if each waits for the end of the one before
+   * @return name of the queue
    */
-  public String lane() {
+  public String queue() {
     return switch (kind) {
       case SERVER_HANGS, SERVER_RESTARTS, SERVER_DRAINS, SERVER_LAGS -> String.join(",", hosts);
       case DISCOVERY_DOWN, DISCOVERY_LATE -> "discovery";
-      case CROWD -> "crowd";
+      case CROWD -> "idle connections";
       default -> "signals";
     };
   }
 
   /**
-   * Describes it for a reader.
+   * Formats the step as text.
    *
    * @return one line
    */
   public String describe() {
-    String when = times.stream().map(t -> t.toMillis() + " ms").collect(Collectors.joining(", "));
-    return at.toMillis() + " ms " + kind + " " + String.join(",", hosts) + " [" + when + "]";
+    String durations =
+        times.stream().map(time -> time.toMillis() + " ms").collect(Collectors.joining(", "));
+    return at.toMillis() + " ms " + kind + " " + String.join(",", hosts) + " [" + durations + "]";
   }
 }
--- a/chaos/src/main/java/weldcross/chaos/soak/SoakVerdict.java
+++ b/chaos/src/main/java/weldcross/chaos/soak/SoakVerdict.java
@@ -19,45 +19,51 @@
 import weldcross.fakes.ReplicatedStoreModel;
 
 /**
- * What a soak showed: all rules of the history checker, and those on processes and drains.
+ * Outcome of the checks of a soak test: all rules of the history checker, and those on process
+ * exits, draining servers and the age of data when a read is sent.
  *
- * @param history as recorded, requests that crossed a close counted as not sent
- * @param crossings number of requests that crossed the close of their connection
- * @param violations of the rules; empty if all were kept
+ * @param history the recorded history, in which requests that raced with the close of their
+ *     connection have the outcome {@code NOT_SENT}
+ * @param closeRaces number of these requests
+ * @param violations violations of the rules; empty if there are none
  */
-public record SoakVerdict(History history, int crossings, List<Violation> violations) {
+public record SoakVerdict(History history, int closeRaces, List<Violation> violations) {
 
   /**
-   * A request crossed a close if its connection ended so soon after it was sent; one that was read
-   * and is dropped later than that was lost.
+   * Longest time from sending a request to the close of its connection for which the two count as a
+   * race. A request whose connection is closed later was read by the gateway and lost.
    */
-  static final Duration MAX_CROSSING = Duration.ofMillis(50);
+  static final Duration MAX_CLOSE_RACE = Duration.ofMillis(50);
 
-  /** A drain counts as told after 6 s at the latest; sends may go on for 2 s more. */
-  static final Duration DRAIN_NOTICE = Duration.ofSeconds(8);
+  /** Gateways learn of a drain within 6 s and may send requests to the server for 2 s more. */
+  static final Duration DRAIN_NOTICE_PERIOD = Duration.ofSeconds(8);
 
-  /** Between the send of a statement and its record at the server. */
+  /** Allowance for the time from sending a statement to its record at the server. */
   static final Duration RECORD_SLACK = Duration.ofMillis(500);
 
-  /** A gateway may be held up by 0.15 s between its clock and its write; the rest is the way. */
+  /**
+   * Allowance for the time from the gateway's routing decision to the arrival at the server: a
+   * pause of up to 0.15 s between reading the clock and writing to the socket, and the network.
+   */
   static final Duration SEND_SLACK = Duration.ofMillis(200);
 
   /**
-   * Judges a soak.
+   * Checks a soak test.
    *
-   * @param observations of the whole run
-   * @return its verdict
+   * @param observations observations of the complete run
+   * @return the outcome of all checks
    */
   public static SoakVerdict of(SoakObservations observations) {
     History recorded = observations.history();
     Set<String> forwarded = new HashSet<>();
     observations.arrivals().forEach(arrival -> forwarded.add(arrival.rpc()));
     List<ClientOperation> operations = new ArrayList<>();
-    int crossings = 0;
+    int closeRaces = 0;
     for (ClientOperation operation : recorded.operations()) {
-      boolean crossed = !forwarded.contains(operation.rpc()) && crossed(observations, operation);
-      crossings += crossed ? 1 : 0;
-      operations.add(crossed ? operation.with(Outcome.NOT_SENT) : operation);
+      boolean raced =
+          !forwarded.contains(operation.rpc()) && mayHaveRacedWithClose(observations, operation);
+      closeRaces += raced ? 1 : 0;
+      operations.add(raced ? operation.with(Outcome.NOT_SENT) : operation);
     }
     History history =
         new History(
@@ -69,48 +75,51 @@
     List<Violation> violations = new ArrayList<>(HistoryChecker.check(history));
     checkExits(observations, violations);
     checkDrains(observations, violations);
-    checkAgeAtSend(observations, violations);
-    return new SoakVerdict(history, crossings, List.copyOf(violations));
+    checkStalenessAtArrival(observations, violations);
+    return new SoakVerdict(history, closeRaces, List.copyOf(violations));
   }
 
-  /** Whether a request may have come after its gateway had ended sending on its connection. */
-  private static boolean crossed(SoakObservations observations, ClientOperation operation) {
+  /** Whether a request may have been sent while its gateway closed the connection. */
+  private static boolean mayHaveRacedWithClose(
+      SoakObservations observations, ClientOperation operation) {
     return operation.outcome() == Outcome.CONNECTION_CLOSED
         && operation.detail().equals(ClientOperation.ENDED_IN_ORDER)
-        && operation.durationNanos() <= MAX_CROSSING.toNanos()
-        && observations.closes().stream()
+        && operation.durationNanos() <= MAX_CLOSE_RACE.toNanos()
+        && observations.closeWindows().stream()
             .anyMatch(window -> window.covers(operation.gateway(), operation.ended()));
   }
 
   private static void checkExits(SoakObservations observations, List<Violation> violations) {
     for (ProcessExit exit : observations.exits()) {
-      if (!exit.isInOrder()) {
+      if (!exit.isExpected()) {
         String found =
             exit.gateway()
-                + (exit.termAt() == null ? " ended by itself" : " ended on SIGTERM")
+                + (exit.sigtermAt() == null ? " ended by itself" : " ended on SIGTERM")
                 + " with status "
                 + exit.status();
-        violations.add(new Violation(Rule.PROCESS_RUNS, "", exit.at().toNanos(), found));
+        violations.add(new Violation(Rule.PROCESS_RUNS, "", exit.endedAt().toNanos(), found));
       }
     }
   }
 
   private static void checkDrains(SoakObservations observations, List<Violation> violations) {
     for (SoakObservations.Drain drain : observations.drains()) {
-      long from = drain.from().plus(DRAIN_NOTICE).plus(RECORD_SLACK).toNanos();
+      long from = drain.from().plus(DRAIN_NOTICE_PERIOD).plus(RECORD_SLACK).toNanos();
       long until = drain.until().toNanos();
       observations.arrivals().stream()
           .filter(arrival -> arrival.server().equals(drain.server()))
           .filter(arrival -> arrival.at() > from && arrival.at() < until)
-          .forEach(arrival -> violations.add(afterDrain(drain, arrival.rpc(), arrival.at())));
+          .forEach(arrival -> violations.add(drainViolation(drain, arrival.rpc(), arrival.at())));
     }
   }
 
   /**
-   * A staleness bound counts from the gateway's send, which may come long after the client's. The
-   * answer is that of one of the reads done for the request: the freshest that gave its value.
+   * Checks staleness bounds relative to the time at which the gateway sent the read, which may be
+   * long after the client sent it; the arrival at the server stands for this time. Of the server
+   * reads of a request that returned the answered value, the freshest one counts.
    */
-  private static void checkAgeAtSend(SoakObservations observations, List<Violation> violations) {
+  private static void checkStalenessAtArrival(
+      SoakObservations observations, List<Violation> violations) {
     Map<String, Long> sequences = new HashMap<>();
     observations
         .history()
@@ -137,7 +146,9 @@
                   Rule.FRESH,
                   operation.rpc(),
                   operation.sent(),
-                  "data of " + TimeUnit.NANOSECONDS.toMillis(age) + " ms before it was sent on"));
+                  "data "
+                      + TimeUnit.NANOSECONDS.toMillis(age)
+                      + " ms old when the read was forwarded"));
         }
       }
     }
@@ -153,14 +164,14 @@
         - read.position();
   }
 
-  private static Violation afterDrain(SoakObservations.Drain drain, String rpc, long at) {
+  private static Violation drainViolation(SoakObservations.Drain drain, String rpc, long at) {
     long millis = TimeUnit.NANOSECONDS.toMillis(at) - drain.from().toMillis();
-    String found = "at " + drain.server() + " " + millis + " ms after it began to drain";
+    String found = "at " + drain.server() + " " + millis + " ms after the drain began";
     return new Violation(Rule.DRAINS_KEPT, rpc, at, found);
   }
 
   /**
-   * Returns whether all rules were kept.
+   * Returns whether no rule was violated.
    *
    * @return true if there is no violation
    */
--- a/chaos/src/main/java/weldcross/chaos/soak/package-info.java
+++ b/chaos/src/main/java/weldcross/chaos/soak/package-info.java
@@ -1,2 +1,2 @@
-/** What a soak does and what it must show; pure, while the run itself is with the cluster. */
+/** Plans of soak tests and the checks of their recorded observations. */
 package weldcross.chaos.soak;
--- a/chaos/src/test/java/weldcross/chaos/ChaosRunTest.java
+++ b/chaos/src/test/java/weldcross/chaos/ChaosRunTest.java
@@ -18,6 +18,7 @@
 import org.junit.jupiter.api.extension.RegisterExtension;
 import weldcross.chaos.history.ChaosRunResult;
 import weldcross.chaos.history.GatewayLogs;
+import weldcross.chaos.history.History;
 import weldcross.chaos.history.HistoryChecker;
 import weldcross.chaos.load.ClientOperation;
 import weldcross.chaos.load.LoadGenerator;
@@ -28,29 +29,30 @@
 import weldcross.chaos.scenario.Fault;
 import weldcross.chaos.scenario.Scenario;
 
-/** Short trials of real processes with fixed seeds; the same verdict each time. */
+/** Short chaos runs of gateway processes with fixed seeds. */
 @Timeout(120)
 class ChaosRunTest {
 
   @RegisterExtension final RunDirectory runDirectory = new RunDirectory();
 
   private static Scenario scenario(
-      String name, int seconds, int gateways, boolean linked, Fault... faults) {
+      String name, int seconds, int gateways, boolean meshEnabled, Fault... faults) {
     return TestScenarios.scenario()
         .name(name)
-        .lasting(Duration.ofSeconds(seconds))
+        .duration(Duration.ofSeconds(seconds))
         .gateways(gateways)
         .servers(2, 3)
-        .service(Duration.ofMillis(3))
-        .linked(linked)
-        .log("FINE")
+        .serviceTime(Duration.ofMillis(3))
+        .meshEnabled(meshEnabled)
+        .logLevel("FINE")
         .faults(faults)
         .build();
   }
 
   private static Fault fault(
-      int at, int lasting, Fault.Kind kind, String on, String to, String how) {
-    return new Fault(Duration.ofMillis(at), Duration.ofMillis(lasting), kind, on, to, how);
+      int atMillis, int durationMillis, Fault.Kind kind, String host, String peer, String details) {
+    return new Fault(
+        Duration.ofMillis(atMillis), Duration.ofMillis(durationMillis), kind, host, peer, details);
   }
 
   private ChaosRunResult run(Scenario scenario) throws Exception {
@@ -62,7 +64,7 @@
   }
 
   @Test
-  void killPauseAndCutLoseRequestsAndBreakNoRule() throws Exception {
+  void killPauseAndCutLoseRequestsWithoutViolations() throws Exception {
     ChaosRunResult result =
         run(
             scenario(
@@ -77,118 +79,126 @@
     Map<String, Long> lost =
         result.history().operations().stream()
             .filter(
-                a ->
-                    a.outcome() != ClientOperation.Outcome.OK
-                        && a.outcome() != ClientOperation.Outcome.REJECTED)
+                operation ->
+                    operation.outcome() != ClientOperation.Outcome.OK
+                        && operation.outcome() != ClientOperation.Outcome.REJECTED)
             .collect(Collectors.groupingBy(ClientOperation::gateway, Collectors.counting()));
-    assertTrue(lost.getOrDefault("n1", 0L) > 0, "the kill acted: " + describe(result));
+    assertTrue(lost.getOrDefault("n1", 0L) > 0, "the kill had an effect: " + describe(result));
     assertTrue(
         result.history().operations().stream()
             .anyMatch(
-                a -> a.gateway().equals("n2") && a.outcome() == ClientOperation.Outcome.TIMED_OUT),
-        "the pause acted: " + describe(result));
+                operation ->
+                    operation.gateway().equals("n2")
+                        && operation.outcome() == ClientOperation.Outcome.TIMED_OUT),
+        "the pause had an effect: " + describe(result));
     RunStatistics statistics = new RunStatistics(result);
     assertTrue(statistics.getTotal().getServed() > 1000, describe(result));
     assertEquals(
         1,
-        result.restarts().stream().filter(r -> r.startsWith("n1")).count(),
+        result.restarts().stream().filter(restart -> restart.startsWith("n1")).count(),
         result.restarts().toString());
 
-    // The evidence is kept whole, and the page has the faults drawn in.
+    // The history is stored without loss, and the report shows the faults.
     Path directory = runDirectory.path().resolve("faults");
     RunStore.write(result, directory);
     assertEquals(result.history(), RunStore.read(directory).history());
-    String page = Files.readString(RunReport.write(result, directory));
-    assertTrue(page.contains("kill n1 (old)") && page.contains("No rule broken"), page);
+    String report = Files.readString(RunReport.write(result, directory));
+    assertTrue(report.contains("kill n1 (old)") && report.contains("No rule broken"), report);
     assertEquals(0, Main.run("report", directory.toString()));
-    // Log lines of one RPC, of all gateways that had it.
-    String rpc =
+    // The log lines of a request are found.
+    String requestId =
         result.history().operations().stream()
-            .filter(a -> a.outcome() == ClientOperation.Outcome.OK)
+            .filter(operation -> operation.outcome() == ClientOperation.Outcome.OK)
             .findFirst()
             .get()
             .rpc();
-    assertFalse(GatewayLogs.linesOf(directory, rpc).isEmpty());
+    assertFalse(GatewayLogs.linesFor(directory, requestId).isEmpty());
   }
 
-  /** What servers do wrong by order is found by the audit, through real gateways. */
+  /**
+   * The checker finds a write applied twice and stale reads that faulty servers cause behind real
+   * gateways.
+   */
   @Test
-  void serverFaultsThatBreakRulesAreFound() throws Exception {
-    Scenario scenario = scenario("planted", 1, 1, false);
+  void checkerFindsViolationsByFaultyServers() throws Exception {
+    Scenario scenario = scenario("faulty-servers", 1, 1, false);
     try (ChaosCluster cluster =
-        new ChaosCluster(scenario, 1, runDirectory.path().resolve("planted"))) {
+        new ChaosCluster(scenario, 1, runDirectory.path().resolve("faulty-servers"))) {
       cluster.start();
-      long zero = cluster.clock().nanos();
+      long startNanos = cluster.clock().nanos();
       try (LoadGenerator load =
           new LoadGenerator(
               List.of(cluster.gateways().get(0).clientAddress()),
               2,
-              () -> cluster.clock().nanos() - zero,
+              () -> cluster.clock().nanos() - startNanos,
               5)) {
         load.start(200);
-        Await.until("RPCs are served", Duration.ofSeconds(20), () -> load.operationCount() > 200);
+        Await.until(
+            "requests are served", Duration.ofSeconds(20), () -> load.operationCount() > 200);
         cluster.server("s0").setWritingTwice(true);
-        // Replicas that are far behind say that they are not.
+        // Replicas that lag far behind report a current position.
         for (String replica : List.of("s1", "s2", "s4", "s5")) {
           cluster.server(replica).setOverstatingPosition(true);
           cluster.server(replica).setLag(Duration.ofSeconds(5));
         }
         int before = load.operationCount();
         Await.until(
-            "more are served", Duration.ofSeconds(20), () -> load.operationCount() > before + 600);
+            "more requests are served",
+            Duration.ofSeconds(20),
+            () -> load.operationCount() > before + 600);
         load.stop();
-        List<HistoryChecker.Rule> broken =
+        List<HistoryChecker.Rule> violated =
             HistoryChecker.check(
-                    new weldcross.chaos.history.History(
+                    new History(
                         load.operations(),
                         load.unexpectedMessages(),
-                        ChaosRun.commitsSinceStart(cluster.store(), zero),
-                        ChaosRun.readsSinceStart(cluster.store(), zero),
+                        ChaosRun.commitsSinceStart(cluster.store(), startNanos),
+                        ChaosRun.readsSinceStart(cluster.store(), startNanos),
                         List.of()))
                 .stream()
                 .map(HistoryChecker.Violation::rule)
                 .toList();
         assertTrue(
-            broken.contains(HistoryChecker.Rule.ONE_EFFECT)
-                && broken.contains(HistoryChecker.Rule.FRESH),
-            broken.toString());
+            violated.contains(HistoryChecker.Rule.ONE_EFFECT)
+                && violated.contains(HistoryChecker.Rule.FRESH),
+            violated.toString());
       }
     }
   }
 
   /**
-   * A disk that lost an incarnation it had said was kept: the peers know it, and the gateway says
-   * so.
+   * A disk acknowledges a stored incarnation and loses it: the restarted gateway learns from its
+   * peers that its stored incarnation is outdated, and takes a higher one.
    */
   @Test
   void lostIncarnationIsReportedByPeers() throws Exception {
-    Scenario scenario = scenario("lying", 1, 3, true);
-    Path directory = runDirectory.path().resolve("lying");
+    Scenario scenario = scenario("lost-incarnation", 1, 3, true);
+    Path directory = runDirectory.path().resolve("lost-incarnation");
     try (ChaosCluster cluster = new ChaosCluster(scenario, 1, directory)) {
-      GatewayNode one = cluster.gateways().get(1);
+      GatewayNode restarted = cluster.gateways().get(1);
       cluster.start();
-      GatewayNode zero = cluster.gateways().get(0);
-      logs(zero, "mesh: connection up: peer=n1 incarnation=1");
-      one.setDiskFaults("lie");
-      one.process().kill();
-      one.start();
-      logs(zero, "mesh: connection up: peer=n1 incarnation=2");
-      one.process().kill();
-      one.setDiskFaults("");
-      one.start();
-      logs(one, "mesh: stored incarnation is outdated");
-      logs(zero, "mesh: connection up: peer=n1 incarnation=3");
-      one.awaitReady();
+      GatewayNode peer = cluster.gateways().get(0);
+      awaitLog(peer, "mesh: connection up: peer=n1 incarnation=1");
+      restarted.setDiskFaults("lie");
+      restarted.process().kill();
+      restarted.start();
+      awaitLog(peer, "mesh: connection up: peer=n1 incarnation=2");
+      restarted.process().kill();
+      restarted.setDiskFaults("");
+      restarted.start();
+      awaitLog(restarted, "mesh: stored incarnation is outdated");
+      awaitLog(peer, "mesh: connection up: peer=n1 incarnation=3");
+      restarted.awaitReady();
     }
   }
 
-  private static void logs(GatewayNode gateway, String text) throws IOException {
+  private static void awaitLog(GatewayNode gateway, String text) throws IOException {
     GatewayLogAssertions.awaitLog(gateway, 0, text, Duration.ofSeconds(30));
   }
 
-  /** A wall clock that is off shows in what a gateway takes for the present, and breaks no rule. */
+  /** A gateway uses its wall clock to judge staleness; an offset must not cause stale reads. */
   @Test
-  void clockThatIsOffBreaksNoRule() throws Exception {
+  void clockOffsetCausesNoViolation() throws Exception {
     ChaosRunResult result =
         run(
             scenario(
@@ -202,27 +212,27 @@
   }
 
   @Test
-  void twoRunsAtOnceShareNothing() throws Exception {
-    CompletableFuture<ChaosRunResult> other =
+  void concurrentRunsDoNotInterfere() throws Exception {
+    CompletableFuture<ChaosRunResult> firstRun =
         CompletableFuture.supplyAsync(
             () -> {
               try {
-                return run(scenario("left", 4, 2, true));
+                return run(scenario("first", 4, 2, true));
               } catch (Exception e) {
                 throw new IllegalStateException(e);
               }
             });
-    ChaosRunResult right = run(scenario("right", 4, 2, true));
-    ChaosRunResult left = other.get();
-    for (ChaosRunResult each : List.of(left, right)) {
-      assertEquals(List.of(), each.violations(), describe(each));
-      assertTrue(new RunStatistics(each).getTotal().getServed() > 300, describe(each));
+    ChaosRunResult second = run(scenario("second", 4, 2, true));
+    ChaosRunResult first = firstRun.get();
+    for (ChaosRunResult result : List.of(first, second)) {
+      assertEquals(List.of(), result.violations(), describe(result));
+      assertTrue(new RunStatistics(result).getTotal().getServed() > 300, describe(result));
     }
   }
 
-  /** Not even a trial that is killed leaves a process behind, paused ones among them. */
+  /** A killed chaos run leaves no gateway process behind, not even a paused one. */
   @Test
-  void runThatIsKilledLeavesNoProcess() throws Exception {
+  void killedRunLeavesNoProcessBehind() throws Exception {
     Scenario scenario =
         scenario("killed", 60, 2, false, fault(0, 50_000, Fault.Kind.PAUSE, "n1", "", ""));
     Path file = runDirectory.path().resolve("killed.toml");
@@ -241,24 +251,28 @@
             .redirectOutput(runDirectory.path().resolve("out").toFile())
             .start();
     Await.until(
-        "two gateways run, one stands still",
+        "two gateways run, one of them paused",
         Duration.ofSeconds(40),
-        () -> gateways(run).size() == 2 && gateways(run).stream().anyMatch(ChaosRunTest::stands));
+        () -> gateways(run).size() == 2 && gateways(run).stream().anyMatch(ChaosRunTest::isPaused));
     List<ProcessHandle> gateways = gateways(run);
     run.destroyForcibly();
-    for (ProcessHandle each : gateways) {
+    for (ProcessHandle gateway : gateways) {
       Await.until(
-          "process " + each.pid() + " is gone", Duration.ofSeconds(20), () -> !each.isAlive());
+          "process " + gateway.pid() + " has ended",
+          Duration.ofSeconds(20),
+          () -> !gateway.isAlive());
     }
   }
 
   private static List<ProcessHandle> gateways(Process run) {
-    try (Stream<ProcessHandle> all = run.toHandle().children()) {
-      return all.filter(p -> p.info().commandLine().orElse("").contains("weldcross.jar")).toList();
+    try (Stream<ProcessHandle> children = run.toHandle().children()) {
+      return children
+          .filter(child -> child.info().commandLine().orElse("").contains("weldcross.jar"))
+          .toList();
     }
   }
 
-  private static boolean stands(ProcessHandle process) {
+  private static boolean isPaused(ProcessHandle process) {
     try {
       String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
       return stat.charAt(stat.lastIndexOf(')') + 2) == 'T';
--- a/chaos/src/test/java/weldcross/chaos/FaultInjectorTest.java
+++ b/chaos/src/test/java/weldcross/chaos/FaultInjectorTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static weldcross.chaos.TestScenarios.LAG;
+import static weldcross.chaos.TestScenarios.REPLICA_LAG;
 import static weldcross.chaos.TestScenarios.fault;
 
 import java.io.DataInputStream;
@@ -28,10 +28,7 @@
 import weldcross.chaos.scenario.Fault;
 import weldcross.fakes.ReplicatedStoreModel;
 
-/**
- * What is done to gateways and servers by order really happens to them: shown by them, not by who
- * did it.
- */
+/** Tests that injected faults take effect, as observed from gateways and servers. */
 @Timeout(120)
 class FaultInjectorTest {
 
@@ -39,167 +36,172 @@
 
   private ChaosCluster cluster(int gateways) throws IOException {
     return new ChaosCluster(
-        TestScenarios.scenario().gateways(gateways).linked(true).log("FINE").build(),
+        TestScenarios.scenario().gateways(gateways).meshEnabled(true).logLevel("FINE").build(),
         3,
         runDirectory.path());
   }
 
-  private static void logs(GatewayNode gateway, int from, String text) throws IOException {
+  private static void awaitLog(GatewayNode gateway, int from, String text) throws IOException {
     GatewayLogAssertions.awaitLog(gateway, from, text, Duration.ofSeconds(30));
   }
 
-  private static int length(GatewayNode gateway) throws IOException {
+  private static int logLength(GatewayNode gateway) throws IOException {
     return Files.readString(gateway.log()).length();
   }
 
-  /** Sides that overlap: n1 hears both, n0 and n2 do not hear each other; then all do again. */
+  /** Overlapping sides: n1 reaches n0 and n2, which do not reach each other until healed. */
   @Test
-  void splitCutsOffOnlyGatewaysWithoutACommonSide() throws IOException {
+  void partitionSeparatesOnlyGatewaysWithoutCommonSide() throws IOException {
     try (ChaosCluster cluster = cluster(3)) {
       cluster.start();
       GatewayNode n0 = cluster.gateway("n0");
       GatewayNode n2 = cluster.gateway("n2");
-      logs(n0, 0, "mesh: connection up: peer=n2");
-      logs(n2, 0, "mesh: connection up: peer=n0");
+      awaitLog(n0, 0, "mesh: connection up: peer=n2");
+      awaitLog(n2, 0, "mesh: connection up: peer=n0");
       FaultInjector injector = new FaultInjector(cluster);
       Fault split = fault(Fault.Kind.SPLIT, "", "", "n0,n1|n1,n2");
-      injector.begin(split);
-      logs(n0, 0, "mesh: connection down: peer=n2 reason=HEARTBEAT_TIMEOUT");
-      logs(n2, 0, "mesh: connection down: peer=n0 reason=HEARTBEAT_TIMEOUT");
+      injector.inject(split);
+      awaitLog(n0, 0, "mesh: connection down: peer=n2 reason=HEARTBEAT_TIMEOUT");
+      awaitLog(n2, 0, "mesh: connection down: peer=n0 reason=HEARTBEAT_TIMEOUT");
       assertFalse(Files.readString(cluster.gateway("n1").log()).contains("connection down"));
-      final int from = length(n0);
-      injector.end(split, LAG);
-      logs(n0, from, "mesh: connection up: peer=n2");
+      final int from = logLength(n0);
+      injector.heal(split, REPLICA_LAG);
+      awaitLog(n0, from, "mesh: connection up: peer=n2");
     }
   }
 
   /**
-   * Its records as they were: a higher incarnation. Empty or of a moment before: others know
-   * better, and say so.
+   * With unchanged records, a restarted gateway takes the next incarnation. With empty or earlier
+   * records, its peers tell it that the stored incarnation is outdated.
    */
   @Test
-  void killedGatewayStartsWithOldEarlierOrNoRecords() throws IOException {
+  void killedGatewayRestartsWithOldEarlierOrEmptyRecords() throws IOException {
     try (ChaosCluster cluster = cluster(2)) {
       GatewayNode n1 = cluster.gateway("n1");
       cluster.start();
-      logs(cluster.gateway("n0"), 0, "mesh: connection up: peer=n1 incarnation=1");
+      awaitLog(cluster.gateway("n0"), 0, "mesh: connection up: peer=n1 incarnation=1");
       n1.copyRecords();
       FaultInjector injector = new FaultInjector(cluster);
-      String[][] lives = {{"old", "2"}, {"earlier", "3"}, {"empty", "4"}};
-      for (String[] life : lives) {
-        final int from = length(n1);
-        Fault kill = fault(Fault.Kind.KILL, "n1", "", life[0]);
-        injector.begin(kill);
+      String[][] restarts = {{"old", "2"}, {"earlier", "3"}, {"empty", "4"}};
+      for (String[] restart : restarts) {
+        final int from = logLength(n1);
+        Fault kill = fault(Fault.Kind.KILL, "n1", "", restart[0]);
+        injector.inject(kill);
         assertEquals('?', n1.process().state());
-        injector.end(kill, LAG);
-        logs(cluster.gateway("n0"), 0, "mesh: connection up: peer=n1 incarnation=" + life[1]);
-        boolean told =
+        injector.heal(kill, REPLICA_LAG);
+        awaitLog(
+            cluster.gateway("n0"), 0, "mesh: connection up: peer=n1 incarnation=" + restart[1]);
+        boolean outdated =
             Files.readString(n1.log())
                 .substring(from)
                 .contains("mesh: stored incarnation is outdated");
-        assertEquals(!life[0].equals("old"), told, "records " + life[0]);
+        assertEquals(!restart[0].equals("old"), outdated, "records " + restart[0]);
       }
     }
   }
 
   @Test
-  void sigstopIsNotNoticedWithinAndSigtermStopsGracefully() throws IOException {
+  void pausedGatewayRecoversAndSigtermStopsGracefully() throws IOException {
     try (ChaosCluster cluster = cluster(2)) {
       cluster.start();
       GatewayNode n0 = cluster.gateway("n0");
       GatewayNode n1 = cluster.gateway("n1");
-      logs(n0, 0, "mesh: connection up: peer=n1");
-      logs(n1, 0, "mesh: connection up: peer=n0");
+      awaitLog(n0, 0, "mesh: connection up: peer=n1");
+      awaitLog(n1, 0, "mesh: connection up: peer=n0");
       FaultInjector injector = new FaultInjector(cluster);
       Fault pause = fault(Fault.Kind.PAUSE, "n1", "", "");
-      injector.begin(pause);
+      injector.inject(pause);
       assertEquals('T', n1.process().state());
       assertFalse(n1.isReady());
-      logs(n0, 0, "mesh: connection down: peer=n1 reason=HEARTBEAT_TIMEOUT");
-      // Each direction has a connection: n1's own is given up a heartbeat earlier or later.
-      logs(n0, 0, "mesh: inbound connection down: peer=n1 reason=HEARTBEAT_TIMEOUT");
-      injector.end(pause, LAG);
-      logs(n1, 0, "mesh: connection down: peer=n0");
-      Await.until("serves again", Duration.ofSeconds(20), n1::isReady);
-      injector.begin(fault(Fault.Kind.TERM, "n1", "", ""));
+      awaitLog(n0, 0, "mesh: connection down: peer=n1 reason=HEARTBEAT_TIMEOUT");
+      // There is one connection per direction; the two time out independently.
+      awaitLog(n0, 0, "mesh: inbound connection down: peer=n1 reason=HEARTBEAT_TIMEOUT");
+      injector.heal(pause, REPLICA_LAG);
+      awaitLog(n1, 0, "mesh: connection down: peer=n0");
+      Await.until("n1 serves again", Duration.ofSeconds(20), n1::isReady);
+      injector.inject(fault(Fault.Kind.TERM, "n1", "", ""));
       assertTrue(n1.process().awaitExit(Duration.ofSeconds(20)));
       assertEquals(0, n1.process().exitStatus().getAsInt());
-      logs(n1, 0, "DRAINING to STOPPED");
+      awaitLog(n1, 0, "DRAINING to STOPPED");
     }
   }
 
   /**
-   * A disk that takes nothing, fails or stands still: no incarnation, no link, and service all the
-   * same.
+   * With a full, failing or blocked disk, a gateway cannot store its incarnation: it does not join
+   * the mesh, but still serves requests.
    */
   @Test
-  void meshWaitsForAWorkingDiskWhileServiceGoesOn() throws IOException {
+  void gatewayServesWithoutMeshUntilDiskWorks() throws IOException {
     try (ChaosCluster cluster = cluster(2)) {
       cluster.gateway("n0").start();
       GatewayNode n1 = cluster.gateway("n1");
-      for (String words : List.of("full", "fail", "stuck")) {
-        final int from = Files.exists(n1.log()) ? length(n1) : 0;
-        n1.setDiskFaults(words);
+      for (String diskFaults : List.of("full", "fail", "stuck")) {
+        final int from = Files.exists(n1.log()) ? logLength(n1) : 0;
+        n1.setDiskFaults(diskFaults);
         n1.start();
         n1.awaitReady();
-        if (!words.equals("stuck")) {
-          logs(n1, from, "mesh: incarnation not stored, no peer is connected: retry=true");
+        if (!diskFaults.equals("stuck")) {
+          awaitLog(n1, from, "mesh: incarnation not stored, no peer is connected: retry=true");
         }
         assertFalse(
             Files.readString(n1.log()).substring(from).contains("mesh: started: incarnation="),
-            words);
+            diskFaults);
         n1.setDiskFaults("");
-        logs(n1, from, "mesh: started: incarnation=");
-        logs(n1, from, "mesh: connection up: peer=n0");
+        awaitLog(n1, from, "mesh: started: incarnation=");
+        awaitLog(n1, from, "mesh: connection up: peer=n0");
         n1.process().kill();
       }
     }
   }
 
   /**
-   * Five seconds ahead all data look old, and bounded reads go to the primary alone; else replicas
-   * have them.
+   * To a gateway whose clock is 5 s ahead, the data of all replicas seem too stale, so it sends
+   * bounded reads only to the primary; the other gateway uses replicas.
    */
   @Test
-  void clockThatIsFastSendsBoundedReadsToThePrimary() throws Exception {
+  void fastClockSendsBoundedReadsToPrimary() throws Exception {
     try (ChaosCluster cluster = cluster(2)) {
       cluster.gateway("n1").setClockOffsetMillis(5000);
       cluster.start();
-      long zero = cluster.clock().nanos();
+      long startNanos = cluster.clock().nanos();
       try (LoadGenerator load =
           new LoadGenerator(
               cluster.gateways().stream().map(GatewayNode::clientAddress).toList(),
               1,
-              () -> cluster.clock().nanos() - zero,
+              () -> cluster.clock().nanos() - startNanos,
               9)) {
         load.start(200);
-        Await.until("RPCs are served", Duration.ofSeconds(30), () -> load.operationCount() > 1200);
+        Await.until(
+            "requests are served", Duration.ofSeconds(30), () -> load.operationCount() > 1200);
         load.stop();
-        Set<String> atReplicas =
+        Set<String> servedByReplicas =
             cluster.store().reads().stream()
-                .filter(r -> !r.server().equals("s0"))
+                .filter(read -> !read.server().equals("s0"))
                 .map(ReplicatedStoreModel.Read::rpc)
                 .collect(Collectors.toSet());
-        assertEquals(0, browsed(load, "n1", atReplicas));
+        assertEquals(0, countBoundedReads(load, "n1", servedByReplicas));
         assertTrue(
-            browsed(load, "n0", atReplicas) > 30, "n0's: " + browsed(load, "n0", atReplicas));
+            countBoundedReads(load, "n0", servedByReplicas) > 30,
+            "bounded reads of n0 served by replicas: "
+                + countBoundedReads(load, "n0", servedByReplicas));
       }
     }
   }
 
-  private static long browsed(LoadGenerator load, String gateway, Set<String> among) {
+  private static long countBoundedReads(
+      LoadGenerator load, String gateway, Set<String> requestIds) {
     return load.operations().stream()
         .filter(
-            a ->
-                a.type() == RequestType.BOUNDED_READ
-                    && a.gateway().equals(gateway)
-                    && a.outcome() == ClientOperation.Outcome.OK
-                    && among.contains(a.rpc()))
+            operation ->
+                operation.type() == RequestType.BOUNDED_READ
+                    && operation.gateway().equals(gateway)
+                    && operation.outcome() == ClientOperation.Outcome.OK
+                    && requestIds.contains(operation.rpc()))
         .count();
   }
 
-  /** What a server says of its position, asked at its own address, in Unix seconds. */
-  private static double position(ChaosCluster cluster, String server) throws IOException {
+  /** Queries a server directly for its replication position, in Unix seconds. */
+  private static double queryPosition(ChaosCluster cluster, String server) throws IOException {
     try (Socket socket =
         new Socket(
             cluster.server(server).address().getAddress(),
@@ -229,58 +231,56 @@
     }
   }
 
-  /**
-   * A server that dies is refused, one that is behind gives old data, answers get lost after their
-   * effect.
-   */
+  /** Covers the server faults: lost answers, replication lag, a stall and a kill. */
   @Test
-  void serverFaultsActAsInjected() throws Exception {
+  void serverFaultsTakeEffect() throws Exception {
     try (ChaosCluster cluster = cluster(1)) {
       cluster.start();
-      long zero = cluster.clock().nanos();
+      long startNanos = cluster.clock().nanos();
       try (LoadGenerator load =
           new LoadGenerator(
               List.of(cluster.gateway("n0").clientAddress()),
               1,
-              () -> cluster.clock().nanos() - zero,
+              () -> cluster.clock().nanos() - startNanos,
               4)) {
         load.start(200);
-        Await.until("RPCs are served", Duration.ofSeconds(30), () -> load.operationCount() > 300);
+        Await.until(
+            "requests are served", Duration.ofSeconds(30), () -> load.operationCount() > 300);
         FaultInjector injector = new FaultInjector(cluster);
         Fault lost = fault(Fault.Kind.ANSWERS_LOST, "s0", "", "");
-        injector.begin(lost);
+        injector.inject(lost);
         Await.until(
-            "an answer got lost after its effect",
+            "the answer to an applied write is lost",
             Duration.ofSeconds(30),
             () ->
                 load.operations().stream()
                     .anyMatch(
-                        a ->
-                            a.outcome() == ClientOperation.Outcome.FAILED
+                        operation ->
+                            operation.outcome() == ClientOperation.Outcome.FAILED
                                 && cluster.store().commits().stream()
-                                    .anyMatch(e -> e.rpc().equals(a.rpc()))));
-        injector.end(lost, LAG);
+                                    .anyMatch(commit -> commit.rpc().equals(operation.rpc()))));
+        injector.heal(lost, REPLICA_LAG);
         Fault lag = fault(Fault.Kind.LAG, "s1", "", "3000");
-        final double positionBefore = position(cluster, "s1");
-        injector.begin(lag);
-        double behind = 0;
+        final double positionBefore = queryPosition(cluster, "s1");
+        injector.inject(lag);
+        double lagSeconds = 0;
         for (long deadline = System.nanoTime() + 10_000_000_000L;
-            behind <= 2.9 && System.nanoTime() < deadline; ) {
-          double position = position(cluster, "s1");
-          assertTrue(position >= positionBefore, "a replica keeps what it has applied");
-          behind = System.currentTimeMillis() / 1000.0 - position;
+            lagSeconds <= 2.9 && System.nanoTime() < deadline; ) {
+          double position = queryPosition(cluster, "s1");
+          assertTrue(position >= positionBefore, "the position of a replica never decreases");
+          lagSeconds = System.currentTimeMillis() / 1000.0 - position;
         }
-        assertTrue(behind > 2.9 && behind < 4, behind + " s behind");
+        assertTrue(lagSeconds > 2.9 && lagSeconds < 4, "lag " + lagSeconds + " s");
         Fault stall = fault(Fault.Kind.SERVER_STALL, "s2", "", "");
-        injector.begin(stall);
-        assertThrows(SocketTimeoutException.class, () -> position(cluster, "s2"));
-        injector.end(stall, LAG);
-        assertTrue(position(cluster, "s2") > 0);
+        injector.inject(stall);
+        assertThrows(SocketTimeoutException.class, () -> queryPosition(cluster, "s2"));
+        injector.heal(stall, REPLICA_LAG);
+        assertTrue(queryPosition(cluster, "s2") > 0);
         Fault kill = fault(Fault.Kind.SERVER_KILL, "s1", "", "");
-        injector.begin(kill);
-        logs(cluster.gateway("n0"), 0, "connection failed: endpoint=s1");
-        injector.end(kill, LAG);
-        injector.end(lag, LAG);
+        injector.inject(kill);
+        awaitLog(cluster.gateway("n0"), 0, "connection failed: endpoint=s1");
+        injector.heal(kill, REPLICA_LAG);
+        injector.heal(lag, REPLICA_LAG);
       }
     }
   }
--- a/chaos/src/test/java/weldcross/chaos/GatewayLogAssertions.java
+++ b/chaos/src/test/java/weldcross/chaos/GatewayLogAssertions.java
@@ -5,15 +5,15 @@
 import java.time.Duration;
 import weldcross.chaos.process.Await;
 
-/** Reads the logs of gateways and waits for their lines. */
+/** Reads gateway logs and waits for lines in them. */
 final class GatewayLogAssertions {
 
-  /** How the log line of a detected change begins. */
+  /** Start of the message that a gateway logs when the state of a member changes. */
   static final String STATE_CHANGED = "membership: member state changed: ";
 
   private GatewayLogAssertions() {}
 
-  /** Returns the whole log of a gateway; empty if it has written none. */
+  /** Returns the whole log of a gateway; empty if it does not exist yet. */
   static String log(GatewayNode gateway) {
     try {
       return Files.readString(gateway.log());
@@ -22,7 +22,7 @@
     }
   }
 
-  /** Waits until the log of a gateway, from an offset on, contains a text. */
+  /** Waits until the log of a gateway contains a text at or after an offset. */
   static void awaitLog(GatewayNode gateway, int from, String text, Duration timeout)
       throws IOException {
     Await.until(
@@ -31,7 +31,7 @@
         () -> log(gateway).substring(from).contains(text));
   }
 
-  /** Waits until each gateway has logged that it sees each other one alive. */
+  /** Waits until each gateway has logged every other gateway as alive. */
   static void awaitAllAlive(ChaosCluster cluster, Duration timeout) throws IOException {
     for (GatewayNode gateway : cluster.gateways()) {
       for (GatewayNode peer : cluster.gateways()) {
--- a/chaos/src/test/java/weldcross/chaos/HistoryCheckerTest.java
+++ b/chaos/src/test/java/weldcross/chaos/HistoryCheckerTest.java
@@ -14,7 +14,7 @@
 import weldcross.chaos.load.RequestType;
 import weldcross.fakes.ReplicatedStoreModel;
 
-/** The audit finds each breach that is planted, and nothing in what is right. */
+/** Tests that the checker finds each kind of violation, and none in a correct history. */
 class HistoryCheckerTest {
 
   private static final long MS = 1_000_000;
@@ -53,7 +53,7 @@
     commit("a1", 505);
   }
 
-  private List<Rule> brokenRules() {
+  private List<Rule> violatedRules() {
     return HistoryChecker.check(new History(operations, unexpectedMessages, commits, reads, faults))
         .stream()
         .map(HistoryChecker.Violation::rule)
@@ -63,31 +63,31 @@
   @Test
   void correctHistoryHasNoViolation() {
     recordCorrectHistory();
-    assertEquals(List.of(), brokenRules());
+    assertEquals(List.of(), violatedRules());
   }
 
   @Test
-  void secondEffectIsFound() {
+  void writeAppliedTwiceIsFound() {
     recordCorrectHistory();
     commit("w1", 150);
-    assertEquals(List.of(Rule.ONE_EFFECT), brokenRules());
+    assertEquals(List.of(Rule.ONE_EFFECT), violatedRules());
   }
 
   @Test
-  void answerWithoutEffectAndRejectionWithOneAreFound() {
+  void acknowledgedWriteNotAppliedAndRejectedWriteAppliedAreFound() {
     recordCorrectHistory();
     operation("w2", RequestType.WRITE, 600, Outcome.OK, "w2", "");
     commit("p1", 410);
-    assertEquals(List.of(Rule.REFUSED_HARMLESS, Rule.EFFECT_THERE), brokenRules());
+    assertEquals(List.of(Rule.REFUSED_HARMLESS, Rule.EFFECT_THERE), violatedRules());
   }
 
   @Test
-  void secondAnswerAndForeignValueAreFound() {
+  void unexpectedMessageAndValueOfAnotherWriteAreFound() {
     recordCorrectHistory();
     unexpectedMessages.add("Dsomething");
     operation("w3", RequestType.WRITE, 600, Outcome.OK, "w1", "");
     commit("w3", 605);
-    assertEquals(List.of(Rule.ONE_ANSWER, Rule.ONE_ANSWER), brokenRules());
+    assertEquals(List.of(Rule.ONE_ANSWER, Rule.ONE_ANSWER), violatedRules());
   }
 
   @Test
@@ -98,19 +98,19 @@
     operation("r2", RequestType.SESSION_READ, 700, Outcome.OK, "w1", "w4");
     read("r2", 705, 600, 1);
     operation("b2", RequestType.BOUNDED_READ, 2000, Outcome.OK, "", "");
-    // Its bound is 800 ms; the freshest read that gave this value was 860 ms behind the send.
+    // The bound is 800 ms; the freshest read with this value was 860 ms older than the request.
     read("b2", 2005, 1140, 0);
-    assertEquals(List.of(Rule.FRESH, Rule.FRESH), brokenRules());
+    assertEquals(List.of(Rule.FRESH, Rule.FRESH), violatedRules());
   }
 
   @Test
-  void lostAnswerIsAViolationUnlessAFaultExcusesIt() {
+  void lostAnswerIsViolationUnlessFaultExplainsIt() {
     recordCorrectHistory();
     operation("l1", RequestType.SESSION_READ, 3000, Outcome.CONNECTION_CLOSED, "", "");
     operation("l2", RequestType.SESSION_READ, 9000, Outcome.TIMED_OUT, "", "");
     faults.add(new History.FaultInterval(2900 * MS, 4000 * MS, List.of("n1"), "kill n1"));
     faults.add(new History.FaultInterval(8900 * MS, 9500 * MS, List.of("n2"), "kill n2"));
-    assertEquals(List.of(Rule.ONE_ANSWER), brokenRules());
+    assertEquals(List.of(Rule.ONE_ANSWER), violatedRules());
     assertTrue(
         HistoryChecker.likelyCause(
                 new History(operations, unexpectedMessages, commits, reads, faults),
@@ -119,7 +119,7 @@
             .contains("n2"));
   }
 
-  private List<Rule> views(Long agreedAfter, History.ReportedView... views) {
+  private List<Rule> violatedRules(Long convergedAfterMillis, History.ReportedView... views) {
     return HistoryChecker.check(
             new History(
                 operations,
@@ -128,33 +128,35 @@
                 reads,
                 faults,
                 List.of(views),
-                agreedAfter))
+                convergedAfterMillis))
         .stream()
         .map(HistoryChecker.Violation::rule)
         .toList();
   }
 
-  private static History.ReportedView held(
+  private static History.ReportedView view(
       String gateway, int process, long number, String members) {
     return new History.ReportedView(gateway, process, number, members);
   }
 
   @Test
-  void differingAndRegressingViewsAreFound() {
+  void differingRegressingAndUnconvergedViewsAreFound() {
     recordCorrectHistory();
     assertEquals(
         List.of(),
-        views(
+        violatedRules(
             800L,
-            held("n0", 1, 4, "n0:1"),
-            held("n0", 1, 5, "n0:1 n1:1"),
-            held("n0", 2, 4, "n0:1"),
-            held("n1", 1, 5, "n0:1 n1:1")));
+            view("n0", 1, 4, "n0:1"),
+            view("n0", 1, 5, "n0:1 n1:1"),
+            view("n0", 2, 4, "n0:1"),
+            view("n1", 1, 5, "n0:1 n1:1")));
     assertEquals(
-        List.of(Rule.ONE_VIEW), views(0L, held("n0", 1, 5, "n0:1"), held("n1", 1, 5, "n0:2")));
+        List.of(Rule.ONE_VIEW),
+        violatedRules(0L, view("n0", 1, 5, "n0:1"), view("n1", 1, 5, "n0:2")));
     assertEquals(
-        List.of(Rule.NO_VIEW_BACK), views(0L, held("n0", 1, 5, "n0:1"), held("n0", 1, 4, "n1:1")));
-    assertEquals(List.of(Rule.AGREES), views(-1L));
+        List.of(Rule.NO_VIEW_BACK),
+        violatedRules(0L, view("n0", 1, 5, "n0:1"), view("n0", 1, 4, "n1:1")));
+    assertEquals(List.of(Rule.AGREES), violatedRules(-1L));
   }
 
   private void closedOperation(String rpc, long sent, long millis, String detail) {
@@ -173,19 +175,20 @@
             ""));
   }
 
-  /** In an orderly stop of n1, from 1 s to 2 s. */
+  /** The gateway n1 shuts down gracefully from 1 s to 2 s. */
   @Test
-  void onlyARequestThatCrossesTheCloseOfItsConnectionMayStayUnanswered() {
+  void onlyRequestRacingWithGracefulCloseMayStayUnanswered() {
     faults.add(
         new History.FaultInterval(1000 * MS, 2000 * MS, List.of(), List.of("n1"), "term n1"));
     closedOperation("x1", 1500, 60, "ended");
-    assertEquals(List.of(), brokenRules());
+    assertEquals(List.of(), violatedRules());
     closedOperation("x2", 1500, 110, "ended");
     closedOperation("x3", 1500, 10, "Connection reset");
     closedOperation("x4", 2500, 10, "ended");
     closedOperation("x5", 1500, 10, "ended");
     read("x5", 1505, 1505, 0);
     assertEquals(
-        List.of(Rule.ONE_ANSWER, Rule.ONE_ANSWER, Rule.ONE_ANSWER, Rule.ONE_ANSWER), brokenRules());
+        List.of(Rule.ONE_ANSWER, Rule.ONE_ANSWER, Rule.ONE_ANSWER, Rule.ONE_ANSWER),
+        violatedRules());
   }
 }
--- a/chaos/src/test/java/weldcross/chaos/MembershipChaosTest.java
+++ b/chaos/src/test/java/weldcross/chaos/MembershipChaosTest.java
@@ -4,7 +4,7 @@
 import static weldcross.chaos.GatewayLogAssertions.awaitAllAlive;
 import static weldcross.chaos.GatewayLogAssertions.awaitLog;
 import static weldcross.chaos.GatewayLogAssertions.log;
-import static weldcross.chaos.TestScenarios.LAG;
+import static weldcross.chaos.TestScenarios.REPLICA_LAG;
 import static weldcross.chaos.TestScenarios.fault;
 
 import java.io.IOException;
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.extension.RegisterExtension;
 import weldcross.chaos.scenario.Fault;
 
-/** What gateways detect of each other, as processes under faults. */
+/** Tests the failure detection between gateway processes under faults. */
 @Timeout(150)
 class MembershipChaosTest {
 
@@ -22,11 +22,16 @@
 
   @RegisterExtension final RunDirectory runDirectory = new RunDirectory();
 
-  /** Starts four gateways and waits until all see each other alive. */
+  /** Starts four gateways and waits until they see each other alive. */
   private ChaosCluster start() throws IOException {
     ChaosCluster cluster =
         new ChaosCluster(
-            TestScenarios.scenario().gateways(4).servers(1, 2).linked(true).log("FINE").build(),
+            TestScenarios.scenario()
+                .gateways(4)
+                .servers(1, 2)
+                .meshEnabled(true)
+                .logLevel("FINE")
+                .build(),
             3,
             runDirectory.path());
     cluster.start();
@@ -39,43 +44,43 @@
   }
 
   @Test
-  void pausedMemberIsUnreachableAndKilledOneIsDeadUntilTheyComeBack() throws IOException {
+  void pausedMemberIsUnreachableAndKilledMemberIsDead() throws IOException {
     try (ChaosCluster cluster = start()) {
       FaultInjector injector = new FaultInjector(cluster);
       GatewayNode n0 = cluster.gateway("n0");
       Fault pause = fault(Fault.Kind.PAUSE, "n1", "", "");
-      injector.begin(pause);
+      injector.inject(pause);
       awaitState(n0, 0, "peer=n1 state=UNREACHABLE");
       int from = log(n0).length();
-      injector.end(pause, LAG);
+      injector.heal(pause, REPLICA_LAG);
       awaitState(n0, from, "peer=n1 state=ALIVE");
       for (GatewayNode gateway : cluster.gateways()) {
         assertFalse(log(gateway).contains("peer=n1 state=DEAD"), gateway.name());
       }
       int before = log(n0).length();
       Fault kill = fault(Fault.Kind.KILL, "n2", "", "old");
-      injector.begin(kill);
+      injector.inject(kill);
       awaitState(n0, before, "peer=n2 state=DEAD incarnation=1");
-      injector.end(kill, LAG);
+      injector.heal(kill, REPLICA_LAG);
       awaitState(n0, before, "peer=n2 state=ALIVE incarnation=2");
-      injector.begin(fault(Fault.Kind.TERM, "n3", "", ""));
+      injector.inject(fault(Fault.Kind.TERM, "n3", "", ""));
       awaitState(n0, before, "peer=n3 state=DEAD incarnation=1");
     }
   }
 
   @Test
-  void splitMakesMembersUnreachableAndHealsWithoutAnOperator() throws IOException {
+  void partitionMakesMembersUnreachableUntilHealed() throws IOException {
     try (ChaosCluster cluster = start()) {
       FaultInjector injector = new FaultInjector(cluster);
       GatewayNode n0 = cluster.gateway("n0");
       GatewayNode n3 = cluster.gateway("n3");
       Fault split = fault(Fault.Kind.SPLIT, "", "", "n0,n1|n2,n3");
-      injector.begin(split);
+      injector.inject(split);
       awaitState(n0, 0, "peer=n2 state=UNREACHABLE");
       awaitState(n3, 0, "peer=n1 state=UNREACHABLE");
       int fromN0 = log(n0).length();
       int fromN3 = log(n3).length();
-      injector.end(split, LAG);
+      injector.heal(split, REPLICA_LAG);
       awaitState(n0, fromN0, "peer=n2 state=ALIVE");
       awaitState(n3, fromN3, "peer=n1 state=ALIVE");
       for (GatewayNode gateway : cluster.gateways()) {
--- a/chaos/src/test/java/weldcross/chaos/RunDirectory.java
+++ b/chaos/src/test/java/weldcross/chaos/RunDirectory.java
@@ -18,12 +18,12 @@
 
   private static final Path PARENT = Path.of("chaos", "target", "failed-tests");
 
-  /** Enough for the last seconds of a log at level FINE. */
+  /** Covers the last seconds of a log at level FINE. */
   private static final int PRINTED_LINES = 60;
 
   private Path directory;
 
-  /** Returns the directory of the test under way. */
+  /** Returns the directory of the current test. */
   Path path() {
     return directory;
   }
@@ -41,10 +41,10 @@
       Directories.delete(directory);
       return;
     }
-    System.out.println("kept of " + context.getDisplayName() + ": " + directory);
+    System.out.println("files of failed test " + context.getDisplayName() + ": " + directory);
     try (Stream<Path> files = Files.walk(directory)) {
       for (Path log : files.filter(RunDirectory::isGatewayLog).sorted().toList()) {
-        printEnd(log);
+        printLastLines(log);
       }
     }
   }
@@ -53,7 +53,7 @@
     return file.getFileName().toString().equals(GatewayLogs.FILE_NAME);
   }
 
-  private static void printEnd(Path log) throws IOException {
+  private static void printLastLines(Path log) throws IOException {
     List<String> lines = Files.readAllLines(log);
     System.out.println("--- " + log);
     lines
--- a/chaos/src/test/java/weldcross/chaos/ScenarioTest.java
+++ b/chaos/src/test/java/weldcross/chaos/ScenarioTest.java
@@ -21,29 +21,30 @@
 import weldcross.chaos.scenario.Scenario;
 import weldcross.config.InvalidConfigException;
 
+/** Tests scenario files and the generation of random faults. */
 class ScenarioTest {
 
-  @TempDir private Path folder;
+  @TempDir private Path directory;
 
   private Scenario read(String text) throws IOException {
-    Path file = folder.resolve("s.toml");
+    Path file = directory.resolve("scenario.toml");
     Files.writeString(file, text);
     return Scenario.read(file.toString());
   }
 
   @Test
-  void seedDrawsTheSameFaultsWhichCanBeRunAgain() throws IOException {
+  void faultsAreDeterministicPerSeedAndCanBeRunAgain() throws IOException {
     Scenario nemesis = Scenario.read("chaos/scenarios/nemesis.toml");
     Set<Fault.Kind> kinds = new HashSet<>();
     for (long seed = 1; seed <= 100; seed++) {
       List<Fault> faults = new Nemesis(nemesis, seed).faults();
       assertEquals(faults, new Nemesis(nemesis, seed).faults());
-      faults.forEach(f -> kinds.add(f.kind()));
-      Scenario again = read(nemesis.with(faults).toml());
-      assertEquals(faults, again.faults());
-      assertEquals(faults, new Nemesis(again, seed + 1).faults(), "nothing is drawn beside");
+      faults.forEach(fault -> kinds.add(fault.kind()));
+      Scenario reread = read(nemesis.withFaults(faults).toml());
+      assertEquals(faults, reread.faults());
+      assertEquals(faults, new Nemesis(reread, seed + 1).faults(), "no further random faults");
     }
-    assertEquals(Set.copyOf(nemesis.drawn()), kinds, "every kind is drawn");
+    assertEquals(Set.copyOf(nemesis.randomFaultKinds()), kinds, "every kind is generated");
     assertNotEquals(new Nemesis(nemesis, 1).faults(), new Nemesis(nemesis, 2).faults());
   }
 
@@ -52,7 +53,9 @@
     assertEquals(0, Main.run("list"));
     Scenario baseline = Scenario.read("chaos/scenarios/baseline.toml");
     assertEquals(5, baseline.faults().size());
-    assertFalse(baseline.faults().stream().anyMatch(f -> f.at().compareTo(baseline.lasting()) > 0));
+    assertFalse(
+        baseline.faults().stream()
+            .anyMatch(fault -> fault.at().compareTo(baseline.duration()) > 0));
   }
 
   @ParameterizedTest
@@ -61,18 +64,20 @@
       value = {
         "kind = \"kill\" | kind = \"kil\" | fault.0.kind (line 6): found 'kil'",
         "on = \"n1\" | on = \"n5\" | "
-            + "fault.0.on (line 7): found 'n5', allowed is a host of the trial, n0 to n1",
+            + "fault.0.on (line 7): found 'n5', allowed is a host of the run, n0 to n1",
         "gateways = 2 | gateways = 99 | gateways (line 2): found '99'",
         "for_ms = 10 | for = 10 | fault.0.for (line 5): found a key that nobody reads",
         "at_ms = 10 | at_ms = 99000 | "
-            + "fault.0.at_ms (line 4): found '99000', allowed is a time within the trial"
+            + "fault.0.at_ms (line 4): found '99000', allowed is a time within the run"
       })
-  void invalidScenarioIsReportedWithKeyAndLine(String from, String to, String said) {
+  void invalidScenarioIsReportedWithKeyAndLine(
+      String validLine, String invalidLine, String expected) {
     String text =
         "name = \"x\"\ngateways = 2\n[[fault]]\nat_ms = 10\n"
             + "for_ms = 10\nkind = \"kill\"\non = \"n1\"\n";
     String message =
-        assertThrows(InvalidConfigException.class, () -> read(text.replace(from, to))).getMessage();
-    assertTrue(message.contains(said), message);
+        assertThrows(InvalidConfigException.class, () -> read(text.replace(validLine, invalidLine)))
+            .getMessage();
+    assertTrue(message.contains(expected), message);
   }
 }
--- a/chaos/src/test/java/weldcross/chaos/SoakRunTest.java
+++ b/chaos/src/test/java/weldcross/chaos/SoakRunTest.java
@@ -22,23 +22,23 @@
 import weldcross.chaos.process.Await;
 import weldcross.chaos.soak.SoakPlan;
 
-/** Short soaks; long ones are started by hand. */
+/** Short soak tests; long ones are started from the command line. */
 @Timeout(180)
 class SoakRunTest {
 
   @RegisterExtension final RunDirectory runDirectory = new RunDirectory();
 
-  /** The second of the seeds has a crowd. */
+  /** Seed 3 includes bursts of idle connections. */
   @ParameterizedTest
   @ValueSource(longs = {2, 3})
-  void rulesAreKeptThroughSeriesOfSignals(long seed) throws Exception {
-    SoakPlan plan = SoakPlan.draw(seed, Duration.ofSeconds(24));
+  void signalsAndFaultsCauseNoViolation(long seed) throws Exception {
+    SoakPlan plan = SoakPlan.generate(seed, Duration.ofSeconds(24));
     SoakResult result = SoakRun.run(plan, runDirectory.path().resolve("soak"));
     System.out.println(result.describe());
     assertEquals(List.of(), result.verdict().violations());
   }
 
-  private static String read(Path log) {
+  private static String readLog(Path log) {
     try {
       return Files.exists(log) ? Files.readString(log) : "";
     } catch (IOException e) {
@@ -46,21 +46,21 @@
     }
   }
 
-  /** Planted: a process ends, and its clients' requests with it. */
+  /** A gateway process is killed outside the plan; its exit and its lost requests are found. */
   @Test
-  void processThatEndsByItselfIsFound() throws Exception {
-    SoakPlan quiet = new SoakPlan(1, Duration.ofSeconds(6), 2, List.of());
+  void unexpectedProcessExitIsFound() throws Exception {
+    SoakPlan emptyPlan = new SoakPlan(1, Duration.ofSeconds(6), 2, List.of());
     CompletableFuture<SoakResult> soak =
         CompletableFuture.supplyAsync(
             () -> {
               try {
-                return SoakRun.run(quiet, runDirectory.path().resolve("soak"));
+                return SoakRun.run(emptyPlan, runDirectory.path().resolve("soak"));
               } catch (IOException | InterruptedException e) {
                 throw new IllegalStateException(e);
               }
             });
     Path log = runDirectory.path().resolve("soak/n1/log");
-    Await.until("n1 serves", Duration.ofSeconds(30), () -> read(log).contains("attempt ended"));
+    Await.until("n1 serves", Duration.ofSeconds(30), () -> readLog(log).contains("attempt ended"));
     ProcessHandle.current()
         .descendants()
         .filter(child -> child.info().commandLine().orElse("").contains(" serve "))
@@ -68,9 +68,9 @@
         .orElseThrow()
         .destroyForcibly();
     SoakResult result = soak.get();
-    Set<Rule> broken =
+    Set<Rule> violated =
         result.verdict().violations().stream().map(Violation::rule).collect(Collectors.toSet());
-    assertTrue(broken.contains(Rule.PROCESS_RUNS), result.describe());
-    assertTrue(broken.contains(Rule.ONE_ANSWER), result.describe());
+    assertTrue(violated.contains(Rule.PROCESS_RUNS), result.describe());
+    assertTrue(violated.contains(Rule.ONE_ANSWER), result.describe());
   }
 }
