--- a/chaos/src/test/java/weldcross/chaos/TestScenarios.java
+++ b/chaos/src/test/java/weldcross/chaos/TestScenarios.java
@@ -5,20 +5,20 @@
 import weldcross.chaos.scenario.Fault;
 import weldcross.chaos.scenario.Scenario;
 
-/** Builds the scenarios of tests; what is not set is small. */
+/** Builder for test scenarios; by default they are small. */
 final class TestScenarios {
 
-  static final Duration LAG = Duration.ofMillis(30);
+  static final Duration REPLICA_LAG = Duration.ofMillis(30);
 
   private String name = "test";
-  private Duration lasting = Duration.ofSeconds(1);
+  private Duration duration = Duration.ofSeconds(1);
   private int gateways = 1;
   private int groups = 1;
   private int serversPerGroup = 3;
-  private Duration service = Duration.ofMillis(2);
-  private boolean linked;
+  private Duration serviceTime = Duration.ofMillis(2);
+  private boolean meshEnabled;
   private int voters;
-  private String log = "INFO";
+  private String logLevel = "INFO";
   private List<Fault> faults = List.of();
 
   private TestScenarios() {}
@@ -32,8 +32,8 @@
     return this;
   }
 
-  TestScenarios lasting(Duration newLasting) {
-    lasting = newLasting;
+  TestScenarios duration(Duration newDuration) {
+    duration = newDuration;
     return this;
   }
 
@@ -48,13 +48,13 @@
     return this;
   }
 
-  TestScenarios service(Duration newService) {
-    service = newService;
+  TestScenarios serviceTime(Duration newServiceTime) {
+    serviceTime = newServiceTime;
     return this;
   }
 
-  TestScenarios linked(boolean on) {
-    linked = on;
+  TestScenarios meshEnabled(boolean enabled) {
+    meshEnabled = enabled;
     return this;
   }
 
@@ -63,8 +63,8 @@
     return this;
   }
 
-  TestScenarios log(String level) {
-    log = level;
+  TestScenarios logLevel(String newLogLevel) {
+    logLevel = newLogLevel;
     return this;
   }
 
@@ -77,23 +77,23 @@
     return new Scenario(
         name,
         "",
-        lasting,
+        duration,
         100,
         gateways,
         groups,
         serversPerGroup,
-        LAG,
-        service,
-        linked,
+        REPLICA_LAG,
+        serviceTime,
+        meshEnabled,
         voters,
-        log,
+        logLevel,
         faults,
         List.of(),
         0);
   }
 
-  /** A fault that tests begin and end themselves. */
-  static Fault fault(Fault.Kind kind, String on, String to, String how) {
-    return new Fault(Duration.ZERO, Duration.ZERO, kind, on, to, how);
+  /** Creates a fault without a schedule, which the test injects and heals itself. */
+  static Fault fault(Fault.Kind kind, String host, String peer, String details) {
+    return new Fault(Duration.ZERO, Duration.ZERO, kind, host, peer, details);
   }
 }
--- a/chaos/src/test/java/weldcross/chaos/soak/SoakPlanTest.java
+++ b/chaos/src/test/java/weldcross/chaos/soak/SoakPlanTest.java
@@ -10,31 +10,32 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
+/** Tests the generation of soak plans. */
 class SoakPlanTest {
 
   private static final Duration MINUTE = Duration.ofMinutes(1);
 
   @Test
-  void seedDrawsTheSamePlanAgain() {
-    assertEquals(SoakPlan.draw(7, MINUTE), SoakPlan.draw(7, MINUTE));
-    assertNotEquals(SoakPlan.draw(7, MINUTE).steps(), SoakPlan.draw(8, MINUTE).steps());
+  void planIsDeterministicPerSeed() {
+    assertEquals(SoakPlan.generate(7, MINUTE), SoakPlan.generate(7, MINUTE));
+    assertNotEquals(SoakPlan.generate(7, MINUTE).steps(), SoakPlan.generate(8, MINUTE).steps());
   }
 
   @Test
-  void someSeedsHaveACrowdAndAllKindsAreDrawn() {
-    Set<SoakStep.Kind> drawn = EnumSet.noneOf(SoakStep.Kind.class);
+  void seedsCoverAllKindsAndConnectionBursts() {
+    Set<SoakStep.Kind> kinds = EnumSet.noneOf(SoakStep.Kind.class);
     LongStream.range(1, 31)
-        .mapToObj(seed -> SoakPlan.draw(seed, MINUTE))
-        .forEach(plan -> plan.steps().forEach(step -> drawn.add(step.kind())));
-    assertEquals(EnumSet.allOf(SoakStep.Kind.class), drawn);
-    assertTrue(SoakPlan.draw(3, MINUTE).hasCrowd());
+        .mapToObj(seed -> SoakPlan.generate(seed, MINUTE))
+        .forEach(plan -> plan.steps().forEach(step -> kinds.add(step.kind())));
+    assertEquals(EnumSet.allOf(SoakStep.Kind.class), kinds);
+    assertTrue(SoakPlan.generate(3, MINUTE).hasConnectionBursts());
   }
 
   @Test
-  void signalsAlsoGoToSeveralGatewaysAtOnceAndInSeries() {
+  void stopsCoverSeveralGatewaysAndSeriesOfSignals() {
     assertTrue(
         LongStream.range(1, 11)
-            .mapToObj(seed -> SoakPlan.draw(seed, MINUTE))
+            .mapToObj(seed -> SoakPlan.generate(seed, MINUTE))
             .flatMap(plan -> plan.steps().stream())
             .filter(step -> step.kind() == SoakStep.Kind.STOP)
             .anyMatch(step -> step.hosts().size() > 1 && step.times().size() > 1));
--- a/chaos/src/test/java/weldcross/chaos/soak/SoakVerdictTest.java
+++ b/chaos/src/test/java/weldcross/chaos/soak/SoakVerdictTest.java
@@ -14,12 +14,12 @@
 import weldcross.fakes.ReplicatedStoreModel.Arrival;
 import weldcross.fakes.ReplicatedStoreModel.Read;
 
-/** Each check of a soak finds what is planted for it. */
+/** Tests that each check of a soak test finds its kind of violation. */
 class SoakVerdictTest {
 
   private static final Duration SECOND = Duration.ofSeconds(1);
 
-  /** n0 stops from 1 s to 2 s. */
+  /** The gateway n0 shuts down from 1 s to 2 s. */
   private static final SoakObservations.CloseWindow STOP =
       new SoakObservations.CloseWindow("n0", SECOND, SECOND.multipliedBy(2));
 
@@ -51,7 +51,7 @@
     return verdict(List.of(operation), List.of(arrivals), List.of(), List.of());
   }
 
-  private static List<Rule> broken(SoakVerdict verdict) {
+  private static List<Rule> violatedRules(SoakVerdict verdict) {
     return verdict.violations().stream().map(Violation::rule).toList();
   }
 
@@ -60,62 +60,63 @@
   }
 
   @Test
-  void requestThatCrossesTheCloseOfItsConnectionInAStopIsNotSent() {
+  void requestRacingWithCloseInShutdownCountsAsNotSent() {
     SoakVerdict verdict = verdictOf(read(Outcome.CONNECTION_CLOSED, millis(1_500), millis(1_510)));
-    assertEquals(List.of(), broken(verdict));
-    assertEquals(1, verdict.crossings());
+    assertEquals(List.of(), violatedRules(verdict));
+    assertEquals(1, verdict.closeRaces());
   }
 
   @Test
-  void requestDroppedAfterItWasForwardedIsFound() {
+  void forwardedRequestWithoutAnswerIsFound() {
     SoakVerdict verdict =
         verdictOf(
             read(Outcome.CONNECTION_CLOSED, millis(1_500), millis(1_510)),
             new Arrival(millis(1_505).toNanos(), "a1", "s0", 1));
-    assertEquals(List.of(Rule.ONE_ANSWER), broken(verdict));
+    assertEquals(List.of(Rule.ONE_ANSWER), violatedRules(verdict));
   }
 
   @Test
-  void requestThatIsOpenWhenItsGatewayIsKilledIsFound() {
+  void requestOpenAtGatewayKillIsFound() {
     assertEquals(
         List.of(Rule.ONE_ANSWER),
-        broken(verdictOf(read(Outcome.CONNECTION_CLOSED, millis(1_500), millis(1_900)))));
+        violatedRules(verdictOf(read(Outcome.CONNECTION_CLOSED, millis(1_500), millis(1_900)))));
   }
 
   @Test
-  void connectionClosedWithoutAReasonIsFound() {
+  void connectionClosedOutsideShutdownIsFound() {
     assertEquals(
         List.of(Rule.ONE_ANSWER),
-        broken(verdictOf(read(Outcome.CONNECTION_CLOSED, millis(500), millis(501)))));
+        violatedRules(verdictOf(read(Outcome.CONNECTION_CLOSED, millis(500), millis(501)))));
   }
 
   @Test
   void lateAnswerIsFound() {
     assertEquals(
         List.of(Rule.ONE_ANSWER),
-        broken(verdictOf(read(Outcome.TIMED_OUT, millis(500), millis(1_900)))));
+        violatedRules(verdictOf(read(Outcome.TIMED_OUT, millis(500), millis(1_900)))));
   }
 
-  private static List<Rule> brokenBy(ProcessExit exit) {
-    return broken(verdict(List.of(), List.of(), List.of(exit), List.of()));
+  private static List<Rule> violatedRules(ProcessExit exit) {
+    return violatedRules(verdict(List.of(), List.of(), List.of(exit), List.of()));
   }
 
   @Test
-  void processThatEndsByItselfOrWithAFaultIsFound() {
+  void unexpectedProcessExitsAreFound() {
     assertEquals(
-        List.of(Rule.PROCESS_RUNS), brokenBy(new ProcessExit("n0", null, SECOND, false, 0, false)));
+        List.of(Rule.PROCESS_RUNS),
+        violatedRules(new ProcessExit("n0", null, SECOND, false, 0, false)));
     assertEquals(
         List.of(Rule.PROCESS_RUNS),
-        brokenBy(new ProcessExit("n0", SECOND, SECOND, false, 70, false)));
+        violatedRules(new ProcessExit("n0", SECOND, SECOND, false, 70, false)));
     assertEquals(
         List.of(Rule.PROCESS_RUNS),
-        brokenBy(new ProcessExit("n0", SECOND, SECOND, false, 143, false)));
-    assertEquals(List.of(), brokenBy(new ProcessExit("n0", SECOND, SECOND, false, 143, true)));
-    assertEquals(List.of(), brokenBy(new ProcessExit("n0", SECOND, SECOND, true, 0, false)));
+        violatedRules(new ProcessExit("n0", SECOND, SECOND, false, 143, false)));
+    assertEquals(List.of(), violatedRules(new ProcessExit("n0", SECOND, SECOND, false, 143, true)));
+    assertEquals(List.of(), violatedRules(new ProcessExit("n0", SECOND, SECOND, true, 0, false)));
   }
 
   @Test
-  void readThatWasSentOnLongAfterItsDecisionIsFound() {
+  void readForwardedTooLateForItsStalenessBoundIsFound() {
     ClientOperation bounded =
         new ClientOperation(
             "a1",
@@ -129,12 +130,14 @@
             "",
             "",
             "");
-    assertEquals(List.of(), broken(ageVerdict(bounded, millis(1_200))));
-    assertEquals(List.of(Rule.FRESH), broken(ageVerdict(bounded, millis(1_600))));
+    assertEquals(List.of(), violatedRules(verdictForReadArrivingAt(bounded, millis(1_200))));
+    assertEquals(
+        List.of(Rule.FRESH), violatedRules(verdictForReadArrivingAt(bounded, millis(1_600))));
   }
 
-  /** The read was done at a server whose data were of 500 ms. */
-  private static SoakVerdict ageVerdict(ClientOperation operation, Duration arrivedAt) {
+  /** The server executes the read on data with position 500 ms. */
+  private static SoakVerdict verdictForReadArrivingAt(
+      ClientOperation operation, Duration arrivedAt) {
     Read read = new Read(millis(1_650).toNanos(), "a1", 0, "s1", "c0", millis(500).toNanos(), 0);
     History history =
         new History(List.of(operation), List.of(), List.of(), List.of(read), List.of());
@@ -144,14 +147,14 @@
   }
 
   @Test
-  void requestSentToAServerLongAfterItsDrainBeganIsFound() {
+  void requestToDrainingServerAfterNoticePeriodIsFound() {
     List<SoakObservations.Drain> drains =
         List.of(new SoakObservations.Drain("s1", SECOND, millis(11_000)));
     Arrival inTime = new Arrival(millis(8_900).toNanos(), "a1", "s1", 1);
     Arrival late = new Arrival(millis(9_600).toNanos(), "a2", "s1", 1);
     Arrival after = new Arrival(millis(11_100).toNanos(), "a3", "s1", 1);
     SoakVerdict verdict = verdict(List.of(), List.of(inTime, late, after), List.of(), drains);
-    assertEquals(List.of(Rule.DRAINS_KEPT), broken(verdict));
+    assertEquals(List.of(Rule.DRAINS_KEPT), violatedRules(verdict));
     assertEquals("a2", verdict.violations().get(0).rpc());
   }
 }
