--- a/chaos/src/main/java/weldcross/chaos/GatewayStopper.java
+++ b/chaos/src/main/java/weldcross/chaos/GatewayStopper.java
@@ -42,10 +42,13 @@
 
   /** Returns the grace period: the time from SIGTERM to the earliest SIGKILL. */
   static Duration gracePeriod() {
-    Duration longest =
+    Duration longestDeadline =
         Stream.of(RequestType.values()).map(RequestType::deadline).max(Duration::compareTo).get();
-    Duration counted = longest.compareTo(MAX_COUNTED_DEADLINE) < 0 ? longest : MAX_COUNTED_DEADLINE;
-    return counted.plus(AFTER_DEADLINE);
+    Duration countedDeadline =
+        longestDeadline.compareTo(MAX_COUNTED_DEADLINE) < 0
+            ? longestDeadline
+            : MAX_COUNTED_DEADLINE;
+    return countedDeadline.plus(AFTER_DEADLINE);
   }
 
   /**
--- a/chaos/src/main/java/weldcross/chaos/SoakRun.java
+++ b/chaos/src/main/java/weldcross/chaos/SoakRun.java
@@ -36,7 +36,7 @@
   private static final Duration SERVICE_TIME = Duration.ofMillis(4);
   private static final int CLIENTS_PER_GATEWAY = 12;
 
-  /** More than a gateway accepts, which reserves 384 descriptors for clients in this setup. */
+  /** More than a gateway accepts: in this setup it reserves 384 descriptors for clients. */
   private static final int IDLE_CONNECTIONS_PER_GATEWAY = 450;
 
   /** After a pause, requests that were held back may still be answered late for this long. */
--- a/chaos/src/test/java/weldcross/chaos/HistoryCheckerTest.java
+++ b/chaos/src/test/java/weldcross/chaos/HistoryCheckerTest.java
@@ -119,7 +119,8 @@
             .contains("n2"));
   }
 
-  private List<Rule> violatedRules(Long convergedAfterMillis, History.ReportedView... views) {
+  private List<Rule> rulesViolatedByViews(
+      Long convergedAfterMillis, History.ReportedView... views) {
     return HistoryChecker.check(
             new History(
                 operations,
@@ -144,7 +145,7 @@
     recordCorrectHistory();
     assertEquals(
         List.of(),
-        violatedRules(
+        rulesViolatedByViews(
             800L,
             view("n0", 1, 4, "n0:1"),
             view("n0", 1, 5, "n0:1 n1:1"),
@@ -152,11 +153,11 @@
             view("n1", 1, 5, "n0:1 n1:1")));
     assertEquals(
         List.of(Rule.ONE_VIEW),
-        violatedRules(0L, view("n0", 1, 5, "n0:1"), view("n1", 1, 5, "n0:2")));
+        rulesViolatedByViews(0L, view("n0", 1, 5, "n0:1"), view("n1", 1, 5, "n0:2")));
     assertEquals(
         List.of(Rule.NO_VIEW_BACK),
-        violatedRules(0L, view("n0", 1, 5, "n0:1"), view("n0", 1, 4, "n1:1")));
-    assertEquals(List.of(Rule.AGREES), violatedRules(-1L));
+        rulesViolatedByViews(0L, view("n0", 1, 5, "n0:1"), view("n0", 1, 4, "n1:1")));
+    assertEquals(List.of(Rule.AGREES), rulesViolatedByViews(-1L));
   }
 
   private void closedOperation(String rpc, long sent, long millis, String detail) {
--- a/chaos/src/test/java/weldcross/chaos/soak/SoakVerdictTest.java
+++ b/chaos/src/test/java/weldcross/chaos/soak/SoakVerdictTest.java
@@ -96,7 +96,7 @@
         violatedRules(verdictOf(read(Outcome.TIMED_OUT, millis(500), millis(1_900)))));
   }
 
-  private static List<Rule> violatedRules(ProcessExit exit) {
+  private static List<Rule> rulesViolatedByExit(ProcessExit exit) {
     return violatedRules(verdict(List.of(), List.of(), List.of(exit), List.of()));
   }
 
@@ -104,15 +104,17 @@
   void unexpectedProcessExitsAreFound() {
     assertEquals(
         List.of(Rule.PROCESS_RUNS),
-        violatedRules(new ProcessExit("n0", null, SECOND, false, 0, false)));
+        rulesViolatedByExit(new ProcessExit("n0", null, SECOND, false, 0, false)));
     assertEquals(
         List.of(Rule.PROCESS_RUNS),
-        violatedRules(new ProcessExit("n0", SECOND, SECOND, false, 70, false)));
+        rulesViolatedByExit(new ProcessExit("n0", SECOND, SECOND, false, 70, false)));
     assertEquals(
         List.of(Rule.PROCESS_RUNS),
-        violatedRules(new ProcessExit("n0", SECOND, SECOND, false, 143, false)));
-    assertEquals(List.of(), violatedRules(new ProcessExit("n0", SECOND, SECOND, false, 143, true)));
-    assertEquals(List.of(), violatedRules(new ProcessExit("n0", SECOND, SECOND, true, 0, false)));
+        rulesViolatedByExit(new ProcessExit("n0", SECOND, SECOND, false, 143, false)));
+    assertEquals(
+        List.of(), rulesViolatedByExit(new ProcessExit("n0", SECOND, SECOND, false, 143, true)));
+    assertEquals(
+        List.of(), rulesViolatedByExit(new ProcessExit("n0", SECOND, SECOND, true, 0, false)));
   }
 
   @Test
