--- a/chaos/src/main/java/weldcross/chaos/report/RunStatistics.java
+++ b/chaos/src/main/java/weldcross/chaos/report/RunStatistics.java
@@ -203,7 +203,7 @@
           .computeIfAbsent(operation.type(), type -> new Latencies(type.className()))
           .add(operation);
     } else {
-      String cause = HistoryChecker.likelyCause(history, operation).orElse("no fault");
+      String cause = HistoryChecker.likelyCause(history, operation).orElse("unknown");
       count(causes, cause, operation);
     }
   }
@@ -277,7 +277,7 @@
     List<String> lines = new ArrayList<>();
     lines.add(line("all", total));
     gateways.forEach((name, counts) -> lines.add(line(name, counts)));
-    causes.forEach((cause, counts) -> lines.add(line("near " + cause, counts)));
+    causes.forEach((cause, counts) -> lines.add(line("cause: " + cause, counts)));
     latencies.values().forEach(latency -> lines.add(line(latency)));
     if (!consensus.isEmpty()) {
       lines.add(consensus);
--- a/chaos/src/main/resources/weldcross/chaos/report.ftlh
+++ b/chaos/src/main/resources/weldcross/chaos/report.ftlh
@@ -70,7 +70,7 @@
 <h2>By gateway</h2>
 <@outcomeTable title="gateway" rows=statistics.gateways/>
 <h2>Requests not served, by likely cause</h2>
-<@outcomeTable title="fault" rows=statistics.causes/>
+<@outcomeTable title="likely cause" rows=statistics.causes/>
 
 <h2>Latencies of served requests</h2>
 <table>
