--- a/chaos/src/main/java/weldcross/chaos/Main.java
+++ b/chaos/src/main/java/weldcross/chaos/Main.java
@@ -155,7 +155,7 @@
 
     private static ProgressBar progressBar(Scenario scenario) {
       return new ProgressBarBuilder()
-          .setTaskName("running")
+          .setTaskName("runs")
           .setUnit(" s", 1)
           .setStyle(ProgressBarStyle.ASCII)
           .setInitialMax(scenario.duration().toSeconds())
