--- a/chaos/src/main/java/weldcross/chaos/GatewayNode.java
+++ b/chaos/src/main/java/weldcross/chaos/GatewayNode.java
@@ -17,7 +17,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
-import weldcross.chaos.agent.LyingStorageDirectory;
+import weldcross.chaos.agent.FaultInjectingStorageDirectory;
 import weldcross.chaos.agent.ShiftedClock;
 import weldcross.chaos.history.GatewayLogs;
 import weldcross.chaos.history.History;
@@ -146,7 +146,7 @@
   /**
    * Sets the faults of its disk from now on.
    *
-   * @param faults words of {@link LyingStorageDirectory}; empty for none
+   * @param faults words of {@link FaultInjectingStorageDirectory}; empty for none
    * @throws IOException if they cannot be written
    */
   public void setDiskFaults(String faults) throws IOException {
@@ -219,8 +219,12 @@
     command.add("-Djdk.nio.maxCachedBufferSize=262144");
     command.add("-Dslf4j.provider=org.slf4j.jul.JULServiceProvider");
     if (scenario.linked()) {
-      command.add("-D" + LyingStorageDirectory.FAULTS_FILE + "=" + home.resolve(DISK_FAULTS_FILE));
-      command.add("-D" + ShiftedClock.OFFSET_MILLIS + "=" + clockOffsetMillis);
+      command.add(
+          "-D"
+              + FaultInjectingStorageDirectory.FAULTS_FILE_PROPERTY
+              + "="
+              + home.resolve(DISK_FAULTS_FILE));
+      command.add("-D" + ShiftedClock.OFFSET_MILLIS_PROPERTY + "=" + clockOffsetMillis);
       command.add("-cp");
       command.add(jar() + ":" + ownClasses());
       command.add("weldcross.Main");
--- a/chaos/src/main/java/weldcross/chaos/agent/package-info.java
+++ b/chaos/src/main/java/weldcross/chaos/agent/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What works within a gateway process of a chaos run, found as a service on its class path: a
- * storage directory that fails on command and a wall clock that is off.
+ * Service implementations that a gateway process of a chaos run loads from its class path: a
+ * storage directory with injected faults, and a wall clock with an offset.
  */
 package weldcross.chaos.agent;
--- a/chaos/src/test/java/weldcross/chaos/LyingStorageDirectoryTest.java
+++ b/chaos/src/test/java/weldcross/chaos/FaultInjectingStorageDirectoryTest.java
@@ -12,12 +12,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import weldcross.chaos.agent.LyingStorageDirectory;
+import weldcross.chaos.agent.FaultInjectingStorageDirectory;
 import weldcross.chaos.process.Await;
 import weldcross.storage.CorruptLogException;
 import weldcross.storage.FileStorageDirectory;
@@ -26,54 +28,56 @@
 import weldcross.storage.WriteRejectedException;
 
 /**
- * Each lie of the disk really acts on a log, which says what it can know of it; a process's end is
- * a forgetting.
+ * Each injected storage fault takes effect on a record log, and the log reports those it can
+ * detect. Closing the directory models the end of the process, which loses data not yet forced.
  */
 @Timeout(60)
-class LyingStorageDirectoryTest {
+class FaultInjectingStorageDirectoryTest {
 
-  @TempDir private Path folder;
-  private final List<String> read = new ArrayList<>();
+  @TempDir private Path directory;
+  private final List<String> recovered = new ArrayList<>();
 
   @BeforeEach
   void enableFaults() throws IOException {
-    System.setProperty(LyingStorageDirectory.FAULTS_FILE, folder.resolve("words").toString());
+    System.setProperty(
+        FaultInjectingStorageDirectory.FAULTS_FILE_PROPERTY,
+        directory.resolve("faults").toString());
     setFaults("");
   }
 
   @AfterEach
   void disableFaults() {
-    System.clearProperty(LyingStorageDirectory.FAULTS_FILE);
+    System.clearProperty(FaultInjectingStorageDirectory.FAULTS_FILE_PROPERTY);
   }
 
   private void setFaults(String faults) throws IOException {
-    Files.writeString(folder.resolve("words"), faults);
+    Files.writeString(directory.resolve("faults"), faults);
   }
 
   private final class ProcessRun {
-    final StorageDirectory disk = FileStorageDirectory.at(folder.resolve("log"));
+    final StorageDirectory storage = FileStorageDirectory.at(directory.resolve("log"));
     final RecordLog log;
 
     ProcessRun() throws IOException {
-      read.clear();
+      recovered.clear();
       try {
         log =
             RecordLog.open(
-                disk,
+                storage,
                 200,
                 new RecordLog.Reader() {
                   @Override
                   public void snapshot(long upTo, ByteBuffer content) {
-                    read.add("snapshot " + upTo);
+                    recovered.add("snapshot " + upTo);
                   }
 
                   @Override
                   public void record(long number, ByteBuffer content) {
-                    read.add(number + " " + content.get());
+                    recovered.add(number + " " + content.get());
                   }
                 });
       } catch (IOException e) {
-        disk.close();
+        storage.close();
         throw e;
       }
     }
@@ -83,25 +87,25 @@
       log.commit();
     }
 
-    /** The process is gone: the lock with it, and all that was only in its memory. */
-    void killed() throws IOException {
-      disk.close();
+    /** Ends the process: releases the lock and loses all data held only in its memory. */
+    void kill() throws IOException {
+      storage.close();
     }
   }
 
   @Test
-  void directoryIsFoundOnTheClassPathAndHonestWithoutFaults() throws IOException {
+  void directoryIsLoadedFromTheClassPathAndKeepsDataWithoutFaults() throws IOException {
     ProcessRun run = new ProcessRun();
-    assertTrue(run.disk instanceof LyingStorageDirectory);
-    for (int k = 1; k <= 40; k++) {
-      run.add(k);
+    assertTrue(run.storage instanceof FaultInjectingStorageDirectory);
+    for (int value = 1; value <= 40; value++) {
+      run.add(value);
     }
     run.log.snapshot(20, ByteBuffer.wrap(new byte[] {1}));
-    run.killed();
-    new ProcessRun().killed();
-    assertEquals("snapshot 20", read.get(0));
-    assertEquals("40 40", read.get(read.size() - 1));
-    assertEquals(21, read.size());
+    run.kill();
+    new ProcessRun().kill();
+    assertEquals("snapshot 20", recovered.get(0));
+    assertEquals("40 40", recovered.get(recovered.size() - 1));
+    assertEquals(21, recovered.size());
   }
 
   @Test
@@ -111,10 +115,10 @@
     setFaults("lie");
     run.add(2);
     run.add(3);
-    run.killed();
+    run.kill();
     setFaults("");
-    new ProcessRun().killed();
-    assertEquals(List.of("1 1"), read);
+    new ProcessRun().kill();
+    assertEquals(List.of("1 1"), recovered);
   }
 
   @Test
@@ -126,9 +130,9 @@
     setFaults("");
     assertEquals(RecordLog.State.FAILED, run.log.state());
     assertThrows(IOException.class, () -> run.add(3));
-    run.killed();
-    new ProcessRun().killed();
-    assertEquals(List.of("1 1"), read);
+    run.kill();
+    new ProcessRun().kill();
+    assertEquals(List.of("1 1"), recovered);
   }
 
   @Test
@@ -138,18 +142,18 @@
     assertThrows(WriteRejectedException.class, () -> run.add(1));
     setFaults("");
     run.add(2);
-    run.killed();
-    new ProcessRun().killed();
-    assertEquals(List.of("1 2"), read);
+    run.kill();
+    new ProcessRun().kill();
+    assertEquals(List.of("1 2"), recovered);
   }
 
   @Test
   void slowAndStuckForceDelayCommits() throws Exception {
     ProcessRun run = new ProcessRun();
     setFaults("slow=150");
-    long began = System.nanoTime();
+    long startNanos = System.nanoTime();
     run.add(1);
-    assertTrue(System.nanoTime() - began >= 149_000_000);
+    assertTrue(System.nanoTime() - startNanos >= 149_000_000);
     setFaults("stuck");
     CompletableFuture<Void> second =
         CompletableFuture.runAsync(
@@ -160,17 +164,15 @@
                 throw new IllegalStateException(e);
               }
             });
-    assertThrows(
-        java.util.concurrent.TimeoutException.class,
-        () -> second.get(200, java.util.concurrent.TimeUnit.MILLISECONDS));
+    assertThrows(TimeoutException.class, () -> second.get(200, TimeUnit.MILLISECONDS));
     setFaults("");
-    second.get(10, java.util.concurrent.TimeUnit.SECONDS);
-    run.killed();
+    second.get(10, TimeUnit.SECONDS);
+    run.kill();
   }
 
   /**
-   * Half of a frame reached the disk when the process died: never told as sure, so cut, and told as
-   * cut.
+   * Half of a frame is on disk when the process is killed. Its commit was never acknowledged, so
+   * recovery truncates the frame and reports the truncated bytes.
    */
   @Test
   void tornWriteIsTruncatedAndReported() throws Exception {
@@ -186,41 +188,44 @@
                 throw new IllegalStateException(e);
               }
             });
-    Path log = folder.resolve("log").resolve("log-0000000000000001");
-    long whole = 16 + 33;
-    Await.until("half is written", Duration.ofSeconds(10), () -> log.toFile().length() > whole);
-    run.killed();
+    Path log = directory.resolve("log").resolve("log-0000000000000001");
+    long bytesBeforeTornWrite = 16 + 33;
+    Await.until(
+        "half of the frame is written",
+        Duration.ofSeconds(10),
+        () -> log.toFile().length() > bytesBeforeTornWrite);
+    run.kill();
     setFaults("");
-    ProcessRun after = new ProcessRun();
-    assertEquals(List.of("1 1"), read);
-    assertTrue(after.log.recovered().tornBytes() > 0);
-    after.killed();
+    ProcessRun restarted = new ProcessRun();
+    assertEquals(List.of("1 1"), recovered);
+    assertTrue(restarted.log.recovered().tornBytes() > 0);
+    restarted.kill();
   }
 
   @Test
   void flippedBitAndMisdirectedWriteAreReportedAsCorruption() throws IOException {
     ProcessRun run = new ProcessRun();
-    for (int k = 1; k <= 5; k++) {
-      run.add(k);
+    for (int value = 1; value <= 5; value++) {
+      run.add(value);
     }
-    run.killed();
+    run.kill();
     setFaults("flip");
     assertThrows(CorruptLogException.class, ProcessRun::new);
     setFaults("");
     ProcessRun second = new ProcessRun();
-    assertEquals(5, read.size());
+    assertEquals(5, recovered.size());
     setFaults("misdirect");
     second.add(6);
     setFaults("");
-    second.killed();
+    second.kill();
     assertThrows(
         CorruptLogException.class,
         () -> {
           ProcessRun third = new ProcessRun();
-          // What is misdirected from the head on is no log any more; it must not read as an empty
-          // one.
-          assertEquals(6, read.size(), "read as if nothing were: " + read);
-          third.killed();
+          // A file whose header was overwritten by the misdirected write must not be opened as an
+          // empty log.
+          assertEquals(6, recovered.size(), "corrupt log opened without an error: " + recovered);
+          third.kill();
         });
   }
 }
