--- a/chaos/src/main/java/weldcross/chaos/ChaosCluster.java
+++ b/chaos/src/main/java/weldcross/chaos/ChaosCluster.java
@@ -79,7 +79,7 @@
   ChaosCluster(Scenario scenario, long seed, Path directory, boolean trustDisks)
       throws IOException {
     this.directory = Files.createDirectories(directory).toAbsolutePath();
-    this.subnet = LoopbackSubnet.claim();
+    this.subnet = LoopbackSubnet.reserve();
     this.processes = new ManagedProcesses();
     this.proxy = new FaultProxy(subnet.host(PROXY_HOST), seed);
     for (int number = 0; number < scenario.groups() * scenario.serversPerGroup(); number++) {
--- a/chaos/src/main/java/weldcross/chaos/SoakRun.java
+++ b/chaos/src/main/java/weldcross/chaos/SoakRun.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.locks.LockSupport;
 import weldcross.chaos.history.History;
-import weldcross.chaos.load.IdleCrowd;
+import weldcross.chaos.load.IdleClients;
 import weldcross.chaos.load.PersistentClients;
 import weldcross.chaos.process.ProcessUsage;
 import weldcross.chaos.scenario.Fault;
@@ -281,8 +281,10 @@
   private void crowd(SoakStep step) {
     Duration from = now();
     for (Duration stay : step.times()) {
-      try (IdleCrowd crowd = new IdleCrowd()) {
-        cluster.gateways().forEach(each -> crowd.join(each.directAddress(), CROWD_PER_GATEWAY));
+      try (IdleClients clients = new IdleClients()) {
+        cluster
+            .gateways()
+            .forEach(each -> clients.connect(each.directAddress(), CROWD_PER_GATEWAY));
         LockSupport.parkNanos(stay.toNanos());
       }
     }
--- a/chaos/src/main/java/weldcross/chaos/history/HistoryChecker.java
+++ b/chaos/src/main/java/weldcross/chaos/history/HistoryChecker.java
@@ -145,7 +145,7 @@
    */
   private boolean crossedClose(ClientOperation operation) {
     return operation.outcome() == Outcome.CONNECTION_CLOSED
-        && operation.detail().equals(ClientOperation.ENDED_IN_ORDER)
+        && operation.detail().equals(ClientOperation.CLOSED_CLEANLY)
         && operation.durationNanos() <= MAX_CROSSING_NANOS
         && !commitsByRequest.containsKey(operation.rpc())
         && !readsByRequest.containsKey(operation.rpc())
--- a/chaos/src/main/java/weldcross/chaos/load/ClientOperation.java
+++ b/chaos/src/main/java/weldcross/chaos/load/ClientOperation.java
@@ -2,23 +2,26 @@
 
 import com.fasterxml.jackson.annotation.JsonAlias;
 import com.fasterxml.jackson.annotation.JsonProperty;
+import java.io.EOFException;
+import java.io.IOException;
 import java.time.Duration;
 
 /**
  * One request as its client saw it. Times are nanoseconds since the load began.
  *
- * @param rpc its id
- * @param session the key of its session
- * @param type its request class
- * @param group its replica group
- * @param gateway the gateway it was sent to
- * @param sent when its last byte was written, or its connection failed
- * @param ended when its outcome was known
- * @param outcome what became of it
- * @param value what a read returned or a write wrote; empty if it was not served
- * @param detail the error code, or what closed the connection; empty if it was served
- * @param after the value that the session's last acknowledged write had when this was sent; empty
- *     for none
+ * @param rpc the request id
+ * @param session the key of the client session
+ * @param type the request class
+ * @param group the replica group
+ * @param gateway the gateway that the request was sent to
+ * @param sent when the last byte was written or the connection failed
+ * @param ended when the outcome was known
+ * @param outcome the outcome as the client saw it
+ * @param value the value read or written; empty if the request was not served
+ * @param detail the SQLSTATE, or the reason why the connection closed; empty if the request was
+ *     served
+ * @param after the value of the session's last acknowledged write at the time of sending; empty for
+ *     none
  */
 public record ClientOperation(
     String rpc,
@@ -33,63 +36,68 @@
     String detail,
     String after) {
 
-  /** An answer is waited for beyond the request's deadline by this much, as the platform does. */
+  /** How long a client waits for the response beyond the deadline, as the platform does. */
   public static final Duration DEADLINE_SLACK = Duration.ofMillis(50);
 
-  /** The detail of a request whose connection was ended in order, and not reset. */
-  public static final String ENDED_IN_ORDER = "ended";
+  /** The detail of a request whose connection was closed cleanly (FIN) rather than reset. */
+  public static final String CLOSED_CLEANLY = "ended";
 
   private static final String TOO_MANY_CONNECTIONS = "53300";
   private static final String CANNOT_CONNECT_NOW = "57P03";
 
-  /** What became of a request. */
+  /** The outcome of a request as its client saw it. */
   public enum Outcome {
-    /** It was served. */
+    /** Served. */
     OK,
-    /** It was rejected, with the promise that it had no effect. */
+    /** Rejected with the guarantee that it had no effect. */
     @JsonAlias("PUSHED_BACK")
     REJECTED,
-    /** It failed and may have had its effect. */
+    /** Failed, and may have had its effect. */
     @JsonAlias("ABORTED")
     FAILED,
-    /** No connection came up, so it was never sent. */
+    /** Never sent, because no connection was established. */
     @JsonAlias("NOT_TAKEN")
     NOT_SENT,
-    /** Its connection was closed without an answer. */
+    /** The connection was closed before a response arrived. */
     @JsonAlias("ENDED")
     CONNECTION_CLOSED,
-    /** No answer came within its time. */
+    /** No response arrived before the deadline. */
     @JsonAlias("SILENT")
     TIMED_OUT;
 
-    /** Returns what an error with this SQLSTATE says of its request. */
+    /** Returns the outcome of a request that was answered with this SQLSTATE. */
     static Outcome ofError(String sqlState) {
       boolean rejected =
           sqlState.equals(TOO_MANY_CONNECTIONS) || sqlState.equals(CANNOT_CONNECT_NOW);
       return rejected ? REJECTED : FAILED;
     }
 
-    /** Whether the client got no answer at all. */
+    /** Returns whether the client received no response at all. */
     boolean isUnanswered() {
       return this == NOT_SENT || this == CONNECTION_CLOSED || this == TIMED_OUT;
     }
   }
 
   /**
-   * Returns this request with another outcome.
+   * Returns a copy of this operation with another outcome.
    *
-   * @param other what became of it
-   * @return the changed record
+   * @param other the outcome of the copy
+   * @return the copy
    */
-  public ClientOperation with(Outcome other) {
+  public ClientOperation withOutcome(Outcome other) {
     return new ClientOperation(
         rpc, session, type, group, gateway, sent, ended, other, value, detail, after);
   }
 
+  /** Returns the detail of a request whose connection ended with this exception. */
+  static String detailOf(IOException e) {
+    return e instanceof EOFException ? CLOSED_CLEANLY : String.valueOf(e.getMessage());
+  }
+
   /**
-   * Returns how long it took.
+   * Returns the duration of the request.
    *
-   * @return nanoseconds from its send to its outcome
+   * @return nanoseconds from sending to the outcome
    */
   public long durationNanos() {
     return ended - sent;
--- a/chaos/src/main/java/weldcross/chaos/load/ClientSession.java
+++ b/chaos/src/main/java/weldcross/chaos/load/ClientSession.java
@@ -1,20 +1,23 @@
 package weldcross.chaos.load;
 
-/** A session of clients that sends one request at a time and keeps to one gateway while it can. */
+/**
+ * A client session. It sends one request at a time and stays with one gateway as long as requests
+ * to that gateway are answered.
+ */
 final class ClientSession {
 
-  /** The key that it writes and reads. */
+  /** The key that the session writes and reads. */
   final String key;
 
   final int group;
 
-  /** The index of the gateway that it uses. */
+  /** The index of the gateway in use. */
   int gateway;
 
-  /** The value of its last acknowledged write; empty for none. */
+  /** The value of the last acknowledged write; empty for none. */
   String lastWrite = "";
 
-  /** After so many requests another session takes its place. */
+  /** The number of requests left before a new session replaces this one. */
   int requestsLeft;
 
   ClientSession(String key, int group, int gateway, int requestsLeft) {
--- a/chaos/src/main/java/weldcross/chaos/load/LoadGenerator.java
+++ b/chaos/src/main/java/weldcross/chaos/load/LoadGenerator.java
@@ -1,6 +1,5 @@
 package weldcross.chaos.load;
 
-import java.io.EOFException;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
@@ -22,13 +21,14 @@
 import weldcross.chaos.load.ClientOperation.Outcome;
 
 /**
- * Sends requests at a constant rate, whatever becomes of those before, by sessions that have one
- * request open at a time. A session keeps to one gateway until a connection to it fails, and then
- * changes to another. Each outcome is recorded, with whatever came that was not asked for.
+ * Open-loop load: sends requests at a constant rate, regardless of the outcome of earlier ones.
+ * Each request belongs to a session, which has one request open at a time. A session stays with one
+ * gateway until a request to it goes unanswered, and then changes to another. All outcomes and
+ * unsolicited messages are recorded.
  */
 public final class LoadGenerator implements AutoCloseable {
 
-  /** A client that was rejected without a time, or met nobody, comes again after this time. */
+  /** The retry delay after a rejection without Retry-After, or if no connection came up. */
   private static final Duration DEFAULT_RETRY_AFTER = Duration.ofMillis(100);
 
   private static final int MAX_OPEN_REQUESTS = 2000;
@@ -61,10 +61,10 @@
   /**
    * Creates a generator that sends nothing yet.
    *
-   * @param gateways where clients reach each gateway, in the order of their numbers
-   * @param groups how many replica groups there are
-   * @param clock nanoseconds since the load began
-   * @param seed of all that is drawn
+   * @param gateways the address at which clients reach each gateway, by gateway number
+   * @param groups the number of replica groups
+   * @param clock nanoseconds since the start of the load
+   * @param seed the seed of all random choices
    */
   public LoadGenerator(
       List<InetSocketAddress> gateways, int groups, LongSupplier clock, long seed) {
@@ -76,7 +76,7 @@
   }
 
   /**
-   * Sends requests at this rate until it is stopped.
+   * Starts sending requests at a constant rate until {@link #stop}.
    *
    * @param requestsPerSecond above zero
    */
@@ -106,7 +106,7 @@
   }
 
   /**
-   * Sends nothing new, and returns once all open requests have an outcome.
+   * Stops sending and waits until all open requests have an outcome.
    *
    * @throws InterruptedException if the calling thread is interrupted
    */
@@ -127,21 +127,21 @@
       Thread.currentThread().interrupt();
     }
     synchronized (this) {
-      idleConnections.values().forEach(all -> all.forEach(GatewayConnection::close));
+      idleConnections.values().forEach(idle -> idle.forEach(GatewayConnection::close));
     }
   }
 
   /**
-   * Returns all operations with an outcome so far.
+   * Returns the operations that have an outcome.
    *
-   * @return a copy, in the order of their outcomes
+   * @return a copy, in the order of the outcomes
    */
   public synchronized List<ClientOperation> operations() {
     return List.copyOf(operations);
   }
 
   /**
-   * Returns what came on connections beyond the answers.
+   * Returns the unsolicited messages received on connections.
    *
    * @return a copy
    */
@@ -150,9 +150,9 @@
   }
 
   /**
-   * Returns how many operations have an outcome.
+   * Returns the number of operations that have an outcome.
    *
-   * @return their number so far
+   * @return the number so far
    */
   public synchronized int operationCount() {
     return operations.size();
@@ -170,9 +170,9 @@
       openRequests++;
       ClientSession idle = idleSessions.poll();
       session = idle == null ? newSession() : idle;
-      type = drawType();
+      type = RequestType.draw(random);
       id = nextId();
-      // A session reads its own key; bounded reads go over what all sessions wrote.
+      // Session reads and writes use the key of the session, bounded reads that of any session.
       key = type == RequestType.BOUNDED_READ ? keys.get(random.nextInt(keys.size())) : session.key;
     }
     clients.execute(() -> runRequest(session, type, id, key));
@@ -183,7 +183,7 @@
       Optional<Duration> retryAfter = send(session, type, id, key);
       if (retryAfter.isPresent() && !stopping.get()) {
         LockSupport.parkNanos(retryAfter.get().toNanos());
-        // It comes once more, as another request.
+        // One retry, as a new request.
         Optional<Duration> unused = send(session, type, nextId(), key);
       }
     } finally {
@@ -211,18 +211,7 @@
     return session;
   }
 
-  private RequestType drawType() {
-    int percent = random.nextInt(100);
-    for (RequestType type : RequestType.values()) {
-      percent -= type.percentOfRequests();
-      if (percent < 0) {
-        return type;
-      }
-    }
-    return RequestType.SESSION_READ;
-  }
-
-  /** Sends one request and records its outcome; returns when to come again, if it should. */
+  /** Sends one request and records its outcome; returns the retry delay if it should be retried. */
   private Optional<Duration> send(ClientSession session, RequestType type, String id, String key) {
     Attempt attempt = new Attempt(session, type, id, key);
     attempt.run();
@@ -231,14 +220,14 @@
     }
     synchronized (this) {
       if (attempt.outcome.isUnanswered()) {
-        session.gateway = otherGateway(session.gateway);
+        session.gateway = pickOtherGateway(session.gateway);
       }
       operations.add(attempt.toOperation());
     }
     return attempt.retryAfter;
   }
 
-  private int otherGateway(int gateway) {
+  private int pickOtherGateway(int gateway) {
     return gateways.size() == 1
         ? 0
         : (gateway + 1 + random.nextInt(gateways.size() - 1)) % gateways.size();
@@ -271,11 +260,11 @@
 
     void run() {
       try {
-        connection = takeConnection(gateway);
+        connection = acquireConnection(gateway);
         connection.send(RequestStatement.of(type, id, key, session.group));
         sent = clock.getAsLong();
         long deadline = sent + type.deadline().plus(ClientOperation.DEADLINE_SLACK).toNanos();
-        onAnswer(connection.awaitAnswer(deadline, clock));
+        onResponse(connection.awaitResponse(deadline, clock));
       } catch (SocketTimeoutException e) {
         outcome = connection == null ? Outcome.NOT_SENT : Outcome.TIMED_OUT;
         detail = connection == null ? "no connection came up" : "";
@@ -283,14 +272,11 @@
         outcome = Outcome.NOT_SENT;
         detail = String.valueOf(e.getMessage());
       } catch (IOException e) {
-        // The proxy accepts connections in a gateway's place: one that was never greeted reached
-        // nobody.
-        boolean reached = connection != null && connection.isGreeted();
+        // The proxy accepts connections on behalf of the gateway, so a connection whose startup
+        // was never answered did not reach the gateway.
+        boolean reached = connection != null && connection.isStartupCompleted();
         outcome = reached ? Outcome.CONNECTION_CLOSED : Outcome.NOT_SENT;
-        detail =
-            e instanceof EOFException
-                ? ClientOperation.ENDED_IN_ORDER
-                : String.valueOf(e.getMessage());
+        detail = ClientOperation.detailOf(e);
       }
       ended = clock.getAsLong();
       if (outcome == Outcome.NOT_SENT) {
@@ -301,19 +287,19 @@
       }
     }
 
-    private void onAnswer(GatewayConnection.Answer answer) {
-      if (answer.errorCode().isEmpty()) {
+    private void onResponse(GatewayConnection.Response response) {
+      if (response.errorCode().isEmpty()) {
         outcome = Outcome.OK;
-        value = answer.value();
+        value = response.value();
       } else {
-        detail = answer.errorCode().get();
+        detail = response.errorCode().get();
         outcome = Outcome.ofError(detail);
       }
       if (outcome == Outcome.REJECTED) {
-        retryAfter = Optional.of(answer.retryAfter().orElse(DEFAULT_RETRY_AFTER));
+        retryAfter = Optional.of(response.retryAfter().orElse(DEFAULT_RETRY_AFTER));
       }
-      if (answer.reusable()) {
-        returnConnection(gateway, connection);
+      if (response.reusable()) {
+        releaseConnection(gateway, connection);
       } else {
         connection.close();
       }
@@ -335,32 +321,32 @@
     }
   }
 
-  /** Takes an idle connection to a gateway, or opens one. */
-  private GatewayConnection takeConnection(int gateway) throws IOException {
-    GatewayConnection connection = pollIdle(gateway);
+  /** Returns a usable idle connection to a gateway, or opens a new one. */
+  private GatewayConnection acquireConnection(int gateway) throws IOException {
+    GatewayConnection connection = pollIdleConnection(gateway);
     while (connection != null && !isUsable(connection)) {
       connection.close();
-      connection = pollIdle(gateway);
+      connection = pollIdleConnection(gateway);
     }
     return connection != null ? connection : new GatewayConnection(gateways.get(gateway));
   }
 
-  private synchronized GatewayConnection pollIdle(int gateway) {
+  private synchronized GatewayConnection pollIdleConnection(int gateway) {
     ArrayDeque<GatewayConnection> idle = idleConnections.get(gateway);
     return idle == null ? null : idle.pollLast();
   }
 
   private boolean isUsable(GatewayConnection connection) {
     GatewayConnection.IdleCheck check = connection.checkIdle();
-    if (check.state() == GatewayConnection.IdleState.UNEXPECTED) {
+    if (check.state() == GatewayConnection.IdleState.UNEXPECTED_DATA) {
       synchronized (this) {
         unexpectedMessages.add(check.unexpected());
       }
     }
-    return check.state() == GatewayConnection.IdleState.QUIET;
+    return check.state() == GatewayConnection.IdleState.USABLE;
   }
 
-  private synchronized void returnConnection(int gateway, GatewayConnection connection) {
+  private synchronized void releaseConnection(int gateway, GatewayConnection connection) {
     idleConnections.computeIfAbsent(gateway, g -> new ArrayDeque<>()).add(connection);
   }
 }
--- a/chaos/src/main/java/weldcross/chaos/load/PersistentClients.java
+++ b/chaos/src/main/java/weldcross/chaos/load/PersistentClients.java
@@ -1,6 +1,5 @@
 package weldcross.chaos.load;
 
-import java.io.EOFException;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.SocketTimeoutException;
@@ -15,18 +14,17 @@
 import weldcross.chaos.load.ClientOperation.Outcome;
 
 /**
- * Clients that each keep to one gateway and send on their connection for as long as it stays open,
- * whatever the gateway is told. They connect anew only while that is allowed.
+ * Clients that each stay with one gateway and send requests on one connection for as long as it is
+ * open, even while the gateway drains. They reconnect only while that is allowed.
  */
 public final class PersistentClients implements AutoCloseable {
 
-  /** A later answer counts as none. */
-  public static final Duration LATE_LIMIT = Duration.ofMillis(500);
+  /** How long after the deadline a client still waits for a response. */
+  public static final Duration RESPONSE_GRACE_PERIOD = Duration.ofMillis(500);
 
   private static final int MAX_PAUSE_MILLIS = 40;
   private static final long RECONNECT_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
   private static final long CLIENT_STACK_BYTES = 192 << 10;
-  private static final int HUNDRED = 100;
 
   private final List<InetSocketAddress> gateways;
   private final LongSupplier clock;
@@ -34,9 +32,10 @@
   private final AtomicIntegerArray connectForbidden;
 
   /**
-   * Counts the processes of each gateway: a process knows the writes that it has answered itself.
+   * The number of restarts of each gateway. A gateway process knows the position of a session only
+   * from the writes that it acknowledged itself.
    */
-  private final AtomicIntegerArray processes;
+  private final AtomicIntegerArray restarts;
 
   private final List<Thread> clients = new ArrayList<>();
   private final List<ClientOperation> operations = new ArrayList<>();
@@ -46,12 +45,12 @@
   private long lastId;
 
   /**
-   * Creates clients that send nothing yet.
+   * Creates the clients without starting them.
    *
-   * @param gateways where each gateway listens, in the order of their numbers
-   * @param clientsPerGateway above zero
-   * @param clock nanoseconds since the load began
-   * @param seed of all that is drawn
+   * @param gateways the address of each gateway, by gateway number
+   * @param clientsPerGateway the number of clients of each gateway, above zero
+   * @param clock nanoseconds since the start of the load
+   * @param seed the seed of all random choices
    */
   public PersistentClients(
       List<InetSocketAddress> gateways, int clientsPerGateway, LongSupplier clock, long seed) {
@@ -59,7 +58,7 @@
     this.clock = clock;
     this.idPrefix = String.format("%08x", (int) seed);
     this.connectForbidden = new AtomicIntegerArray(gateways.size());
-    this.processes = new AtomicIntegerArray(gateways.size());
+    this.restarts = new AtomicIntegerArray(gateways.size());
     SplittableRandom random = new SplittableRandom(seed);
     for (int number = 0; number < clientsPerGateway * gateways.size(); number++) {
       Client client = new Client(number, number % gateways.size(), random.split());
@@ -70,33 +69,33 @@
     }
   }
 
-  /** Has all clients send from now on. */
+  /** Starts all clients. */
   public void start() {
     clients.forEach(Thread::start);
   }
 
   /**
-   * Forbids new connections to a gateway; open ones are used on.
+   * Forbids new connections to a gateway; open connections stay in use.
    *
-   * @param gateway its number
+   * @param gateway the gateway number
    */
   public void forbidConnecting(int gateway) {
     connectForbidden.set(gateway, 1);
   }
 
   /**
-   * Has clients connect to the new process of a gateway. Session reads need not see what clients
-   * wrote through the process before it.
+   * Allows clients to connect to the new process of a restarted gateway. Session reads are no
+   * longer expected to see writes that the previous process acknowledged.
    *
-   * @param gateway its number
+   * @param gateway the gateway number
    */
   public void processStarted(int gateway) {
-    processes.incrementAndGet(gateway);
+    restarts.incrementAndGet(gateway);
     connectForbidden.set(gateway, 0);
   }
 
   /**
-   * Sends nothing new, and returns once all open requests have an outcome.
+   * Stops sending and waits until all open requests have an outcome.
    *
    * @throws InterruptedException if the calling thread is interrupted
    */
@@ -113,16 +112,16 @@
   }
 
   /**
-   * Returns all operations with an outcome so far.
+   * Returns the operations that have an outcome.
    *
-   * @return a copy, in the order of their outcomes
+   * @return a copy, in the order of the outcomes
    */
   public synchronized List<ClientOperation> operations() {
     return List.copyOf(operations);
   }
 
   /**
-   * Returns what came on connections beyond the answers.
+   * Returns the unsolicited messages received on connections.
    *
    * @return a copy
    */
@@ -138,10 +137,10 @@
     operations.add(operation);
   }
 
-  /** What became of one request, as {@link ClientOperation} has it. */
+  /** The result of one request, with the components of {@link ClientOperation}. */
   private record Result(Outcome outcome, String value, String detail) {}
 
-  /** One client, which has one request open at a time and writes a key of its own. */
+  /** One client, with one request open at a time and a key that only this client writes. */
   private final class Client implements Runnable {
     private final String key;
     private final int gateway;
@@ -149,8 +148,8 @@
     private GatewayConnection connection;
     private String lastWrite = "";
 
-    /** The process of the gateway that answered the last write. */
-    private int lastWriteProcess;
+    /** The restart count of the gateway when it acknowledged the last write. */
+    private int lastWriteRestarts;
 
     Client(int number, int gateway, SplittableRandom random) {
       this.key = "c" + number;
@@ -161,8 +160,8 @@
     @Override
     public void run() {
       while (!stopping) {
-        if (isConnected()) {
-          request();
+        if (ensureConnected()) {
+          sendRequest();
           LockSupport.parkNanos(
               TimeUnit.MILLISECONDS.toNanos(1 + random.nextInt(MAX_PAUSE_MILLIS)));
         } else {
@@ -172,28 +171,28 @@
       disconnect();
     }
 
-    /** Whether there is a connection that the gateway has not ended; connects if it may. */
-    private boolean isConnected() {
+    /** Returns whether there is an open connection; connects first if that is allowed. */
+    private boolean ensureConnected() {
       if (connection != null) {
         GatewayConnection.IdleCheck check = connection.checkIdle();
-        if (check.state() == GatewayConnection.IdleState.QUIET) {
+        if (check.state() == GatewayConnection.IdleState.USABLE) {
           return true;
         }
-        noteUnexpected(check);
+        recordUnexpected(check);
         disconnect();
       }
       if (connectForbidden.get(gateway) == 0) {
         try {
           connection = new GatewayConnection(gateways.get(gateway));
         } catch (IOException e) {
-          // Nobody listens there, for the moment.
+          // The gateway is not listening at the moment; the next iteration tries again.
         }
       }
       return connection != null;
     }
 
-    private void noteUnexpected(GatewayConnection.IdleCheck check) {
-      if (check.state() == GatewayConnection.IdleState.UNEXPECTED) {
+    private void recordUnexpected(GatewayConnection.IdleCheck check) {
+      if (check.state() == GatewayConnection.IdleState.UNEXPECTED_DATA) {
         synchronized (PersistentClients.this) {
           unexpectedMessages.add(check.unexpected());
         }
@@ -207,47 +206,33 @@
       }
     }
 
-    private RequestType drawType() {
-      int draw = random.nextInt(HUNDRED);
-      for (RequestType type : RequestType.values()) {
-        draw -= type.percentOfRequests();
-        if (draw < 0) {
-          return type;
-        }
-      }
-      return RequestType.SESSION_READ;
-    }
-
-    private void request() {
-      RequestType type = drawType();
-      boolean ofOthers = type == RequestType.BOUNDED_READ;
-      String name = ofOthers ? writtenKeys.get(random.nextInt(writtenKeys.size())) : key;
+    private void sendRequest() {
+      RequestType type = RequestType.draw(random);
+      boolean readsAnyKey = type == RequestType.BOUNDED_READ;
+      String target = readsAnyKey ? writtenKeys.get(random.nextInt(writtenKeys.size())) : key;
       String id = nextId();
-      int process = processes.get(gateway);
-      String after = lastWriteProcess == process ? lastWrite : "";
+      int gatewayRestarts = restarts.get(gateway);
+      String after = lastWriteRestarts == gatewayRestarts ? lastWrite : "";
       long sent = clock.getAsLong();
       Result result;
       try {
-        connection.send(RequestStatement.of(type, id, name, 0));
+        connection.send(RequestStatement.of(type, id, target, 0));
         sent = clock.getAsLong();
-        result = awaitResult(sent + type.deadline().plus(LATE_LIMIT).toNanos());
+        result = awaitResult(sent + type.deadline().plus(RESPONSE_GRACE_PERIOD).toNanos());
       } catch (SocketTimeoutException e) {
         result = new Result(Outcome.TIMED_OUT, "", "");
         disconnect();
       } catch (IOException e) {
-        // One that was never greeted was closed before anything of it was read.
-        Outcome outcome = connection.isGreeted() ? Outcome.CONNECTION_CLOSED : Outcome.NOT_SENT;
-        boolean inOrder = e instanceof EOFException;
-        result =
-            new Result(
-                outcome,
-                "",
-                inOrder ? ClientOperation.ENDED_IN_ORDER : String.valueOf(e.getMessage()));
+        // If the startup was never answered, the gateway closed the connection before it read any
+        // request.
+        Outcome outcome =
+            connection.isStartupCompleted() ? Outcome.CONNECTION_CLOSED : Outcome.NOT_SENT;
+        result = new Result(outcome, "", ClientOperation.detailOf(e));
         disconnect();
       }
       if (result.outcome == Outcome.OK && type.isWrite()) {
         lastWrite = id;
-        lastWriteProcess = process;
+        lastWriteRestarts = gatewayRestarts;
       }
       record(
           new ClientOperation(
@@ -265,13 +250,13 @@
     }
 
     private Result awaitResult(long deadline) throws IOException {
-      GatewayConnection.Answer answer = connection.awaitAnswer(deadline, clock);
-      String errorCode = answer.errorCode().orElse("");
-      if (!answer.reusable()) {
+      GatewayConnection.Response response = connection.awaitResponse(deadline, clock);
+      String errorCode = response.errorCode().orElse("");
+      if (!response.reusable()) {
         disconnect();
       }
-      Outcome outcome = answer.errorCode().isEmpty() ? Outcome.OK : Outcome.ofError(errorCode);
-      return new Result(outcome, answer.value(), errorCode);
+      Outcome outcome = response.errorCode().isEmpty() ? Outcome.OK : Outcome.ofError(errorCode);
+      return new Result(outcome, response.value(), errorCode);
     }
   }
 }
--- a/chaos/src/main/java/weldcross/chaos/load/RequestStatement.java
+++ b/chaos/src/main/java/weldcross/chaos/load/RequestStatement.java
@@ -1,15 +1,16 @@
 package weldcross.chaos.load;
 
-/** Builds the statements that clients send. */
+/** Builds the SQL statements that clients send. */
 final class RequestStatement {
 
   private RequestStatement() {}
 
   /**
-   * Returns the statement of one request.
+   * Returns the statement of one request, with the request id, request class, deadline and replica
+   * group in a comment.
    *
-   * @param id of the request, hexadecimal; a write stores it as its value
-   * @param key that is read or written
+   * @param id the request id, hexadecimal; a write stores it as its value
+   * @param key the key that is read or written
    * @param group the replica group of the key
    */
   static String of(RequestType type, String id, String key, int group) {
--- a/chaos/src/main/java/weldcross/chaos/load/RequestType.java
+++ b/chaos/src/main/java/weldcross/chaos/load/RequestType.java
@@ -2,10 +2,11 @@
 
 import com.fasterxml.jackson.annotation.JsonAlias;
 import java.time.Duration;
+import java.util.SplittableRandom;
 
-/** The request classes that clients of a run use; all that differs by class stands here. */
+/** The request classes that the clients of a chaos run use, with their settings. */
 public enum RequestType {
-  /** A read that sees all that its session wrote. */
+  /** A read that sees all earlier writes of its session. */
   @JsonAlias("LOOKUP")
   SESSION_READ(
       "lookup",
@@ -16,7 +17,7 @@
       Duration.ofMillis(300),
       Duration.ofMillis(900),
       55),
-  /** A read that may be stale within a bound. */
+  /** A read whose data may be stale within a bound. */
   @JsonAlias("BROWSE")
   BOUNDED_READ(
       "browse",
@@ -27,7 +28,7 @@
       Duration.ofMillis(300),
       Duration.ofMillis(900),
       20),
-  /** A write that must not run twice. */
+  /** A write that must not be applied twice. */
   @JsonAlias("FILING")
   WRITE(
       "filing",
@@ -68,16 +69,16 @@
   }
 
   /**
-   * Returns its name in settings and statements.
+   * Returns the name of the request class in settings and statements.
    *
-   * @return the request class
+   * @return the name
    */
   public String className() {
     return className;
   }
 
   /**
-   * Returns whether it writes.
+   * Returns whether requests of this class write.
    *
    * @return false for reads
    */
@@ -86,7 +87,7 @@
   }
 
   /**
-   * Returns the freshness that it needs, as settings name it.
+   * Returns the consistency that the request class needs, as named in settings.
    *
    * @return {@code session}, {@code bounded} or {@code write}
    */
@@ -95,7 +96,7 @@
   }
 
   /**
-   * Returns how stale the data of a bounded read may be.
+   * Returns the staleness bound of a bounded read.
    *
    * @return the bound; zero for other classes
    */
@@ -104,7 +105,7 @@
   }
 
   /**
-   * Returns what a repeat does, as settings name it.
+   * Returns the effect of repeating a request, as named in settings.
    *
    * @return {@code idempotent} or {@code at_most_once}
    */
@@ -113,7 +114,7 @@
   }
 
   /**
-   * Returns the time within which an answer has its full value.
+   * Returns the time within which a response should arrive.
    *
    * @return the latency objective
    */
@@ -122,15 +123,23 @@
   }
 
   /**
-   * Returns how long a client waits for the answer.
+   * Returns the deadline of a request.
    *
-   * @return the deadline, counted from the send
+   * @return the time from sending
    */
   public Duration deadline() {
     return deadline;
   }
 
-  int percentOfRequests() {
-    return percentOfRequests;
+  /** Draws a type at random, weighted by its share of the requests. */
+  static RequestType draw(SplittableRandom random) {
+    int remainingPercent = random.nextInt(100);
+    for (RequestType type : values()) {
+      remainingPercent -= type.percentOfRequests;
+      if (remainingPercent < 0) {
+        return type;
+      }
+    }
+    throw new IllegalStateException("the shares of all request types add up to less than 100 %");
   }
 }
--- a/chaos/src/main/java/weldcross/chaos/load/package-info.java
+++ b/chaos/src/main/java/weldcross/chaos/load/package-info.java
@@ -1,2 +1,2 @@
-/** Clients of a chaos run: sessions that send requests to gateways and record what they see. */
+/** Clients of a chaos run, which send requests to gateways and record the outcomes. */
 package weldcross.chaos.load;
--- a/chaos/src/main/java/weldcross/chaos/process/Await.java
+++ b/chaos/src/main/java/weldcross/chaos/process/Await.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 
-/** Waits for conditions that come about by themselves. */
+/** Waits for conditions by polling. */
 public final class Await {
 
   private static final long POLL_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
@@ -16,17 +16,17 @@
   /**
    * Waits until a condition holds.
    *
-   * @param description of the condition, for the exception
-   * @param timeout how long to wait at most
+   * @param description describes the condition in the exception
+   * @param timeout the maximum time to wait
    * @param condition checked every few milliseconds
-   * @throws IOException if it does not hold in time
+   * @throws IOException if the condition does not hold within the timeout
    */
   public static void until(String description, Duration timeout, BooleanSupplier condition)
       throws IOException {
     long deadline = System.nanoTime() + timeout.toNanos();
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > deadline) {
-        throw new IOException("not within " + timeout.toMillis() + " ms: " + description);
+        throw new IOException("timed out after " + timeout.toMillis() + " ms: " + description);
       }
       LockSupport.parkNanos(POLL_INTERVAL_NANOS);
     }
--- a/chaos/src/main/java/weldcross/chaos/process/LoopbackSubnet.java
+++ b/chaos/src/main/java/weldcross/chaos/process/LoopbackSubnet.java
@@ -6,46 +6,47 @@
 import java.net.ServerSocket;
 
 /**
- * A part of the loopback range that belongs to one run: 127.x.y.0/24, claimed by a listening socket
- * for as long as the run lasts, so that two runs at once share no address.
+ * A loopback subnet 127.x.y.0/24 reserved for one run. A listening socket holds the reservation
+ * until the run ends, so that concurrent runs never share an address.
  */
 public final class LoopbackSubnet implements AutoCloseable {
 
-  /** The port on host 1 of a subnet that its owner listens on. */
-  private static final int CLAIM_PORT = 7999;
+  /** The port on host 1 of a subnet whose listener reserves the subnet. */
+  private static final int RESERVATION_PORT = 7999;
 
   private static final int FIRST_SECOND_OCTET = 64;
-  private static final int SECOND_OCTETS = 64;
-  private static final int THIRD_OCTETS = 250;
+  private static final int SECOND_OCTET_COUNT = 64;
+  private static final int THIRD_OCTET_COUNT = 250;
 
   private final int secondOctet;
   private final int thirdOctet;
-  private final ServerSocket claim;
+  private final ServerSocket reservation;
 
-  private LoopbackSubnet(int secondOctet, int thirdOctet, ServerSocket claim) {
+  private LoopbackSubnet(int secondOctet, int thirdOctet, ServerSocket reservation) {
     this.secondOctet = secondOctet;
     this.thirdOctet = thirdOctet;
-    this.claim = claim;
+    this.reservation = reservation;
   }
 
   /**
-   * Claims the first free subnet.
+   * Reserves the first free subnet.
    *
-   * @return the subnet, held until it is closed
+   * @return the subnet, reserved until it is closed
    * @throws IOException if none is free
    */
-  public static LoopbackSubnet claim() throws IOException {
-    for (int index = 0; index < SECOND_OCTETS * THIRD_OCTETS; index++) {
-      int secondOctet = FIRST_SECOND_OCTET + index / THIRD_OCTETS;
-      int thirdOctet = 1 + index % THIRD_OCTETS;
+  public static LoopbackSubnet reserve() throws IOException {
+    for (int index = 0; index < SECOND_OCTET_COUNT * THIRD_OCTET_COUNT; index++) {
+      int secondOctet = FIRST_SECOND_OCTET + index / THIRD_OCTET_COUNT;
+      int thirdOctet = 1 + index % THIRD_OCTET_COUNT;
       try {
-        ServerSocket claim = new ServerSocket(CLAIM_PORT, 1, address(secondOctet, thirdOctet, 1));
-        return new LoopbackSubnet(secondOctet, thirdOctet, claim);
+        ServerSocket reservation =
+            new ServerSocket(RESERVATION_PORT, 1, address(secondOctet, thirdOctet, 1));
+        return new LoopbackSubnet(secondOctet, thirdOctet, reservation);
       } catch (BindException e) {
-        // Another run holds this one.
+        // Reserved by another run.
       }
     }
-    throw new IOException("no part of the loopback range is free");
+    throw new IOException("no free loopback subnet");
   }
 
   private static InetAddress address(int secondOctet, int thirdOctet, int host) throws IOException {
@@ -56,7 +57,7 @@
   /**
    * Returns an address of the subnet.
    *
-   * @param host its last octet, from 2 to 250
+   * @param host the last octet, from 2 to 250
    * @return the address
    * @throws IOException never for a valid octet
    */
@@ -71,6 +72,6 @@
 
   @Override
   public void close() throws IOException {
-    claim.close();
+    reservation.close();
   }
 }
--- a/chaos/src/main/java/weldcross/chaos/process/ManagedProcess.java
+++ b/chaos/src/main/java/weldcross/chaos/process/ManagedProcess.java
@@ -9,14 +9,19 @@
 import java.util.OptionalInt;
 import java.util.concurrent.TimeUnit;
 
-/** A process that a run started, with signals; its output goes to a file shared by its restarts. */
+/**
+ * A child process of a run, which can be sent signals. Its output is appended to a log file that
+ * all restarts of the process share.
+ */
 public final class ManagedProcess {
 
-  /** How long the system may take to show the effect of a signal. */
+  /** The maximum time until the effect of a signal is visible. */
   private static final Duration SIGNAL_TIMEOUT = Duration.ofSeconds(10);
 
-  private static final char STOPPED = 'T';
-  private static final char UNKNOWN = '?';
+  /** The state of a stopped process in {@code /proc/PID/stat}. */
+  private static final char STATE_STOPPED = 'T';
+
+  private static final char STATE_UNKNOWN = '?';
 
   private final Process process;
   private final ProcessReaper reaper;
@@ -31,31 +36,31 @@
             .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
     builder.environment().putAll(environment);
     process = builder.start();
-    reaper.started(process.pid());
+    reaper.register(process.pid());
   }
 
   /**
-   * Returns the id that the system gave it.
+   * Returns the process id.
    *
-   * @return its process id
+   * @return the process id
    */
   public long id() {
     return process.pid();
   }
 
   /**
-   * Returns whether it has not ended.
+   * Returns whether the process has not exited.
    *
-   * @return true while it runs, also while it is stopped
+   * @return true while the process runs or is stopped by a signal
    */
   public boolean isAlive() {
     return process.isAlive();
   }
 
   /**
-   * Returns how it ended.
+   * Returns the exit status.
    *
-   * @return its exit status; empty while it lives
+   * @return the exit status; empty while the process is alive
    */
   public OptionalInt exitStatus() {
     return process.isAlive() ? OptionalInt.empty() : OptionalInt.of(process.exitValue());
@@ -80,7 +85,7 @@
   }
 
   /**
-   * Sends SIGKILL and waits for its end.
+   * Sends SIGKILL and waits for the process to exit.
    *
    * @throws IOException if the signal cannot be sent
    */
@@ -92,28 +97,30 @@
   }
 
   /**
-   * Sends SIGSTOP and waits until the system shows it stopped.
+   * Sends SIGSTOP and waits until the process is stopped.
    *
-   * @throws IOException if the signal cannot be sent or does not act in time
+   * @throws IOException if the signal cannot be sent or has no effect within the timeout
    */
   public void pause() throws IOException {
     signal("STOP");
     Await.until(
-        "process " + id() + " stopped", SIGNAL_TIMEOUT, () -> state() == STOPPED || !isAlive());
+        "process " + id() + " stopped",
+        SIGNAL_TIMEOUT,
+        () -> state() == STATE_STOPPED || !isAlive());
   }
 
   /**
-   * Sends SIGCONT and waits until the system no longer shows it stopped.
+   * Sends SIGCONT and waits until the process is no longer stopped.
    *
-   * @throws IOException if the signal cannot be sent or does not act in time
+   * @throws IOException if the signal cannot be sent or has no effect within the timeout
    */
   public void resume() throws IOException {
     signal("CONT");
-    Await.until("process " + id() + " continues", SIGNAL_TIMEOUT, () -> state() != STOPPED);
+    Await.until("process " + id() + " resumed", SIGNAL_TIMEOUT, () -> state() != STATE_STOPPED);
   }
 
   /**
-   * Returns its state as the system has it.
+   * Returns the process state as shown in {@code /proc/PID/stat}.
    *
    * @return R, S, T and so on; '?' if there is no such process
    */
@@ -122,22 +129,22 @@
       String stat = Files.readString(Path.of("/proc/" + id() + "/stat"));
       return stat.charAt(stat.lastIndexOf(')') + 2);
     } catch (IOException e) {
-      return UNKNOWN;
+      return STATE_UNKNOWN;
     }
   }
 
   /**
-   * Waits for its end.
+   * Waits for the process to exit.
    *
-   * @param timeout how long to wait at most
-   * @return whether it has ended
+   * @param timeout the maximum time to wait
+   * @return whether the process has exited
    * @throws IOException if the waiting thread is interrupted
    */
   public boolean awaitExit(Duration timeout) throws IOException {
     try {
       boolean exited = process.waitFor(timeout.toMillis(), TimeUnit.MILLISECONDS);
       if (exited) {
-        reaper.exited(id());
+        reaper.unregister(id());
       }
       return exited;
     } catch (InterruptedException e) {
@@ -154,7 +161,7 @@
               .start()
               .waitFor();
       if (status != 0 && process.isAlive()) {
-        throw new IOException("kill -" + name + " " + id() + " ended with " + status);
+        throw new IOException("kill -" + name + " " + id() + " exited with status " + status);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/chaos/src/main/java/weldcross/chaos/process/ManagedProcesses.java
+++ b/chaos/src/main/java/weldcross/chaos/process/ManagedProcesses.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** All processes of one run; closing it ends them. */
+/** The child processes of one run; closing this kills all of them. */
 public final class ManagedProcesses implements AutoCloseable {
 
   private final ProcessReaper reaper = new ProcessReaper();
@@ -15,18 +15,18 @@
   /**
    * Creates an empty set.
    *
-   * @throws IOException if the process that watches over the others cannot be started
+   * @throws IOException if the {@link ProcessReaper} cannot be started
    */
   public ManagedProcesses() throws IOException {}
 
   /**
    * Starts a process.
    *
-   * @param command program and arguments
-   * @param environment variables beside those of this process
-   * @param log the file that its output is appended to
+   * @param command the program and its arguments
+   * @param environment variables added to the environment of this process
+   * @param log the file to which the output is appended
    * @return the running process
-   * @throws IOException if it cannot be started
+   * @throws IOException if the process cannot be started
    */
   public synchronized ManagedProcess start(
       List<String> command, Map<String, String> environment, Path log) throws IOException {
--- a/chaos/src/main/java/weldcross/chaos/process/ProcessReaper.java
+++ b/chaos/src/main/java/weldcross/chaos/process/ProcessReaper.java
@@ -5,16 +5,17 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Ends what a run started, also if the run itself is killed: a process of its own that is told of
- * each child and kills those it knows once its standard input ends. A child started in the instant
- * of the kill may be missed, as its id is known only after its start.
+ * Kills the child processes of a run even if the run itself is killed. A separate process receives
+ * the id of each child on its standard input, and kills the registered children at end of input. A
+ * child that starts at the moment of the kill may be missed, because its id is known only after its
+ * start.
  */
 final class ProcessReaper implements AutoCloseable {
 
   private static final String SCRIPT =
-      "declare -A known; while read -r word id; do if [ \"$word\" = + ]; then "
-          + "known[$id]=1; else unset \"known[$id]\"; fi; done; "
-          + "for id in \"${!known[@]}\"; do kill -KILL \"$id\"; done";
+      "declare -A children; while read -r command id; do if [ \"$command\" = + ]; then "
+          + "children[$id]=1; else unset \"children[$id]\"; fi; done; "
+          + "for id in \"${!children[@]}\"; do kill -KILL \"$id\"; done";
 
   private final OutputStream commands;
 
@@ -27,11 +28,11 @@
             .getOutputStream();
   }
 
-  synchronized void started(long id) throws IOException {
+  synchronized void register(long id) throws IOException {
     send("+ " + id);
   }
 
-  synchronized void exited(long id) throws IOException {
+  synchronized void unregister(long id) throws IOException {
     send("- " + id);
   }
 
--- a/chaos/src/main/java/weldcross/chaos/process/ProcessUsage.java
+++ b/chaos/src/main/java/weldcross/chaos/process/ProcessUsage.java
@@ -6,27 +6,27 @@
 import java.util.stream.Stream;
 
 /**
- * What a process uses of the system at a moment.
+ * The resources that a process uses at one point in time.
  *
- * @param residentKilobytes its resident memory
- * @param descriptors its open descriptors
+ * @param residentKilobytes the resident set size
+ * @param descriptors the number of open file descriptors
  */
 public record ProcessUsage(long residentKilobytes, int descriptors) {
 
-  private static final String RESIDENT = "VmRSS:";
+  private static final String RESIDENT_SET_SIZE = "VmRSS:";
 
   /**
-   * Looks at a running process.
+   * Reads the current usage of a process from {@code /proc}.
    *
-   * @param process that runs
-   * @return its usage now
-   * @throws IOException if the process has ended
+   * @param process a running process
+   * @return the current usage
+   * @throws IOException if the process has exited
    */
   public static ProcessUsage of(ManagedProcess process) throws IOException {
     Path directory = Path.of("/proc", Long.toString(process.id()));
     long resident = 0;
     for (String line : Files.readAllLines(directory.resolve("status"))) {
-      if (line.startsWith(RESIDENT)) {
+      if (line.startsWith(RESIDENT_SET_SIZE)) {
         resident = Long.parseLong(line.replaceAll("[^0-9]", ""));
       }
     }
@@ -36,7 +36,7 @@
   }
 
   /**
-   * Describes it for a reader.
+   * Returns the usage as readable text.
    *
    * @return memory and descriptors
    */
--- a/chaos/src/main/java/weldcross/chaos/process/package-info.java
+++ b/chaos/src/main/java/weldcross/chaos/process/package-info.java
@@ -1,2 +1,2 @@
-/** Processes that a chaos run starts, their signals, and the loopback addresses they listen on. */
+/** Child processes of a chaos run, with signals and resource usage, and their loopback subnets. */
 package weldcross.chaos.process;
--- a/chaos/src/main/java/weldcross/chaos/soak/SoakVerdict.java
+++ b/chaos/src/main/java/weldcross/chaos/soak/SoakVerdict.java
@@ -57,7 +57,7 @@
     for (ClientOperation operation : recorded.operations()) {
       boolean crossed = !forwarded.contains(operation.rpc()) && crossed(observations, operation);
       crossings += crossed ? 1 : 0;
-      operations.add(crossed ? operation.with(Outcome.NOT_SENT) : operation);
+      operations.add(crossed ? operation.withOutcome(Outcome.NOT_SENT) : operation);
     }
     History history =
         new History(
@@ -76,7 +76,7 @@
   /** Whether a request may have come after its gateway had ended sending on its connection. */
   private static boolean crossed(SoakObservations observations, ClientOperation operation) {
     return operation.outcome() == Outcome.CONNECTION_CLOSED
-        && operation.detail().equals(ClientOperation.ENDED_IN_ORDER)
+        && operation.detail().equals(ClientOperation.CLOSED_CLEANLY)
         && operation.durationNanos() <= MAX_CROSSING.toNanos()
         && observations.closes().stream()
             .anyMatch(window -> window.covers(operation.gateway(), operation.ended()));
