--- a/chaos/src/main/java/weldcross/chaos/FaultInjector.java
+++ b/chaos/src/main/java/weldcross/chaos/FaultInjector.java
@@ -53,8 +53,8 @@
       case TERM -> gateway(fault).process().terminate();
       case PAUSE -> gateway(fault).process().pause();
       case DISK -> gateway(fault).setDiskFaults(fault.how());
-      case STALL -> changeBothWays(fault, path -> path.withHeld(true));
-      case STALL_ONE_WAY -> changeOneWay(fault, path -> path.withHeld(true));
+      case STALL -> changeBothWays(fault, path -> path.withStalled(true));
+      case STALL_ONE_WAY -> changeOneWay(fault, path -> path.withStalled(true));
       case CUT -> changeBothWays(fault, path -> path.withCut(true));
       case CUT_ONE_WAY -> changeOneWay(fault, path -> path.withCut(true));
       case RESET -> resetConnections(fault);
@@ -95,8 +95,8 @@
       }
       case PAUSE -> gateway(fault).process().resume();
       case DISK -> gateway(fault).setDiskFaults("");
-      case STALL -> changeBothWays(fault, path -> path.withHeld(false));
-      case STALL_ONE_WAY -> changeOneWay(fault, path -> path.withHeld(false));
+      case STALL -> changeBothWays(fault, path -> path.withStalled(false));
+      case STALL_ONE_WAY -> changeOneWay(fault, path -> path.withStalled(false));
       case CUT -> changeBothWays(fault, path -> path.withCut(false));
       case CUT_ONE_WAY -> changeOneWay(fault, path -> path.withCut(false));
       case REFUSE -> refuseConnections(fault, false);
--- a/chaos/src/main/java/weldcross/chaos/load/GatewayConnection.java
+++ b/chaos/src/main/java/weldcross/chaos/load/GatewayConnection.java
@@ -19,7 +19,7 @@
 
   private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
-  /** The read timeout of {@link #checkIdle}; the socket API has no non-blocking read. */
+  /** The read timeout of {@link #checkIdle}; {@link Socket} has no non-blocking read. */
   private static final int IDLE_CHECK_TIMEOUT_MILLIS = 1;
 
   /** The maximum number of unexpected bytes that are recorded. */
--- a/chaos/src/main/java/weldcross/chaos/proxy/DatagramForwarder.java
+++ b/chaos/src/main/java/weldcross/chaos/proxy/DatagramForwarder.java
@@ -9,12 +9,12 @@
 import java.nio.channels.Selector;
 import java.util.SplittableRandom;
 
-/** Forwards datagrams as their paths have it, on the proxy's thread. */
+/** Forwards datagrams with the faults of their network paths; confined to the proxy thread. */
 final class DatagramForwarder {
 
   private static final int MAX_DATAGRAM_BYTES = 1 << 16;
 
-  /** How long a datagram is kept back so that others overtake it. */
+  /** The delay of a reordered datagram, which lets later datagrams overtake it. */
   private static final long REORDERING_DELAY_NANOS = StreamForwarder.RETRANSMISSION_DELAY.toNanos();
 
   private final InetAddress host;
@@ -40,7 +40,7 @@
     this.delayedTasks = delayedTasks;
   }
 
-  /** Opens an address whose datagrams are forwarded to a target; returns that address. */
+  /** Opens an address from which datagrams are forwarded to a target, and returns the address. */
   InetSocketAddress open(String from, String to, InetSocketAddress target) throws IOException {
     DatagramChannel channel = DatagramChannel.open();
     channel.bind(new InetSocketAddress(host, 0));
@@ -60,20 +60,20 @@
       ByteBuffer bytes = ByteBuffer.allocate(buffer.remaining()).put(buffer).flip();
       schedule(paths.get(from, to), channel, bytes, target);
     } catch (IOException e) {
-      // A datagram that cannot be read is lost, and nobody is notified of that.
+      // A datagram that cannot be read is lost; datagrams are not reliable.
     }
   }
 
   private void schedule(
       NetworkPath path, DatagramChannel channel, ByteBuffer bytes, InetSocketAddress target) {
-    if (!path.isOpen() || happens(path.lost())) {
+    if (!path.isOpen() || happens(path.lossRate())) {
       counters.datagramsLost.incrementAndGet();
       return;
     }
-    int copies = happens(path.repeated()) ? 2 : 1;
-    counters.datagramsRepeated.addAndGet(copies - 1);
+    int copies = happens(path.duplicationRate()) ? 2 : 1;
+    counters.datagramsDuplicated.addAndGet(copies - 1);
     long due = System.nanoTime() + path.delay().toNanos();
-    if (happens(path.reordered())) {
+    if (happens(path.reorderingRate())) {
       counters.datagramsDelayed.incrementAndGet();
       due += REORDERING_DELAY_NANOS;
     }
@@ -82,15 +82,15 @@
     }
   }
 
-  private boolean happens(double share) {
-    return share > 0 && random.nextDouble() < share;
+  private boolean happens(double probability) {
+    return probability > 0 && random.nextDouble() < probability;
   }
 
   private static void send(DatagramChannel channel, ByteBuffer bytes, InetSocketAddress target) {
     try {
       channel.send(bytes, target);
     } catch (IOException e) {
-      // A datagram may be lost.
+      // A datagram that cannot be sent is lost; datagrams are not reliable.
     }
   }
 }
--- a/chaos/src/main/java/weldcross/chaos/proxy/DelayedTasks.java
+++ b/chaos/src/main/java/weldcross/chaos/proxy/DelayedTasks.java
@@ -3,7 +3,10 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Tasks of the proxy's thread that run at a later time, those of one time in their order. */
+/**
+ * Tasks that run on the proxy thread at a later time. Tasks due at the same time run in the order
+ * in which they were added.
+ */
 final class DelayedTasks {
 
   private record Task(long due, long sequence, Runnable action) {}
@@ -15,7 +18,7 @@
   /**
    * Adds a task.
    *
-   * @param due when it runs, by {@link System#nanoTime}
+   * @param due when the task runs, as a reading of {@link System#nanoTime}
    */
   void add(long due, Runnable action) {
     tasks.add(new Task(due, ++lastSequence, action));
@@ -28,7 +31,7 @@
     }
   }
 
-  /** Returns in how many nanoseconds the next one is due, or the given time if that is sooner. */
+  /** Returns the nanoseconds until the next task is due, limited to {@code atMost}. */
   long nanosToNext(long now, long atMost) {
     return tasks.isEmpty() ? atMost : Math.min(atMost, Math.max(0, tasks.peek().due() - now));
   }
--- a/chaos/src/main/java/weldcross/chaos/proxy/FaultProxy.java
+++ b/chaos/src/main/java/weldcross/chaos/proxy/FaultProxy.java
@@ -18,15 +18,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The proxy that all traffic between processes crosses: streams and datagrams, each from one host
- * to another by an address of its own, and in each direction as the {@link NetworkPath} between the
- * two has it. One thread does all the work; the public methods may be called from any thread and
- * return once they act.
+ * The proxy through which all traffic between the processes of a run passes. Each pair of hosts has
+ * its own proxy addresses for streams and datagrams, and each direction has the faults of its
+ * {@link NetworkPath}. One thread does all the work. The public methods may be called from any
+ * thread and return once the change is in effect.
  */
 public final class FaultProxy implements AutoCloseable {
 
-  /** How often a target that refuses connections is tried again. */
-  private static final Duration UNREACHABLE_RETRY_INTERVAL = Duration.ofMillis(20);
+  /** The interval between checks whether an unreachable target accepts connections again. */
+  private static final Duration TARGET_CHECK_INTERVAL = Duration.ofMillis(20);
 
   private static final long MAX_SELECT_NANOS = TimeUnit.SECONDS.toNanos(1);
   private static final long CLOSE_TIMEOUT_MILLIS = 5000;
@@ -47,8 +47,8 @@
    * Starts a proxy.
    *
    * @param host the loopback address on which all routes listen
-   * @param seed of all random losses
-   * @throws IOException if the system has no selector left
+   * @param seed the seed of all random faults
+   * @throws IOException if no selector can be opened
    */
   public FaultProxy(InetAddress host, long seed) throws IOException {
     SplittableRandom random = new SplittableRandom(seed);
@@ -61,13 +61,13 @@
     thread.start();
   }
 
-  /** A task of the proxy's thread. */
+  /** A task that runs on the proxy thread and returns a result. */
   @FunctionalInterface
   private interface Command<T> {
     T run() throws IOException;
   }
 
-  /** Runs a command on the proxy's thread and waits for it. */
+  /** Runs a command on the proxy thread and waits for its result. */
   private <T> T execute(Command<T> command) {
     CompletableFuture<T> result = new CompletableFuture<>();
     commands.add(
@@ -85,12 +85,12 @@
   }
 
   /**
-   * Opens an address through which one host reaches another by streams.
+   * Opens an address through which one host connects to another.
    *
    * @param from the host that connects
-   * @param to the host that it reaches
-   * @param target where that host listens
-   * @return the route, with its address
+   * @param to the host that is connected to
+   * @param target the address on which that host listens
+   * @return the route, with its proxy address
    */
   public Route openRoute(String from, String to, InetSocketAddress target) {
     return execute(
@@ -103,19 +103,19 @@
   }
 
   /**
-   * Opens an address through which datagrams of one host reach another.
+   * Opens an address through which one host sends datagrams to another.
    *
    * @param from the host that sends
-   * @param to the host that it reaches
-   * @param target where that host receives
-   * @return the address to send to
+   * @param to the host that receives
+   * @param target the address on which that host receives
+   * @return the proxy address to send to
    */
   public InetSocketAddress openDatagramRoute(String from, String to, InetSocketAddress target) {
     return execute(() -> datagrams.open(from, to, target));
   }
 
   /**
-   * Sets the path from one host to another; what is sent from now on finds this.
+   * Sets the path from one host to another, which applies to all data sent from now on.
    *
    * @param from the host that sends
    * @param to the host that receives
@@ -127,7 +127,7 @@
           boolean healed = paths.get(from, to).cut() && !path.cut();
           paths.set(from, to, path);
           for (Route route : routes) {
-            if (route.connects(from, to)) {
+            if (route.isBetween(from, to)) {
               if (healed) {
                 streams.resetAll(route);
               }
@@ -151,18 +151,18 @@
   }
 
   /**
-   * Resets all connections between two hosts, whichever of them connected.
+   * Resets all connections between two hosts, in both directions.
    *
-   * @param host one of them
-   * @param otherHost the other
-   * @return how many connections there were
+   * @param host one host
+   * @param otherHost the other host
+   * @return the number of connections reset
    */
   public int resetConnections(String host, String otherHost) {
     return execute(
         () -> {
           int count = 0;
           for (Route route : routes) {
-            if (route.connects(host, otherHost)) {
+            if (route.isBetween(host, otherHost)) {
               count += streams.resetAll(route);
             }
           }
@@ -174,15 +174,15 @@
    * Sets whether connections from one host to another are refused.
    *
    * @param from the host that connects
-   * @param to the host that it wants to reach
-   * @param on whether they are refused from now on
+   * @param to the host that is connected to
+   * @param refuse whether connections are refused from now on
    */
-  public void refuseConnections(String from, String to, boolean on) {
+  public void refuseConnections(String from, String to, boolean refuse) {
     execute(
         () -> {
           for (Route route : routes) {
-            if (route.leads(from, to)) {
-              route.setRefusing(on);
+            if (route.isFromTo(from, to)) {
+              route.setRefusing(refuse);
               listeners.update(route);
             }
           }
@@ -191,45 +191,45 @@
   }
 
   /**
-   * Returns how many bytes of streams have vanished in cuts.
+   * Returns the number of stream bytes dropped on cut paths.
    *
-   * @return bytes since the start
+   * @return the bytes since the proxy was started
    */
   public long bytesDropped() {
     return counters.bytesDropped.get();
   }
 
   /**
-   * Returns how many bytes of streams wait to be forwarded.
+   * Returns the number of stream bytes waiting to be forwarded.
    *
-   * @return bytes at this moment
+   * @return the current number of bytes
    */
   public long bytesBuffered() {
     return counters.bytesBuffered.get();
   }
 
   /**
-   * Returns how many datagrams have vanished.
+   * Returns the number of datagrams dropped.
    *
-   * @return datagrams since the start
+   * @return the datagrams since the proxy was started
    */
   public long datagramsLost() {
     return counters.datagramsLost.get();
   }
 
   /**
-   * Returns how many datagrams were sent twice.
+   * Returns the number of datagrams sent twice.
    *
-   * @return datagrams since the start
+   * @return the datagrams since the proxy was started
    */
-  public long datagramsRepeated() {
-    return counters.datagramsRepeated.get();
+  public long datagramsDuplicated() {
+    return counters.datagramsDuplicated.get();
   }
 
   /**
-   * Returns how many datagrams were kept back so that others overtake them.
+   * Returns the number of datagrams delayed so that later ones overtake them.
    *
-   * @return datagrams since the start
+   * @return the datagrams since the proxy was started
    */
   public long datagramsDelayed() {
     return counters.datagramsDelayed.get();
@@ -299,10 +299,10 @@
     selector.close();
   }
 
-  /** Nobody listens at the target: connections are refused here as well, until somebody does. */
+  /** Refuses connections on a route whose target refuses them, until the target listens again. */
   private void onTargetUnreachable(Route route) {
     route.setTargetUnreachable(true);
-    // Closing the address selects anew, which must not happen while selected keys are worked on.
+    // Closing a listener calls select, which must not happen while the selected keys are iterated.
     commands.add(
         () -> {
           update(route);
@@ -311,13 +311,13 @@
   }
 
   private void scheduleTargetCheck(Route route) {
-    long due = System.nanoTime() + UNREACHABLE_RETRY_INTERVAL.toNanos();
+    long due = System.nanoTime() + TARGET_CHECK_INTERVAL.toNanos();
     delayedTasks.add(due, () -> checkTarget(route));
   }
 
   private void checkTarget(Route route) {
     try (Socket socket = new Socket()) {
-      socket.connect(route.target(), (int) UNREACHABLE_RETRY_INTERVAL.toMillis());
+      socket.connect(route.target(), (int) TARGET_CHECK_INTERVAL.toMillis());
       route.setTargetUnreachable(false);
       listeners.update(route);
     } catch (IOException e) {
--- a/chaos/src/main/java/weldcross/chaos/proxy/NetworkPath.java
+++ b/chaos/src/main/java/weldcross/chaos/proxy/NetworkPath.java
@@ -3,59 +3,65 @@
 import java.time.Duration;
 
 /**
- * One direction between two hosts, as packets find it.
+ * The network faults in one direction between two hosts.
  *
- * @param held what is sent waits until the path is open again; nothing is lost
- * @param cut what is sent vanishes, and connections that lived through it are reset when the path
- *     is back
- * @param delay of everything
- * @param lost share of datagrams that vanish, and of a stream's chunks that come a retransmission
- *     later; 0 to 1
- * @param repeated share of datagrams that come twice; 0 to 1
- * @param reordered share of datagrams that are overtaken; 0 to 1
+ * @param stalled whether data waits until the path is open again; nothing is lost
+ * @param cut whether data is dropped; connections that are open when the cut ends are reset then
+ * @param delay the delay of all data
+ * @param lossRate the probability that a datagram is dropped, or that a chunk of a stream is
+ *     delayed by a retransmission; 0 to 1
+ * @param duplicationRate the probability that a datagram is delivered twice; 0 to 1
+ * @param reorderingRate the probability that a datagram is delayed so that later ones overtake it;
+ *     0 to 1
  */
 public record NetworkPath(
-    boolean held, boolean cut, Duration delay, double lost, double repeated, double reordered) {
+    boolean stalled,
+    boolean cut,
+    Duration delay,
+    double lossRate,
+    double duplicationRate,
+    double reorderingRate) {
 
   /** A path without faults. */
   public static final NetworkPath OPEN = new NetworkPath(false, false, Duration.ZERO, 0, 0, 0);
 
   /**
-   * Returns this path with its holding switched.
+   * Returns a copy of this path that is stalled or not.
    *
-   * @param on whether what is sent waits
+   * @param newStalled whether data waits until the path is open again
    * @return the changed path
    */
-  public NetworkPath withHeld(boolean on) {
-    return new NetworkPath(on, cut, delay, lost, repeated, reordered);
+  public NetworkPath withStalled(boolean newStalled) {
+    return new NetworkPath(newStalled, cut, delay, lossRate, duplicationRate, reorderingRate);
   }
 
   /**
-   * Returns this path with its cut switched.
+   * Returns a copy of this path that is cut or not.
    *
-   * @param on whether what is sent vanishes
+   * @param newCut whether data is dropped
    * @return the changed path
    */
-  public NetworkPath withCut(boolean on) {
-    return new NetworkPath(held, on, delay, lost, repeated, reordered);
+  public NetworkPath withCut(boolean newCut) {
+    return new NetworkPath(stalled, newCut, delay, lossRate, duplicationRate, reorderingRate);
   }
 
   /**
-   * Returns this path with other delays and losses.
+   * Returns a copy of this path with another delay and other fault rates.
    *
-   * @param newDelay of everything
-   * @param newLost share lost, 0 to 1
-   * @param newRepeated share repeated, 0 to 1
-   * @param newReordered share reordered, 0 to 1
+   * @param newDelay the delay of all data
+   * @param newLossRate the probability of loss, 0 to 1
+   * @param newDuplicationRate the probability of duplication, 0 to 1
+   * @param newReorderingRate the probability of reordering, 0 to 1
    * @return the changed path
    */
   public NetworkPath withImpairment(
-      Duration newDelay, double newLost, double newRepeated, double newReordered) {
-    return new NetworkPath(held, cut, newDelay, newLost, newRepeated, newReordered);
+      Duration newDelay, double newLossRate, double newDuplicationRate, double newReorderingRate) {
+    return new NetworkPath(
+        stalled, cut, newDelay, newLossRate, newDuplicationRate, newReorderingRate);
   }
 
-  /** Whether what is sent passes. */
+  /** Returns whether data passes at all. */
   boolean isOpen() {
-    return !held && !cut;
+    return !stalled && !cut;
   }
 }
--- a/chaos/src/main/java/weldcross/chaos/proxy/NetworkPaths.java
+++ b/chaos/src/main/java/weldcross/chaos/proxy/NetworkPaths.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The paths between all hosts, by direction; those that were never set are open. */
+/** The network paths between all hosts, by direction; {@link NetworkPath#OPEN} by default. */
 final class NetworkPaths {
 
   private record Key(String from, String to) {}
--- a/chaos/src/main/java/weldcross/chaos/proxy/ProxiedConnection.java
+++ b/chaos/src/main/java/weldcross/chaos/proxy/ProxiedConnection.java
@@ -5,7 +5,7 @@
 import java.util.ArrayDeque;
 import java.util.List;
 
-/** A connection that was accepted on a route, with the connection to the route's target. */
+/** A connection accepted on a route, paired with a connection to the target of the route. */
 final class ProxiedConnection {
 
   final Route route;
@@ -14,7 +14,7 @@
   final Direction toTarget;
   final Direction toClient;
 
-  /** Whether the connection to the target has come up. */
+  /** Whether the connection to the target is established. */
   boolean established;
 
   ProxiedConnection(Route route, SocketChannel client, SocketChannel target) {
@@ -33,21 +33,21 @@
     return List.of(toTarget, toClient);
   }
 
-  /** The direction that reads from a channel of this connection. */
+  /** Returns the direction that reads from a channel of this connection. */
   Direction readingFrom(SocketChannel channel) {
     return channel == client ? toTarget : toClient;
   }
 
-  /** The direction that writes to a channel of this connection. */
+  /** Returns the direction that writes to a channel of this connection. */
   Direction writingTo(SocketChannel channel) {
     return channel == client ? toClient : toTarget;
   }
 
   /**
-   * Bytes that wait to be forwarded.
+   * Bytes waiting to be forwarded.
    *
-   * @param due when they may be forwarded, by {@link System#nanoTime}
-   * @param bytes what is left of them
+   * @param due when the bytes may be forwarded, as a reading of {@link System#nanoTime}
+   * @param bytes the bytes not yet forwarded
    */
   record Chunk(long due, ByteBuffer bytes) {}
 
@@ -61,16 +61,16 @@
     final ArrayDeque<Chunk> chunks = new ArrayDeque<>();
     int bufferedBytes;
 
-    /** When the last chunk is due: later ones must not overtake it. */
+    /** When the last chunk is due; later chunks must not be due earlier, which keeps the order. */
     long lastDue;
 
-    /** The source has sent its end. */
+    /** Whether end of stream was read from the source. */
     boolean endRead;
 
-    /** The end has been forwarded. */
+    /** Whether end of stream was forwarded to the sink. */
     boolean endForwarded;
 
-    /** The source was reset while the path was not open; the sink learns of it later. */
+    /** Whether the source was reset while the path was not open; forwarded once it is open. */
     boolean sourceReset;
 
     Direction(
@@ -86,8 +86,8 @@
       this.to = to;
     }
 
-    /** Whether there is anything to forward. */
-    boolean hasWork() {
+    /** Returns whether bytes, end of stream or a reset wait to be forwarded. */
+    boolean hasPendingWork() {
       return !chunks.isEmpty() || (endRead && !endForwarded) || sourceReset;
     }
   }
--- a/chaos/src/main/java/weldcross/chaos/proxy/Route.java
+++ b/chaos/src/main/java/weldcross/chaos/proxy/Route.java
@@ -9,20 +9,20 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** An address of the proxy through which one host reaches another by streams. */
+/** A proxy address through which one host connects to another. */
 public final class Route {
 
   private final String from;
   private final String to;
   private final InetSocketAddress target;
 
-  /** Set once, before the route is handed out. */
+  /** Set before the route is returned to a caller; never changes afterwards. */
   private InetSocketAddress address;
 
-  /** Where connections are accepted; null while the address is closed or a black hole. */
+  /** Accepts connections; null while the address is closed or a black hole. */
   private ServerSocketChannel listener;
 
-  /** Listens with a full queue while the path is cut; null otherwise. */
+  /** Listens with a full accept queue while the path is cut; null otherwise. */
   private ServerSocketChannel blackHole;
 
   private final List<SocketChannel> blackHoleFillers = new ArrayList<>();
@@ -37,9 +37,9 @@
   }
 
   /**
-   * Returns where {@code from} connects to reach {@code to}.
+   * Returns the address to which {@code from} connects to reach {@code to}.
    *
-   * @return an address of the proxy, the same for the whole run
+   * @return the proxy address, the same for the whole run
    */
   public InetSocketAddress address() {
     return address;
@@ -48,7 +48,7 @@
   /**
    * Returns the address as text.
    *
-   * @return host and port, with a colon between
+   * @return host and port, separated by a colon
    */
   public String hostPort() {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
@@ -66,12 +66,14 @@
     return target;
   }
 
-  boolean leads(String fromHost, String toHost) {
+  /** Returns whether this route goes from one host to the other, in this direction. */
+  boolean isFromTo(String fromHost, String toHost) {
     return from.equals(fromHost) && to.equals(toHost);
   }
 
-  boolean connects(String host, String otherHost) {
-    return leads(host, otherHost) || leads(otherHost, host);
+  /** Returns whether this route is between two hosts, in either direction. */
+  boolean isBetween(String host, String otherHost) {
+    return isFromTo(host, otherHost) || isFromTo(otherHost, host);
   }
 
   Set<ProxiedConnection> connections() {
@@ -106,15 +108,15 @@
     return refusing;
   }
 
-  void setRefusing(boolean on) {
-    refusing = on;
+  void setRefusing(boolean refusing) {
+    this.refusing = refusing;
   }
 
   boolean isTargetUnreachable() {
     return targetUnreachable;
   }
 
-  void setTargetUnreachable(boolean on) {
-    targetUnreachable = on;
+  void setTargetUnreachable(boolean unreachable) {
+    targetUnreachable = unreachable;
   }
 }
--- a/chaos/src/main/java/weldcross/chaos/proxy/RouteListeners.java
+++ b/chaos/src/main/java/weldcross/chaos/proxy/RouteListeners.java
@@ -15,18 +15,18 @@
 import java.util.function.Consumer;
 
 /**
- * Opens and closes the addresses of routes, on the proxy's thread.
+ * Opens and closes the listeners of routes; confined to the proxy thread.
  *
- * <p>Behind a cut a connection must not come up. The system accepts connections before any process
- * sees them, so while a path is cut its address becomes a black hole: a listener whose queue is
- * full. Whoever connects then waits for an answer that does not come, as with a machine that is
- * gone.
+ * <p>No connection may be established across a cut path. The kernel completes TCP handshakes before
+ * the process accepts the connection, so while a path is cut its address becomes a black hole: a
+ * listener whose accept queue is full. A client that connects then gets no reply, as if the host
+ * were down.
  */
 final class RouteListeners {
 
   /**
-   * Ports of routes lie below those that the system gives to clients: no client may take the
-   * address of a route that a fault has closed.
+   * The port range of routes lies below the ephemeral port range, so that no client socket can be
+   * bound to the address of a route while a fault has closed it.
    */
   private static final int FIRST_PORT = 10_000;
 
@@ -34,7 +34,7 @@
   private static final int BACKLOG = 512;
   private static final int BLACK_HOLE_BACKLOG = 1;
 
-  /** Connections that fill the queue of a black hole. */
+  /** The number of connections that fill the accept queue of a black hole. */
   private static final int BLACK_HOLE_FILLERS = 6;
 
   private static final Duration BIND_TIMEOUT = Duration.ofSeconds(5);
@@ -54,7 +54,7 @@
     this.onAcceptable = onAcceptable;
   }
 
-  /** Gives a new route the first free address. */
+  /** Opens a new route on the first free port. */
   void open(Route route) throws IOException {
     while (true) {
       ServerSocketChannel channel = ServerSocketChannel.open();
@@ -72,21 +72,21 @@
     }
   }
 
-  /** Opens, closes or blackholes the address of a route, as its faults and paths want it now. */
+  /** Opens, closes or blackholes the address of a route according to its current faults. */
   void update(Route route) throws IOException {
-    boolean shouldSwallow = !route.isRefusing() && paths.isCutInEitherDirection(route);
-    boolean shouldAccept = !route.isRefusing() && !shouldSwallow && !route.isTargetUnreachable();
+    boolean shouldBlackhole = !route.isRefusing() && paths.isCutInEitherDirection(route);
+    boolean shouldAccept = !route.isRefusing() && !shouldBlackhole && !route.isTargetUnreachable();
     if (shouldAccept == route.listener().isPresent()
-        && shouldSwallow == route.blackHole().isPresent()) {
+        && shouldBlackhole == route.blackHole().isPresent()) {
       return;
     }
     close(route);
-    // A closed channel keeps its address until the selector has let go of it.
+    // A closed channel stays bound until the selector has deregistered it.
     selector.selectNow();
     selector.selectedKeys().clear();
     if (shouldAccept) {
-      accept(route, bindAgain(route.address(), BACKLOG));
-    } else if (shouldSwallow) {
+      accept(route, rebind(route.address(), BACKLOG));
+    } else if (shouldBlackhole) {
       openBlackHole(route);
     }
   }
@@ -116,7 +116,7 @@
   }
 
   private void openBlackHole(Route route) throws IOException {
-    route.setBlackHole(bindAgain(route.address(), BLACK_HOLE_BACKLOG));
+    route.setBlackHole(rebind(route.address(), BLACK_HOLE_BACKLOG));
     for (int filler = 0; filler < BLACK_HOLE_FILLERS; filler++) {
       SocketChannel channel = SocketChannel.open();
       channel.configureBlocking(false);
@@ -126,11 +126,11 @@
   }
 
   /**
-   * Listens where this process has listened before. While the system starts another process for
-   * this one, that holds a copy of each descriptor until it has become its program: what was closed
-   * here still listens there for a moment.
+   * Binds an address that this process had bound before, with retries. A child process inherits all
+   * descriptors between fork and exec, so a listener that is closed here may stay open there for a
+   * moment.
    */
-  private static ServerSocketChannel bindAgain(InetSocketAddress address, int backlog)
+  private static ServerSocketChannel rebind(InetSocketAddress address, int backlog)
       throws IOException {
     long deadline = System.nanoTime() + BIND_TIMEOUT.toNanos();
     while (true) {
--- a/chaos/src/main/java/weldcross/chaos/proxy/StreamForwarder.java
+++ b/chaos/src/main/java/weldcross/chaos/proxy/StreamForwarder.java
@@ -16,15 +16,15 @@
 import weldcross.chaos.proxy.ProxiedConnection.Chunk;
 import weldcross.chaos.proxy.ProxiedConnection.Direction;
 
-/** Forwards the bytes of connections as their paths have it, on the proxy's thread. */
+/** Forwards streams with the faults of their network paths; confined to the proxy thread. */
 final class StreamForwarder {
 
-  /** After this time TCP would have sent a lost packet again. */
+  /** The delay of a lost chunk: the time after which TCP would retransmit a lost packet. */
   static final Duration RETRANSMISSION_DELAY = Duration.ofMillis(200);
 
   private static final int MAX_CHUNK_BYTES = 16 << 10;
 
-  /** A direction that holds so much reads no more. */
+  /** A direction with this many buffered bytes stops reading from its source. */
   private static final int MAX_BUFFERED_BYTES = 1 << 20;
 
   private static final long NOT_SCHEDULED = Long.MAX_VALUE;
@@ -60,7 +60,7 @@
         connect(route, client);
       }
     } catch (IOException e) {
-      // The client was gone before its connection was accepted.
+      // The client closed the connection before it was accepted.
     }
   }
 
@@ -68,7 +68,7 @@
     client.configureBlocking(false);
     client.setOption(StandardSocketOptions.TCP_NODELAY, true);
     SocketChannel target = SocketChannel.open();
-    // The target sees the address at which it is told to find the client.
+    // The target must see the proxy host, which is where it is configured to reach the client.
     target.bind(new InetSocketAddress(host, 0));
     target.configureBlocking(false);
     target.setOption(StandardSocketOptions.TCP_NODELAY, true);
@@ -113,7 +113,7 @@
     }
   }
 
-  /** One side was reset: so is the other, unless the path keeps it from being notified. */
+  /** Resets the other side after one side failed; deferred while the path is not open. */
   private void onFailure(ProxiedConnection connection, SocketChannel channel) {
     Direction direction = connection.readingFrom(channel);
     if (paths.get(direction.from, direction.to).isOpen()) {
@@ -145,7 +145,7 @@
   private void enqueue(Direction direction, NetworkPath path, int count) {
     ByteBuffer bytes = ByteBuffer.allocate(count).put(buffer.flip()).flip();
     long due = System.nanoTime() + path.delay().toNanos();
-    if (path.lost() > 0 && random.nextDouble() < path.lost()) {
+    if (path.lossRate() > 0 && random.nextDouble() < path.lossRate()) {
       due += RETRANSMISSION_DELAY.toNanos();
     }
     direction.lastDue = Math.max(due, direction.lastDue);
@@ -154,7 +154,7 @@
     counters.bytesBuffered.addAndGet(count);
   }
 
-  /** Forwards what is due; returns in how many nanoseconds the next chunk is. */
+  /** Forwards all due chunks and returns the nanoseconds until the next one is due. */
   private long forward(Direction direction, long now) throws IOException {
     NetworkPath path = paths.get(direction.from, direction.to);
     if (!direction.connection.established || !path.isOpen()) {
@@ -190,13 +190,13 @@
     }
   }
 
-  /** Forwards what is due on a route; returns in how many nanoseconds the next chunk is. */
+  /** Forwards all due chunks of a route and returns the nanoseconds until the next one is due. */
   long forwardAll(Route route, long now) {
     long next = NOT_SCHEDULED;
     for (ProxiedConnection connection : List.copyOf(route.connections())) {
       for (Direction direction : connection.directions()) {
         try {
-          if (direction.hasWork()) {
+          if (direction.hasPendingWork()) {
             next = Math.min(next, forward(direction, now));
           }
         } catch (IOException e) {
@@ -208,7 +208,7 @@
     return next;
   }
 
-  /** Asks the selector for what each channel of a connection may do now. */
+  /** Updates the selector interest of both channels of a connection. */
   void updateInterests(ProxiedConnection connection) {
     if (!connection.established) {
       return;
@@ -218,24 +218,24 @@
     }
   }
 
-  private void updateInterest(SocketChannel channel, Direction reads, Direction writes) {
+  private void updateInterest(SocketChannel channel, Direction inbound, Direction outbound) {
     SelectionKey key = channel.keyFor(selector);
     if (key == null || !key.isValid()) {
       return;
     }
     boolean mayRead =
-        !reads.endRead && !reads.sourceReset && reads.bufferedBytes < MAX_BUFFERED_BYTES;
+        !inbound.endRead && !inbound.sourceReset && inbound.bufferedBytes < MAX_BUFFERED_BYTES;
     boolean mayWrite =
-        !writes.chunks.isEmpty()
-            && paths.get(writes.from, writes.to).isOpen()
-            && writes.chunks.peek().due() <= System.nanoTime();
+        !outbound.chunks.isEmpty()
+            && paths.get(outbound.from, outbound.to).isOpen()
+            && outbound.chunks.peek().due() <= System.nanoTime();
     int operations = (mayRead ? SelectionKey.OP_READ : 0) | (mayWrite ? SelectionKey.OP_WRITE : 0);
     if (key.interestOps() != operations) {
       key.interestOps(operations);
     }
   }
 
-  /** Ends all connections of a route with a reset; returns how many there were. */
+  /** Resets all connections of a route and returns their number. */
   int resetAll(Route route) {
     List<ProxiedConnection> connections = List.copyOf(route.connections());
     connections.forEach(this::reset);
--- a/chaos/src/main/java/weldcross/chaos/proxy/package-info.java
+++ b/chaos/src/main/java/weldcross/chaos/proxy/package-info.java
@@ -1,2 +1,2 @@
-/** The proxy between all hosts of a chaos run, which delays, loses and cuts what crosses it. */
+/** The fault proxy between all hosts of a chaos run, which delays, drops and blocks traffic. */
 package weldcross.chaos.proxy;
--- a/chaos/src/test/java/weldcross/chaos/FaultProxyTest.java
+++ b/chaos/src/test/java/weldcross/chaos/FaultProxyTest.java
@@ -27,115 +27,118 @@
 import weldcross.chaos.proxy.NetworkPath;
 import weldcross.chaos.proxy.Route;
 
-/** Each trouble between hosts really acts: one that does nothing would prove nothing. */
+/**
+ * Each network fault takes effect. A fault without effect would let chaos runs pass that tested
+ * nothing.
+ */
 @Timeout(60)
 class FaultProxyTest {
 
-  private final InetAddress here = InetAddress.getLoopbackAddress();
+  private final InetAddress loopback = InetAddress.getLoopbackAddress();
   private FaultProxy proxy;
   private ServerSocket server;
   private Route route;
-  private Socket near;
-  private Socket far;
+  private Socket client;
+  private Socket accepted;
 
   @BeforeEach
   void connect() throws IOException {
-    proxy = new FaultProxy(here, 1);
-    server = new ServerSocket(0, 50, here);
+    proxy = new FaultProxy(loopback, 1);
+    server = new ServerSocket(0, 50, loopback);
     route = proxy.openRoute("a", "b", (InetSocketAddress) server.getLocalSocketAddress());
-    near = new Socket(route.address().getAddress(), route.address().getPort());
-    far = server.accept();
-    passes(near, far, 1);
-    passes(far, near, 2);
+    client = new Socket(route.address().getAddress(), route.address().getPort());
+    accepted = server.accept();
+    assertDelivered(client, accepted, 1);
+    assertDelivered(accepted, client, 2);
   }
 
   @AfterEach
-  void end() throws IOException {
-    near.close();
-    far.close();
+  void closeAll() throws IOException {
+    client.close();
+    accepted.close();
     server.close();
     proxy.close();
   }
 
-  private static void passes(Socket from, Socket to, int value) throws IOException {
+  private static void assertDelivered(Socket from, Socket to, int value) throws IOException {
     from.getOutputStream().write(value);
     to.setSoTimeout(5000);
     assertEquals(value, to.getInputStream().read());
   }
 
-  private static void doesNotPass(Socket from, Socket to, int value) throws IOException {
+  private static void assertNotDelivered(Socket from, Socket to, int value) throws IOException {
     from.getOutputStream().write(value);
     to.setSoTimeout(150);
     assertThrows(SocketTimeoutException.class, () -> to.getInputStream().read());
   }
 
   @Test
-  void heldDirectionDeliversOnceOpen() throws IOException {
-    proxy.setPath("a", "b", NetworkPath.OPEN.withHeld(true));
-    doesNotPass(near, far, 7);
-    passes(far, near, 8);
-    Await.until("held", Duration.ofSeconds(5), () -> proxy.bytesBuffered() == 1);
+  void stalledDirectionDeliversOnceOpen() throws IOException {
+    proxy.setPath("a", "b", NetworkPath.OPEN.withStalled(true));
+    assertNotDelivered(client, accepted, 7);
+    assertDelivered(accepted, client, 8);
+    Await.until("the byte is buffered", Duration.ofSeconds(5), () -> proxy.bytesBuffered() == 1);
     proxy.setPath("a", "b", NetworkPath.OPEN);
-    far.setSoTimeout(5000);
-    assertEquals(7, far.getInputStream().read());
+    accepted.setSoTimeout(5000);
+    assertEquals(7, accepted.getInputStream().read());
   }
 
   @Test
-  void cutIsSilentConnectsNobodyAndResetsSurvivors() throws IOException {
+  void cutDropsDataBlocksConnectsAndResetsOpenConnectionsAfterwards() throws IOException {
     proxy.setPath("a", "b", NetworkPath.OPEN.withCut(true));
     proxy.setPath("b", "a", NetworkPath.OPEN.withCut(true));
-    doesNotPass(near, far, 7);
-    doesNotPass(far, near, 8);
-    assertTrue(proxy.bytesDropped() >= 2, "vanished: " + proxy.bytesDropped());
-    try (Socket dial = new Socket()) {
-      assertThrows(SocketTimeoutException.class, () -> dial.connect(route.address(), 400));
+    assertNotDelivered(client, accepted, 7);
+    assertNotDelivered(accepted, client, 8);
+    assertTrue(proxy.bytesDropped() >= 2, "bytes dropped: " + proxy.bytesDropped());
+    try (Socket socket = new Socket()) {
+      assertThrows(SocketTimeoutException.class, () -> socket.connect(route.address(), 400));
     }
     proxy.setPath("a", "b", NetworkPath.OPEN);
     proxy.setPath("b", "a", NetworkPath.OPEN);
-    near.setSoTimeout(5000);
+    client.setSoTimeout(5000);
     assertThrows(
         SocketException.class,
         () -> {
-          while (near.getInputStream().read() >= 0) {
-            // Reads to the end.
+          while (client.getInputStream().read() >= 0) {
+            // Reads until the connection is reset.
           }
         });
-    try (Socket again = new Socket(route.address().getAddress(), route.address().getPort());
-        Socket taken = server.accept()) {
-      passes(again, taken, 9);
+    try (Socket newClient = new Socket(route.address().getAddress(), route.address().getPort());
+        Socket newAccepted = server.accept()) {
+      assertDelivered(newClient, newAccepted, 9);
     }
   }
 
   /**
-   * A piece that is lost comes a retransmission later, and what was sent after it waits: nothing is
-   * out of order.
+   * A lost chunk of a stream is delivered after a retransmission delay, and the chunks behind it
+   * wait, so that the bytes stay in order.
    */
   @Test
   void lossDelaysStreamsInOrder() throws IOException {
     proxy.setPath("a", "b", NetworkPath.OPEN.withImpairment(Duration.ZERO, 1, 0, 0));
-    long from = System.nanoTime();
-    passes(near, far, 7);
-    long late = System.nanoTime() - from;
+    long startNanos = System.nanoTime();
+    assertDelivered(client, accepted, 7);
+    long elapsedNanos = System.nanoTime() - startNanos;
     proxy.setPath("a", "b", NetworkPath.OPEN.withImpairment(Duration.ZERO, 0.5, 0, 0));
-    for (int k = 0; k < 40; k++) {
-      passes(near, far, k);
+    for (int value = 0; value < 40; value++) {
+      assertDelivered(client, accepted, value);
     }
-    assertTrue(late >= 200_000_000L, "it came after " + late / 1_000_000 + " ms");
+    assertTrue(elapsedNanos >= 200_000_000L, "delivered after " + elapsedNanos / 1_000_000 + " ms");
   }
 
   /**
-   * A process being started has a copy of every descriptor for a moment: what was closed listens on
-   * in it.
+   * A child process inherits all descriptors between fork and exec, so a listener that the proxy
+   * has closed may stay open there for a moment and block the address.
    */
   @Test
   void cutsWorkWhileProcessesAreStarted() throws Exception {
-    AtomicBoolean over = new AtomicBoolean();
+    AtomicBoolean finished = new AtomicBoolean();
     AtomicInteger started = new AtomicInteger();
     CompletableFuture<Void> starts =
         CompletableFuture.runAsync(
             () -> {
               try {
-                while (!over.get()) {
+                while (!finished.get()) {
                   new ProcessBuilder("true").start().waitFor();
                   started.incrementAndGet();
                 }
@@ -144,61 +147,61 @@
               }
             });
     try {
-      // Goes on until enough processes were started meanwhile; the class's timeout bounds it.
+      // Repeats until enough processes were started concurrently, limited by the class timeout.
       for (int change = 0; change < 300 || started.get() <= 10; change++) {
         proxy.setPath("a", "b", NetworkPath.OPEN.withCut(change % 2 == 0));
       }
       proxy.setPath("a", "b", NetworkPath.OPEN);
     } finally {
-      over.set(true);
+      finished.set(true);
     }
     starts.get();
-    assertTrue(started.get() > 10, "processes were started meanwhile");
-    try (Socket again = new Socket(route.address().getAddress(), route.address().getPort());
-        Socket taken = server.accept()) {
-      passes(again, taken, 9);
+    assertTrue(started.get() > 10, "processes were started concurrently");
+    try (Socket newClient = new Socket(route.address().getAddress(), route.address().getPort());
+        Socket newAccepted = server.accept()) {
+      assertDelivered(newClient, newAccepted, 9);
     }
   }
 
-  /** An end is not told while the way is cut: the other side sees an open, silent connection. */
+  /** A close is not forwarded while the path is cut: the other side sees an idle connection. */
   @Test
-  void closeDoesNotCrossACut() throws IOException {
+  void closeIsNotForwardedAcrossACut() throws IOException {
     proxy.setPath("a", "b", NetworkPath.OPEN.withCut(true));
-    near.close();
-    far.setSoTimeout(300);
-    assertThrows(SocketTimeoutException.class, () -> far.getInputStream().read());
+    client.close();
+    accepted.setSoTimeout(300);
+    assertThrows(SocketTimeoutException.class, () -> accepted.getInputStream().read());
   }
 
   @Test
   void connectionsAreResetAndRefused() throws IOException {
     assertEquals(1, proxy.resetConnections("a", "b"));
-    near.setSoTimeout(5000);
-    assertThrows(SocketException.class, () -> near.getInputStream().read());
+    client.setSoTimeout(5000);
+    assertThrows(SocketException.class, () -> client.getInputStream().read());
     proxy.refuseConnections("a", "b", true);
-    try (Socket dial = new Socket()) {
-      assertThrows(ConnectException.class, () -> dial.connect(route.address(), 1000));
+    try (Socket socket = new Socket()) {
+      assertThrows(ConnectException.class, () -> socket.connect(route.address(), 1000));
     }
     proxy.refuseConnections("a", "b", false);
-    try (Socket again = new Socket(route.address().getAddress(), route.address().getPort());
-        Socket taken = server.accept()) {
-      passes(again, taken, 9);
+    try (Socket newClient = new Socket(route.address().getAddress(), route.address().getPort());
+        Socket newAccepted = server.accept()) {
+      assertDelivered(newClient, newAccepted, 9);
     }
   }
 
   /**
-   * Where nobody listens any more dials are refused, as without a proxy, and taken again once
-   * somebody does.
+   * While the target does not listen, the proxy refuses connections as the target itself would, and
+   * accepts them again once the target listens.
    */
   @Test
   void connectionsAreRefusedUntilTheTargetListens() throws IOException {
     int port = server.getLocalPort();
     server.close();
     Await.until(
-        "refused",
+        "connections are refused",
         Duration.ofSeconds(10),
         () -> {
-          try (Socket dial = new Socket()) {
-            dial.connect(route.address(), 1000);
+          try (Socket socket = new Socket()) {
+            socket.connect(route.address(), 1000);
             return false;
           } catch (ConnectException e) {
             return true;
@@ -206,13 +209,13 @@
             return false;
           }
         });
-    server = new ServerSocket(port, 50, here);
+    server = new ServerSocket(port, 50, loopback);
     Await.until(
-        "taken again",
+        "connections are accepted again",
         Duration.ofSeconds(10),
         () -> {
-          try (Socket dial = new Socket()) {
-            dial.connect(route.address(), 1000);
+          try (Socket socket = new Socket()) {
+            socket.connect(route.address(), 1000);
             return true;
           } catch (IOException e) {
             return false;
@@ -223,47 +226,48 @@
   @Test
   void delayedBytesArriveLate() throws IOException {
     proxy.setPath("a", "b", NetworkPath.OPEN.withImpairment(Duration.ofMillis(120), 0, 0, 0));
-    long began = System.nanoTime();
-    passes(near, far, 7);
-    long took = (System.nanoTime() - began) / 1_000_000;
-    assertTrue(took >= 119, took + " ms");
+    long startNanos = System.nanoTime();
+    assertDelivered(client, accepted, 7);
+    long elapsedMillis = (System.nanoTime() - startNanos) / 1_000_000;
+    assertTrue(elapsedMillis >= 119, "delivered after " + elapsedMillis + " ms");
   }
 
   @Test
-  void datagramsAreLostRepeatedAndReordered() throws IOException {
-    try (DatagramSocket to = new DatagramSocket(0, here);
-        DatagramSocket from = new DatagramSocket(0, here)) {
-      InetSocketAddress way =
-          proxy.openDatagramRoute("a", "b", (InetSocketAddress) to.getLocalSocketAddress());
+  void datagramsAreLostDuplicatedAndReordered() throws IOException {
+    try (DatagramSocket receiver = new DatagramSocket(0, loopback);
+        DatagramSocket sender = new DatagramSocket(0, loopback)) {
+      InetSocketAddress address =
+          proxy.openDatagramRoute("a", "b", (InetSocketAddress) receiver.getLocalSocketAddress());
       proxy.setPath("a", "b", NetworkPath.OPEN.withImpairment(Duration.ZERO, 0.3, 0.3, 0.3));
       int sent = 200;
-      for (int k = 0; k < sent; k++) {
-        from.send(new DatagramPacket(new byte[] {(byte) k}, 1, way));
+      for (int value = 0; value < sent; value++) {
+        sender.send(new DatagramPacket(new byte[] {(byte) value}, 1, address));
       }
-      to.setSoTimeout(1000);
-      int came = 0;
+      receiver.setSoTimeout(1000);
+      int received = 0;
       int overtaken = 0;
-      int last = -1;
+      int highest = -1;
       try {
         while (true) {
           DatagramPacket packet = new DatagramPacket(new byte[10], 10);
-          to.receive(packet);
-          came++;
+          receiver.receive(packet);
+          received++;
           int number = packet.getData()[0] & 0xff;
-          overtaken += number < last ? 1 : 0;
-          last = Math.max(last, number);
+          overtaken += number < highest ? 1 : 0;
+          highest = Math.max(highest, number);
         }
       } catch (SocketTimeoutException e) {
-        // All that comes has come.
+        // No more datagrams arrive.
       }
-      assertEquals(sent - proxy.datagramsLost() + proxy.datagramsRepeated(), came);
+      assertEquals(sent - proxy.datagramsLost() + proxy.datagramsDuplicated(), received);
       assertTrue(
-          proxy.datagramsLost() > 20 && proxy.datagramsRepeated() > 20 && overtaken > 20,
+          proxy.datagramsLost() > 20 && proxy.datagramsDuplicated() > 20 && overtaken > 20,
           proxy.datagramsLost()
               + " lost, "
-              + proxy.datagramsRepeated()
-              + " repeated, "
-              + overtaken);
+              + proxy.datagramsDuplicated()
+              + " duplicated, "
+              + overtaken
+              + " overtaken");
     }
   }
 }
