--- a/benchmarks/src/main/java/weldcross/benchmarks/MeshMeasurements.java
+++ b/benchmarks/src/main/java/weldcross/benchmarks/MeshMeasurements.java
@@ -33,24 +33,25 @@
 import weldcross.mesh.net.PeerListener;
 
 /**
- * Throughput and cost of the mesh: five gateways on sockets, idle and sending all they can; and 5
- * and 300 in memory, idle, counting what would cross the network. Run by hand.
+ * Measures the throughput and cost of the mesh: 5 gateways on sockets, idle and at full load; and 5
+ * and 300 gateways in memory, idle, counting the frames and bytes that would cross the network. Run
+ * by hand.
  */
 public final class MeshMeasurements {
 
-  private static final int FEW = 5;
-  private static final int MANY = 300;
-  private static final int CONTENT_BYTES = 200;
-  private static final int SECONDS = 5;
+  private static final int SMALL_MESH = 5;
+  private static final int LARGE_MESH = 300;
+  private static final int MESSAGE_BYTES = 200;
+  private static final int MEASUREMENT_SECONDS = 5;
   private static final int MAX_PENDING_TASKS = 200;
 
   private MeshMeasurements() {}
 
-  /** Runs all measurements and prints their figures; takes no arguments. */
+  /** Runs all measurements and prints the results; takes no arguments. */
   public static void main(String[] args) throws IOException, InterruptedException {
     measureOnSockets();
-    measureInMemory(FEW);
-    measureInMemory(MANY);
+    measureInMemory(SMALL_MESH);
+    measureInMemory(LARGE_MESH);
   }
 
   private static PeerName name(int number) {
@@ -84,7 +85,7 @@
 
   // ---- On sockets
 
-  /** Counts the messages and connections of all gateways. */
+  /** Counts the messages and connections of all gateways on sockets. */
   private static final class CountingListener implements PeerListener {
     final AtomicLong messages = new AtomicLong();
     final AtomicLong connections = new AtomicLong();
@@ -100,14 +101,14 @@
     }
   }
 
-  /** A mesh and the loop that it runs on. */
+  /** A mesh and the event loop that it runs on. */
   private record Gateway(MeshExtension mesh, StandaloneEventLoop loop) {
 
     void sendToAll(Iterable<PeerName> receivers) {
       loop.post(
           () -> {
             for (PeerName to : receivers) {
-              mesh.send(to, 1, ByteBuffer.allocate(CONTENT_BYTES), true);
+              mesh.send(to, 1, ByteBuffer.allocate(MESSAGE_BYTES), true);
             }
           });
     }
@@ -115,7 +116,7 @@
 
   private static Map<PeerName, InetSocketAddress> freeAddresses() throws IOException {
     Map<PeerName, InetSocketAddress> addresses = new HashMap<>();
-    for (int k = 0; k < FEW; k++) {
+    for (int k = 0; k < SMALL_MESH; k++) {
       try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
         addresses.put(name(k), (InetSocketAddress) free.getLocalSocketAddress());
       }
@@ -130,7 +131,7 @@
       PeerListener listener) {
     MeshExtension mesh =
         new MeshExtension(
-            config(number, FEW),
+            config(number, SMALL_MESH),
             new PeerAddresses(addresses.get(name(number)), Optional.empty(), addresses, Map.of()),
             directory.resolve(name(number).name()),
             number);
@@ -145,10 +146,10 @@
     Path directory = Files.createTempDirectory("mesh-measurements");
     CountingListener counts = new CountingListener();
     List<Gateway> gateways = new ArrayList<>();
-    for (int k = 0; k < FEW; k++) {
+    for (int k = 0; k < SMALL_MESH; k++) {
       gateways.add(startGateway(k, addresses, directory, counts));
     }
-    while (counts.connections.get() < FEW * (FEW - 1)) {
+    while (counts.connections.get() < SMALL_MESH * (SMALL_MESH - 1)) {
       Thread.onSpinWait();
     }
     measureIdle();
@@ -159,17 +160,17 @@
 
   private static void measureIdle() throws InterruptedException {
     long cpuNanos = processCpuNanos();
-    TimeUnit.SECONDS.sleep(SECONDS);
+    TimeUnit.SECONDS.sleep(MEASUREMENT_SECONDS);
     System.out.printf(
-        "5 gateways on sockets, idle: %.2f ms of processor a gateway second%n",
-        (processCpuNanos() - cpuNanos) / 1e6 / FEW / SECONDS);
+        "5 gateways on sockets, idle: %.2f ms CPU time per gateway and second%n",
+        (processCpuNanos() - cpuNanos) / 1e6 / SMALL_MESH / MEASUREMENT_SECONDS);
   }
 
   private static void measureThroughput(
       List<Gateway> gateways, Map<PeerName, InetSocketAddress> addresses, CountingListener counts) {
     long cpuNanos = processCpuNanos();
     long messagesBefore = counts.messages.get();
-    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(SECONDS);
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(MEASUREMENT_SECONDS);
     while (System.nanoTime() < deadline) {
       for (Gateway gateway : gateways) {
         if (gateway.loop().pendingTasks() < MAX_PENDING_TASKS) {
@@ -179,29 +180,28 @@
     }
     long messages = counts.messages.get() - messagesBefore;
     System.out.printf(
-        "5 gateways on sockets, all they can: %d messages of %d bytes a second, "
-            + "%.1f us of processor each (both ends)%n",
-        messages / SECONDS, CONTENT_BYTES, (processCpuNanos() - cpuNanos) / 1e3 / messages);
+        "5 gateways on sockets, full load: %d messages of %d bytes per second, "
+            + "%.1f us CPU time per message (both ends)%n",
+        messages / MEASUREMENT_SECONDS,
+        MESSAGE_BYTES,
+        (processCpuNanos() - cpuNanos) / 1e3 / messages);
   }
 
   // ---- In memory
 
-  /** One end of a connection in memory. */
+  /** One end of an in-memory connection. */
   private record Endpoint(InMemoryGateway gateway, long connection) {}
 
-  /** A frame on its way. */
+  /** Delivers a frame to its receiver. */
   private interface FrameDelivery {
     void deliver(PeerConnectionManager receiver, long connection);
   }
 
-  /**
-   * A gateway in memory: frames are counted with the bytes that they would have, and arrive at
-   * once.
-   */
+  /** An in-memory gateway. Frames are counted with their encoded size and arrive without delay. */
   private static final class InMemoryGateway implements PeerTransport, PeerConnectionListener {
     private static final int IP_AND_TCP_HEADER_BYTES = 40;
     private static final int HANDSHAKE_REQUEST_BYTES = 40;
-    private static final int HANDSHAKE_ANSWER_BYTES = 20;
+    private static final int HANDSHAKE_RESPONSE_BYTES = 20;
     private static final int HEARTBEAT_BYTES = 8;
     private static final int MESSAGE_HEADER_BYTES = 12;
 
@@ -229,13 +229,13 @@
 
     @Override
     public void connect(long connection, PeerName to) {
-      InMemoryGateway there = network.gateways.get(Integer.parseInt(to.name().substring(1)));
+      InMemoryGateway receiver = network.gateways.get(Integer.parseInt(to.name().substring(1)));
       network.inFlight.add(
           () -> {
             long accepted = ++network.acceptedConnections;
-            otherEnds.put(connection, new Endpoint(there, accepted));
-            there.otherEnds.put(accepted, new Endpoint(this, connection));
-            there.manager.onAccepted(network.now, accepted, true);
+            otherEnds.put(connection, new Endpoint(receiver, accepted));
+            receiver.otherEnds.put(accepted, new Endpoint(this, connection));
+            receiver.manager.onAccepted(network.now, accepted, true);
             manager.onConnected(network.now, connection);
           });
     }
@@ -247,23 +247,26 @@
       send(
           connection,
           HANDSHAKE_REQUEST_BYTES,
-          (receiver, there) -> receiver.onHandshakeRequest(network.now, there, request));
+          (receiver, receiverConnection) ->
+              receiver.onHandshakeRequest(network.now, receiverConnection, request));
     }
 
     @Override
     public void sendHandshakeResponse(long connection, Incarnation self) {
       send(
           connection,
-          HANDSHAKE_ANSWER_BYTES,
-          (receiver, there) -> receiver.onHandshakeResponse(network.now, there, self));
+          HANDSHAKE_RESPONSE_BYTES,
+          (receiver, receiverConnection) ->
+              receiver.onHandshakeResponse(network.now, receiverConnection, self));
     }
 
     @Override
     public void sendHandshakeRejection(long connection, HandshakeRejection reason, long known) {
       send(
           connection,
-          HANDSHAKE_ANSWER_BYTES,
-          (receiver, there) -> receiver.onHandshakeRejection(network.now, there, reason, known));
+          HANDSHAKE_RESPONSE_BYTES,
+          (receiver, receiverConnection) ->
+              receiver.onHandshakeRejection(network.now, receiverConnection, reason, known));
     }
 
     @Override
@@ -271,7 +274,8 @@
       send(
           connection,
           HEARTBEAT_BYTES,
-          (receiver, there) -> receiver.onHeartbeat(network.now, there, sequence));
+          (receiver, receiverConnection) ->
+              receiver.onHeartbeat(network.now, receiverConnection, sequence));
     }
 
     @Override
@@ -279,7 +283,8 @@
       send(
           connection,
           HEARTBEAT_BYTES,
-          (receiver, there) -> receiver.onHeartbeatAck(network.now, there, sequence));
+          (receiver, receiverConnection) ->
+              receiver.onHeartbeatAck(network.now, receiverConnection, sequence));
     }
 
     @Override
@@ -287,7 +292,8 @@
       send(
           connection,
           MESSAGE_HEADER_BYTES + content.remaining(),
-          (receiver, there) -> receiver.onMessage(network.now, there, subject, content));
+          (receiver, receiverConnection) ->
+              receiver.onMessage(network.now, receiverConnection, subject, content));
     }
 
     @Override
@@ -333,7 +339,7 @@
     }
   }
 
-  /** The gateways in memory, what is on its way between them, and what was sent. */
+  /** The in-memory gateways, the frames in flight between them, and counts of the frames sent. */
   private static final class InMemoryNetwork {
     private static final Duration STEP = Duration.ofMillis(10);
 
@@ -345,9 +351,9 @@
     long bytes;
     long connectionsUp;
 
-    void run(Duration span) {
-      Duration until = now.plus(span);
-      while (now.compareTo(until) < 0) {
+    void run(Duration duration) {
+      Duration end = now.plus(duration);
+      while (now.compareTo(end) < 0) {
         gateways.forEach(InMemoryGateway::runTimer);
         for (Runnable next = inFlight.poll(); next != null; next = inFlight.poll()) {
           next.run();
@@ -368,14 +374,14 @@
     long framesBefore = network.frames;
     long bytesBefore = network.bytes;
     long cpuNanos = processCpuNanos();
-    network.run(Duration.ofSeconds(SECONDS));
+    network.run(Duration.ofSeconds(MEASUREMENT_SECONDS));
     System.out.printf(
         "%d gateways in memory, idle, %d connections up: %.0f frames and %.0f bytes "
-            + "(with the headers of IP and TCP) a gateway second, %.2f ms of processor%n",
+            + "(with IP and TCP headers) and %.2f ms CPU time per gateway and second%n",
         count,
         network.connectionsUp,
-        (network.frames - framesBefore) / (double) SECONDS / count,
-        (network.bytes - bytesBefore) / (double) SECONDS / count,
-        (processCpuNanos() - cpuNanos) / 1e6 / SECONDS / count);
+        (network.frames - framesBefore) / (double) MEASUREMENT_SECONDS / count,
+        (network.bytes - bytesBefore) / (double) MEASUREMENT_SECONDS / count,
+        (processCpuNanos() - cpuNanos) / 1e6 / MEASUREMENT_SECONDS / count);
   }
 }
--- a/benchmarks/src/main/java/weldcross/benchmarks/RecordLogBenchmark.java
+++ b/benchmarks/src/main/java/weldcross/benchmarks/RecordLogBenchmark.java
@@ -20,8 +20,8 @@
 import weldcross.storage.StorageDirectory;
 
 /**
- * The cost of the record log's encoding and checksums compared with a plain file of lengths and
- * bytes, on storage that does nothing. One operation is a commit of some records of 100 bytes.
+ * Compares the encoding and checksum cost of the record log with a plain file of length-prefixed
+ * records, on storage that discards all writes. One operation is a commit of records of 100 bytes.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -31,7 +31,9 @@
 @Fork(1)
 public class RecordLogBenchmark {
 
-  /** Accepts all writes and stores nothing. */
+  private static final int RECORD_BYTES = 100;
+
+  /** Discards all writes. */
   private static final class NullDirectory implements StorageDirectory {
 
     @Override
@@ -82,9 +84,9 @@
   @Param({"1", "16", "256"})
   private int records;
 
-  private final ByteBuffer record = ByteBuffer.allocate(100);
+  private final ByteBuffer record = ByteBuffer.allocate(RECORD_BYTES);
   private RecordLog log;
-  private StorageDirectory.File plain;
+  private StorageDirectory.File file;
 
   /** Opens the log and the plain file. */
   @Setup
@@ -100,7 +102,7 @@
               @Override
               public void record(long number, ByteBuffer content) {}
             });
-    plain = new NullDirectory().open("plain");
+    file = new NullDirectory().open("plain");
   }
 
   /** Commits the records to the record log. */
@@ -112,17 +114,17 @@
     log.commit();
   }
 
-  /** Writes the records to the plain file, and forces it. */
+  /** Writes the records to the plain file and forces it. */
   @Benchmark
   public void plainFile() throws IOException {
     for (int k = 0; k < records; k++) {
       ByteBuffer bytes =
-          ByteBuffer.allocate(4 + record.remaining())
+          ByteBuffer.allocate(Integer.BYTES + record.remaining())
               .putInt(record.remaining())
               .put(record.duplicate())
               .flip();
-      plain.write(0, bytes);
+      file.write(0, bytes);
     }
-    plain.force();
+    file.force();
   }
 }
--- a/benchmarks/src/main/java/weldcross/benchmarks/StorageMeasurements.java
+++ b/benchmarks/src/main/java/weldcross/benchmarks/StorageMeasurements.java
@@ -14,32 +14,32 @@
 import weldcross.storage.StorageDirectory;
 
 /**
- * Compares the record log on a real disk with a plain file that is forced for each record: records
- * per second, duration of a commit, bytes written per byte of content; and the time it takes to
- * read a million records.
+ * Compares the record log on a real disk with a plain file that is forced after each record:
+ * records per second, commit latency, and bytes written per byte of content. Also measures the time
+ * to read a million records.
  */
 public final class StorageMeasurements {
 
   private static final int RECORD_BYTES = 100;
   private static final int COMMITS = 2000;
-  private static final int MANY_RECORDS = 1_000_000;
-  private static final int MANY_RECORDS_PER_COMMIT = 1000;
+  private static final int READ_TEST_RECORDS = 1_000_000;
+  private static final int READ_TEST_RECORDS_PER_COMMIT = 1000;
   private static final long SEGMENT_BYTES = 8 << 20;
 
   private StorageMeasurements() {}
 
   /**
-   * Runs all measurements and prints their figures.
+   * Runs all measurements and prints the results.
    *
-   * @param args a directory on the disk to be measured, which is deleted afterwards; default {@code
+   * @param args a directory on the disk to measure, which is deleted afterwards; by default {@code
    *     target/storage-figures}
    */
   public static void main(String[] args) throws IOException {
     Path directory =
         Files.createDirectories(Path.of(args.length > 0 ? args[0] : "target/storage-figures"));
     measurePlainFile(directory.resolve("plain"));
-    for (int batch : new int[] {1, 16, 256}) {
-      measureCommits(directory.resolve("log-" + batch), batch);
+    for (int recordsPerCommit : new int[] {1, 16, 256}) {
+      measureCommits(directory.resolve("log-" + recordsPerCommit), recordsPerCommit);
     }
     measureReading(directory.resolve("many"));
     delete(directory);
@@ -52,50 +52,54 @@
             StandardOpenOption.CREATE,
             StandardOpenOption.WRITE,
             StandardOpenOption.TRUNCATE_EXISTING)) {
-      Histogram micros =
+      Histogram latenciesMicros =
           measure(
               COMMITS,
               () -> {
                 file.write(ByteBuffer.allocate(4 + RECORD_BYTES).putInt(RECORD_BYTES).rewind());
                 file.force(false);
               });
-      print("plain file, forced each", 1, micros, file.size());
+      print("plain file, 1 per force", 1, latenciesMicros, file.size());
     }
   }
 
-  private static void measureCommits(Path path, int batch) throws IOException {
+  private static void measureCommits(Path path, int recordsPerCommit) throws IOException {
     try (StorageDirectory directory = FileStorageDirectory.at(path);
         RecordLog log = open(directory, new RecordCounter())) {
-      Histogram micros =
+      Histogram latenciesMicros =
           measure(
-              COMMITS / Math.max(1, batch / 16),
+              COMMITS / Math.max(1, recordsPerCommit / 16),
               () -> {
-                for (int k = 0; k < batch; k++) {
+                for (int index = 0; index < recordsPerCommit; index++) {
                   log.append(ByteBuffer.allocate(RECORD_BYTES));
                 }
                 log.commit();
               });
-      print("record log, " + batch + " a commit", batch, micros, bytesIn(path));
+      print(
+          "record log, " + recordsPerCommit + " per commit",
+          recordsPerCommit,
+          latenciesMicros,
+          bytesIn(path));
     }
   }
 
   private static void measureReading(Path path) throws IOException {
     try (StorageDirectory directory = FileStorageDirectory.at(path);
         RecordLog log = open(directory, new RecordCounter())) {
-      for (int k = 1; k <= MANY_RECORDS; k++) {
-        log.append(ByteBuffer.allocate(RECORD_BYTES).putInt(0, k));
-        if (k % MANY_RECORDS_PER_COMMIT == 0) {
+      for (int index = 1; index <= READ_TEST_RECORDS; index++) {
+        log.append(ByteBuffer.allocate(RECORD_BYTES).putInt(0, index));
+        if (index % READ_TEST_RECORDS_PER_COMMIT == 0) {
           log.commit();
         }
       }
     }
     RecordCounter counter = new RecordCounter();
-    long began = System.nanoTime();
+    long startNanos = System.nanoTime();
     try (StorageDirectory directory = FileStorageDirectory.at(path)) {
       RecordLog log = open(directory, counter);
-      long millis = (System.nanoTime() - began) / 1_000_000;
+      long millis = (System.nanoTime() - startNanos) / 1_000_000;
       System.out.printf(
-          "%d records (%d MB) read back in %d ms%n", counter.records, bytesIn(path) >> 20, millis);
+          "%d records (%d MB) read in %d ms%n", counter.records, bytesIn(path) >> 20, millis);
       log.close();
     }
   }
@@ -126,18 +130,19 @@
     }
   }
 
+  @FunctionalInterface
   private interface Commit {
     void run() throws IOException;
   }
 
   private static Histogram measure(int times, Commit commit) throws IOException {
-    Histogram micros = new Histogram(3);
-    for (int k = 0; k < times; k++) {
-      long began = System.nanoTime();
+    Histogram latenciesMicros = new Histogram(3);
+    for (int index = 0; index < times; index++) {
+      long startNanos = System.nanoTime();
       commit.run();
-      micros.recordValue((System.nanoTime() - began) / 1000);
+      latenciesMicros.recordValue((System.nanoTime() - startNanos) / 1000);
     }
-    return micros;
+    return latenciesMicros;
   }
 
   private static long bytesIn(Path directory) throws IOException {
@@ -150,15 +155,17 @@
     }
   }
 
-  private static void print(String name, int batch, Histogram micros, long bytes) {
-    double seconds = micros.getMean() * micros.getTotalCount() / 1e6;
-    long records = micros.getTotalCount() * batch;
+  private static void print(
+      String name, int recordsPerCommit, Histogram latenciesMicros, long bytes) {
+    double seconds = latenciesMicros.getMean() * latenciesMicros.getTotalCount() / 1e6;
+    long records = latenciesMicros.getTotalCount() * recordsPerCommit;
     System.out.printf(
-        "%-28s %8.0f records/s, commit median %d us, p99 %d us, %.2f bytes written a byte kept%n",
+        "%-28s %8.0f records/s, commit median %d us, p99 %d us, "
+            + "%.2f bytes written per byte of content%n",
         name,
         records / seconds,
-        micros.getValueAtPercentile(50),
-        micros.getValueAtPercentile(99),
+        latenciesMicros.getValueAtPercentile(50),
+        latenciesMicros.getValueAtPercentile(99),
         bytes / (records * (double) RECORD_BYTES));
   }
 }
--- a/chaos/src/main/java/weldcross/chaos/FaultInjector.java
+++ b/chaos/src/main/java/weldcross/chaos/FaultInjector.java
@@ -72,7 +72,7 @@
       case SERVER_KILL -> server(fault).kill();
       case LAG -> server(fault).setLag(Duration.ofMillis(Long.parseLong(fault.how())));
       case SERVER_STALL -> server(fault).setStalled(true);
-      case ANSWERS_LOST -> server(fault).setLosingAnswers(true);
+      case ANSWERS_LOST -> server(fault).setLosingResponses(true);
     }
   }
 
@@ -109,7 +109,7 @@
       }
       case LAG -> server(fault).setLag(usualLag);
       case SERVER_STALL -> server(fault).setStalled(false);
-      case ANSWERS_LOST -> server(fault).setLosingAnswers(false);
+      case ANSWERS_LOST -> server(fault).setLosingResponses(false);
       case RESET -> {
         // It acts in an instant and needs no healing.
       }
--- a/chaos/src/test/java/weldcross/chaos/ChaosRunTest.java
+++ b/chaos/src/test/java/weldcross/chaos/ChaosRunTest.java
@@ -127,7 +127,7 @@
               5)) {
         load.start(200);
         Await.until("RPCs are served", Duration.ofSeconds(20), () -> load.operationCount() > 200);
-        cluster.server("s0").setWritingTwice(true);
+        cluster.server("s0").setDuplicatingWrites(true);
         // Replicas that are far behind say that they are not.
         for (String replica : List.of("s1", "s2", "s4", "s5")) {
           cluster.server(replica).setOverstatingPosition(true);
--- a/fakes/src/main/java/weldcross/fakes/FakeDiscoveryCatalog.java
+++ b/fakes/src/main/java/weldcross/fakes/FakeDiscoveryCatalog.java
@@ -8,20 +8,20 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
-/** The endpoint list that a fake discovery service serves, numbered by its revisions. */
+/** The endpoint list that a fake discovery service serves. Each change increments the revision. */
 public final class FakeDiscoveryCatalog {
 
-  /** The phase of an endpoint that has left the list. */
+  /** The phase of an endpoint that was removed from the list. */
   private static final String PHASE_LEFT = "left";
 
   /**
-   * An entry of the list, as discovery's JSON has it.
+   * An entry of the endpoint list, with the fields of its JSON form.
    *
-   * @param id the endpoint's name
-   * @param group the replica group it belongs to
-   * @param zone the zone it runs in
+   * @param id the name of the endpoint
+   * @param group the replica group that the endpoint belongs to
+   * @param zone the zone that the endpoint runs in
    * @param phase {@code active}, {@code leaving} or {@code left}
-   * @param upSinceMillis Unix time of its last start in milliseconds; zero for long ago
+   * @param upSinceMillis Unix time of the last start in milliseconds; zero if it started long ago
    */
   public record Member(String id, int group, String zone, String phase, long upSinceMillis) {}
 
@@ -35,7 +35,7 @@
   /**
    * Publishes the new state of one endpoint.
    *
-   * @param member the entry as it is from now on
+   * @param member the new entry
    * @return the revision of this change
    */
   public synchronized long publish(Member member) {
@@ -60,21 +60,21 @@
   }
 
   /**
-   * Waits for a change after a revision, for a long poll.
+   * Waits for a change after a revision, to serve a long poll.
    *
-   * @param since the revision that the caller has
-   * @param timeoutMillis how long to wait at most
-   * @param addressOf host and port of an endpoint, by its name
-   * @return the entries changed since then as JSON; without entries after a timeout
+   * @param since the last revision that the caller knows
+   * @param timeoutMillis the maximum time to wait
+   * @param addressOf returns host and port of an endpoint, by name
+   * @return the entries changed since that revision, as JSON; no entries after a timeout
    */
   synchronized String awaitChangesSince(
       long since, long timeoutMillis, Function<String, String> addressOf)
       throws InterruptedException {
     long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
-    long left = timeoutMillis;
-    while (revision <= since && left > 0) {
-      wait(left);
-      left = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
+    long remainingMillis = timeoutMillis;
+    while (revision <= since && remainingMillis > 0) {
+      wait(remainingMillis);
+      remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
     }
     Map<String, Member> changed = new LinkedHashMap<>();
     changes.tailMap(since, false).values().forEach(member -> changed.put(member.id(), member));
--- a/fakes/src/main/java/weldcross/fakes/FakeDiscoveryServer.java
+++ b/fakes/src/main/java/weldcross/fakes/FakeDiscoveryServer.java
@@ -15,16 +15,15 @@
 import java.util.regex.Pattern;
 
 /**
- * Discovery as one gateway sees it: the endpoint list and its long poll over HTTP/1.1, with the
- * addresses by which this gateway reaches the endpoints.
+ * A fake discovery service for one gateway. Serves the endpoint list and long polls over HTTP/1.1,
+ * with the addresses through which this gateway reaches the endpoints.
  */
 public final class FakeDiscoveryServer implements AutoCloseable {
 
   private static final Pattern LONG_POLL =
       Pattern.compile("GET /catalog/members\\?since=(-?\\d+)&timeout_ms=(\\d+) HTTP/1.1");
 
-  /** Connections that the system may hold before they are accepted. */
-  private static final int BACKLOG = 50;
+  private static final int ACCEPT_BACKLOG = 50;
 
   private final FakeDiscoveryCatalog catalog;
   private final Function<String, String> addressOf;
@@ -36,7 +35,7 @@
    *
    * @param catalog the list to serve
    * @param host the address to listen on
-   * @param addressOf host and port of an endpoint as this gateway reaches it, by its name
+   * @param addressOf returns host and port through which this gateway reaches an endpoint, by name
    * @throws IOException if it cannot listen there
    */
   public FakeDiscoveryServer(
@@ -44,11 +43,11 @@
       throws IOException {
     this.catalog = catalog;
     this.addressOf = addressOf;
-    this.listener = new ServerSocket(0, BACKLOG, host);
+    this.listener = new ServerSocket(0, ACCEPT_BACKLOG, host);
     startThread(this::acceptAll);
   }
 
-  /** Work of a thread that ends with its connection or with this server. */
+  /** A task that ends when its connection or this server is closed. */
   @FunctionalInterface
   private interface ConnectionTask {
     void run() throws IOException, InterruptedException;
@@ -70,9 +69,9 @@
   }
 
   /**
-   * Returns where it listens.
+   * Returns the address on which this server listens.
    *
-   * @return the address with the port that the system picked
+   * @return the address with the assigned port
    */
   public InetSocketAddress address() {
     return (InetSocketAddress) listener.getLocalSocketAddress();
--- a/fakes/src/main/java/weldcross/fakes/FakePostgresServer.java
+++ b/fakes/src/main/java/weldcross/fakes/FakePostgresServer.java
@@ -20,10 +20,11 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /**
- * A primary or replica of one group that speaks PostgreSQL's protocol v3 with simple queries: reads
- * and writes of one key, health checks ({@code SELECT 1}, {@code SHOW stats}) and the question
- * whether a request has had its effect ({@code SELECT outcome FROM rpcs WHERE id = '...'}). It
- * reports its role and position beside its answers. Faults are switched on and off from outside.
+ * A fake primary or replica of one replica group, which serves simple queries of PostgreSQL
+ * protocol v3: reads and writes of one key, health checks ({@code SELECT 1}, {@code SHOW stats})
+ * and the outcome of an earlier request ({@code SELECT outcome FROM rpcs WHERE id = '...'}). Each
+ * response carries the server's role and replication position in ParameterStatus messages. Faults
+ * are switched on and off through setters.
  */
 public final class FakePostgresServer implements AutoCloseable {
 
@@ -43,8 +44,8 @@
   private static final String PROTOCOL_VIOLATION = "08P01";
   private static final String INTERNAL_ERROR = "XX000";
 
-  /** The attribute of a session that holds its {@link PostgresClientStream}. */
-  private static final String STREAM = "stream";
+  /** The session attribute that holds the {@link PostgresClientStream}. */
+  private static final String STREAM_ATTRIBUTE = "stream";
 
   private final String name;
   private final int group;
@@ -55,7 +56,7 @@
   private final int workers;
   private final int maxQueued;
 
-  /** Statements that wait for a worker; guards {@link #busyWorkers} as well. */
+  /** Statements waiting for a worker; also the lock that guards {@link #busyWorkers}. */
   private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
 
   private NioSocketAcceptor acceptor;
@@ -63,31 +64,31 @@
   private final boolean primary;
   private volatile Duration lag;
 
-  /** What a replica has applied it has for good: its position never goes back behind this. */
+  /** A replica never loses what it has applied: its position never falls below this value. */
   private volatile long minPosition = Long.MIN_VALUE;
 
   private volatile Duration serviceTime;
   private volatile boolean stalled;
   private volatile boolean failing;
-  private volatile boolean losingAnswers;
+  private volatile boolean losingResponses;
   private volatile boolean overstatingPosition;
-  private volatile boolean writingTwice;
+  private volatile boolean duplicatingWrites;
   private volatile long upSinceMillis;
 
   /**
    * Starts a server on a free port.
    *
-   * @param name its name in the endpoint list
-   * @param group its replica group
-   * @param primary whether it takes writes
-   * @param lag how far it is behind the primary's history, as a replica
-   * @param serviceTime how long a statement takes
-   * @param workers statements worked on at a time; twice as many may wait
+   * @param name the name of the server in the endpoint list
+   * @param group the replica group
+   * @param primary whether the server accepts writes
+   * @param lag the replication lag of a replica
+   * @param serviceTime the time that one statement takes
+   * @param workers the number of statements executed concurrently; twice as many may be queued
    * @param host the address to listen on
    * @param store the data of all groups
    * @param clock the clock of the run
-   * @param executor where statements are worked on
-   * @throws IOException if it cannot listen there
+   * @param executor executes the statements
+   * @throws IOException if the server cannot listen on the address
    */
   public FakePostgresServer(
       String name,
@@ -125,34 +126,34 @@
   }
 
   /**
-   * Returns its name in the endpoint list.
+   * Returns the name of the server in the endpoint list.
    *
-   * @return the name it was created with
+   * @return the name
    */
   public String name() {
     return name;
   }
 
   /**
-   * Returns its replica group.
+   * Returns the replica group.
    *
-   * @return the group it was created with
+   * @return the group number
    */
   public int group() {
     return group;
   }
 
   /**
-   * Returns where it listens.
+   * Returns the address on which the server listens.
    *
-   * @return the same address in each life of its process
+   * @return the address, which stays the same across restarts
    */
   public InetSocketAddress address() {
     return address;
   }
 
   /**
-   * Returns whether it takes writes.
+   * Returns whether the server accepts writes.
    *
    * @return true for the primary of its group
    */
@@ -161,17 +162,17 @@
   }
 
   /**
-   * Returns when it was last started.
+   * Returns the time of the last restart.
    *
-   * @return Unix time in milliseconds; zero if it was never started again
+   * @return Unix time in milliseconds; zero if the server was never restarted
    */
   public long upSinceMillis() {
     return upSinceMillis;
   }
 
   /**
-   * Sets how far a replica is behind the primary's history. Where it is less behind, its position
-   * stands still until it is that far behind.
+   * Sets the replication lag. If the lag increases, the position does not move until the replica is
+   * that far behind.
    *
    * @param newLag zero or more
    */
@@ -181,7 +182,7 @@
   }
 
   /**
-   * Sets how long a statement takes.
+   * Sets the time that one statement takes.
    *
    * @param newServiceTime zero or more
    */
@@ -190,54 +191,54 @@
   }
 
   /**
-   * Keeps statements waiting while set.
+   * Sets whether statements stay queued without being executed.
    *
-   * @param on whether it stalls from now on
+   * @param stalled whether the server stalls from now on
    */
-  public void setStalled(boolean on) {
-    stalled = on;
-    if (!on) {
+  public void setStalled(boolean stalled) {
+    this.stalled = stalled;
+    if (!stalled) {
       executor.execute(this::startQueuedWork);
     }
   }
 
   /**
-   * Answers statements with an error and without an effect while set.
+   * Sets whether statements fail with an error and without an effect.
    *
-   * @param on whether it fails from now on
+   * @param failing whether statements fail from now on
    */
-  public void setFailing(boolean on) {
-    failing = on;
+  public void setFailing(boolean failing) {
+    this.failing = failing;
   }
 
   /**
-   * Applies writes and resets their connection in place of an answer while set.
+   * Sets whether the connection is reset after a write is applied, before the response is sent.
    *
-   * @param on whether answers are lost from now on
+   * @param losingResponses whether responses to writes are lost from now on
    */
-  public void setLosingAnswers(boolean on) {
-    losingAnswers = on;
+  public void setLosingResponses(boolean losingResponses) {
+    this.losingResponses = losingResponses;
   }
 
   /**
-   * Reports the present as its position, though it lags, while set.
+   * Sets whether the server reports the current time as its position, regardless of its lag.
    *
-   * @param on whether the position is wrong from now on
+   * @param overstatingPosition whether the reported position is wrong from now on
    */
-  public void setOverstatingPosition(boolean on) {
-    overstatingPosition = on;
+  public void setOverstatingPosition(boolean overstatingPosition) {
+    this.overstatingPosition = overstatingPosition;
   }
 
   /**
-   * Applies each write twice while set.
+   * Sets whether each write is applied twice.
    *
-   * @param on whether writes are doubled from now on
+   * @param duplicatingWrites whether writes are duplicated from now on
    */
-  public void setWritingTwice(boolean on) {
-    writingTwice = on;
+  public void setDuplicatingWrites(boolean duplicatingWrites) {
+    this.duplicatingWrites = duplicatingWrites;
   }
 
-  /** Ends its process: connections are reset, new ones are refused. */
+  /** Simulates a killed process: resets all connections and refuses new ones. */
   public synchronized void kill() {
     if (acceptor == null) {
       return;
@@ -252,9 +253,9 @@
   }
 
   /**
-   * Starts its process again, if it was killed.
+   * Restarts the server if it was killed.
    *
-   * @throws IOException if it cannot listen at its address
+   * @throws IOException if the server cannot listen on its address
    */
   public synchronized void start() throws IOException {
     if (acceptor == null) {
@@ -272,7 +273,7 @@
     try {
       ((SocketSessionConfig) session.getConfig()).setSoLinger(0);
     } catch (RuntimeIoException e) {
-      // The connection has ended already.
+      // The connection is closed already.
     }
     session.closeNow();
   }
@@ -281,12 +282,12 @@
 
     @Override
     public void sessionOpened(IoSession session) {
-      session.setAttribute(STREAM, new PostgresClientStream());
+      session.setAttribute(STREAM_ATTRIBUTE, new PostgresClientStream());
     }
 
     @Override
     public void messageReceived(IoSession session, Object message) {
-      PostgresClientStream stream = (PostgresClientStream) session.getAttribute(STREAM);
+      PostgresClientStream stream = (PostgresClientStream) session.getAttribute(STREAM_ATTRIBUTE);
       stream.append((IoBuffer) message);
       handleMessages(session, stream);
     }
@@ -309,7 +310,7 @@
           execute(session, stream, message.text());
           return;
         }
-        case END -> {
+        case TERMINATE -> {
           session.closeOnFlush();
           return;
         }
@@ -338,7 +339,7 @@
       enqueue(session, stream, () -> Duration.ZERO, () -> Optional.of(row(stats(), "SHOW")));
     } else {
       String text = "statement not supported by this server";
-      answer(session, stream, new PostgresMessageWriter().error(PROTOCOL_VIOLATION, text).ready());
+      respond(session, stream, new PostgresMessageWriter().error(PROTOCOL_VIOLATION, text).ready());
     }
   }
 
@@ -351,7 +352,7 @@
     return "x0=" + positionMillis() / 1000.0 + ",x1=" + (primary ? 1 : 0);
   }
 
-  /** Records a read or write, which takes the service time and may be told to fail. */
+  /** Records the arrival of a read or write and queues it; it fails if failures are injected. */
   private void enqueueRequest(
       IoSession session,
       PostgresClientStream stream,
@@ -365,15 +366,16 @@
         () ->
             failing
                 ? Optional.of(
-                    new PostgresMessageWriter().error(INTERNAL_ERROR, "told to fail").ready())
+                    new PostgresMessageWriter().error(INTERNAL_ERROR, "injected failure").ready())
                 : statement.get());
   }
 
   /**
-   * Has a statement worked on once a worker is free, or rejects it if too many wait.
+   * Queues a statement until a worker is free, or rejects it if the queue is full.
    *
-   * @param duration how long it takes, asked once a worker takes it up
-   * @param statement its answer; empty where the connection is reset in place of an answer
+   * @param duration the time that the statement takes, evaluated when a worker starts it
+   * @param statement executes the statement and returns the response; empty to reset the connection
+   *     instead of responding
    */
   private void enqueue(
       IoSession session,
@@ -391,7 +393,7 @@
     if (full) {
       PostgresMessageWriter error =
           new PostgresMessageWriter().error(TOO_MANY_CONNECTIONS, "queue full");
-      answer(session, stream, withState(error).ready());
+      respond(session, stream, withState(error).ready());
     } else {
       startQueuedWork();
     }
@@ -408,7 +410,7 @@
     try {
       statement
           .get()
-          .ifPresentOrElse(response -> answer(session, stream, response), () -> reset(session));
+          .ifPresentOrElse(response -> respond(session, stream, response), () -> reset(session));
     } finally {
       synchronized (queue) {
         busyWorkers--;
@@ -431,7 +433,7 @@
     }
   }
 
-  /** The time up to which commits are visible here, in nanoseconds of the run's clock. */
+  /** Returns the time up to which commits are visible, in nanoseconds of the clock of the run. */
   private long visibleUntil() {
     long now = clock.nanos();
     return primary ? now : Math.max(minPosition, now - lag.toNanos());
@@ -451,10 +453,10 @@
       return Optional.of(readOnlyError("cannot write on a replica"));
     }
     store.commit(clock.nanos(), id, group, name, key, value, stream.number());
-    if (writingTwice) {
+    if (duplicatingWrites) {
       store.commit(clock.nanos(), id, group, name, key, value, stream.number());
     }
-    return losingAnswers ? Optional.empty() : Optional.of(row(value, "INSERT 0 1"));
+    return losingResponses ? Optional.empty() : Optional.of(row(value, "INSERT 0 1"));
   }
 
   private PostgresMessageWriter outcomeOf(String id) {
@@ -477,10 +479,10 @@
         .parameter("wal_time", Long.toString(positionMillis()));
   }
 
-  private void answer(
+  private void respond(
       IoSession session, PostgresClientStream stream, PostgresMessageWriter response) {
     send(session, response);
-    stream.queryAnswered();
+    stream.queryCompleted();
     handleMessages(session, stream);
   }
 
--- a/fakes/src/main/java/weldcross/fakes/PostgresClientStream.java
+++ b/fakes/src/main/java/weldcross/fakes/PostgresClientStream.java
@@ -7,79 +7,80 @@
 import org.apache.mina.core.buffer.IoBuffer;
 
 /**
- * The bytes that one client connection has sent, cut into messages. One query is handed out at a
- * time; the next one only after {@link #queryAnswered}. Safe for use by several threads.
+ * Decodes the bytes that one client connection has sent into messages. Returns one query at a time:
+ * the next one follows after {@link #queryCompleted}. Thread-safe.
  */
 final class PostgresClientStream {
 
-  private static final AtomicLong CONNECTIONS = new AtomicLong();
+  private static final AtomicLong CONNECTION_COUNT = new AtomicLong();
 
-  /** What the next message is. */
+  /** The type of the next message. */
   enum Kind {
-    /** No complete message has come, or a query is being worked on. */
+    /** No complete message is available, or a query is being executed. */
     NONE,
     /** The startup message. */
     STARTUP,
     /** A simple query. */
     QUERY,
-    /** Terminate, or a message that this fake doesn't speak. */
-    END
+    /** Terminate, or a message type that is not supported. */
+    TERMINATE
   }
 
   /**
-   * A message.
+   * A decoded message.
    *
-   * @param kind what it is
+   * @param kind the type of the message
    * @param text the statement of a query; empty otherwise
    */
   record Message(Kind kind, String text) {
     static final Message NONE = new Message(Kind.NONE, "");
   }
 
-  private final long number = CONNECTIONS.incrementAndGet();
-  private byte[] unread = new byte[0];
+  private final long number = CONNECTION_COUNT.incrementAndGet();
+  private byte[] buffered = new byte[0];
   private boolean started;
-  private boolean busy;
+  private boolean executingQuery;
 
-  /** Returns a number that no other connection of this process has. */
+  /** Returns the number of this connection, unique in this process. */
   long number() {
     return number;
   }
 
-  /** Adds what has been read from the connection. */
+  /** Appends bytes read from the connection. */
   synchronized void append(IoBuffer in) {
-    byte[] all = new byte[unread.length + in.remaining()];
-    System.arraycopy(unread, 0, all, 0, unread.length);
-    in.get(all, unread.length, in.remaining());
-    unread = all;
+    byte[] all = new byte[buffered.length + in.remaining()];
+    System.arraycopy(buffered, 0, all, 0, buffered.length);
+    in.get(all, buffered.length, in.remaining());
+    buffered = all;
   }
 
-  /** Marks the query handed out last as answered. */
-  synchronized void queryAnswered() {
-    busy = false;
+  /** Marks the last returned query as completed. */
+  synchronized void queryCompleted() {
+    executingQuery = false;
   }
 
-  /** Takes the next complete message, if no query is being worked on. */
+  /** Removes and returns the next complete message, if no query is being executed. */
   synchronized Message next() {
     int typeBytes = started ? 1 : 0;
-    if (busy || unread.length < typeBytes + 4) {
+    if (executingQuery || buffered.length < typeBytes + 4) {
       return Message.NONE;
     }
-    int length = ByteBuffer.wrap(unread, typeBytes, 4).getInt();
-    if (unread.length < typeBytes + length) {
+    int length = ByteBuffer.wrap(buffered, typeBytes, 4).getInt();
+    if (buffered.length < typeBytes + length) {
       return Message.NONE;
     }
-    final char type = started ? (char) unread[0] : 0;
-    final String body = new String(unread, typeBytes + 4, length - 4, StandardCharsets.ISO_8859_1);
-    unread = Arrays.copyOfRange(unread, typeBytes + length, unread.length);
+    final char type = started ? (char) buffered[0] : 0;
+    final String body =
+        new String(buffered, typeBytes + 4, length - 4, StandardCharsets.ISO_8859_1);
+    buffered = Arrays.copyOfRange(buffered, typeBytes + length, buffered.length);
     if (!started) {
       started = true;
       return new Message(Kind.STARTUP, "");
     }
     if (type != 'Q') {
-      return new Message(Kind.END, "");
+      return new Message(Kind.TERMINATE, "");
     }
-    busy = true;
+    executingQuery = true;
     return new Message(Kind.QUERY, body.substring(0, Math.max(0, body.length() - 1)));
   }
 }
--- a/fakes/src/main/java/weldcross/fakes/PostgresMessageWriter.java
+++ b/fakes/src/main/java/weldcross/fakes/PostgresMessageWriter.java
@@ -4,40 +4,40 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Collects the messages of one response in PostgreSQL's protocol v3. */
+/** Encodes the messages of one response in PostgreSQL protocol v3. */
 final class PostgresMessageWriter {
 
   private static final byte[] AUTHENTICATION_OK = new byte[4];
-  private static final byte[] IDLE = {'I'};
-  private static final int BYTEA_TYPE_ID = 17;
+  private static final byte[] NOT_IN_TRANSACTION = {'I'};
+  private static final int BYTEA_TYPE_OID = 17;
 
   private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
-  /** AuthenticationOk. */
+  /** Writes AuthenticationOk. */
   PostgresMessageWriter authenticationOk() {
     return message('R', AUTHENTICATION_OK);
   }
 
-  /** RowDescription, DataRow and CommandComplete of a result with one row of one column. */
+  /** Writes RowDescription, DataRow and CommandComplete of a result with one row of one column. */
   PostgresMessageWriter row(String value, String commandTag) {
     return message('T', rowDescription())
         .message('D', dataRow(value))
         .message('C', latin1(commandTag + "\0"));
   }
 
-  /** ErrorResponse. */
+  /** Writes ErrorResponse. */
   PostgresMessageWriter error(String sqlState, String text) {
     return message('E', latin1("SERROR\0C" + sqlState + "\0M" + text + "\0\0"));
   }
 
-  /** ParameterStatus. */
+  /** Writes ParameterStatus. */
   PostgresMessageWriter parameter(String name, String value) {
     return message('S', latin1(name + "\0" + value + "\0"));
   }
 
-  /** ReadyForQuery outside a transaction. */
+  /** Writes ReadyForQuery outside a transaction. */
   PostgresMessageWriter ready() {
-    return message('Z', IDLE);
+    return message('Z', NOT_IN_TRANSACTION);
   }
 
   /** Returns all messages written so far. */
@@ -59,7 +59,7 @@
         .put(name)
         .putInt(0)
         .putShort((short) 0)
-        .putInt(BYTEA_TYPE_ID)
+        .putInt(BYTEA_TYPE_OID)
         .putShort((short) -1)
         .putInt(-1)
         .putShort((short) 1)
--- a/fakes/src/main/java/weldcross/fakes/ReplicatedStoreModel.java
+++ b/fakes/src/main/java/weldcross/fakes/ReplicatedStoreModel.java
@@ -8,23 +8,23 @@
 import java.util.Set;
 
 /**
- * The data of all replica groups, and the record of what was done to it, by which a run is checked.
- * Each group has one history of commits; a replica sees it as it was some time ago. Times are
- * monotonic, in nanoseconds of {@link Clock}. Safe for use by several threads.
+ * The data of all replica groups, with the history of commits, reads and arrivals against which a
+ * run is checked. Each group has one history of commits, of which a lagging replica sees a prefix.
+ * Times are monotonic, in nanoseconds of {@link Clock}. Thread-safe.
  */
 public final class ReplicatedStoreModel {
 
   /**
    * A write that was applied.
    *
-   * @param at when it was applied
-   * @param rpc the id of its request
-   * @param group its replica group
-   * @param server the server that applied it
+   * @param at the time of the commit
+   * @param rpc the request id
+   * @param group the replica group
+   * @param server the server that applied the write
    * @param key the key written
    * @param value the value written
-   * @param sequence its place in the group's history, from 1
-   * @param connection the connection by which it came
+   * @param sequence the position in the history of the group, from 1
+   * @param connection the connection on which the write arrived
    */
   public record Commit(
       long at,
@@ -39,30 +39,30 @@
   /**
    * A read that a server served.
    *
-   * @param at when it was served
-   * @param rpc the id of its request
-   * @param group its replica group
-   * @param server the server that served it
+   * @param at the time of the read
+   * @param rpc the request id
+   * @param group the replica group
+   * @param server the server that served the read
    * @param key the key read
-   * @param position all that was committed until then was visible
-   * @param seen the sequence of the commit whose value it returned; zero for none
+   * @param position the time up to which commits were visible to the read
+   * @param seen the sequence of the commit whose value was returned; zero for none
    */
   public record Read(
       long at, String rpc, int group, String server, String key, long position, long seen) {}
 
   /**
-   * A request of a client that reached a server, whatever became of it.
+   * A client request that reached a server, regardless of its outcome.
    *
-   * @param at when it was read
-   * @param rpc its id
-   * @param server the server that it reached
-   * @param connection the connection by which it came
+   * @param at the time of arrival
+   * @param rpc the request id
+   * @param server the server that received the request
+   * @param connection the connection on which the request arrived
    */
   public record Arrival(long at, String rpc, String server, long connection) {}
 
   private final Map<Integer, List<Commit>> histories = new HashMap<>();
-  private final Map<String, List<Commit>> byKey = new HashMap<>();
-  private final Set<String> committed = new HashSet<>();
+  private final Map<String, List<Commit>> commitsByKey = new HashMap<>();
+  private final Set<String> committedRequests = new HashSet<>();
   private final List<Commit> commits = new ArrayList<>();
   private final List<Read> reads = new ArrayList<>();
   private final List<Arrival> arrivals = new ArrayList<>();
@@ -74,25 +74,25 @@
     arrivals.add(arrival);
   }
 
-  /** Applies a write, also one that was applied before: finding that is the checker's task. */
+  /** Applies a write, even if it was applied before: the checker must be able to detect that. */
   synchronized Commit commit(
       long at, String rpc, int group, String server, String key, String value, long connection) {
     List<Commit> history = histories.computeIfAbsent(group, g -> new ArrayList<>());
     Commit commit = new Commit(at, rpc, group, server, key, value, history.size() + 1, connection);
     history.add(commit);
-    byKey.computeIfAbsent(group + "/" + key, k -> new ArrayList<>()).add(commit);
+    commitsByKey.computeIfAbsent(group + "/" + key, k -> new ArrayList<>()).add(commit);
     commits.add(commit);
-    committed.add(rpc);
+    committedRequests.add(rpc);
     return commit;
   }
 
-  /** Returns the value visible at a position, or an empty text. */
+  /** Returns the value visible at a position, or an empty string. */
   synchronized String read(
       long at, String rpc, int group, String server, String key, long position) {
     Commit last = null;
-    for (Commit each : byKey.getOrDefault(group + "/" + key, List.of())) {
-      if (each.at() <= position) {
-        last = each;
+    for (Commit commit : commitsByKey.getOrDefault(group + "/" + key, List.of())) {
+      if (commit.at() <= position) {
+        last = commit;
       }
     }
     long sequence = last == null ? 0 : last.sequence();
@@ -102,13 +102,13 @@
 
   /** Returns whether a write with this request id has been applied. */
   synchronized boolean isCommitted(String rpc) {
-    return committed.contains(rpc);
+    return committedRequests.contains(rpc);
   }
 
   /**
    * Returns all writes applied so far.
    *
-   * @return a copy, in the order of their application
+   * @return a copy, in commit order
    */
   public synchronized List<Commit> commits() {
     return List.copyOf(commits);
@@ -117,7 +117,7 @@
   /**
    * Returns all reads served so far.
    *
-   * @return a copy, in their order
+   * @return a copy, in the order in which they were recorded
    */
   public synchronized List<Read> reads() {
     return List.copyOf(reads);
@@ -126,18 +126,18 @@
   /**
    * Returns all requests that reached a server so far.
    *
-   * @return a copy, in their order
+   * @return a copy, in the order in which they were recorded
    */
   public synchronized List<Arrival> arrivals() {
     return List.copyOf(arrivals);
   }
 
-  /** The clock of a run, monotonic and as Unix time. */
+  /** The clock of a run: a monotonic clock with conversion to Unix time. */
   public static final class Clock {
-    private final long zeroNanos = System.nanoTime();
-    private final long unixMillisAtZero = System.currentTimeMillis();
+    private final long startNanos = System.nanoTime();
+    private final long startUnixMillis = System.currentTimeMillis();
 
-    /** Creates a clock that reads zero now. */
+    /** Creates a clock that starts at zero. */
     public Clock() {}
 
     /**
@@ -146,17 +146,18 @@
      * @return nanoseconds since this clock was created
      */
     public long nanos() {
-      return System.nanoTime() - zeroNanos;
+      return System.nanoTime() - startNanos;
     }
 
     /**
-     * Converts to Unix time, rounded down: a position must never look fresher than it is.
+     * Converts a reading to Unix time, rounded down so that a position never looks fresher than it
+     * is.
      *
      * @param nanos a reading of {@link #nanos}
      * @return Unix time in milliseconds
      */
     public long unixMillis(long nanos) {
-      return unixMillisAtZero + Math.floorDiv(nanos, 1_000_000L);
+      return startUnixMillis + Math.floorDiv(nanos, 1_000_000L);
     }
   }
 }
