--- a/chaos/src/main/java/weldcross/chaos/FaultInjector.java
+++ b/chaos/src/main/java/weldcross/chaos/FaultInjector.java
@@ -53,8 +53,8 @@
       case TERM -> gateway(fault).process().terminate();
       case PAUSE -> gateway(fault).process().pause();
       case DISK -> gateway(fault).setDiskFaults(fault.details());
-      case STALL -> changeBothWays(fault, path -> path.withHeld(true));
-      case STALL_ONE_WAY -> changeOneWay(fault, path -> path.withHeld(true));
+      case STALL -> changeBothWays(fault, path -> path.withStalled(true));
+      case STALL_ONE_WAY -> changeOneWay(fault, path -> path.withStalled(true));
       case CUT -> changeBothWays(fault, path -> path.withCut(true));
       case CUT_ONE_WAY -> changeOneWay(fault, path -> path.withCut(true));
       case RESET -> resetConnections(fault);
@@ -72,7 +72,7 @@
       case SERVER_KILL -> server(fault).kill();
       case LAG -> server(fault).setLag(Duration.ofMillis(Long.parseLong(fault.details())));
       case SERVER_STALL -> server(fault).setStalled(true);
-      case ANSWERS_LOST -> server(fault).setLosingAnswers(true);
+      case ANSWERS_LOST -> server(fault).setLosingResponses(true);
     }
   }
 
@@ -95,8 +95,8 @@
       }
       case PAUSE -> gateway(fault).process().resume();
       case DISK -> gateway(fault).setDiskFaults("");
-      case STALL -> changeBothWays(fault, path -> path.withHeld(false));
-      case STALL_ONE_WAY -> changeOneWay(fault, path -> path.withHeld(false));
+      case STALL -> changeBothWays(fault, path -> path.withStalled(false));
+      case STALL_ONE_WAY -> changeOneWay(fault, path -> path.withStalled(false));
       case CUT -> changeBothWays(fault, path -> path.withCut(false));
       case CUT_ONE_WAY -> changeOneWay(fault, path -> path.withCut(false));
       case REFUSE -> refuseConnections(fault, false);
@@ -109,7 +109,7 @@
       }
       case LAG -> server(fault).setLag(normalLag);
       case SERVER_STALL -> server(fault).setStalled(false);
-      case ANSWERS_LOST -> server(fault).setLosingAnswers(false);
+      case ANSWERS_LOST -> server(fault).setLosingResponses(false);
       case RESET -> {
         // Instantaneous, nothing to heal.
       }
--- a/chaos/src/main/java/weldcross/chaos/GatewayNode.java
+++ b/chaos/src/main/java/weldcross/chaos/GatewayNode.java
@@ -18,7 +18,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
-import weldcross.chaos.agent.LyingStorageDirectory;
+import weldcross.chaos.agent.FaultInjectingStorageDirectory;
 import weldcross.chaos.agent.ShiftedClock;
 import weldcross.chaos.history.GatewayLogs;
 import weldcross.chaos.history.History;
@@ -150,7 +150,7 @@
   /**
    * Sets the disk faults of the gateway, with immediate effect.
    *
-   * @param faults fault names as defined by {@link LyingStorageDirectory}; empty for none
+   * @param faults fault names as defined by {@link FaultInjectingStorageDirectory}; empty for none
    * @throws IOException if the fault file cannot be written
    */
   public void setDiskFaults(String faults) throws IOException {
@@ -223,8 +223,12 @@
     command.add("-Djdk.nio.maxCachedBufferSize=262144");
     command.add("-Dslf4j.provider=org.slf4j.jul.JULServiceProvider");
     if (scenario.meshEnabled()) {
-      command.add("-D" + LyingStorageDirectory.FAULTS_FILE + "=" + home.resolve(DISK_FAULTS_FILE));
-      command.add("-D" + ShiftedClock.OFFSET_MILLIS + "=" + clockOffsetMillis);
+      command.add(
+          "-D"
+              + FaultInjectingStorageDirectory.FAULTS_FILE_PROPERTY
+              + "="
+              + home.resolve(DISK_FAULTS_FILE));
+      command.add("-D" + ShiftedClock.OFFSET_MILLIS_PROPERTY + "=" + clockOffsetMillis);
       command.add("-cp");
       command.add(jar() + ":" + agentClassPath());
       command.add("weldcross.Main");
--- a/chaos/src/main/java/weldcross/chaos/SoakRun.java
+++ b/chaos/src/main/java/weldcross/chaos/SoakRun.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.locks.LockSupport;
 import weldcross.chaos.history.History;
-import weldcross.chaos.load.IdleCrowd;
+import weldcross.chaos.load.IdleClients;
 import weldcross.chaos.load.PersistentClients;
 import weldcross.chaos.process.ProcessUsage;
 import weldcross.chaos.scenario.Fault;
@@ -280,10 +280,11 @@
   private void openIdleConnections(SoakStep step) {
     Duration from = now();
     for (Duration hold : step.times()) {
-      try (IdleCrowd crowd = new IdleCrowd()) {
+      try (IdleClients crowd = new IdleClients()) {
         cluster
             .gateways()
-            .forEach(gateway -> crowd.join(gateway.directAddress(), IDLE_CONNECTIONS_PER_GATEWAY));
+            .forEach(
+                gateway -> crowd.connect(gateway.directAddress(), IDLE_CONNECTIONS_PER_GATEWAY));
         LockSupport.parkNanos(hold.toNanos());
       }
     }
--- a/chaos/src/main/java/weldcross/chaos/soak/SoakVerdict.java
+++ b/chaos/src/main/java/weldcross/chaos/soak/SoakVerdict.java
@@ -63,7 +63,7 @@
       boolean raced =
           !forwarded.contains(operation.rpc()) && mayHaveRacedWithClose(observations, operation);
       closeRaces += raced ? 1 : 0;
-      operations.add(raced ? operation.with(Outcome.NOT_SENT) : operation);
+      operations.add(raced ? operation.withOutcome(Outcome.NOT_SENT) : operation);
     }
     History history =
         new History(
@@ -83,7 +83,7 @@
   private static boolean mayHaveRacedWithClose(
       SoakObservations observations, ClientOperation operation) {
     return operation.outcome() == Outcome.CONNECTION_CLOSED
-        && operation.detail().equals(ClientOperation.ENDED_IN_ORDER)
+        && operation.detail().equals(ClientOperation.CLOSED_CLEANLY)
         && operation.durationNanos() <= MAX_CLOSE_RACE.toNanos()
         && observations.closeWindows().stream()
             .anyMatch(window -> window.covers(operation.gateway(), operation.ended()));
--- a/chaos/src/test/java/weldcross/chaos/ChaosRunTest.java
+++ b/chaos/src/test/java/weldcross/chaos/ChaosRunTest.java
@@ -135,7 +135,7 @@
         load.start(200);
         Await.until(
             "requests are served", Duration.ofSeconds(20), () -> load.operationCount() > 200);
-        cluster.server("s0").setWritingTwice(true);
+        cluster.server("s0").setDuplicatingWrites(true);
         // Replicas that lag far behind report a current position.
         for (String replica : List.of("s1", "s2", "s4", "s5")) {
           cluster.server(replica).setOverstatingPosition(true);
