--- a/gateway/src/test/java/weldcross/routing/RetryPolicyTest.java
+++ b/gateway/src/test/java/weldcross/routing/RetryPolicyTest.java
@@ -11,38 +11,42 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import weldcross.routing.RequestClass.Consistency;
-import weldcross.routing.RequestClass.Effect;
-import weldcross.routing.RequestClass.Scope;
+import weldcross.routing.RequestClass.DeduplicationScope;
+import weldcross.routing.RequestClass.Idempotency;
 import weldcross.routing.RouterHarness.Answer;
 
 class RetryPolicyTest {
 
-  /** A retry whose connection comes up late would be executed a second time. */
+  /**
+   * A retry whose connection is established after the deduplication window would be executed a
+   * second time.
+   */
   @Test
   void retryThatWaitedForItsConnectionIsSentOnlyWithinTheDeduplicationWindow() {
     RouterHarness harness =
         RouterHarness.withKnownPrimary(
-            RoutingConfigs.withWrites(Effect.IDEMPOTENT_BY_KEY, Scope.GROUP, true, true, false));
+            RoutingConfigs.withWrites(
+                Idempotency.IDEMPOTENT_BY_KEY, DeduplicationScope.GROUP, true, true, false));
     String write = harness.arrive(Consistency.WRITE);
     assertTrue(
-        harness.isStillEligible(harness.onlyInFlight(write)),
-        "the first send needs nobody to know a repeat");
+        harness.isStillEligible(harness.firstInFlight(write)),
+        "the first attempt needs no deduplication");
     harness.advance(ms(850));
-    harness.end(harness.onlyInFlight(write), AttemptOutcome.CONNECTION_LOST);
+    harness.end(harness.firstInFlight(write), AttemptOutcome.CONNECTION_LOST);
     harness.advance(ms(30));
-    RouterHarness.SentAttempt repeat = harness.onlyInFlight(write);
-    assertTrue(harness.isStillEligible(repeat));
+    RouterHarness.SentAttempt retry = harness.firstInFlight(write);
+    assertTrue(harness.isStillEligible(retry));
     harness.advance(ms(19));
-    assertTrue(harness.isStillEligible(repeat));
+    assertTrue(harness.isStillEligible(retry));
     harness.advance(ms(1));
-    assertFalse(harness.isStillEligible(repeat), "900 ms after the first send");
+    assertFalse(harness.isStillEligible(retry), "900 ms after the first send");
   }
 
   @Test
   void writeThatMayHaveBeenExecutedFailsAtOnce() {
     RouterHarness harness = RouterHarness.withKnownPrimary();
     String write = harness.arrive(Consistency.WRITE);
-    harness.end(harness.onlyInFlight(write), AttemptOutcome.CONNECTION_LOST);
+    harness.end(harness.firstInFlight(write), AttemptOutcome.CONNECTION_LOST);
     assertEquals(Answer.FAILED, harness.requests.get(write).answer);
   }
 
@@ -51,26 +55,26 @@
     RouterHarness harness = RouterHarness.withKnownPrimary();
     String write = harness.arrive(Consistency.WRITE);
     harness.server(0).primary = false;
-    harness.end(harness.onlyInFlight(write), AttemptOutcome.INELIGIBLE);
-    for (RouterHarness.SentAttempt sent = harness.onlyInFlight(write);
+    harness.end(harness.firstInFlight(write), AttemptOutcome.INELIGIBLE);
+    for (RouterHarness.SentAttempt sent = harness.firstInFlight(write);
         sent != null;
-        sent = firstInFlight(harness, write)) {
+        sent = findInFlight(harness, write)) {
       harness.end(sent, AttemptOutcome.INELIGIBLE);
     }
     assertNull(harness.requests.get(write).answer);
     harness.server(2).primary = true;
     harness.report(harness.server(2), harness.now);
-    assertEquals("s2", harness.onlyInFlight(write).serverName());
+    assertEquals("s2", harness.firstInFlight(write).serverName());
   }
 
-  private static RouterHarness.SentAttempt firstInFlight(RouterHarness harness, String request) {
+  private static RouterHarness.SentAttempt findInFlight(RouterHarness harness, String request) {
     List<RouterHarness.SentAttempt> sent = harness.requests.get(request).inFlight;
     return sent.isEmpty() ? null : sent.get(0);
   }
 
-  private static RequestState request(Effect effect, Scope scope) {
+  private static RequestState request(Idempotency idempotency, DeduplicationScope scope) {
     RequestClass requestClass =
-        new RequestClass(Consistency.WRITE, ms(400), effect, scope, ms(900), ms(400), 1, 0.5);
+        new RequestClass(Consistency.WRITE, ms(400), idempotency, scope, ms(900), ms(400), 1, 0.5);
     RequestId id = new RequestId("r");
     return new RequestState(
         id, 0, requestClass, new ReplicaGroup(), null, null, false, ms(0), ms(1500), 0);
@@ -82,7 +86,8 @@
 
   private static RetryPolicy policy() {
     return new RetryPolicy(
-        RoutingConfigs.withWrites(Effect.NON_IDEMPOTENT, Scope.GROUP, true, true, false));
+        RoutingConfigs.withWrites(
+            Idempotency.NON_IDEMPOTENT, DeduplicationScope.GROUP, true, true, false));
   }
 
   @ParameterizedTest
@@ -91,9 +96,9 @@
     "IDEMPOTENT_BY_KEY, true, true, false",
     "NON_IDEMPOTENT, true, false, false"
   })
-  void requestMayBeRepeatedAsItsEffectAllows(
-      Effect effect, boolean unsent, boolean withinWindow, boolean afterWindow) {
-    RequestState request = request(effect, Scope.GROUP);
+  void requestMayBeRetriedAsItsIdempotencyAllows(
+      Idempotency idempotency, boolean unsent, boolean withinWindow, boolean afterWindow) {
+    RequestState request = request(idempotency, DeduplicationScope.GROUP);
     assertEquals(unsent, policy().maySend(ms(0), request));
     request.attempts.add(new Attempt(request, endpoint(0), 0, ms(0), 0.1, false));
     request.mayHaveExecuted = true;
@@ -109,10 +114,10 @@
     "IDEMPOTENT_BY_KEY, GROUP, false",
     "NON_IDEMPOTENT, ALL, false"
   })
-  void clientMayRetryWhatMayHaveBeenExecutedIfAnyServerRecognizesIt(
-      Effect effect, Scope scope, boolean expected) {
-    RequestState request = request(effect, scope);
-    assertTrue(policy().isSafeForClientToRetry(request), "nothing was executed");
+  void clientMayRetryAnExecutedRequestOnlyIfAllServersDeduplicateIt(
+      Idempotency idempotency, DeduplicationScope scope, boolean expected) {
+    RequestState request = request(idempotency, scope);
+    assertTrue(policy().isSafeForClientToRetry(request), "the request was not executed");
     request.mayHaveExecuted = true;
     assertEquals(expected, policy().isSafeForClientToRetry(request));
   }
@@ -124,17 +129,18 @@
     "IDEMPOTENT_BY_KEY, GROUP, 1, true",
     "IDEMPOTENT, ZONE, 1, true"
   })
-  void retryIsRecognizedInItsScope(Effect effect, Scope scope, int zone, boolean expected) {
-    RequestState request = request(effect, scope);
-    assertTrue(policy().recognizesRetry(request, endpoint(zone)), "not sent yet");
+  void retryIsDeduplicatedWithinItsScope(
+      Idempotency idempotency, DeduplicationScope scope, int zone, boolean expected) {
+    RequestState request = request(idempotency, scope);
+    assertTrue(policy().canDeduplicate(request, endpoint(zone)), "no attempt was sent yet");
     request.attempts.add(new Attempt(request, endpoint(0), 0, ms(0), 0.1, false));
-    assertEquals(expected, policy().recognizesRetry(request, endpoint(zone)));
+    assertEquals(expected, policy().canDeduplicate(request, endpoint(zone)));
   }
 
   @Test
-  void hedgesAreLimitedToABudgetThatSuccessesEarn() {
+  void hedgedAttemptsAreLimitedToABudgetThatGrowsWithSuccesses() {
     RetryPolicy policy = policy();
-    RequestState request = request(Effect.IDEMPOTENT, Scope.GROUP);
+    RequestState request = request(Idempotency.IDEMPOTENT, DeduplicationScope.GROUP);
     assertTrue(policy.mayHedge(request));
     policy.recordHedges(1);
     assertFalse(policy.mayHedge(request));
@@ -143,6 +149,6 @@
     }
     assertTrue(policy.mayHedge(request));
     request.attemptsInFlight = 2;
-    assertFalse(policy.mayHedge(request), "it has a second attempt already");
+    assertFalse(policy.mayHedge(request), "two attempts are in flight");
   }
 }
