--- a/gateway/src/main/java/weldcross/gateway/ClientConnections.java
+++ b/gateway/src/main/java/weldcross/gateway/ClientConnections.java
@@ -107,7 +107,7 @@
         .filter(client -> !client.closePending)
         .forEach(
             client ->
-                policy.consider(
+                policy.addCandidate(
                     client, client.statements, client.isIdle() ? client.idleSince : null));
     ClientConnection evicted = policy.choose().orElse(null);
     if (evicted != null) {
@@ -290,7 +290,7 @@
       RoutedRequest request = next.routed;
       if (request != null && !request.answered) {
         gateway.attempts().abandon(request);
-        gateway.attempts().forgetIfDone(request);
+        gateway.attempts().removeIfDone(request);
       }
     }
   }
