--- a/gateway/src/main/java/weldcross/gateway/AttemptTracker.java
+++ b/gateway/src/main/java/weldcross/gateway/AttemptTracker.java
@@ -110,7 +110,7 @@
       return;
     }
     gateway.serverConnections().send(server, attempt);
-    gateway.at(
+    gateway.schedule(
         deadline,
         () -> {
           if (!attempt.done) {
@@ -173,7 +173,7 @@
     request.answered = true;
     gateway.pipeline().respond(request.pipelined, response);
     // Deferred because the router may be in the middle of a decision.
-    gateway.soon(() -> gateway.pipeline().startNext(request.pipelined.client));
+    gateway.defer(() -> gateway.pipeline().startNext(request.pipelined.client));
   }
 
   /** Abandons an unanswered request whose client disconnected; no further attempt is sent. */
--- a/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ConnectionCloseTest.java
@@ -103,11 +103,11 @@
     GatewayConfig gatewayConfig = GatewayConfig.of(ConfigValues.ofJson(config));
     transport = new MinaTransport(loop, this::clock, sockets * 3 / 4);
     gateway = new Gateway(gatewayConfig, transport, Duration.ofHours(500_000));
-    gateway.reduce(now, Gateway::start);
+    gateway.handle(now, Gateway::start);
     address = transport.listenAddress().get(20, TimeUnit.SECONDS);
     // The connections of the warm-up count as clients, so wait until it is over and they are
     // closed.
-    awaitCondition(() -> gateway.isWarm() && clientCount() == 0);
+    awaitCondition(() -> gateway.isWarmedUp() && clientCount() == 0);
   }
 
   @AfterEach
@@ -124,7 +124,7 @@
   private void awaitCondition(BooleanSupplier condition) {
     long start = System.nanoTime();
     do {
-      loop.catchUp(gateway);
+      loop.runPending(gateway);
       assertTrue(
           System.nanoTime() - start < TIMEOUT_NANOS,
           () -> "condition not met within 20 s: " + gateway.describe());
@@ -137,7 +137,7 @@
     CountDownLatch readsDone = new CountDownLatch(1);
     transport.processor.afterPendingReads(readsDone::countDown);
     awaitCondition(() -> readsDone.getCount() == 0);
-    loop.catchUp(gateway);
+    loop.runPending(gateway);
   }
 
   private int clientCount() {
@@ -146,7 +146,7 @@
 
   private void moveClock(int millis) {
     now = now.plusMillis(millis);
-    loop.catchUp(gateway);
+    loop.runPending(gateway);
   }
 
   /** Connects a client and reads the messages up to the ready session. */
@@ -282,7 +282,7 @@
     assertEquals(-1, client.getInputStream().read());
     sendReads(client, 3);
     assertEquals(-1, client.getInputStream().read(), "reset by unread bytes");
-    loop.catchUp(gateway);
+    loop.runPending(gateway);
     assertEquals(0, acceptedRequests());
     client.close();
   }
@@ -441,7 +441,7 @@
     IllegalStateException thrown = null;
     while (thrown == null && System.nanoTime() - start < TIMEOUT_NANOS) {
       try {
-        loop.catchUp(gateway);
+        loop.runPending(gateway);
         Thread.onSpinWait();
       } catch (IllegalStateException e) {
         thrown = e;
