--- a/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
+++ b/gateway/src/main/java/weldcross/consensus/net/ConsensusExtension.java
@@ -129,7 +129,7 @@
   }
 
   @Override
-  public boolean isDone() {
+  public boolean isDrained() {
     return left;
   }
 
@@ -193,7 +193,7 @@
 
     @Override
     public StorageDirectory openDirectory() throws IOException {
-      return FileStorageDirectory.at(directory.resolve(DIRECTORY));
+      return FileStorageDirectory.openDirectory(directory.resolve(DIRECTORY));
     }
 
     @Override
@@ -242,7 +242,7 @@
     @Override
     public void left() {
       left = true;
-      context.changed();
+      context.stateChanged();
     }
 
     @Override
--- a/gateway/src/test/java/weldcross/consensus/net/ConsensusTest.java
+++ b/gateway/src/test/java/weldcross/consensus/net/ConsensusTest.java
@@ -229,12 +229,12 @@
   void voterThatLostAcknowledgedEntriesTakesNewIdentity() {
     ConsensusSimulation simulation = start(4, 3, 9);
     ConsensusSimulation.Node faulty = simulation.node(1);
-    faulty.directory.forceLies = true;
+    faulty.directory.ignoreForce = true;
     simulation.node(3).kill();
     simulation.node(3).start();
     assertWithin(simulation, MINUTE, simulation::allAgree);
     faulty.kill();
-    faulty.directory.forceLies = false;
+    faulty.directory.ignoreForce = false;
     faulty.start();
     assertWithin(
         simulation,
@@ -277,7 +277,7 @@
     ConsensusSimulation simulation = start(4, 3, 11);
     for (int k = 0; k < 2; k++) {
       simulation.node(k).kill();
-      simulation.node(k).directory.wipe();
+      simulation.node(k).directory.clear();
       simulation.node(k).start();
     }
     long before = simulation.committedViews.lastKey();
@@ -298,8 +298,8 @@
     for (int k = 0; k < 3; k++) {
       simulation.node(k).kill();
     }
-    simulation.node(0).directory.wipe();
-    simulation.node(1).directory.wipe();
+    simulation.node(0).directory.clear();
+    simulation.node(1).directory.clear();
     corruptLog(simulation.node(2));
     for (int k = 0; k < 3; k++) {
       simulation.node(k).start();
@@ -315,20 +315,20 @@
 
   private static void corruptLog(ConsensusSimulation.Node node) {
     String log =
-        node.directory.names().stream()
+        node.directory.fileNames().stream()
             .filter(name -> name.startsWith("log-"))
             .findFirst()
             .orElseThrow();
-    byte[] bytes = node.directory.bytes(log).clone();
+    byte[] bytes = node.directory.visibleBytes(log).clone();
     bytes[bytes.length / 3] ^= 4;
-    node.directory.set(log, bytes);
+    node.directory.putDurable(log, bytes);
   }
 
   @Test
   void voterWithFailingStorageDoesNotVoteUntilItRecovers() {
     ConsensusSimulation simulation = start(3, 3, 12);
     ConsensusSimulation.Node faulty = simulation.node(1);
-    faulty.directory.forceFails = true;
+    faulty.directory.failForce = true;
     ConsensusSimulation.Node dead = simulation.node(0);
     dead.kill();
     simulation.run(Duration.ofSeconds(10));
@@ -358,9 +358,9 @@
     }
     assertTrue(simulation.committedViews.lastKey() > 290);
     assertTrue(
-        simulation.node(0).directory.names().stream()
+        simulation.node(0).directory.fileNames().stream()
             .anyMatch(name -> name.startsWith("snapshot-")),
-        simulation.node(0).directory.names().toString());
+        simulation.node(0).directory.fileNames().toString());
     assertHeals(simulation);
   }
 
@@ -430,7 +430,7 @@
       case MERGE_PARTITIONS -> simulation.allNodes.forEach(anyNode -> anyNode.partition = 0);
       case BLOCK_LINK -> simulation.blockedLinks.add(List.of(node, other));
       case CHANGE_LINK_QUALITY -> changeLinkQuality(simulation);
-      case TOGGLE_LOST_WRITES -> faulty.directory.forceLies = !faulty.directory.forceLies;
+      case TOGGLE_LOST_WRITES -> faulty.directory.ignoreForce = !faulty.directory.ignoreForce;
       case REPORT_DEAD -> reportDead(node, other);
     }
   }
--- a/gateway/src/test/java/weldcross/control/ControlRequestHandlerTest.java
+++ b/gateway/src/test/java/weldcross/control/ControlRequestHandlerTest.java
@@ -60,14 +60,14 @@
   }
 
   @Test
-  void resultOfTheActionIsTheBody() throws Exception {
+  void actionResultIsTheResponseBody() throws Exception {
     HttpResponse<String> reply =
         post("", (name, response) -> response.complete(ControlJson.object("phase", "IN")));
     assertReply(200, "{\"phase\":\"IN\"}", reply);
   }
 
   @Test
-  void nameOfTheQueryIsDecoded() throws Exception {
+  void nameParameterIsUrlDecoded() throws Exception {
     HttpResponse<String> reply =
         post(
             "?name=n%201",
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void otherQueryNamesNobody() throws Exception {
+  void queryWithoutNameParameterHasNoName() throws Exception {
     HttpResponse<String> reply =
         post(
             "?who=n1",
@@ -88,17 +88,17 @@
   }
 
   @Test
-  void failedActionIsABadRequestWithItsMessage() throws Exception {
+  void failedActionReturnsBadRequestWithItsMessage() throws Exception {
     HttpResponse<String> reply =
         post(
             "",
             (name, response) ->
-                response.completeExceptionally(new IllegalArgumentException("a name is wanted")));
-    assertReply(400, "{\"fault\":\"a name is wanted\"}", reply);
+                response.completeExceptionally(new IllegalArgumentException("a name is required")));
+    assertReply(400, "{\"fault\":\"a name is required\"}", reply);
   }
 
   @Test
-  void otherMethodIsNotFoundAndRunsNothing() throws Exception {
+  void otherMethodReturnsNotFoundWithoutRunningTheAction() throws Exception {
     server.createContext(
         "/x",
         new ControlRequestHandler(
@@ -108,7 +108,7 @@
             (name, response) -> {
               throw new AssertionError("must not run");
             }));
-    assertReply(404, "{\"fault\":\"POST is wanted here\"}", send("GET", ""));
+    assertReply(404, "{\"fault\":\"unsupported method; use POST\"}", send("GET", ""));
   }
 
   @Test
@@ -116,8 +116,8 @@
     HttpResponse<String> reply = post("", (name, response) -> {});
     assertReply(
         504,
-        "{\"fault\":\"no answer in 1 s: no leader, or this gateway is cut off;"
-            + " it may still be done\"}",
+        "{\"fault\":\"no result within 1 s: there is no leader, or this gateway is partitioned from"
+            + " it; the request may still take effect\"}",
         reply);
   }
 }
