--- a/gateway/src/main/java/weldcross/config/GatewayConfig.java
+++ b/gateway/src/main/java/weldcross/config/GatewayConfig.java
@@ -25,7 +25,8 @@
  * @param tenants names of the tenants that are served; empty for all tenants
  * @param zones names of the zones in the order of their numbers
  * @param gossipListenAddress address on which gossip datagrams are received; null without gossip
- * @param gossipTargetAddress address that reaches all other gateways; null without gossip
+ * @param gossipTargetAddress address to which each gossip datagram is sent once, and from which the
+ *     network or a relay must deliver it to all other gateways; null without gossip
  * @param serverIdleTimeout idle timeout after which a server closes a connection
  * @param connectTimeout timeout for connecting to a server
  * @param drainGracePeriod time within which requests to a draining server must end
@@ -82,7 +83,8 @@
 
   /**
    * Returns a copy of this configuration with ephemeral loopback ports, the given discovery, and
-   * the given servers as one replica group.
+   * the given servers as one replica group. Gossip is sent to the discovery's port, where nothing
+   * receives datagrams, as there are no other gateways.
    *
    * @param discoveryPort loopback port of the discovery
    * @param serverPorts loopback ports of the servers
@@ -110,6 +112,7 @@
         endpointList(serverPorts));
   }
 
+  /** Returns an endpoint list with one replica group, which the list calls a cell. */
   private static ConfigValues endpointList(int... serverPorts) {
     List<String> pairs = new ArrayList<>();
     pairs.add("revision=0");
@@ -127,7 +130,8 @@
 
   /**
    * Returns the keys whose values differ and take effect only after a restart. The seed and the
-   * last known endpoints are not compared, because they are used only at startup.
+   * last known endpoints are not compared: they are used only at startup, so a running gateway does
+   * not need their new values. The discovery address takes effect without a restart.
    *
    * @param next the newly read configuration
    */
@@ -142,6 +146,7 @@
     return keys;
   }
 
+  /** Returns the components read from the subtree "settings", which is reported as a whole. */
   private List<Object> settings() {
     return List.of(
         routing,
@@ -171,9 +176,9 @@
             .append(describe(discoveryAddress))
             .append(", ")
             .append(lastKnownEndpoints.count("members"))
-            .append(" servers known, ")
+            .append(" servers in the last known list, at most ")
             .append(maxDescriptors)
-            .append(" descriptors, one of ")
+            .append(" file descriptors, one of ")
             .append(routing.gateways())
             .append(" gateways");
     for (int index = 0; index < requestClassNames.size(); index++) {
