--- a/gateway/src/main/java/weldcross/discovery/EndpointListLease.java
+++ b/gateway/src/main/java/weldcross/discovery/EndpointListLease.java
@@ -7,12 +7,13 @@
  * discovery is requested. Makes decisions only; {@code weldcross.gateway.DiscoveryWatcher} does the
  * I/O.
  *
- * <p>A drain takes effect on a gateway even if its notice was never received. Every change that
- * discovery knows is considered delivered at the latest {@link #NOTICE_DEADLINE} after the request
- * that should have returned it. If no request is open, a change known to a local agent is
- * considered delivered immediately. Until then, and during the grace period in which requests to a
- * draining server end, the list is certain to have every drain that is in effect. After that, no
- * server is known to accept requests.
+ * <p>A drain takes effect on a gateway even if no response that lists it was received. The
+ * discovery protocol considers every change that discovery knows delivered at the latest {@link
+ * #NOTICE_DEADLINE} after the request that should have returned it. If no request is open, it
+ * considers a change known to a local agent delivered immediately. Requests to a draining server
+ * must end within a grace period after the delivery. Until the deadline of the open request, or
+ * until no request is open, and during the grace period that follows, the list is certain to have
+ * every drain that is in effect. After the grace period, no server is known to accept requests.
  *
  * <p>Discovery has one of two forms. Either it is an agent on the gateway's host, which responds
  * immediately, or it is polled: one service shared by all gateways, which queues requests and
@@ -24,9 +25,11 @@
 public final class EndpointListLease {
 
   /**
-   * A change that discovery knows, and could be requested, is considered delivered after this time,
-   * whatever the outcome of the requests. Set by the protocol, which allows more to a watch with a
-   * longer wait, unless that watch was abandoned.
+   * A change that discovery knows and that a request could have returned is considered delivered
+   * this long after the request, whatever its outcome. Set by the protocol. For an open watch, the
+   * limit is its wait plus {@link #MAX_QUEUE_TIME} if that is longer, see {@link #renew}; for a
+   * watch of the shared service that ended without a response, it is this time again, see {@link
+   * #disconnected}.
    */
   private static final Duration NOTICE_DEADLINE = Duration.ofSeconds(6);
 
@@ -59,7 +62,7 @@
 
   private Duration lastResponseAt;
 
-  /** When the lease would expire if only the last response counted. */
+  /** When the lease would expire if only the last response, complete or started, counted. */
   private Duration expiryByResponse;
 
   /** Whether the lease runs from the last response because discovery is down. */
@@ -84,7 +87,8 @@
    * Returns how long a watch may wait for changes. With an agent, the wait is short enough that a
    * watch without a response is noticed, and the list requested again, well before the changes it
    * missed are considered delivered. With the shared service, it is the interval between two polls,
-   * as the changes that a watch misses are considered delivered only after its wait.
+   * so that the service is requested only once per interval. So long a wait is safe there, because
+   * the changes that an open watch misses are considered delivered only after its wait.
    *
    * @param maxPollInterval longest time that a gateway without a watch may go without a request
    * @param polled whether discovery is one service that all gateways poll
@@ -158,10 +162,11 @@
 
   /**
    * Records that discovery is down: it did not respond to a request to which an agent with a list
-   * responds immediately, although everything that had arrived was read. An agent that is down
-   * receives no changes, so only the changes missed by an earlier watch without a response can be
-   * outstanding, and the lease runs as if counted from the last response. A lease that has expired
-   * is not revived, as the agent may have received changes while no request could be sent.
+   * responds immediately, and the gateway has read all its input, so the response is not merely
+   * unread. An agent that is down receives no changes, so only the changes missed by an earlier
+   * watch without a response can be outstanding, and the lease runs as if counted from the last
+   * response. A lease that has expired is not revived: before this request, while the gateway could
+   * not send one, the agent may have been up and have received changes.
    */
   public void discoveryDown(Duration now) {
     if (!polled && isValid(now)) {
@@ -171,7 +176,8 @@
   }
 
   /**
-   * Records that no request was open to which discovery could respond. With the shared service, a
+   * Records that no request was open to which discovery could respond. With an agent, the lease
+   * ends a grace period after {@code since} unless it ends earlier. With the shared service, a
    * request that received no response before it ended may have missed earlier changes as well, so
    * the lease then runs from the last response, without the extra time of an open watch.
    *
--- a/gateway/src/test/java/weldcross/discovery/EndpointListLeaseTest.java
+++ b/gateway/src/test/java/weldcross/discovery/EndpointListLeaseTest.java
@@ -56,7 +56,7 @@
    * Discovery that is down receives no changes, but the last watch may have missed earlier ones.
    */
   @Test
-  void discoveryDownExtendsLeaseUntilMissedChangesCount() {
+  void discoveryDownExtendsLeaseUntilMissedChangesAreDelivered() {
     EndpointListLease lease = new EndpointListLease(ms(500), false);
     lease.renew(ms(1_000), ms(1_500));
     lease.disconnected(ms(3_500));
@@ -112,7 +112,7 @@
    * the last response.
    */
   @Test
-  void polledLeaseExpiresSixSecondsAndGracePeriodAfterLastResponse() {
+  void disconnectedPolledLeaseExpiresSixSecondsAndGracePeriodAfterLastResponse() {
     EndpointListLease lease = new EndpointListLease(ms(2_000), true);
     lease.renew(ms(1_000), ms(10_000));
     assertEquals(
