--- a/gateway/src/main/java/weldcross/pgwire/ServerResponse.java
+++ b/gateway/src/main/java/weldcross/pgwire/ServerResponse.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The part of a server's response to one query that has arrived. The messages of its row are kept
- * unchanged and forwarded to the client in that form.
+ * The part of a server's response to one query that has arrived. The row description, the row and
+ * CommandComplete are kept unchanged and forwarded to the client in that form.
  */
 public final class ServerResponse {
 
@@ -39,8 +39,8 @@
   ServerResponse() {}
 
   /**
-   * Rejects a header that is invalid in a response, as a wrong length would consume bytes of the
-   * messages that follow.
+   * Rejects a header that is invalid in a response or at the start of a session, as a wrong length
+   * would consume bytes of the messages that follow.
    */
   static void checkHeader(byte type, int length) throws ProtocolException {
     boolean valid =
@@ -51,7 +51,8 @@
           default -> false;
         };
     if (!valid) {
-      throw violation("message of type " + type + " and length " + length + " from a server");
+      throw violation(
+          "invalid type or length of a message from a server: " + describe(type) + ", " + length);
     }
   }
 
@@ -61,7 +62,13 @@
     int valueLength = message.getInt(VALUE_LENGTH_OFFSET);
     if (columns != 1 || valueLength != size - ROW_HEADER_SIZE) {
       throw violation(
-          "row of " + columns + " columns with a value of " + valueLength + " bytes in " + size);
+          "row of "
+              + columns
+              + " columns with a value of "
+              + valueLength
+              + " bytes in a message of "
+              + size
+              + " bytes, expected one column whose value fills the message");
     }
   }
 
@@ -69,21 +76,21 @@
   boolean add(byte type, ByteBuffer message) throws ProtocolException {
     switch (type) {
       case 'T' -> {
-        requireOrder(rowDescription == null && sqlState == null);
+        requireOrder(type, rowDescription == null && sqlState == null);
         checkRowDescription(message);
         rowDescription = message;
       }
       case 'D' -> {
-        requireOrder(rowDescription != null && row == null && sqlState == null);
+        requireOrder(type, rowDescription != null && row == null && sqlState == null);
         checkRow(message, message.limit());
         row = message;
       }
       case 'C' -> {
-        requireOrder(row != null && commandComplete == null && sqlState == null);
+        requireOrder(type, row != null && commandComplete == null && sqlState == null);
         commandComplete = message;
       }
       case 'E' -> {
-        requireOrder(sqlState == null);
+        requireOrder(type, sqlState == null);
         sqlState = readSqlState(message);
       }
       case 'S' -> readParameter(message);
@@ -92,20 +99,25 @@
       }
       case 'Z' -> {
         boolean ended = sqlState != null || commandComplete != null;
-        requireOrder(message.get(HEADER_SIZE) == 'I' && ended);
+        requireOrder(type, message.get(HEADER_SIZE) == 'I' && ended);
         return true;
       }
-      default -> throw violation("message of type " + (char) type + " from a server");
+      default -> throw violation("message of type " + describe(type) + " in a response");
     }
     return false;
   }
 
-  private static void requireOrder(boolean inOrder) throws ProtocolException {
+  private static void requireOrder(byte type, boolean inOrder) throws ProtocolException {
     if (!inOrder) {
-      throw violation("message in unexpected order from a server");
+      throw violation("message of type " + describe(type) + " in unexpected order from a server");
     }
   }
 
+  /** Returns the message type for the log: the character, or the number if it is not printable. */
+  private static String describe(byte type) {
+    return type > ' ' && type <= '~' ? String.valueOf((char) type) : String.valueOf(type);
+  }
+
   private static void checkRowDescription(ByteBuffer message) throws ProtocolException {
     if (message.limit() < COLUMN_NAME_OFFSET
         || message.getShort(COLUMN_COUNT_OFFSET) != 1
@@ -131,8 +143,8 @@
   }
 
   /**
-   * Returns the messages for the client: the row unchanged, then ReadyForQuery. Must be called only
-   * if {@link #isComplete}.
+   * Returns the messages for the client: the row description, the row and CommandComplete
+   * unchanged, then ReadyForQuery. Must be called only if {@link #isComplete}.
    */
   public ByteBuffer[] toClientMessages() {
     return new ByteBuffer[] {rowDescription, row, commandComplete, MessageEncoder.readyForQuery()};
