--- a/gateway/src/test/java/weldcross/pgwire/ClientMessageDecoderTest.java
+++ b/gateway/src/test/java/weldcross/pgwire/ClientMessageDecoderTest.java
@@ -23,7 +23,18 @@
 
 class ClientMessageDecoderTest {
 
-  /** Records the decoded messages as text. */
+  private static final int CANCEL_REQUEST = 80877102;
+  private static final int SSL_REQUEST = 80877103;
+  private static final int GSSENC_REQUEST = 80877104;
+  private static final int PROTOCOL_VERSION_2 = 2 << 16;
+
+  /** More bytes than the header of a query, fewer than the query. */
+  private static final int FRAGMENT_SIZE = 9;
+
+  /** Timeout for encoding a decoded statement; its value does not matter. */
+  private static final int ANY_TIMEOUT_MILLIS = 77;
+
+  /** Records the decoded messages as text; of an encoded statement only the hash, to be short. */
   private static final class RecordingSink implements ClientMessageDecoder.Sink {
     final List<String> events = new ArrayList<>();
     int startedMessages;
@@ -48,7 +59,7 @@
               + " "
               + statement.isWrite()
               + " "
-              + text(statement.withTimeout(77)).hashCode());
+              + text(statement.withTimeout(ANY_TIMEOUT_MILLIS)).hashCode());
     }
 
     @Override
@@ -86,19 +97,21 @@
   @Test
   void cancelRequestIsDecodedOnlyIfComplete() {
     byte[] cancel =
-        ByteBuffer.allocate(16).putInt(16).putInt(80877102).putInt(7).putInt(-9).array();
+        ByteBuffer.allocate(16).putInt(16).putInt(CANCEL_REQUEST).putInt(7).putInt(-9).array();
     assertEquals(List.of("cancel 7 -9"), decode(bytes(cancel, query("")), null));
     assertEquals(List.of("cancel 7 -9"), decode(cancel, new SplittableRandom(1)));
     assertEquals(
-        List.of("terminated"), decode(untyped(80877102), null), "no process ID and secret key");
+        List.of("terminated"),
+        decode(untyped(CANCEL_REQUEST), null),
+        "no process ID and secret key");
   }
 
   @Test
   void decodingDoesNotDependOnFragmentation() {
     byte[] stream =
         bytes(
-            untyped(80877103),
-            untyped(80877104),
+            untyped(SSL_REQUEST),
+            untyped(GSSENC_REQUEST),
             startup(),
             query(READ),
             query(""),
@@ -122,11 +135,11 @@
     ClientMessageDecoder decoder = new ClientMessageDecoder(sink);
     decoder.feed(ByteBuffer.wrap(startup()));
     assertEquals(0, sink.startedMessages);
-    for (int offset = 0; offset < 9; offset++) {
+    for (int offset = 0; offset < FRAGMENT_SIZE; offset++) {
       decoder.feed(ByteBuffer.wrap(query(READ), offset, 1));
     }
     assertEquals(1, sink.startedMessages);
-    decoder.feed(ByteBuffer.wrap(query(READ), 9, query(READ).length - 9));
+    decoder.feed(ByteBuffer.wrap(query(READ), FRAGMENT_SIZE, query(READ).length - FRAGMENT_SIZE));
     decoder.feed(ByteBuffer.wrap(query(READ), 0, 50));
     assertEquals(2, sink.startedMessages);
   }
@@ -175,8 +188,8 @@
           List.of("startup", "error 0A000"),
           decode(bytes(startup(), message(extended, "\0")), null));
     }
-    assertEquals(List.of("error 0A000"), decode(untyped(2 << 16), null));
-    assertEquals(List.of("terminated"), decode(untyped(80877102), null));
+    assertEquals(List.of("error 0A000"), decode(untyped(PROTOCOL_VERSION_2), null));
+    assertEquals(List.of("terminated"), decode(untyped(CANCEL_REQUEST), null));
     assertEquals(List.of("error 08P01"), decode(new byte[] {0, 0, 0, 4}, null));
   }
 
