--- a/gateway/src/main/java/weldcross/gateway/Gateway.java
+++ b/gateway/src/main/java/weldcross/gateway/Gateway.java
@@ -406,7 +406,7 @@
    * Does nothing: {@link DiscoveryWatcher} watches the list from the start, also after failures.
    */
   @Override
-  public void watchEndpointList() {}
+  public void requestEndpointList() {}
 
   @Override
   public void scheduleTick(Duration when) {
--- a/gateway/src/main/java/weldcross/routing/Durations.java
+++ b/gateway/src/main/java/weldcross/routing/Durations.java
@@ -9,7 +9,7 @@
 
   private Durations() {}
 
-  /** Returns the later of two times. Null means never, and is returned only if both are null. */
+  /** Returns the later of two times. Null is earlier than any time. */
   static Duration later(Duration first, Duration second) {
     return first == null || (second != null && second.compareTo(first) > 0) ? second : first;
   }
--- a/gateway/src/main/java/weldcross/routing/EndpointRegistry.java
+++ b/gateway/src/main/java/weldcross/routing/EndpointRegistry.java
@@ -160,7 +160,7 @@
   void pollIfDue(Duration now) {
     if (nextPollAt != null && now.compareTo(nextPollAt) >= 0) {
       nextPollAt = null;
-      actions.watchEndpointList();
+      actions.requestEndpointList();
     }
   }
 
--- a/gateway/src/main/java/weldcross/routing/Router.java
+++ b/gateway/src/main/java/weldcross/routing/Router.java
@@ -60,7 +60,7 @@
         new EndpointSelector(
             registry, retryPolicy, outliers, limiter, slowStart, consistency, healthChecker);
     if (config.pollEndpointList()) {
-      actions.watchEndpointList();
+      actions.requestEndpointList();
     }
     actions.scheduleTick(TICK_INTERVAL);
   }
@@ -110,8 +110,8 @@
   }
 
   /**
-   * Handles the failure of a request for the endpoint list. The notification does not identify the
-   * request, so the watch is requested again, with backoff.
+   * Handles the failure of a request for the endpoint list. As it is unknown which request failed,
+   * the list is requested again, with backoff.
    */
   public void endpointListFailed(Duration now) {
     registry.recordListFailure(now);
@@ -135,6 +135,8 @@
             random.nextDouble());
     requests.put(request.id, request);
     timers.schedule(request.firstSendDeadline, at -> giveUpIf(request, request.attempts.isEmpty()));
+    // An idempotent request is given up even with an attempt in flight, as its client can safely
+    // retry it. Any other one waits for the attempt, without which its outcome would be unknown.
     timers.schedule(
         request.sendDeadline,
         at -> giveUpIf(request, request.attemptsInFlight == 0 || request.isIdempotent()));
@@ -183,12 +185,18 @@
     dispatchQueue(now, endpoint.group);
   }
 
+  /**
+   * Records the role that the answer reports. That the server is the primary is valid as of its
+   * replication position; the answer to a write has the commit position of the write instead, so
+   * there, and without a position, it is valid as of the sending of the attempt. For a replica, the
+   * reported position is recorded.
+   */
   private static void recordRole(Duration now, Attempt attempt, AttemptResult result) {
     boolean primary = result.primary();
     Duration position = result.position();
-    Duration asOf =
-        position != null && !attempt.request().isWrite() ? position : now.minus(result.elapsed());
-    PrimaryTracker.recordAnswer(now, attempt.endpoint(), primary ? asOf : position, primary);
+    boolean hasServerPosition = position != null && !attempt.request().isWrite();
+    Duration primaryAsOf = hasServerPosition ? position : now.minus(result.elapsed());
+    PrimaryTracker.recordAnswer(now, attempt.endpoint(), primary ? primaryAsOf : position, primary);
   }
 
   private static void removeFromFlight(Attempt attempt, AttemptOutcome outcome) {
@@ -204,7 +212,8 @@
     limiter.recordOutcome(now, attempt, outcome, elapsed);
     int classIndex = attempt.request().classIndex;
     boolean success = outcome == AttemptOutcome.OK;
-    // A higher rank only matters between equally busy endpoints, so one bad answer suffices.
+    // A lower rank is preferred, but only among equally busy endpoints, so that a single bad answer
+    // may raise the rank.
     if (outcome == AttemptOutcome.ERROR
         || outcome == AttemptOutcome.UNREACHABLE
         || (success && latency.isSlow(classIndex, elapsed))) {
@@ -344,7 +353,8 @@
 
   /**
    * Sends a hedged attempt to a second endpoint, in case the first one hangs or its answer was
-   * lost.
+   * lost. Without parallel attempts, cancels the first attempt instead, so that the request is
+   * retried when the attempt has ended.
    */
   private void hedge(Duration now, Attempt overdue) {
     RequestState request = overdue.request();
@@ -352,6 +362,7 @@
       return;
     }
     route(now, request);
+    // One hedge if route has sent a second attempt, otherwise none.
     retryPolicy.recordHedges(request.attemptsInFlight - 1);
     if (!config.parallelAttempts() && config.cancellation()) {
       retryPolicy.recordHedges(1);
@@ -360,8 +371,10 @@
   }
 
   /**
-   * Retries a request that has no attempt in flight, at once if there is an untried member,
-   * otherwise after a pause.
+   * Retries a request that has no attempt in flight: at once if there is an untried member, or if a
+   * write was sent to a server that does not serve writes, so that the search for the primary
+   * continues without offering the write to the same members again; otherwise from the queue, with
+   * all members eligible again.
    */
   private void retry(Duration now, RequestState request, AttemptOutcome outcome) {
     if (now.compareTo(request.sendDeadline) >= 0 || !retryPolicy.maySend(now, request)) {
--- a/gateway/src/main/java/weldcross/routing/RouterActions.java
+++ b/gateway/src/main/java/weldcross/routing/RouterActions.java
@@ -42,8 +42,8 @@
    */
   void endpointRemoved(ServerId server);
 
-  /** Watches the endpoint list for changes from now on. */
-  void watchEndpointList();
+  /** Requests the endpoint list and its changes from now on. */
+  void requestEndpointList();
 
   /** Schedules {@link Router#tick}. There is one periodic timer. */
   void scheduleTick(Duration at);
--- a/gateway/src/main/java/weldcross/simulator/SimulatorActions.java
+++ b/gateway/src/main/java/weldcross/simulator/SimulatorActions.java
@@ -101,7 +101,7 @@
   }
 
   @Override
-  public void watchEndpointList() {
+  public void requestEndpointList() {
     beginLine("OBSERVE").append("1\n");
   }
 
--- a/gateway/src/test/java/weldcross/routing/DurationsTest.java
+++ b/gateway/src/test/java/weldcross/routing/DurationsTest.java
@@ -12,7 +12,7 @@
   private static final Duration TWO = Duration.ofMillis(2);
 
   @Test
-  void laterTreatsNullAsNever() {
+  void laterIgnoresNull() {
     assertEquals(TWO, Durations.later(ONE, TWO));
     assertEquals(TWO, Durations.later(TWO, ONE));
     assertEquals(ONE, Durations.later(null, ONE));
--- a/gateway/src/test/java/weldcross/routing/EndpointRegistryTest.java
+++ b/gateway/src/test/java/weldcross/routing/EndpointRegistryTest.java
@@ -77,12 +77,12 @@
             RoutingConfigs.withWrites(
                 Idempotency.NON_IDEMPOTENT, DeduplicationScope.GROUP, true, true, true),
             1);
-    assertEquals(1, harness.watchCalls);
+    assertEquals(1, harness.endpointListRequests);
     for (int i = 0; i < 8; i++) {
       harness.router.endpointListFailed(harness.now);
       harness.advance(harness.config.maxPollInterval());
     }
-    assertEquals(9, harness.watchCalls);
+    assertEquals(9, harness.endpointListRequests);
   }
 
   @Test
@@ -139,10 +139,10 @@
     RouterComponents components = new RouterComponents(1);
     components.registry.recordListFailure(ms(0));
     components.registry.pollIfDue(ms(499));
-    assertEquals(0, components.watchCalls);
+    assertEquals(0, components.endpointListRequests);
     components.registry.pollIfDue(ms(1000));
     components.registry.pollIfDue(ms(5000));
-    assertEquals(1, components.watchCalls);
+    assertEquals(1, components.endpointListRequests);
   }
 
   @Test
--- a/gateway/src/test/java/weldcross/routing/RouterComponents.java
+++ b/gateway/src/test/java/weldcross/routing/RouterComponents.java
@@ -41,7 +41,7 @@
   final List<ServerId> healthChecks = new ArrayList<>();
   final List<ServerId> gossiped = new ArrayList<>();
   final List<ServerId> removed = new ArrayList<>();
-  int watchCalls;
+  int endpointListRequests;
 
   /** Lists the given number of active servers, without start times. */
   RouterComponents(int memberCount) {
@@ -116,8 +116,8 @@
   }
 
   @Override
-  public void watchEndpointList() {
-    watchCalls++;
+  public void requestEndpointList() {
+    endpointListRequests++;
   }
 
   @Override
--- a/gateway/src/test/java/weldcross/routing/RouterHarness.java
+++ b/gateway/src/test/java/weldcross/routing/RouterHarness.java
@@ -79,7 +79,7 @@
   Duration now = Duration.ZERO;
   Duration tickAt;
   Duration timerAt;
-  int watchCalls;
+  int endpointListRequests;
   int timerCalls;
   int removedCalls;
   private boolean endpointListValid = true;
@@ -427,8 +427,8 @@
   }
 
   @Override
-  public void watchEndpointList() {
-    watchCalls++;
+  public void requestEndpointList() {
+    endpointListRequests++;
   }
 
   @Override
