--- a/gateway/src/main/java/weldcross/simulator/SimulatorMessageParser.java
+++ b/gateway/src/main/java/weldcross/simulator/SimulatorMessageParser.java
@@ -14,7 +14,12 @@
 import weldcross.routing.SessionId;
 import weldcross.routing.ZoneId;
 
-/** Parses lines of the simulator protocol. */
+/**
+ * Parses lines of the simulator protocol. The endpoint list is sent in pages: a ROSTER line starts
+ * a page, and its rows follow; a DIRECTORY_UPDATE event then refers to the page by its number. The
+ * comments on the parsing methods list the fields of a line in order, starting with field 1; a
+ * field in parentheses is not used.
+ */
 final class SimulatorMessageParser {
 
   private static final int CONFIG_FIELD = 3;
@@ -66,11 +71,13 @@
               ? new SimulatorMessage.Tick(line.integer(1))
               : new SimulatorMessage.TimerDue(line.integer(1));
       case "INBOX" -> gossip(line);
+      // Fields: instance, request. Not needed, as the router itself tracks its requests.
       case "UNDER_WAY" -> new SimulatorMessage.Ignored(line.integer(1));
       default -> throw line.error("unknown message type");
     };
   }
 
+  /** Fields of INIT: instance, seed, then keys and values of the configuration. */
   private static SimulatorMessage start(ProtocolLine line) {
     try {
       ConfigValues config = ConfigValues.ofPairs(line.fields(), CONFIG_FIELD);
@@ -81,6 +88,7 @@
     }
   }
 
+  /** Fields of DIRECTORY_UPDATE: instance, kind, (unused), page. */
   private static SimulatorMessage endpointList(ProtocolLine line) {
     return switch (line.field(2)) {
       case "failed" -> new SimulatorMessage.EndpointListFailed(line.integer(1));
@@ -90,6 +98,10 @@
     };
   }
 
+  /**
+   * Fields of ARRIVAL: instance, request, milliseconds since the last write of the session,
+   * (unused), request class, timeout in microseconds, session, replica group, (unused), flags.
+   */
   private static SimulatorMessage requestArrival(ProtocolLine line) {
     int flags = line.isAbsent(10) ? 0 : line.integer(10);
     return new SimulatorMessage.RequestArrival(
@@ -103,6 +115,10 @@
         (flags & CLIENT_RETRY_BIT) != 0);
   }
 
+  /**
+   * Fields of SETTLED: instance, request, server, elapsed microseconds, server state, outcome,
+   * attempt number, whether the client has received its final response, load report.
+   */
   private static SimulatorMessage attemptEnd(ProtocolLine line) {
     long serverState = line.isAbsent(5) ? 0 : line.longInteger(5);
     long role = serverState & ROLE_MASK;
@@ -120,6 +136,7 @@
         line.isAbsent(9) ? null : line.field(9));
   }
 
+  /** Fields of ECHO: instance, (unused), outcome, server, load report. */
   private static SimulatorMessage healthCheckEnd(ProtocolLine line) {
     AttemptOutcome outcome =
         line.field(3).equals("pass") ? AttemptOutcome.OK : AttemptOutcome.TIMED_OUT;
@@ -130,6 +147,7 @@
         line.isAbsent(5) ? null : line.field(5));
   }
 
+  /** Fields of INBOX: instance, (unused), gossip message in hex. */
   private static SimulatorMessage gossip(ProtocolLine line) {
     ServerId server = gossipedServer(line.field(3));
     return server == null
@@ -167,7 +185,8 @@
   }
 
   /**
-   * Parses a row of an endpoint page.
+   * Parses a row of an endpoint page. Fields of ROW: server, zone, (unused), replica group, status,
+   * (unused), start time of the server process in microseconds, whether it is the primary.
    *
    * @throws SimulatorProtocolException if the row is malformed
    */
