--- a/gateway/src/main/java/weldcross/cli/ClusterCommand.java
+++ b/gateway/src/main/java/weldcross/cli/ClusterCommand.java
@@ -49,10 +49,7 @@
         names = "--at",
         paramLabel = "HOST:PORT",
         required = true,
-        description = {
-          "Control address of the gateway: the key listen of the table [control] in the file",
-          "that was given to serve --with."
-        })
+        description = "Control address of the gateway, as in its extensions file.")
     private String address;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -74,13 +71,6 @@
     PrintWriter out() {
       return spec.commandLine().getOut();
     }
-
-    /** Prints the membership phase in a response; the requested change may not be complete yet. */
-    void printPhase(String response) {
-      String phase = ControlClient.parse(response).text("phase");
-      out()
-          .println("membership phase: " + phase + "; the status shows when the change is complete");
-    }
   }
 
   private static List<String> statusLines(String json) {
@@ -151,8 +141,8 @@
       description = {
         "Removes a gateway from the agreed view on your confirmation that it has ended.",
         "If it is still running, requests in progress may be executed twice: by it and by the",
-        "gateway that takes over. A gateway that announced its shutdown, or whose address refuses",
-        "connections, is removed automatically; this command is needed only for an unreachable one."
+        "gateway that takes over. A gateway that is proven to have ended is removed automatically;",
+        "this command is needed only for an unreachable one."
       })
   static final class Forget extends ControlCommand {
 
@@ -195,7 +185,8 @@
     @Override
     int run(ControlClient client)
         throws ControlClient.RequestFailedException, InterruptedException {
-      printPhase(client.request("POST", STATUS_PATH + "/leave"));
+      String response = client.request("POST", STATUS_PATH + "/leave");
+      out().println(ControlClient.parse(response).text("phase"));
       return ExitStatus.OK;
     }
   }
@@ -209,7 +200,8 @@
     @Override
     int run(ControlClient client)
         throws ControlClient.RequestFailedException, InterruptedException {
-      printPhase(client.request("POST", STATUS_PATH + "/join"));
+      String response = client.request("POST", STATUS_PATH + "/join");
+      out().println(ControlClient.parse(response).text("phase"));
       return ExitStatus.OK;
     }
   }
