--- a/chaos/src/main/java/weldcross/chaos/history/ChaosRunResult.java
+++ b/chaos/src/main/java/weldcross/chaos/history/ChaosRunResult.java
@@ -6,7 +6,8 @@
 import weldcross.chaos.scenario.Scenario;
 
 /**
- * Result of a chaos run.
+ * Result of a chaos run. The JSON names differ from the component names, because they are kept as
+ * earlier versions wrote them, so that stored results stay readable.
  *
  * @param scenario the scenario with all faults, including the random ones
  * @param seed seed of the run
--- a/chaos/src/main/java/weldcross/chaos/history/GatewayLogs.java
+++ b/chaos/src/main/java/weldcross/chaos/history/GatewayLogs.java
@@ -37,6 +37,8 @@
             .forEach(line -> found.add(line + " [" + gateway + "]"));
       }
     }
+    // Each line starts with its time in ISO 8601 format, so text order is time order. Only a time
+    // without a fraction sorts after the other times of its second.
     found.sort(Comparator.naturalOrder());
     return found;
   }
--- a/chaos/src/main/java/weldcross/chaos/report/RunStore.java
+++ b/chaos/src/main/java/weldcross/chaos/report/RunStore.java
@@ -15,7 +15,9 @@
 /** Stores the result of a run as JSON in the run directory, so that it can be checked again. */
 public final class RunStore {
 
+  /** Kept as earlier versions named the file, so that their results stay readable. */
   private static final String FILE_NAME = "trial.json";
+
   private static final ObjectMapper MAPPER = mapper();
 
   private RunStore() {}
