--- a/gateway/src/main/java/weldcross/mesh/OutboundConnections.java
+++ b/gateway/src/main/java/weldcross/mesh/OutboundConnections.java
@@ -85,7 +85,7 @@
   // ---- Sending
 
   /** As {@link PeerConnectionManager#send}. */
-  boolean send(Duration now, PeerName peer, int subject, ByteBuffer content, boolean droppable) {
+  boolean send(Duration now, PeerName peer, int subject, ByteBuffer content, boolean dropOldest) {
     OutboundConnection connection = byPeer.get(peer);
     int size = content.remaining();
     if (connection == null || size > MeshConfig.MAX_MESSAGE_BYTES) {
@@ -97,8 +97,8 @@
       transport.sendMessage(connection.id(), subject, content);
       return true;
     }
-    boolean queued = queue.offer(new SendQueue.QueuedMessage(subject, content), droppable);
-    if (!queued && connection.isUp() && !droppable) {
+    boolean queued = queue.offer(new SendQueue.QueuedMessage(subject, content), dropOldest);
+    if (!queued && connection.isUp() && !dropOldest) {
       closeAndBackOff(now, connection, DisconnectReason.QUEUE_FULL);
     }
     return queued;
--- a/gateway/src/main/java/weldcross/mesh/PeerConnectionManager.java
+++ b/gateway/src/main/java/weldcross/mesh/PeerConnectionManager.java
@@ -87,20 +87,22 @@
    * Sends a message to a peer, in order after earlier ones, or queues it until the connection is up
    * and can take it.
    *
-   * @param droppable if true and the queue is full, the oldest queued messages are dropped to make
-   *     room. If false, a full queue closes the connection, so that the loss is reported by {@link
+   * @param dropOldest if true and the queue is full, the oldest queued messages are dropped to make
+   *     room for this one, also those that were sent with false. If false, this message is not
+   *     accepted, and the connection is closed if it is up, so that the loss is reported by {@link
    *     PeerConnectionListener#connectionDown}
    * @return false if the message was not accepted: the peer is not configured, the content is
    *     longer than {@link MeshConfig#MAX_MESSAGE_BYTES}, the queue is full, or this gateway is
    *     shutting down
    */
   public boolean send(
-      Duration now, PeerName peer, int subject, ByteBuffer content, boolean droppable) {
+      Duration now, PeerName peer, int subject, ByteBuffer content, boolean dropOldest) {
     if (shuttingDown) {
       return false;
     }
-    boolean accepted = outbound.send(now, peer, subject, content, droppable);
+    boolean accepted = outbound.send(now, peer, subject, content, dropOldest);
     if (!accepted) {
+      // A full queue may have closed the connection, which is reopened after a backoff.
       scheduleNextTimer(now);
     }
     return accepted;
@@ -161,7 +163,12 @@
     scheduleNextTimer(now);
   }
 
-  /** The peer rejected the handshake; this gateway retries with increasing backoff. */
+  /**
+   * The peer rejected the handshake; this gateway retries with increasing backoff.
+   *
+   * @param knownIncarnation number of this gateway's latest incarnation known to the peer; 0 unless
+   *     the reason is {@link HandshakeRejection#STALE_INCARNATION}
+   */
   public void onHandshakeRejection(
       Duration now, long connection, HandshakeRejection reason, long knownIncarnation) {
     if (!outbound.isOpen(connection)) {
@@ -169,9 +176,11 @@
     }
     outbound.fail(now, connection, DisconnectReason.HANDSHAKE_REJECTED);
     scheduleNextTimer(now);
-    boolean outdated =
+    // The peer rejects an equal number only from another process: stored data was lost, and the
+    // number was assigned twice.
+    boolean numberAlreadyUsed =
         localIncarnation.isPresent() && knownIncarnation >= localIncarnation.get().number();
-    if (reason == HandshakeRejection.STALE_INCARNATION && outdated) {
+    if (reason == HandshakeRejection.STALE_INCARNATION && numberAlreadyUsed) {
       listener.localIncarnationOutdated(knownIncarnation);
     }
   }
--- a/gateway/src/main/java/weldcross/mesh/SendQueue.java
+++ b/gateway/src/main/java/weldcross/mesh/SendQueue.java
@@ -48,11 +48,11 @@
   /**
    * Queues a message.
    *
-   * @param droppable whether the oldest queued messages are dropped to make room for this one
+   * @param dropOldest whether the oldest queued messages are dropped to make room for this one
    * @return false if the message was dropped because the queue is full
    */
-  boolean offer(QueuedMessage message, boolean droppable) {
-    while (droppable && !queue.isEmpty() && isFull(message.size())) {
+  boolean offer(QueuedMessage message, boolean dropOldest) {
+    while (dropOldest && !queue.isEmpty() && isFull(message.size())) {
       queuedBytes -= queue.poll().size();
       droppedCount++;
     }
--- a/gateway/src/main/java/weldcross/mesh/net/MeshExtension.java
+++ b/gateway/src/main/java/weldcross/mesh/net/MeshExtension.java
@@ -69,8 +69,8 @@
   }
 
   /** As {@link PeerConnectionManager#send}. */
-  public boolean send(PeerName peer, int subject, ByteBuffer content, boolean droppable) {
-    return connections.send(context.now(), peer, subject, content, droppable);
+  public boolean send(PeerName peer, int subject, ByteBuffer content, boolean dropOldest) {
+    return connections.send(context.now(), peer, subject, content, dropOldest);
   }
 
   /** As {@link PeerConnectionManager#sendDatagram}. */
--- a/gateway/src/main/java/weldcross/mesh/net/PeerSessionHandler.java
+++ b/gateway/src/main/java/weldcross/mesh/net/PeerSessionHandler.java
@@ -95,7 +95,15 @@
 
   @Override
   public void exceptionCaught(IoSession session, Throwable cause) {
-    LOG.fine(() -> "mesh: connection failed: reason=" + cause);
+    LOG.fine(
+        () ->
+            "mesh: connection failed: connection="
+                + session.getAttribute(CONNECTION)
+                + " address="
+                + session.getRemoteAddress()
+                + " reason="
+                + cause);
+    // This reason also stands for a failed read, such as a connection reset by the network.
     post(
         session,
         connection ->
--- a/gateway/src/test/java/weldcross/mesh/MeshExtensionTest.java
+++ b/gateway/src/test/java/weldcross/mesh/MeshExtensionTest.java
@@ -81,24 +81,31 @@
   }
 
   private static MeshConfig config(PeerName self, PeerName peer) {
+    Duration heartbeatInterval = Duration.ofMillis(50);
+    Duration heartbeatTimeout = Duration.ofSeconds(1);
+    Duration connectTimeout = Duration.ofMillis(500);
+    Duration minBackoff = Duration.ofMillis(20);
+    Duration maxBackoff = Duration.ofMillis(200);
+    int maxQueuedMessages = 1000;
+    int maxQueuedBytes = 8 << 20;
     return new MeshConfig(
         "c",
         self,
         List.of(peer),
-        Duration.ofMillis(50),
-        Duration.ofMillis(1000),
-        Duration.ofMillis(500),
-        Duration.ofMillis(20),
-        Duration.ofMillis(200),
-        1000,
-        8 << 20);
+        heartbeatInterval,
+        heartbeatTimeout,
+        connectTimeout,
+        minBackoff,
+        maxBackoff,
+        maxQueuedMessages,
+        maxQueuedBytes);
   }
 
   /** Records the events reported to one gateway. */
-  private final class RecordingListener implements PeerListener {
+  private final class EventRecorder implements PeerListener {
     private final PeerName self;
 
-    RecordingListener(PeerName self) {
+    EventRecorder(PeerName self) {
       this.self = self;
     }
 
@@ -126,7 +133,7 @@
             new PeerAddresses(address, Optional.of(address), addresses, addresses),
             directory.resolve(self.name()),
             1);
-    mesh.subscribe(SUBJECT, new RecordingListener(self));
+    mesh.subscribe(SUBJECT, new EventRecorder(self));
     StandaloneEventLoop loop = StandaloneEventLoop.start(self.name());
     loop.post(() -> mesh.start(loop));
     meshes.put(self, mesh);
@@ -196,13 +203,20 @@
         .build();
   }
 
+  /**
+   * A heartbeat before the handshake is ignored and its connection closed by the handshake timeout;
+   * all others are closed because of the frame itself.
+   */
   @Test
   void invalidFramesCloseOnlyTheirOwnConnection() throws IOException {
+    byte[] tooLargeLength = {0x7f, 0, 0, 0};
+    byte[] negativeLength = {(byte) 0xff, 0, 0, 0, 1};
+    byte[] undecodableBody = {0, 0, 0, 3, 9, 9, 9};
     byte[][] invalid = {
       "GET / HTTP/1.1\r\n\r\n".getBytes(UTF_8),
-      {0x7f, 0, 0, 0},
-      {(byte) 0xff, 0, 0, 0, 1},
-      {0, 0, 0, 3, 9, 9, 9},
+      tooLargeLength,
+      negativeLength,
+      undecodableBody,
       encodeFrame(Frame.newBuilder().setHeartbeat(1)),
       encodeFrame(Frame.newBuilder().setHandshakeResponse(HandshakeResponse.getDefaultInstance())),
       encodeFrame(Frame.newBuilder().setMessage(Message.newBuilder().setSubject(SUBJECT))),
--- a/gateway/src/test/java/weldcross/mesh/MeshSimulation.java
+++ b/gateway/src/test/java/weldcross/mesh/MeshSimulation.java
@@ -258,10 +258,10 @@
       manager.start(now, incarnation);
     }
 
-    void send(PeerName to, int size, boolean droppable) {
+    void send(PeerName to, int size, boolean dropOldest) {
       long number = sent.merge(to, 1L, Long::sum);
       ByteBuffer content = ByteBuffer.allocate(size).putLong(0, number);
-      manager.send(now, to, SUBJECT, content, droppable);
+      manager.send(now, to, SUBJECT, content, dropOldest);
     }
 
     void assertQueuesBounded() {
--- a/gateway/src/test/java/weldcross/mesh/OutboundConnectionsTest.java
+++ b/gateway/src/test/java/weldcross/mesh/OutboundConnectionsTest.java
@@ -49,8 +49,8 @@
     listener.events.clear();
   }
 
-  private boolean send(int size, boolean droppable) {
-    return connections.send(millis(1), PEER_NAME, 1, ByteBuffer.allocate(size), droppable);
+  private boolean send(int size, boolean dropOldest) {
+    return connections.send(millis(1), PEER_NAME, 1, ByteBuffer.allocate(size), dropOldest);
   }
 
   @Test
--- a/gateway/src/test/java/weldcross/mesh/SendQueueTest.java
+++ b/gateway/src/test/java/weldcross/mesh/SendQueueTest.java
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void droppableMessageReplacesTheOldest() {
+  void messageQueuedWithDropOldestReplacesTheOldest() {
     for (int k = 0; k < 4; k++) {
       assertTrue(queue.offer(message(k, 100), false));
     }
