--- a/gateway/src/main/java/weldcross/consensus/MembershipViewActions.java
+++ b/gateway/src/main/java/weldcross/consensus/MembershipViewActions.java
@@ -27,7 +27,7 @@
   void viewChanged(MembershipView view);
 
   /**
-   * Applies a changed share of the fleet's budgets.
+   * Applies a changed share of this gateway in the work of the whole fleet.
    *
    * @param share greater than 0 and at most 1
    */
@@ -39,7 +39,11 @@
   /** Reports the result of an operator's proposal that was committed. */
   void operatorProposalDecided(Proposal proposal, ProposalResult result);
 
-  /** Reports that this gateway has left the view, or that leaving has timed out. */
+  /**
+   * Reports that leaving has ended: this gateway has been removed from the view, or the timeout has
+   * expired and the view may still contain it. In both cases it sends no more periodic requests
+   * until {@link MembershipViewClient#join}.
+   */
   void left();
 
   /**
--- a/gateway/src/main/java/weldcross/consensus/raft/ElectionFilter.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/ElectionFilter.java
@@ -5,17 +5,23 @@
 import io.microraft.model.message.TriggerLeaderElectionRequest;
 import io.microraft.model.message.VoteRequest;
 import weldcross.consensus.LogPosition;
+import weldcross.consensus.VoterRecovery;
 
-/** Prevents a voter whose log may lack entries from electing a leader that lacks them as well. */
+/**
+ * Finds the messages that a voter must not handle while its log may lack entries, because it could
+ * elect a leader that lacks them as well.
+ */
 final class ElectionFilter {
 
   private ElectionFilter() {}
 
   /**
-   * Returns whether handling a message could make such a voter elect a candidate, or itself, that
-   * lacks entries which the voter helped to commit.
+   * Returns whether a message could lead to the election of a leader that lacks entries which this
+   * voter helped to commit. That is a vote request or pre-vote request of a candidate whose log
+   * ends before the target, and any request that this voter itself start an election.
    *
-   * @param target position that a complete log reaches
+   * @param target position that this voter's log must reach before it votes, as determined by
+   *     {@link VoterRecovery#target}
    */
   static boolean mayElectIncompleteLog(RaftMessage message, LogPosition target) {
     if (message instanceof VoteRequest request) {
--- a/gateway/src/main/java/weldcross/consensus/raft/RecoveryReplyCodec.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/RecoveryReplyCodec.java
@@ -18,8 +18,9 @@
    *
    * @param self its identity; empty if it has none yet
    * @param node its Raft node; empty if none is running
-   * @param log summary of its stored log
-   * @param hasLog whether it has a log and is not joining under a new identity
+   * @param log summary of its stored log, sent in any case
+   * @param reportsLog whether it reports that it has a log: it has an identity and is not still
+   *     joining under a new one, with a log that may be incomplete
    * @param logUnusable whether it has a stored log that it cannot use
    * @param history acknowledgements and votes that it has received from other identities
    */
@@ -27,7 +28,7 @@
       Optional<VoterId> self,
       Optional<RaftNode> node,
       VoterRecovery.LogSummary log,
-      boolean hasLog,
+      boolean reportsLog,
       boolean logUnusable,
       AcknowledgementHistory history) {
 
@@ -54,7 +55,7 @@
     VoterRecovery.LogSummary log = state.log();
     int nodeTerm = state.node().map(raft -> raft.getTerm().getTerm()).orElse(0);
     return RecoveryReply.newBuilder()
-        .setHasLog(state.hasLog())
+        .setHasLog(state.reportsLog())
         .setIdentity(identity)
         .setTerm(Math.max(log.term(), nodeTerm))
         .setLastTerm(log.last().term())
@@ -62,12 +63,16 @@
         .setAcknowledgedTerm(acknowledgement.acknowledged().term())
         .setAcknowledgedIndex(acknowledgement.acknowledged().index())
         .setVotedTerm(acknowledgement.votedTerm())
-        .setFounding(isFounding(state))
+        .setFounding(knowsOnlyFounders(state))
         .setUnknownIdentity(isUnknownIdentity(identity, state))
         .build();
   }
 
-  private static boolean isFounding(LocalState state) {
+  /**
+   * Returns whether, to its knowledge, no voter has changed its identity or lost its log: its own
+   * log is usable, and it knows only identities of founders.
+   */
+  private static boolean knowsOnlyFounders(LocalState state) {
     return !state.logUnusable()
         && state.self().stream().allMatch(VoterId::isFounder)
         && state.history().hasOnlyFounders()
--- a/gateway/src/main/java/weldcross/consensus/raft/VoterNode.java
+++ b/gateway/src/main/java/weldcross/consensus/raft/VoterNode.java
@@ -42,7 +42,8 @@
     void viewCommitted(MembershipView view);
 
     /**
-     * Reports a failed write, after which the store rejects writes; called from within the node.
+     * Reports a failed write, after which the store rejects writes. Called from within that write,
+     * so the node must not be used or terminated before the write has returned.
      */
     void storageFailed(IOException failure);
   }
--- a/gateway/src/main/java/weldcross/membership/Probe.java
+++ b/gateway/src/main/java/weldcross/membership/Probe.java
@@ -11,7 +11,7 @@
   private final PeerName target;
   private final Duration deadline;
 
-  /** Updates piggybacked on the ping; delivered once the target acks. */
+  /** Updates piggybacked on the ping; counted as delivered once the target acks. */
   private final List<MembershipUpdate> updates;
 
   /** Empty once indirect probes have been requested. */
@@ -68,14 +68,15 @@
     return indirectProbesAt.isPresent() && indirectProbesAt.get().compareTo(now) <= 0;
   }
 
-  /** Returns when the probe must be checked next. */
+  /** Returns when the probe must be checked next; an acked probe is removed then. */
   Duration nextDeadline() {
     return acked ? deadline : indirectProbesAt.orElse(deadline);
   }
 
   /**
-   * Returns the points that an unanswered probe adds to the local health score: one per relay that
-   * sent neither ack nor nack, as every live relay sends one of them; one if there was no relay.
+   * Returns the points that an unanswered probe adds to the {@link LocalHealth} score, of which
+   * more points are worse: one per relay that sent neither ack nor nack, as every live relay sends
+   * one of them; one if there was no relay.
    */
   int healthPenalty() {
     return pingRequestsSent == 0 ? 1 : Math.max(0, pingRequestsSent - nacks);
