--- a/gateway/src/main/java/weldcross/gateway/ClientStream.java
+++ b/gateway/src/main/java/weldcross/gateway/ClientStream.java
@@ -119,8 +119,10 @@
   }
 
   /**
-   * Posts an event if a message is still incomplete after a pass over all pending reads that brings
-   * no more of it; called on the event loop's thread.
+   * Posts an event if a message is still incomplete once all input that has arrived is read, that
+   * is, after a pass over all pending reads that brought no input of this client. Otherwise a
+   * gateway that lacks CPU time would time out clients whose input has arrived. Called on the event
+   * loop's thread.
    *
    * @param messages number of messages received before the incomplete one
    */
--- a/gateway/src/main/java/weldcross/gateway/ReadBatch.java
+++ b/gateway/src/main/java/weldcross/gateway/ReadBatch.java
@@ -12,9 +12,10 @@
  * Within each group the order is kept.
  *
  * <p>If each event were posted as soon as it is read, a request would be started although its
- * client disconnects in the same pass, and so would a queued request of the last of several clients
- * that disconnect together. A read could also be started before the earlier response to the write
- * of its session, as the sockets of a pass are read in no particular order.
+ * client disconnects in the same pass. If several clients disconnect together, each disconnect
+ * would let the next queued request start, although its client has disconnected, too. A read
+ * request could also be routed before the response to the preceding write of its session is
+ * handled, as the sockets of a pass are read in no particular order.
  *
  * <p>Called by the thread that reads the sockets. Synchronized because other threads may close
  * connections, although they rarely do.
--- a/gateway/src/main/java/weldcross/gateway/StreamHandler.java
+++ b/gateway/src/main/java/weldcross/gateway/StreamHandler.java
@@ -75,8 +75,16 @@
   @Override
   public void exceptionCaught(IoSession session, Throwable cause) {
     // Malformed input or a network failure. Closing the session reports the end of the connection.
-    streamOf(session).connectionFailed = true;
-    LOG.fine(() -> "connection failed: reason=" + cause);
+    Stream stream = streamOf(session);
+    stream.connectionFailed = true;
+    LOG.fine(
+        () ->
+            "connection failed: connection="
+                + session.getAttribute(NUMBER)
+                + " stream="
+                + stream.getClass().getSimpleName()
+                + " reason="
+                + cause);
     session.closeNow();
   }
 }
--- a/gateway/src/test/java/weldcross/gateway/ProcessSignalsTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ProcessSignalsTest.java
@@ -29,11 +29,12 @@
       awaitLogLine(
           log,
           "configuration reload failed, keeping the current configuration: reason=NODE_CONFIG");
+      // Besides the discovery address, a key changes that the gateway does not read.
       Files.writeString(
           config,
           Files.readString(Path.of("deploy/example.json"))
               .replace("127.0.0.1:8500", "127.0.0.1:2")
-              .replace("192", "128"));
+              .replace("\"memory_mb\": 192", "\"memory_mb\": 128"));
       sendSighup(process);
       awaitLogLine(log, "configuration reloaded");
       awaitLogLine(log, "discovery address changed: endpoint=127.0.0.1:2");
--- a/gateway/src/test/java/weldcross/gateway/ServerConnectionPoolTest.java
+++ b/gateway/src/test/java/weldcross/gateway/ServerConnectionPoolTest.java
@@ -16,16 +16,20 @@
 /** Tests reuse, timeouts and failures of connections to servers. */
 class ServerConnectionPoolTest {
 
+  /** SQLSTATE with which the gateway rejects a request; it proves that no server executed it. */
+  private static final String REJECTED = "53300";
+
   /**
    * Guards against a response that is taken for that of the next request: bytes that follow a
-   * response must be detected before its connection is reused.
+   * response must be detected before its connection is reused. A connection is therefore reused
+   * only after nothing was received on it for a quiet period, here of about 4 ms.
    */
   @Test
   void bytesAfterAResponseCloseItsConnectionBeforeReuse() {
     GatewayHarness harness = GatewayHarness.serving();
     String first = harness.request(harness.connect(), true, 900);
     long connection = harness.connectionOf(first);
-    harness.answer(connection, null);
+    answerSuccessfully(harness, connection);
     String second = harness.request(harness.connect(), true, 900);
     assertFalse(
         connection == harness.connectionOf(second), "reused before the quiet period is over");
@@ -33,7 +37,7 @@
         harness.connections.get(connection),
         ByteBuffer.wrap(ServerMessages.message('T', ServerMessages.ROW_DESCRIPTION_BODY)));
     assertTrue(harness.connections.get(connection).dropped);
-    harness.answer(harness.connectionOf(second), null);
+    answerSuccessfully(harness, harness.connectionOf(second));
     harness.advance(10);
     assertTrue(
         harness.connections.get(harness.connectionOf(harness.request(harness.connect(), true, 900)))
@@ -53,6 +57,7 @@
     harness.request(client, true, 900);
     long connection = harness.newestServerConnection();
     harness.disconnect(client);
+    // Cancelling the request has already closed the connection once; a second close must follow.
     harness.connections.get(connection).dropped = false;
     harness.dispatch(g -> g.serverConnections().connected(connection));
     assertTrue(harness.connections.get(connection).dropped);
@@ -63,6 +68,8 @@
     GatewayHarness harness = GatewayHarness.serving();
     harness.unreachable.add("s-0");
     harness.closeAllOf("s-0");
+    // The id of the request sent next, which the history then checks as one that must not be
+    // rejected if a server may have executed it.
     harness.history.writes.add("a0");
     final String id = harness.request(harness.connect(), true, 900);
     long connection = harness.newestServerConnection();
@@ -71,7 +78,10 @@
         ByteBuffer.wrap(ServerMessages.message('E', "SFATAL\0C57P03\0\0")));
     harness.closeByServer(connection);
     harness.advance(900);
-    assertEquals("53300", harness.history.answers.get(id), "the write cannot have been executed");
+    assertEquals(
+        REJECTED,
+        harness.history.answers.get(id),
+        "rejected, not failed: the write cannot have been executed");
   }
 
   @Test
@@ -79,7 +89,7 @@
     GatewayHarness harness = GatewayHarness.serving();
     String id = harness.request(harness.connect(), true, 500);
     long before = harness.connectionOf(id);
-    harness.answer(before, null);
+    answerSuccessfully(harness, before);
     harness.dispatch(g -> g.discovery().connected(harness.discovery));
     String text =
         "{\"revision\":8,\"complete\":false,\"members\":["
@@ -91,6 +101,7 @@
                 .responseReceived(harness.discovery, 200, text.getBytes(StandardCharsets.UTF_8)));
     harness.completeWrites();
     assertTrue(harness.connections.get(before).dropped);
+    // The fake transport names servers after their ports: s-8 is the server at port 7008.
     assertEquals(
         "s-8",
         harness.connections.get(harness.connectionOf(harness.request(harness.connect(), true, 500)))
@@ -104,7 +115,7 @@
     for (int round = 0; round < 30; round++) {
       String id = harness.request(harness.connect(), true, 500);
       used.add(harness.connectionOf(id));
-      harness.answer(harness.connectionOf(id), null);
+      answerSuccessfully(harness, harness.connectionOf(id));
       harness.advance(5);
     }
     assertEquals(1, used.size());
@@ -129,15 +140,15 @@
         harness.answerHealthChecks();
         connection = harness.connectionOf(id);
       }
-      harness.answer(connection, null);
+      answerSuccessfully(harness, connection);
       assertEquals("ok", harness.history.answers.get(id));
       harness.advance(130);
     }
     assertTrue(lost > 1 && lost < 12, lost + " requests lost");
     assertNoEndpointEjectedOrWarmingUp(harness);
     long open =
-        harness.connections.entrySet().stream()
-            .filter(e -> e.getKey() < 0 && e.getValue().open)
+        harness.connections.keySet().stream()
+            .filter(number -> isOpenOutboundConnection(harness, number))
             .count();
     assertTrue(open < 9, open + " connections open, avoided ones are not closed");
   }
@@ -154,7 +165,7 @@
     harness.dispatch(g -> g.serverConnections().connectionReset(connection));
     assertNoEndpointEjectedOrWarmingUp(harness);
     harness.advance(30);
-    harness.answer(harness.connectionOf(id), null);
+    answerSuccessfully(harness, harness.connectionOf(id));
     assertEquals(
         "ok", harness.history.answers.get(id), "not retried although nothing was executed");
   }
@@ -164,7 +175,7 @@
     GatewayHarness harness = GatewayHarness.serving();
     String id = harness.request(harness.connect(), true, 500);
     long connection = harness.connectionOf(id);
-    harness.answer(connection, null);
+    answerSuccessfully(harness, connection);
     harness.advance(26_000);
     assertFalse(harness.connections.get(connection).dropped);
     harness.advance(3_000);
@@ -177,9 +188,7 @@
     harness.unreachable.addAll(List.of("s-1", "s-2"));
     harness.busyConnections().forEach(harness::closeByServer);
     List.copyOf(harness.connections.keySet()).stream()
-        .filter(
-            number ->
-                number < 0 && number != harness.discovery && harness.connections.get(number).open)
+        .filter(number -> number != harness.discovery && isOpenOutboundConnection(harness, number))
         .forEach(harness::closeByServer);
     final String id = harness.request(harness.connect(), false, 2000);
     harness.advance(300);
@@ -188,7 +197,7 @@
     assertTrue(
         harness.calls.stream().anyMatch(call -> call.startsWith("sendGossip 7947 s-")),
         "no gossip was sent: " + harness.calls);
-    harness.busyConnections().forEach(number -> harness.answer(number, null));
+    harness.busyConnections().forEach(number -> answerSuccessfully(harness, number));
     assertEquals("ok", harness.history.answers.get(id));
   }
 
@@ -209,7 +218,7 @@
         harness.connections.get(connection).dropped, "timed out although reads are pending");
     harness.connections.get(connection).open = true;
     harness.dispatch(g -> g.serverConnections().connected(connection));
-    harness.answer(connection, null);
+    answerSuccessfully(harness, connection);
     assertEquals("ok", harness.history.answers.get(id));
     harness.request(harness.connect(), true, 2000);
     harness.advance(400);
@@ -219,6 +228,20 @@
         harness.connections.get(other).dropped, "not timed out after all pending reads were done");
   }
 
+  /** Answers the statement in progress on a connection to a server with a row. */
+  private static void answerSuccessfully(GatewayHarness harness, long connection) {
+    String noSqlState = null;
+    harness.answer(connection, noSqlState);
+  }
+
+  /**
+   * Returns whether a connection is open and leads to a server or to discovery. The numbers of such
+   * connections are negative; those of client connections are positive.
+   */
+  private static boolean isOpenOutboundConnection(GatewayHarness harness, long number) {
+    return number < 0 && harness.connections.get(number).open;
+  }
+
   /** Matches whole words, because "ejected" is also a part of "rejected" in the totals. */
   private static void assertNoEndpointEjectedOrWarmingUp(GatewayHarness harness) {
     String state = harness.gateway.describe();
